--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -36,6 +36,8 @@
 RATE = 2_000
 PLAIN_TOKENS = 200
 SIGTERM = 15
+# The status of a booking whose first request has no stored result yet.
+UNDER_WAY = 409
 
 flags.DEFINE_string("other", None, "a working copy of the other build")
 
@@ -76,7 +78,7 @@
     """
 
     def __init__(self, other: pathlib.Path) -> None:
-        self._roots = (processes.ROOT, other)
+        self.roots = (processes.ROOT, other)
         self.turn = 0
 
     def find_root(self, number: int) -> pathlib.Path:
@@ -85,7 +87,7 @@
         :param number: the VM's number; odd ones run the other build until
             ``turn`` is 1
         """
-        return self._roots[(number + self.turn) % 2]
+        return self.roots[(number + self.turn) % 2]
 
     def start(
         self,
@@ -295,10 +297,15 @@
         return {one["address"] for one in reply["addresses"]}
 
     for number, rig in enumerate(rigs):
-        processes.wait_until(lambda rig=rig: read(rig) == expected, WAIT_S)
-        checks.report(
-            f"members that VM {number} knows", read(rig) == expected, read(rig)
+        # Each answer names some of the VMs, chosen at random.
+        known: set[str] = set()
+        processes.wait_until(
+            lambda rig=rig, known=known: (
+                known.update(read(rig)) or known == expected
+            ),
+            WAIT_S,
         )
+        checks.report(f"members that VM {number} knows", known == expected)
 
 
 def _check_bookings(
@@ -350,14 +357,23 @@
 
 
 def _book(rig: deployment.PortRig, key: str) -> processes.Reply:
-    return rig.call("POST", "/bookings", key.encode(), Idempotency_Key=key)
+    """Send a booking, and repeat it while it counts as under way."""
+
+    def send() -> processes.Reply:
+        return rig.call("POST", "/bookings", key.encode(), Idempotency_Key=key)
+
+    found: list[processes.Reply] = []
+    processes.wait_until(
+        lambda: found.append(send()) or found[-1].status != UNDER_WAY, WAIT_S
+    )
+    return found[-1]
 
 
 def _check_edits(
     world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
 ) -> None:
     """Submit a change to each build's administration API."""
-    for root in (processes.ROOT, world.builds.find_root(1)):
+    for root in world.builds.roots:
         for process in list(world.group.processes):
             if "mulberryway.commands.admin" in process.popen.args:
                 process.stop()
