--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -17,7 +17,7 @@
 from mulberryway import tables
 from mulberryway.policy import allowance
 from tests import allowance_fleet
-from tests import allowance_history
+from tests import allowance_simulation
 
 __all__ = ["measure"]
 
@@ -53,7 +53,7 @@
         ]
         current = tables.Tables(1, (), (), tuple(self.accounts))
         self.fleet = allowance_fleet.Fleet(
-            vms, allowance_history.SimSource(current), is_split
+            vms, allowance_simulation.SimSource(current), is_split
         )
         self.ideal = allowance_fleet.IdealAllowances(
             self.accounts, self.fleet.clock
@@ -151,7 +151,8 @@
                 100 * self.counts["ideal refused"] / asked, 3
             ),
             "overrun_tokens": max(
-                allowance_history.find_overrun(self.grants, limits) / 1_000, 0
+                allowance_simulation.find_overrun(self.grants, limits) / 1_000,
+                0,
             ),
             "peer_calls_per_request": round(
                 (now_messages - messages) / asked, 3
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -2,12 +2,12 @@
 
 import math
 
-from benchmarks import capacity_lines
+from benchmarks import capacity_rows
 
 __all__ = ["TABLES"]
 
-Line = capacity_lines.Line
-Target = capacity_lines.Target
+Line = capacity_rows.Line
+Target = capacity_rows.Target
 
 PER_VM = Target.REQUESTS_PER_VM
 ENGINE_DECADES = math.log10(Target.ENGINES)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -14,10 +14,10 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import peers
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claims
 from mulberryway.load import outcome
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 from mulberryway.peers.gen.claims import Claims
 from mulberryway.policy import claim_records
@@ -55,7 +55,7 @@
             f"http://{processes.HOST}:{port}",
             TIMEOUT_MS,
             CLOCK,
-            counts.CallCounts(),
+            call_metrics.CallCounts(),
         )
 
     def book(self, key: str) -> float:
@@ -78,7 +78,9 @@
             name,
             1,
             peers=peers_,
-            find_keeper=claim_keeping.make_finder(name, self.list_keepers),
+            find_keeper=claim_coordination.make_finder(
+                name, self.list_keepers
+            ),
         )
         self.server = peers.PeerServer(
             processes.HOST,
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -27,7 +27,7 @@
 from mulberryway.admin import administration
 from mulberryway.admin import editor
 from mulberryway.admin import fleet
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 from mulberryway.tables import parse
 
@@ -142,7 +142,7 @@
         time.sleep(1)
         self.vms = [Vm(self.write(folder, n)) for n in range(count)]
         self.client = peers.PeerClient(SECRET, self.clock, 2_000)
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.CallCounts()
         self.fleet = fleet.Fleet(
             self.client,
             f"127.0.0.1:{FIRST_PORT + 1}",
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -21,7 +21,7 @@
 from mulberryway import settings
 from mulberryway.controllers import configuration_service
 from mulberryway.controllers import membership
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 from mulberryway.peers.gen.membership import Membership
 from mulberryway.policy import member
@@ -39,7 +39,7 @@
 
     def __init__(self, settings_: settings.Settings) -> None:
         self.clock = clock.SystemClock()
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.CallCounts()
         store = http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -11,13 +11,13 @@
 import pathlib
 import typing
 
-from benchmarks import decisions_fleet as fleet
 from benchmarks import decisions_limits as limits
+from benchmarks import decisions_simulation as fleet
 from benchmarks import decisions_workloads as workloads
 from mulberryway.policy import base
 from mulberryway.policy import baselines
+from mulberryway.policy import fairness
 from mulberryway.policy import scheduler
-from mulberryway.policy import weighing
 
 __all__ = ["measure"]
 
@@ -104,7 +104,7 @@
     if rival == "random_of_two":
         return baselines.RandomOfTwoScheduler(number)
     return scheduler.FairScheduler(
-        f"vm{number}", weighed=weighing.find_weighing(rival), seed=number
+        f"vm{number}", weighed=fairness.find_weighing(rival), seed=number
     )
 
 
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -13,7 +13,7 @@
 from benchmarks import series
 from mulberryway import clock
 from mulberryway import tables
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import scheduler
 
 __all__ = ["measure"]
@@ -102,7 +102,7 @@
         number = _submit(router, number, accounts, now_ms)
         submits += time.process_time() - begun
         begun = time.process_time()
-        router.finish(running.pop(0), messages.JobEnd.DONE, "", now_ms)
+        router.finish(running.pop(0), jobs.JobEnd.DONE, "", now_ms)
         found = router.dispatch(now_ms).assignments
         router.take_hints(now_ms)
         starts += time.process_time() - begun
@@ -157,7 +157,7 @@
     accounts: int,
     now_ms: int = 0,
 ) -> int:
-    job = messages.Job(
+    job = jobs.Job(
         f"j{number}",
         f"a{number % accounts}",
         1,
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -2,10 +2,10 @@
 
 import itertools
 
-from benchmarks import decisions_fleet as fleet
+from benchmarks import decisions_simulation as fleet
 from benchmarks import decisions_workloads as workloads
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
 __all__ = ["measure_decode_limit", "share_out"]
 
@@ -23,7 +23,7 @@
     :param length_ms: for how long it is fed
     :returns: tokens a second
     """
-    shape = engine_shape.Shape()
+    shape = engine_types.Shape()
     if slow:
         shape.slow_factor = fleet.SLOW_FACTOR
     engine = engine_model.EngineModel(shape, "decode", ("m",))
@@ -34,8 +34,8 @@
     tokens = 0
     while (now_ms := engine.next_ms()) < length_ms:
         for event in engine.advance(now_ms):
-            tokens += event.kind is engine_shape.EventKind.TOKEN
-            if event.kind is engine_shape.EventKind.FINISHED:
+            tokens += event.kind is engine_types.EventKind.TOKEN
+            if event.kind is engine_types.EventKind.FINISHED:
                 _feed(engine, next(source), next(numbers), now_ms)
     return tokens * 1_000 / length_ms
 
@@ -46,7 +46,7 @@
     number: int,
     now_ms: float,
 ) -> None:
-    run = engine_shape.Run(
+    run = engine_types.Run(
         str(number), "ideal", "m", (), 1, arrival.output_tokens
     )
     if engine.submit_decode(run, now_ms) is not None:
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_simulation.py
@@ -15,10 +15,10 @@
 from mulberryway import tables
 from mulberryway.policy import base
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.upstreams import base as upstreams
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
 __all__ = ["Fleet", "Outcome"]
 
@@ -36,7 +36,7 @@
 SLOW_FROM_MS = 20_000
 PREFILL_MS_PER_TOKEN = 0.08
 
-Kind = engine_shape.EventKind
+Kind = engine_types.EventKind
 
 
 class Outcome:
@@ -96,13 +96,11 @@
         "is_prefilled",
     )
 
-    def __init__(
-        self, router: int, job: messages.Job, outcome: Outcome
-    ) -> None:
+    def __init__(self, router: int, job: jobs.Job, outcome: Outcome) -> None:
         self.router = router
         self.job = job
         self.outcome = outcome
-        self.assignment: messages.Assignment | None = None
+        self.assignment: jobs.Assignment | None = None
         self.handle = ""
         self.told = 0.0
         self.prefilled_ms = 0.0
@@ -243,7 +241,7 @@
     def _arrive(self, outcome: Outcome) -> None:
         arrival = outcome.arrival
         router = int(arrival.router * len(self._schedulers))
-        job = messages.Job(
+        job = jobs.Job(
             str(arrival.number),
             arrival.account,
             1,
@@ -321,8 +319,8 @@
         if refused is not None:
             self._retry(flight, name)
 
-    def _make_run(self, flight: _Flight, name: str) -> engine_shape.Run:
-        run = engine_shape.Run(
+    def _make_run(self, flight: _Flight, name: str) -> engine_types.Run:
+        run = engine_types.Run(
             name,
             f"vm{flight.router}",
             "m",
@@ -381,7 +379,7 @@
         flight.outcome.wasted += int(flight.told)
 
     def _retry(self, flight: _Flight, blamed: str) -> None:
-        end = messages.JobEnd.REFUSED_BY_ENGINE
+        end = jobs.JobEnd.REFUSED_BY_ENGINE
         job = flight.job
         self._schedulers[flight.router].finish(
             job.job_id, end, blamed, int(self.now_ms)
@@ -390,7 +388,7 @@
         if job.attempt + 1 >= MOST_ATTEMPTS:
             flight.outcome.refused_ms = self.now_ms
             return
-        again = messages.Job(
+        again = jobs.Job(
             f"{flight.outcome.arrival.number}.{job.attempt + 1}",
             job.account,
             job.weight,
@@ -428,7 +426,7 @@
             self._engine_due[name] = float("inf")
         self._follow(name)
 
-    def _take(self, name: str, event: engine_shape.ModelEvent) -> None:
+    def _take(self, name: str, event: engine_types.ModelEvent) -> None:
         flight = event.run.context
         assert isinstance(flight, _Flight)
         if event.kind is Kind.TOKEN:
@@ -455,7 +453,7 @@
             )
 
     def _take_token(
-        self, flight: _Flight, event: engine_shape.ModelEvent
+        self, flight: _Flight, event: engine_types.ModelEvent
     ) -> None:
         outcome = flight.outcome
         outcome.tokens += 1
@@ -476,7 +474,7 @@
         job_id, now_ms = flight.job.job_id, int(self.now_ms)
         scheduler = self._schedulers[flight.router]
         scheduler.note_tokens(job_id, flight.outcome.tokens, now_ms)
-        scheduler.finish(job_id, messages.JobEnd.DONE, "", now_ms)
+        scheduler.finish(job_id, jobs.JobEnd.DONE, "", now_ms)
         del self._flights[job_id]
         self._pump(flight.router)
 
@@ -524,7 +522,7 @@
     return tables.Pool(pool.name, pool.kind, rows, pool.models)
 
 
-def _make_shape() -> engine_shape.Shape:
-    shape = engine_shape.Shape()
+def _make_shape() -> engine_types.Shape:
+    shape = engine_types.Shape()
     shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
     return shape
--- a/benchmarks/static_router.py
+++ b/benchmarks/static_router.py
@@ -14,7 +14,7 @@
 from mulberryway import settings
 from mulberryway import tables
 from mulberryway.policy import allowance
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from mulberryway.policy import scheduler
 
 __all__ = ["run"]
@@ -54,10 +54,10 @@
         pass
 
 
-class NoEntry(entry.EntryDirectory):
+class NoEntry(endpoints.EntryDirectory):
     """Names nobody."""
 
-    def list_addresses(self, caller_zone: str) -> list[entry.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
         return []
 
 
--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -11,8 +11,8 @@
 from mulberryway import tables
 from mulberryway.admin import editor
 from mulberryway.admin import fleet
-from mulberryway.admin import messages
-from mulberryway.admin import views
+from mulberryway.admin import response_builders
+from mulberryway.admin import responses
 from mulberryway.tables import changes
 from mulberryway.tables import edits
 from mulberryway.tables import parse
@@ -29,7 +29,7 @@
 # so that no VM has to be chosen for it.
 COLLECT_EVERY = 64
 
-T = typing.TypeVar("T", bound=messages.Answer)
+T = typing.TypeVar("T", bound=responses.Answer)
 Outcome = expression.Result[T, errors.Fault]
 
 
@@ -44,11 +44,11 @@
         self._editor = editor_
         self._fleet = fleet_
 
-    def show(self) -> Outcome[messages.TablesAnswer]:
+    def show(self) -> Outcome[responses.TablesAnswer]:
         """Return the accepted tables."""
-        return self._read_tables().map(views.make_tables)
+        return self._read_tables().map(response_builders.make_tables)
 
-    def diff(self, text: str) -> Outcome[messages.LinesAnswer]:
+    def diff(self, text: str) -> Outcome[responses.LinesAnswer]:
         """Return what a text of tables would change; change nothing.
 
         :param text: the tables as TOML
@@ -61,7 +61,7 @@
 
     def apply(
         self, operator: str, text: str, revision: int, edit_id: str
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         """Replace all tables.
 
         :param operator: who wants it
@@ -84,7 +84,7 @@
         values: dict[str, typing.Any],
         expected: str | None,
         edit_id: str,
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         """Add or replace a row.
 
         :param operator: who wants it
@@ -104,7 +104,7 @@
         name: str,
         expected: str | None,
         edit_id: str,
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         """Delete a row.
 
         :param operator: who wants it
@@ -118,7 +118,7 @@
 
     def give_key(
         self, operator: str, account: str, edit_id: str
-    ) -> Outcome[messages.KeyAnswer]:
+    ) -> Outcome[responses.KeyAnswer]:
         """Make a key for a client account; it is shown this once.
 
         :param operator: who wants it
@@ -136,7 +136,7 @@
 
     def withdraw_key(
         self, operator: str, account: str, prefix: str, edit_id: str
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         """Take a key from a client account.
 
         :param operator: who wants it
@@ -144,17 +144,18 @@
         :param prefix: the first digits of the key's digest
         :param edit_id: the edit's own id
         """
-        if len(prefix) < views.KEY_DIGITS:
+        if len(prefix) < response_builders.KEY_DIGITS:
             return _refuse(
                 errors.Code.BAD_REQUEST,
-                f"expected at least {views.KEY_DIGITS} digits of the digest",
+                f"expected at least {response_builders.KEY_DIGITS} "
+                "digits of the digest",
             )
         change = changes.WithdrawKey(account, prefix)
         return self._submit(operator, change, edit_id)
 
     def restore(
         self, operator: str, edit_id: str
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         """Bring a platform forward that was restored from an old copy.
 
         :param operator: who wants it
@@ -168,19 +169,19 @@
             )
         )
         return restored.map(
-            lambda accepted: messages.EditAnswer(edit_id, accepted.revision)
+            lambda accepted: responses.EditAnswer(edit_id, accepted.revision)
         )
 
-    def read_history(self) -> Outcome[messages.HistoryAnswer]:
+    def read_history(self) -> Outcome[responses.HistoryAnswer]:
         """Return past edits."""
         held = self._editor.accepted.read_root()
         return held.bind(
             lambda found: self._editor.accepted.read_history(found.root)
-        ).map(views.make_history)
+        ).map(response_builders.make_history)
 
     def wait(
         self, revision: int | None, timeout_ms: int
-    ) -> Outcome[messages.FleetAnswer]:
+    ) -> Outcome[responses.FleetAnswer]:
         """Wait until a revision is in force on all VMs.
 
         :param revision: the revision; none for the accepted one
@@ -196,11 +197,11 @@
             )
         )
 
-    def read_status(self) -> Outcome[messages.StatusAnswer]:
+    def read_status(self) -> Outcome[responses.StatusAnswer]:
         """Return the state of VMs, pools and client accounts."""
         states = self._fleet.read_states()
         return self._read_tables().map(
-            lambda current: views.make_status(current, states)
+            lambda current: response_builders.make_status(current, states)
         )
 
     def _read_tables(
@@ -217,7 +218,7 @@
         change: changes.Change,
         edit_id: str,
         revision: int | None = None,
-    ) -> Outcome[messages.EditAnswer]:
+    ) -> Outcome[responses.EditAnswer]:
         edit = edits.Edit(edit_id, operator, (change,), revision)
         submitted = self._editor.submit(edit, EDIT_MS)
         if submitted.is_error():
@@ -232,15 +233,15 @@
         accepted = submitted.ok
         if accepted.revision % COLLECT_EVERY == 0:
             threading.Thread(target=self._editor.collect, daemon=True).start()
-        return expression.Ok(messages.EditAnswer(edit_id, accepted.revision))
+        return expression.Ok(responses.EditAnswer(edit_id, accepted.revision))
 
     def _check_given(
         self,
-        answer: messages.EditAnswer,
+        answer: responses.EditAnswer,
         account: str,
         key: str,
         digest: str,
-    ) -> Outcome[messages.KeyAnswer]:
+    ) -> Outcome[responses.KeyAnswer]:
         """Show a key only if it is the one that the edit gave.
 
         An operator whose answer was lost sends the edit again.  It counts
@@ -260,7 +261,7 @@
                 errors.Run.RAN,
             )
         return expression.Ok(
-            messages.KeyAnswer(
+            responses.KeyAnswer(
                 answer.edit_id, answer.revision, account, key, digest
             )
         )
@@ -268,10 +269,10 @@
 
 def _diff(
     current: tables.Tables, rows: parse.PlainTables
-) -> Outcome[messages.LinesAnswer]:
+) -> Outcome[responses.LinesAnswer]:
     edit = edits.Edit("diff", "", (changes.ReplaceAll(rows),))
     return edit.apply(current).map(
-        lambda made: messages.LinesAnswer(
+        lambda made: responses.LinesAnswer(
             current.revision, edits.diff_tables(current, made)
         )
     )
--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -13,7 +13,7 @@
 from mulberryway import replies
 from mulberryway.admin import administration
 from mulberryway.admin import calls
-from mulberryway.admin import messages
+from mulberryway.admin import responses
 
 __all__ = ["AdminApi"]
 
@@ -23,7 +23,7 @@
 MOST_WAIT_MS = 60_000
 
 Environ = dict[str, typing.Any]
-Result = expression.Result[messages.Answer, errors.Fault]
+Result = expression.Result[responses.Answer, errors.Fault]
 
 
 Handler = collections.abc.Callable[[calls.Call], Result]
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -10,7 +10,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import peers
-from mulberryway.admin import messages
+from mulberryway.admin import responses
 from mulberryway.admin import submission as submissions
 from mulberryway.peers.gen.configuration import Configuration
 from mulberryway.peers.gen.configuration import ttypes
@@ -104,7 +104,7 @@
                 root.revision,
             )
 
-    def read_states(self) -> list[messages.VmState]:
+    def read_states(self) -> list[responses.VmState]:
         """Ask each VM that this VM's router knows for its tables."""
         return self._ask(self._list_members())
 
@@ -154,7 +154,7 @@
 
     def wait_in_force(
         self, revision: int, timeout_ms: int
-    ) -> messages.FleetAnswer:
+    ) -> responses.FleetAnswer:
         """Wait until no VM serves with tables older than a revision.
 
         A VM that cannot be reached counts as refusing when it has been out
@@ -168,7 +168,7 @@
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
         members = {one.name: one for one in self._list_members()}
         reached_ms = dict.fromkeys(members, self._clock.now_ms())
-        states: dict[str, messages.VmState] = {}
+        states: dict[str, responses.VmState] = {}
         waiting = list(members)
         while True:
             # Of 410 VMs, those that have it need not be asked again.
@@ -187,20 +187,20 @@
             ]
             is_done = bool(members) and not waiting
             if is_done or deadline.has_passed(now_ms):
-                return messages.FleetAnswer(
+                return responses.FleetAnswer(
                     revision, is_done, waiting, list(states.values())
                 )
             self._clock.sleep_ms(POLL_MS)
 
     def _is_settled(
-        self, state: messages.VmState, revision: int, reached_ms: int
+        self, state: responses.VmState, revision: int, reached_ms: int
     ) -> bool:
         if state.is_reached:
             return state.revision >= revision or not state.is_serving
         silent_ms = self._clock.now_ms() - reached_ms
         return silent_ms > self._fresh_ms + SPREAD_MS
 
-    def _ask(self, members: list[ttypes.Member]) -> list[messages.VmState]:
+    def _ask(self, members: list[ttypes.Member]) -> list[responses.VmState]:
         replies = self._pool.map(
             lambda member: self._read_state(member.address), members
         )
@@ -246,10 +246,10 @@
 def _make_state(
     member: ttypes.Member,
     reply: expression.Result[ttypes.RootReply, errors.Fault],
-) -> messages.VmState:
+) -> responses.VmState:
     if reply.is_error():
-        return messages.VmState(member.name, member.zone, False)
-    return messages.VmState(
+        return responses.VmState(member.name, member.zone, False)
+    return responses.VmState(
         member.name,
         member.zone,
         True,
--- a/mulberryway/admin/views.py
+++ b/mulberryway/admin/response_builders.py
@@ -4,7 +4,7 @@
 import typing
 
 from mulberryway import tables
-from mulberryway.admin import messages
+from mulberryway.admin import responses
 from mulberryway.tables import changes
 from mulberryway.tables import parse
 
@@ -14,7 +14,7 @@
 KEY_DIGITS = 8
 
 
-def make_tables(current: tables.Tables) -> messages.TablesAnswer:
+def make_tables(current: tables.Tables) -> responses.TablesAnswer:
     """Return tables as they may be shown.
 
     :param current: the tables
@@ -26,25 +26,25 @@
         for name, row in by_name.items()
     }
     text = parse.format_rows(changes.hide_credentials(rows))
-    return messages.TablesAnswer(current.revision, text, digests)
+    return responses.TablesAnswer(current.revision, text, digests)
 
 
 def make_history(
     past: list[dict[str, typing.Any]],
-) -> messages.HistoryAnswer:
+) -> responses.HistoryAnswer:
     """Return past edits as operators see them.
 
     :param past: entries of the history, the newest last
     """
     shown = ("revision", "edit_id", "operator", "wall_ms", "summary")
-    return messages.HistoryAnswer(
+    return responses.HistoryAnswer(
         [{key: entry[key] for key in shown} for entry in past]
     )
 
 
 def make_status(
-    current: tables.Tables, states: list[messages.VmState]
-) -> messages.StatusAnswer:
+    current: tables.Tables, states: list[responses.VmState]
+) -> responses.StatusAnswer:
     """Return the state of VMs, pools and client accounts.
 
     :param current: the accepted tables
@@ -70,4 +70,4 @@
         }
         for name, row in current.accounts.items()
     }
-    return messages.StatusAnswer(current.revision, states, pools, accounts)
+    return responses.StatusAnswer(current.revision, states, pools, accounts)
--- a/mulberryway/admin/server.py
+++ b/mulberryway/admin/server.py
@@ -14,7 +14,7 @@
 from mulberryway.admin import calls
 from mulberryway.admin import editor
 from mulberryway.admin import fleet
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 
 __all__ = ["AdminServer"]
@@ -43,7 +43,7 @@
     def __init__(
         self, settings_: settings.Settings, clock_: clock.Clock
     ) -> None:
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.CallCounts()
         store = http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -12,28 +12,28 @@
 from mulberryway.controllers import allowance_slots
 from mulberryway.controllers import allowance_state
 from mulberryway.controllers import allowances
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claims
 from mulberryway.controllers import configuration_service
 from mulberryway.controllers import dissemination
 from mulberryway.controllers import engine_reports
 from mulberryway.controllers import membership
-from mulberryway.controllers import notes
 from mulberryway.controllers import orders
-from mulberryway.controllers import owners
+from mulberryway.controllers import owner_liveness
 from mulberryway.controllers import probing
 from mulberryway.controllers import reconciling
-from mulberryway.objects import counts
+from mulberryway.controllers import scheduler_gossip
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http as platform_http
 from mulberryway.peers import datagrams
 from mulberryway.peers import server as peer_server
 from mulberryway.peers.gen.allowances import Allowances
 from mulberryway.peers.gen.claims import Claims
 from mulberryway.peers.gen.membership import Membership
-from mulberryway.policy import issuer
+from mulberryway.policy import fairness
+from mulberryway.policy import leader_lease
 from mulberryway.policy import member
 from mulberryway.policy import scheduler
-from mulberryway.policy import weighing
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
@@ -58,7 +58,7 @@
     ) -> None:
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
-        self.platform_counts = counts.CallCounts()
+        self.platform_counts = call_metrics.CallCounts()
         self.store = platform_http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -85,7 +85,7 @@
             settings_.vm_name,
             self.incarnation,
             peers=self.client,
-            find_keeper=claim_keeping.make_finder(
+            find_keeper=claim_coordination.make_finder(
                 settings_.vm_name, self.members.list_members
             ),
         )
@@ -105,7 +105,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = notes.NotesController(
+        self.notes = scheduler_gossip.NotesController(
             self.router.scheduling,
             self.members,
             self.configuration.source,
@@ -132,7 +132,7 @@
             self.incarnation,
             self.reports.list_engines,
             self.router.scheduling.is_running,
-            owners.MemberOwners(
+            owner_liveness.MemberOwners(
                 self.members.list_members, self.store, self.clock
             ),
             self.router.metrics,
@@ -230,7 +230,7 @@
 
     def _may_issue_orders(self) -> bool:
         alive = self.members.list_alive()
-        return self.settings.vm_name in issuer.choose_candidates(alive)
+        return self.settings.vm_name in leader_lease.choose_candidates(alive)
 
     def _make_members(self) -> membership.MembershipController:
         settings_ = self.settings
@@ -265,7 +265,7 @@
             scheduler.FairScheduler(
                 settings_.vm_name,
                 self.incarnation,
-                weighing.find_weighing(settings_.policy_weighing),
+                fairness.find_weighing(settings_.policy_weighing),
                 seed=random.SystemRandom().getrandbits(32),
             ),
             self.allowances,
--- a/mulberryway/commands/operate.py
+++ b/mulberryway/commands/operate.py
@@ -17,7 +17,7 @@
 
 from mulberryway import errors
 from mulberryway.admin import client
-from mulberryway.admin import display
+from mulberryway.admin import text_output
 
 __all__ = ["main", "run"]
 
@@ -168,17 +168,17 @@
 
 
 COMMANDS = {
-    "show": Command((0,), _show, display.show_tables),
-    "diff": Command((1,), _diff, display.show_lines),
-    "apply": Command((1,), _apply, display.show_edit, True),
-    "put": Command((2,), _put, display.show_edit, True),
-    "delete": Command((1,), _delete, display.show_edit, True),
-    "give-key": Command((1,), _give_key, display.show_key, True),
-    "withdraw-key": Command((2,), _withdraw_key, display.show_edit, True),
-    "history": Command((0,), _read_history, display.show_history),
-    "wait": Command((0, 1), _wait, display.show_fleet),
-    "restore": Command((0,), _restore, display.show_edit, True),
-    "status": Command((0,), _read_status, display.show_status),
+    "show": Command((0,), _show, text_output.show_tables),
+    "diff": Command((1,), _diff, text_output.show_lines),
+    "apply": Command((1,), _apply, text_output.show_edit, True),
+    "put": Command((2,), _put, text_output.show_edit, True),
+    "delete": Command((1,), _delete, text_output.show_edit, True),
+    "give-key": Command((1,), _give_key, text_output.show_key, True),
+    "withdraw-key": Command((2,), _withdraw_key, text_output.show_edit, True),
+    "history": Command((0,), _read_history, text_output.show_history),
+    "wait": Command((0, 1), _wait, text_output.show_fleet),
+    "restore": Command((0,), _restore, text_output.show_edit, True),
+    "status": Command((0,), _read_status, text_output.show_status),
 }
 
 
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -9,9 +9,9 @@
 from mulberryway.controllers import allowance_state
 from mulberryway.controllers import base
 from mulberryway.objects import base as platform
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import member
+from mulberryway.policy import slot_lease_manager
 
 __all__ = ["AllowanceSlotsController", "KIND", "MemberSource"]
 
@@ -226,7 +226,7 @@
 
     def _decide(
         self, group: int, records: dict[int, allowance_slots.SlotRecord]
-    ) -> dict[int, allowance_keeper.Decision]:
+    ) -> dict[int, slot_lease_manager.Decision]:
         first = group * self._state.parts
         decisions = {}
         with self._state.lock:
@@ -239,11 +239,11 @@
                     self._is_wanted(slot, now_ms),
                     now_ms,
                 )
-                if decision is allowance_keeper.Decision.RELEASE:
+                if decision is slot_lease_manager.Decision.RELEASE:
                     # Never spend from a slot that others may have already.
                     self._state.keeper.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
-                if decision is not allowance_keeper.Decision.NONE:
+                if decision is not slot_lease_manager.Decision.NONE:
                     decisions[part] = decision
         return decisions
 
@@ -251,7 +251,7 @@
         self,
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, allowance_keeper.Decision],
+        decisions: dict[int, slot_lease_manager.Decision],
     ) -> dict[int, allowance_slots.SlotRecord]:
         with self._state.lock:
             made = {
@@ -266,7 +266,7 @@
         self,
         group: int,
         written: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, allowance_keeper.Decision],
+        decisions: dict[int, slot_lease_manager.Decision],
         sent_ms: int,
     ) -> None:
         with self._state.lock:
--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -4,11 +4,11 @@
 import threading
 
 from mulberryway.policy import allowance_borrower
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_lender
-from mulberryway.policy import allowance_shares
 from mulberryway.policy import allowance_times
+from mulberryway.policy import leased_rate_limiter
 from mulberryway.policy import member
+from mulberryway.policy import slot_lease_manager
 
 __all__ = ["AllowanceState", "pack_holdings", "unpack_holdings"]
 
@@ -41,14 +41,14 @@
         self.times = times or allowance_times.AllowanceTimes()
         self.groups = groups
         self.parts = parts
-        self.keeper = allowance_keeper.SlotKeeper(
+        self.keeper = slot_lease_manager.SlotKeeper(
             own.name, own.address, own.incarnation, self.times
         )
         self.lender = allowance_lender.Lender(
             self.keeper, self.times, groups, parts
         )
         self.borrower = allowance_borrower.Borrower(self.times)
-        self.book = allowance_shares.ShareBook(self.lender, self.borrower)
+        self.book = leased_rate_limiter.ShareBook(self.lender, self.borrower)
         # Whom to ask, by slot: ``host:port`` of holders; only a hint.
         self.holders: dict[int, str] = {}
 
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -18,8 +18,8 @@
 from mulberryway.peers.gen.allowances import ttypes
 from mulberryway.policy import allowance
 from mulberryway.policy import allowance_borrower
-from mulberryway.policy import allowance_shares
 from mulberryway.policy import allowance_slots
+from mulberryway.policy import leased_rate_limiter
 
 __all__ = ["AllowancesController", "AllowanceService"]
 
@@ -133,7 +133,7 @@
         with self._state.lock:
             now_ms = self.clock.now_ms()
             return isinstance(
-                reservation, allowance_shares.ShareReservation
+                reservation, leased_rate_limiter.ShareReservation
             ) and self._state.book.is_usable(reservation, now_ms)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
@@ -142,7 +142,7 @@
         :param reservation: what was taken
         :param used: tokens that the caller received or that were computed
         """
-        if isinstance(reservation, allowance_shares.ShareReservation):
+        if isinstance(reservation, leased_rate_limiter.ShareReservation):
             with self._state.lock:
                 now_ms = self.clock.now_ms()
                 self._state.book.settle(reservation, used, now_ms)
@@ -160,7 +160,7 @@
 
     def _reserve_borrowed(
         self, account: str, tokens: int
-    ) -> allowance_shares.ShareReservation | None:
+    ) -> leased_rate_limiter.ShareReservation | None:
         # One thread asks for an account at a time.  Many that ask at once
         # would each get a part of what one of them needs.
         end = clock.Deadline(self.clock.now_ms() + BORROW_MS)
@@ -177,7 +177,7 @@
 
     def _ask_holders(
         self, account: str, tokens: int, end: clock.Deadline
-    ) -> allowance_shares.ShareReservation | None:
+    ) -> leased_rate_limiter.ShareReservation | None:
         for peer in self._list_holders(account):
             is_more = True
             while is_more and not end.has_passed(self.clock.now_ms()):
@@ -219,7 +219,7 @@
         self,
         peer: str,
         account: str,
-        ask: allowance_shares.Ask,
+        ask: leased_rate_limiter.Ask,
         end: clock.Deadline,
     ) -> bool:
         """Ask a VM for a loan; tell whether it has more to lend."""
--- a/mulberryway/controllers/claim_keeping.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -10,7 +10,7 @@
 from mulberryway.peers import client
 from mulberryway.peers.gen.claims import Claims
 from mulberryway.peers.gen.claims import ttypes
-from mulberryway.policy import claim_keepers
+from mulberryway.policy import claim_coordinators
 from mulberryway.policy import claim_records
 from mulberryway.policy import member
 
@@ -43,7 +43,7 @@
     """
 
     def find(shard: int) -> str | None:
-        keeper = claim_keepers.choose_keeper(shard, list_members())
+        keeper = claim_coordinators.choose_keeper(shard, list_members())
         if keeper is None or keeper.name == own:
             return None
         return keeper.peer
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -13,7 +13,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.controllers import base
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claim_queue
 from mulberryway.controllers import claim_writer
 from mulberryway.objects import base as platform
@@ -76,7 +76,7 @@
         shards: int = claims.SHARDS,
         make_shard: collections.abc.Callable[[], claims.Shard] = claims.Shard,
         peers: client.PeerClient | None = None,
-        find_keeper: claim_keeping.FindKeeper = lambda shard: None,
+        find_keeper: claim_coordination.FindKeeper = lambda shard: None,
     ) -> None:
         super().__init__("claims", clock_, FLUSH_MS)
         self._prefix = f"{vm}/{incarnation}/"
@@ -87,9 +87,11 @@
             )
             for number in range(shards)
         ]
-        self.handler = claim_keeping.ClaimHandler(writers, clock_)
+        self.handler = claim_coordination.ClaimHandler(writers, clock_)
         self._shards = [
-            claim_keeping.KeptShard(number, writer, peers, find_keeper, clock_)
+            claim_coordination.KeptShard(
+                number, writer, peers, find_keeper, clock_
+            )
             for number, writer in enumerate(writers)
         ]
         self._lock = threading.Lock()
@@ -214,7 +216,7 @@
             with self._lock:
                 self._followers -= 1
 
-    def _find_shard(self, digest: str) -> claim_keeping.KeptShard:
+    def _find_shard(self, digest: str) -> claim_coordination.KeptShard:
         return self._shards[claims.pick_shard(digest, len(self._shards))]
 
     def _limit(self, limit_ms: int) -> clock.Deadline:
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -11,7 +11,7 @@
 from mulberryway.controllers import base
 from mulberryway.controllers import configuration_peers
 from mulberryway.controllers import configuration_watch
-from mulberryway.controllers import fleet_peak
+from mulberryway.controllers import peak_fleet_size
 from mulberryway.controllers import tables_in_force
 from mulberryway.objects import base as platform
 from mulberryway.objects import roots as root_store
@@ -72,7 +72,7 @@
         self._next_read_ms = 0
         self._last_judged: freshness.Freshness | None = None
         self._heard_ms: dict[str, int] = {}
-        self._fleet = fleet_peak.FleetPeak()
+        self._fleet = peak_fleet_size.FleetPeak()
 
     def step(self) -> None:
         """Follow news, ask a peer or the platform, and judge freshness."""
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -5,10 +5,10 @@
 from mulberryway import clock
 from mulberryway import tables
 from mulberryway.controllers import base
-from mulberryway.controllers import notes
+from mulberryway.controllers import scheduler_gossip
 from mulberryway.controllers import scheduling
-from mulberryway.peers import note_messages
-from mulberryway.policy import sharing
+from mulberryway.peers import gossip_messages
+from mulberryway.policy import pool_subsets
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        notes_: notes.NotesController,
+        notes_: scheduler_gossip.NotesController,
         scheduling_: scheduling.Scheduling,
         directory_: directory.UpstreamDirectory,
         source: tables.TableSource,
@@ -89,7 +89,7 @@
 
     def _list_asked(
         self, found: tables.Tables
-    ) -> list[tuple[sharing.Share, tables.Pool, tables.Upstream]]:
+    ) -> list[tuple[pool_subsets.Share, tables.Pool, tables.Upstream]]:
         return [
             (share, found.pools[share.pool], upstream)
             for share in self._notes.shares
@@ -98,7 +98,7 @@
         ]
 
     def _list_own(
-        self, share: sharing.Share, pool: tables.Pool
+        self, share: pool_subsets.Share, pool: tables.Pool
     ) -> list[tables.Upstream]:
         vms = [*share.peers, self._vm]
         considered = set(share.upstreams)
@@ -106,12 +106,12 @@
             upstream
             for upstream in pool.upstreams
             if upstream.name in considered
-            and sharing.choose_reporter(upstream.name, vms) == self._vm
+            and pool_subsets.choose_reporter(upstream.name, vms) == self._vm
         ]
 
     def _ask(
         self,
-        share: sharing.Share,
+        share: pool_subsets.Share,
         pool: tables.Pool,
         upstream: tables.Upstream,
     ) -> None:
@@ -122,10 +122,10 @@
         events = self._read_events(engine, (pool.name, upstream.name))
         self._scheduling.note_load(pool.name, upstream.name, load.ok)
         self._scheduling.note_cache_events(pool.name, upstream.name, events)
-        news = note_messages.EngineNews(
+        news = gossip_messages.EngineNews(
             pool.name, upstream.name, load.ok, events
         )
-        self._notes.send(note_messages.write_news(news), share.peers)
+        self._notes.send(gossip_messages.write_news(news), share.peers)
 
     def _read_events(
         self, engine: upstreams.Engine, key: tuple[str, str]
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -9,7 +9,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.controllers import base
-from mulberryway.peers import note_messages
+from mulberryway.peers import gossip_messages
 from mulberryway.policy import allowance
 from mulberryway.policy import usage
 
@@ -86,7 +86,7 @@
             self._told_ms = now_ms
             message.is_store_reached = is_reached
             self.send_all(
-                note_messages.write_usage(message), not message.is_heartbeat
+                gossip_messages.write_usage(message), not message.is_heartbeat
             )
 
     def take(self, told: usage.Usage) -> None:
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -6,7 +6,7 @@
 
 from mulberryway import logs
 from mulberryway import metrics
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
 
 __all__ = ["KeptReport", "report"]
@@ -34,7 +34,7 @@
     __slots__ = ("kind", "kept", "expired", "delay_ms", "_detector")
 
     def __init__(
-        self, kind: str, detector: lapses.LapseDetector | None
+        self, kind: str, detector: mass_expiry.LapseDetector | None
     ) -> None:
         self.kind = kind
         self.kept = 0
@@ -84,7 +84,7 @@
         }
 
     def _describe_absence(
-        self, absence: lapses.Absence | None, now_ms: int
+        self, absence: mass_expiry.Absence | None, now_ms: int
     ) -> Fields:
         if absence is None or self._detector is None:
             return {"cause": "many went at once, here or at another VM"}
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -10,8 +10,8 @@
 from mulberryway.objects import base as platform
 from mulberryway.peers import client
 from mulberryway.peers.gen.membership import Membership as service
-from mulberryway.policy import entry
-from mulberryway.policy import hint_board
+from mulberryway.policy import broadcast_queue
+from mulberryway.policy import endpoints
 from mulberryway.policy import member
 from mulberryway.policy import membership
 
@@ -64,7 +64,7 @@
     return max([clock_.wall_ms(), *(number + 1 for number in known)])
 
 
-class MembershipController(base.Controller, entry.EntryDirectory):
+class MembershipController(base.Controller, endpoints.EntryDirectory):
     """Probes other VMs, answers their probes, and spreads hints.
 
     :param own: this VM
@@ -141,7 +141,7 @@
                 )
             return self._alive
 
-    def list_addresses(self, caller_zone: str) -> list[entry.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
         """Return addresses in the order in which a caller should try them.
 
         :param caller_zone: the caller's zone; empty if not known
@@ -156,7 +156,7 @@
                 self.exchange.revision,
                 now_ms,
             )
-            return entry.choose_addresses(
+            return endpoints.choose_addresses(
                 self._view.list_members(), caller_zone, self._random, now_ms
             )
 
@@ -215,7 +215,7 @@
         :param ttl_ms: how long it matters, in milliseconds
         """
         now_ms = self.clock.now_ms()
-        hint = hint_board.Hint(
+        hint = broadcast_queue.Hint(
             kind, key, payload, self.clock.wall_ms(), now_ms + ttl_ms
         )
         with self._lock:
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -12,13 +12,13 @@
 from mulberryway.peers import membership_messages
 from mulberryway.peers.gen.membership import Membership as service
 from mulberryway.peers.gen.membership import ttypes
-from mulberryway.policy import hint_board
+from mulberryway.policy import broadcast_queue
 from mulberryway.policy import member
 from mulberryway.policy import membership
 
 __all__ = ["MembershipExchange", "OnHint", "OnNewerTables"]
 
-OnHint = collections.abc.Callable[[hint_board.Hint], None]
+OnHint = collections.abc.Callable[[broadcast_queue.Hint], None]
 OnNewerTables = collections.abc.Callable[[member.Member], None]
 
 
@@ -40,7 +40,7 @@
     ) -> None:
         self.lock = threading.RLock()
         self.view = view
-        self.board = hint_board.HintBoard()
+        self.board = broadcast_queue.HintBoard()
         self.revision = 0
         self.streams = 0
         self.on_hint: dict[str, list[OnHint]] = {}
--- a/mulberryway/controllers/mirrors.py
+++ b/mulberryway/controllers/mirrors.py
@@ -9,12 +9,12 @@
 from mulberryway import errors
 from mulberryway import logs
 from mulberryway.controllers import base
-from mulberryway.controllers import copies
 from mulberryway.controllers import expiry
 from mulberryway.controllers import kept_objects
+from mulberryway.controllers import mirror_codec
 from mulberryway.objects import base as objects
 from mulberryway.peers.gen.mirrors import ttypes
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
 
 __all__ = ["MirrorHandler", "MirrorKeeper"]
@@ -53,7 +53,7 @@
         store: objects.RevisionedStore,
         clock_: clock.Clock,
         on_change: collections.abc.Callable[[], None],
-        detector: lapses.LapseDetector | None = None,
+        detector: mass_expiry.LapseDetector | None = None,
         is_watcher: collections.abc.Callable[[], bool] = lambda: True,
     ) -> None:
         super().__init__(f"mirror-{kind}", clock_, LEAST_PAUSE_MS)
@@ -177,11 +177,13 @@
                 return revision, b""
             if self._mirror.list_kept():
                 # How long an object is kept for changes with each copy.
-                return revision, copies.pack(self._mirror, self.clock.now_ms())
+                return revision, mirror_codec.pack(
+                    self._mirror, self.clock.now_ms()
+                )
             if self._packed_edits != self._mirror.edits:
                 # All VMs of a fleet ask for the same copy after a change.
                 self._packed_edits = self._mirror.edits
-                self._packed = copies.pack(self._mirror, 0)
+                self._packed = mirror_codec.pack(self._mirror, 0)
             return revision, self._packed
 
     def unpack(self, revision: int, content: bytes) -> None:
@@ -191,7 +193,7 @@
         :param content: the packed objects
         """
         now_ms = self.clock.now_ms()
-        copy = copies.unpack(self.kind, revision, content, now_ms)
+        copy = mirror_codec.unpack(self.kind, revision, content, now_ms)
         with self._lock:
             has_changed = self._mirror.adopt(
                 copy.objects, revision, now_ms, copy.kept
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -10,7 +10,7 @@
 from mulberryway import tables
 from mulberryway.controllers import base
 from mulberryway.objects import base as platform
-from mulberryway.policy import issuer
+from mulberryway.policy import leader_lease
 from mulberryway.policy import orders
 from mulberryway.upstreams import base as upstreams
 
@@ -66,7 +66,7 @@
         self._find_engine = find_engine
         self._read_loads = read_loads
         self._is_candidate = is_candidate
-        self._lease = issuer.IssuerLease(vm, incarnation)
+        self._lease = leader_lease.IssuerLease(vm, incarnation)
         self._planner = planner or orders.OrderPlanner()
         self._fencing = 0
 
@@ -95,10 +95,10 @@
 
     def _keep_lease(self) -> None:
         act = self._lease.decide(self._is_candidate(), self.clock.now_ms())
-        if act is issuer.LeaseAct.READ:
+        if act is leader_lease.LeaseAct.READ:
             self._read()
             act = self._lease.decide(True, self.clock.now_ms())
-        if act is issuer.LeaseAct.WRITE:
+        if act is leader_lease.LeaseAct.WRITE:
             self._write()
 
     def _read(self) -> None:
@@ -128,7 +128,9 @@
         elif result.error.code is errors.Code.NOT_FOUND:
             self._lease.note_gone()
 
-    def _read_back(self, record: issuer.LeaseRecord, sent_ms: int) -> None:
+    def _read_back(
+        self, record: leader_lease.LeaseRecord, sent_ms: int
+    ) -> None:
         # The write may have taken effect although its reply was lost.  The
         # object tells, for each write differs from all others.
         result = self._store.read(KIND, NAME, PURPOSE)
@@ -142,7 +144,7 @@
             self._lease.note_read(found, result.ok.version, now_ms)
 
     def _note_written(
-        self, record: issuer.LeaseRecord, version: int, sent_ms: int
+        self, record: leader_lease.LeaseRecord, version: int, sent_ms: int
     ) -> None:
         now_ms = self.clock.now_ms()
         if record.fencing != self._fencing:
@@ -201,7 +203,7 @@
             self._lease.lose()
 
 
-def _pack(record: issuer.LeaseRecord) -> dict[str, typing.Any]:
+def _pack(record: leader_lease.LeaseRecord) -> dict[str, typing.Any]:
     return {
         "holder": record.holder,
         "incarnation": record.incarnation,
@@ -210,8 +212,8 @@
     }
 
 
-def _unpack(value: dict[str, typing.Any]) -> issuer.LeaseRecord:
-    return issuer.LeaseRecord(
+def _unpack(value: dict[str, typing.Any]) -> leader_lease.LeaseRecord:
+    return leader_lease.LeaseRecord(
         str(value["holder"]),
         int(value["incarnation"]),
         int(value["fencing"]),
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -9,8 +9,8 @@
 from mulberryway.controllers import base
 from mulberryway.controllers import membership
 from mulberryway.controllers import scheduling
+from mulberryway.policy import pool_subsets
 from mulberryway.policy import probes
-from mulberryway.policy import sharing
 from mulberryway.upstreams import directory
 
 __all__ = ["ProbingController"]
@@ -65,7 +65,8 @@
         due = [
             one
             for one in ejected
-            if one.is_due and sharing.choose_reporter(one.upstream, vms) == own
+            if one.is_due
+            and pool_subsets.choose_reporter(one.upstream, vms) == own
         ]
         list(self._workers.map(self._probe, due[:MOST_PROBES]))
 
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -7,7 +7,7 @@
 from mulberryway import logs
 from mulberryway import metrics
 from mulberryway.controllers import base
-from mulberryway.controllers import owners
+from mulberryway.controllers import owner_liveness
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["Reconciling"]
@@ -46,7 +46,7 @@
         incarnation: int,
         list_engines: collections.abc.Callable[[], list[upstreams.Engine]],
         is_running: collections.abc.Callable[[str], bool],
-        view: owners.OwnerView,
+        view: owner_liveness.OwnerView,
         metrics_: metrics.Metrics,
         clock_: clock.Clock,
     ) -> None:
@@ -95,7 +95,7 @@
             # than this one's means that this process is the older life.
             return 0 <= label.incarnation < self._incarnation
         alive = self._view.is_alive(label.vm, label.incarnation)
-        return alive is owners.Liveness.DEAD
+        return alive is owner_liveness.Liveness.DEAD
 
     def _free(
         self, engine: upstreams.Engine, label: upstreams.RunLabel
--- a/mulberryway/controllers/notes.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -8,12 +8,12 @@
 from mulberryway.controllers import dissemination
 from mulberryway.controllers import membership
 from mulberryway.controllers import scheduling
-from mulberryway.peers import note_messages
-from mulberryway.policy import hint_board
+from mulberryway.peers import gossip_messages
+from mulberryway.policy import broadcast_queue
 from mulberryway.policy import hints
 from mulberryway.policy import member
 from mulberryway.policy import poison
-from mulberryway.policy import sharing
+from mulberryway.policy import pool_subsets
 from mulberryway.policy import usage as usages
 
 __all__ = ["NotesController"]
@@ -52,7 +52,7 @@
         clock_: clock.Clock,
     ) -> None:
         super().__init__("notes", clock_, PERIOD_MS)
-        self.shares: tuple[sharing.Share, ...] = ()
+        self.shares: tuple[pool_subsets.Share, ...] = ()
         self._dissemination = dissemination_
         self._others: frozenset[str] = frozenset()
         self._vms: tuple[str, ...] = ()
@@ -83,7 +83,7 @@
         note = self._scheduling.take_hints()
         if note is None:
             return
-        payload = note_messages.write_note(note)
+        payload = gossip_messages.write_note(note)
         peers = self._list_peers()
         if peers >= self._others:
             self._dissemination.publish(payload, not note.is_heartbeat)
@@ -105,7 +105,7 @@
 
         :param items: encoded notes, counts and reports
         """
-        received = [note_messages.read_datagram(item) for item in items]
+        received = [gossip_messages.read_datagram(item) for item in items]
         notes = [one.note for one in received if one.note is not None]
         if notes:
             self._scheduling.note_hints(notes)
@@ -116,7 +116,7 @@
             for news in one.news:
                 self._take_news(news)
 
-    def _take_news(self, news: note_messages.EngineNews) -> None:
+    def _take_news(self, news: gossip_messages.EngineNews) -> None:
         self._scheduling.note_load(news.pool, news.upstream, news.load)
         self._scheduling.note_cache_events(
             news.pool, news.upstream, news.events
@@ -140,7 +140,7 @@
             self._divided = state
             self._scheduling.change_vms(vms)
             self.shares = tuple(
-                sharing.divide_pool(pool, self._members.own.name, vms)
+                pool_subsets.divide_pool(pool, self._members.own.name, vms)
                 for pool in found.pools.values()
                 if pool.kind is tables.PoolKind.MODEL
             )
@@ -163,12 +163,12 @@
         self._members.publish(
             DEATH,
             f"{death.digest}/{death.upstream}",
-            note_messages.write_death(death),
+            gossip_messages.write_death(death),
             poison.KEPT_MS,
         )
 
-    def _take_death(self, hint: hint_board.Hint) -> None:
-        death = note_messages.read_death(hint.payload)
+    def _take_death(self, hint: broadcast_queue.Hint) -> None:
+        death = gossip_messages.read_death(hint.payload)
         # The hint may have gone from VM to VM for a while.
         left_ms = max(hint.until_ms - self.clock.now_ms(), 0)
         death.age_ms = max(poison.KEPT_MS - left_ms, 0)
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -11,7 +11,7 @@
 from mulberryway.controllers import base
 from mulberryway.policy import base as policy
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import probes
 from mulberryway.upstreams import base as upstreams
 
@@ -27,7 +27,7 @@
 # within this time share one.
 HINTED_MS = 20
 
-Decision = expression.Result[messages.Assignment, errors.Fault]
+Decision = expression.Result[jobs.Assignment, errors.Fault]
 
 
 class Ticket:
@@ -38,7 +38,7 @@
 
     __slots__ = ("job", "decided", "decision")
 
-    def __init__(self, job: messages.Job) -> None:
+    def __init__(self, job: jobs.Job) -> None:
         self.job = job
         self.decided = threading.Event()
         self.decision: Decision | None = None
@@ -98,9 +98,7 @@
             else min(max(wake_ms - now_ms, 1), longest_ms)
         )
 
-    def submit(
-        self, job: messages.Job
-    ) -> expression.Result[Ticket, errors.Fault]:
+    def submit(self, job: jobs.Job) -> expression.Result[Ticket, errors.Fault]:
         """Take a job in, or refuse it at once.
 
         :param job: the job
@@ -177,7 +175,7 @@
             self._scheduler.note_first_token(job_id, self.clock.now_ms())
 
     def finish(
-        self, job_id: str, end: messages.JobEnd, upstream: str = ""
+        self, job_id: str, end: jobs.JobEnd, upstream: str = ""
     ) -> None:
         """Let a started job's reservations go; further calls do nothing.
 
--- a/mulberryway/filters/attempt.py
+++ b/mulberryway/filters/attempt.py
@@ -4,7 +4,7 @@
 
 from mulberryway.controllers import cancelling
 from mulberryway.controllers import scheduling
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["Attempt"]
@@ -50,7 +50,7 @@
         job_id: str,
         prefill: upstreams.Engine,
         decode: upstreams.Engine,
-        assignment: messages.Assignment,
+        assignment: jobs.Assignment,
         scheduling_: scheduling.Scheduling,
         cancelling_: cancelling.Cancelling,
         chosen_ms: int,
@@ -71,7 +71,7 @@
         self._is_over = False
         self._is_cancelled = False
 
-    def end(self, how: messages.JobEnd, blame: str = "") -> None:
+    def end(self, how: jobs.JobEnd, blame: str = "") -> None:
         """Give the slot back, and free engine memory unless all went well.
 
         :param how: how it ended
@@ -82,7 +82,7 @@
                 return
             self._is_over = True
         self._scheduling.finish(self.job_id, how, blame)
-        if how is not messages.JobEnd.DONE:
+        if how is not jobs.JobEnd.DONE:
             self.free()
 
     def require_room(self, tokens: int) -> None:
--- a/mulberryway/filters/interface.py
+++ b/mulberryway/filters/caller_api.py
@@ -7,18 +7,18 @@
 from mulberryway import tables
 from mulberryway.controllers import claims
 from mulberryway.filters import admission
-from mulberryway.filters import authenticate
+from mulberryway.filters import authentication
 from mulberryway.filters import base
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import model_forward
-from mulberryway.filters import model_parts
 from mulberryway.filters import observe
 from mulberryway.filters import once
 from mulberryway.filters import route
 from mulberryway.filters import service_forward
 from mulberryway.filters import status
 from mulberryway.policy import allowance
-from mulberryway.policy import choosing
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
+from mulberryway.policy import server_selection
 
 __all__ = ["Context", "Interface", "OwnInterface"]
 
@@ -50,10 +50,10 @@
         settings_: settings.Settings,
         lifecycle: status.Lifecycle,
         source: tables.TableSource,
-        entries: entry.EntryDirectory,
+        entries: endpoints.EntryDirectory,
         allowances: allowance.Allowances,
         claim_store: claims.ClaimStore | None,
-        parts: model_parts.Parts,
+        parts: model_dependencies.Parts,
     ) -> None:
         self.settings = settings_
         self.lifecycle = lifecycle
@@ -106,7 +106,7 @@
             ),
             observe.Observe(parts.tracer, parts.metrics, parts.clock),
             status.RefuseWhenStopping(context.lifecycle),
-            authenticate.Authenticate(context.source),
+            authentication.Authenticate(context.source),
             route.FindRoute(),
             admission.ReadCall(),
             admission.Admission(context.allowances),
@@ -114,7 +114,7 @@
             once.RunOnce(context.claim_store),
             service_forward.ServiceForward(
                 parts.directory,
-                choosing.ServerChooser(settings_.vm_zone),
+                server_selection.ServerChooser(settings_.vm_zone),
                 parts.tracer,
                 parts.clock,
                 context.source,
--- a/mulberryway/filters/model_parts.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -11,7 +11,7 @@
 from mulberryway import traces
 from mulberryway.controllers import cancelling
 from mulberryway.controllers import scheduling
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.relay import pump
 from mulberryway.relay import watch
 from mulberryway.upstreams import base as upstreams
@@ -21,13 +21,13 @@
 
 Source = expression.Result[upstreams.TokenStream, errors.Fault]
 ENDS = {
-    errors.Code.UPSTREAM_TIMEOUT: messages.JobEnd.TIMED_OUT,
-    errors.Code.UPSTREAM_REFUSED: messages.JobEnd.REFUSED_BY_ENGINE,
-    errors.Code.UPSTREAM_UNREACHABLE: messages.JobEnd.UNREACHED,
+    errors.Code.UPSTREAM_TIMEOUT: jobs.JobEnd.TIMED_OUT,
+    errors.Code.UPSTREAM_REFUSED: jobs.JobEnd.REFUSED_BY_ENGINE,
+    errors.Code.UPSTREAM_UNREACHABLE: jobs.JobEnd.UNREACHED,
 }
 
 
-def sort_end(fault: errors.Fault) -> messages.JobEnd:
+def sort_end(fault: errors.Fault) -> jobs.JobEnd:
     """Return how an attempt ended that an upstream did not answer whole.
 
     :param fault: what befell it
@@ -35,8 +35,8 @@
         from one that answered with an error
     """
     if fault.has_died:
-        return messages.JobEnd.DIED
-    return ENDS.get(fault.code, messages.JobEnd.FAILED)
+        return jobs.JobEnd.DIED
+    return ENDS.get(fault.code, jobs.JobEnd.FAILED)
 
 
 class Parts:
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -12,7 +12,7 @@
 from mulberryway import traces
 from mulberryway.filters import attempt as attempts
 from mulberryway.filters import base
-from mulberryway.filters import model_parts
+from mulberryway.filters import model_dependencies
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["EngineSteps", "share_ms"]
@@ -66,7 +66,7 @@
     __slots__ = ("has_run", "sent_to", "_exchange", "_parts", "_may_begin")
 
     def __init__(
-        self, exchange: base.Exchange, parts: model_parts.Parts
+        self, exchange: base.Exchange, parts: model_dependencies.Parts
     ) -> None:
         self.has_run = False
         self.sent_to: set[str] = set()
@@ -80,7 +80,7 @@
         offset: int,
         limit: clock.Deadline,
         may_begin: collections.abc.Callable[[], bool],
-    ) -> model_parts.Source:
+    ) -> model_dependencies.Source:
         """Take an attempt to the beginning of its stream.
 
         :param attempt: the attempt, its slot reserved
@@ -215,7 +215,7 @@
         found: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
-    ) -> model_parts.Source:
+    ) -> model_dependencies.Source:
         """Decode where a slot is reserved, or where one comes free.
 
         Another router may have taken the slot before its note came, or the
@@ -314,7 +314,7 @@
         found: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
-    ) -> model_parts.Source:
+    ) -> model_dependencies.Source:
         if not self._may_begin():
             return expression.Error(
                 errors.Fault(
--- a/mulberryway/filters/model_forward.py
+++ b/mulberryway/filters/model_forward.py
@@ -6,9 +6,9 @@
 
 from mulberryway import tables
 from mulberryway.filters import base
-from mulberryway.filters import model_parts
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import model_run
-from mulberryway.relay import raw_stream
+from mulberryway.relay import passthrough_stream
 from mulberryway.relay import stream as streams
 from mulberryway.relay import writers
 from mulberryway.upstreams import base as upstreams
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        parts: model_parts.Parts,
+        parts: model_dependencies.Parts,
         make_stream: StreamMaker | None = None,
     ) -> None:
         self._parts = parts
@@ -98,9 +98,9 @@
     :param source: the engine's stream
     :param gap_limit_ms: the longest wait for a further event
     """
-    stream = raw_stream.RawStream(
+    stream = passthrough_stream.RawStream(
         run,
-        raw_stream.RawWriter(exchange.head),
+        passthrough_stream.RawWriter(exchange.head),
         source,
         exchange.connection,
         exchange.release,
--- a/mulberryway/filters/model_job.py
+++ b/mulberryway/filters/model_job.py
@@ -10,7 +10,7 @@
 from mulberryway import tables
 from mulberryway.filters import base
 from mulberryway.filters import route
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 
 __all__ = ["JobMaker"]
 
@@ -44,7 +44,7 @@
         avoid: frozenset[str],
         limit: clock.Deadline,
         since_ms: int,
-    ) -> messages.Job:
+    ) -> jobs.Job:
         """Return the job of one try.
 
         :param number: 0 at first
@@ -54,7 +54,7 @@
             arrival of the request, or when a begun stream lost its engine
         """
         exchange = self._exchange
-        return messages.Job(
+        return jobs.Job(
             f"{exchange.request_id}-{number}",
             exchange.account.name,
             exchange.account.weight,
@@ -120,8 +120,8 @@
 
     def log_decision(
         self,
-        job: messages.Job,
-        decision: expression.Result[messages.Assignment, errors.Fault],
+        job: jobs.Job,
+        decision: expression.Result[jobs.Assignment, errors.Fault],
         waited_ms: int,
     ) -> None:
         """Tell what was decided for a job, and what decided.
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -11,14 +11,14 @@
 from mulberryway import traces
 from mulberryway.controllers import scheduling
 from mulberryway.filters import attempt as attempts
-from mulberryway.filters import authenticate
+from mulberryway.filters import authentication
 from mulberryway.filters import base
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import model_engines
 from mulberryway.filters import model_job
-from mulberryway.filters import model_parts
-from mulberryway.filters import model_search
+from mulberryway.filters import retry_state
 from mulberryway.filters import route
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.relay import stream as streams
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import connections
@@ -46,7 +46,7 @@
     )
 )
 
-Source = model_parts.Source
+Source = model_dependencies.Source
 
 
 class _Replacement:
@@ -75,11 +75,11 @@
     """
 
     def __init__(
-        self, exchange: base.Exchange, parts: model_parts.Parts
+        self, exchange: base.Exchange, parts: model_dependencies.Parts
     ) -> None:
         self._exchange = exchange
         self._parts = parts
-        self._tries = model_search.Tries(exchange.arrived_ms)
+        self._tries = retry_state.Tries(exchange.arrived_ms)
         self._avoid: frozenset[str] = frozenset()
         self._ticket: scheduling.Ticket | None = None
         self._attempt: attempts.Attempt | None = None
@@ -137,7 +137,7 @@
         :param tokens: how many tokens have come in all
         """
         self.note_tokens(tokens)
-        self._end_attempt(messages.JobEnd.DONE)
+        self._end_attempt(jobs.JobEnd.DONE)
 
     def drop_source(self) -> None:
         """Let everything go, because the caller has gone or was cut off."""
@@ -146,7 +146,9 @@
             ticket = self._ticket
             held = [one for one in (self._attempt, self._next) if one]
         if ticket is not None:
-            self._parts.scheduling.give_up(ticket, model_parts.make_gone())
+            self._parts.scheduling.give_up(
+                ticket, model_dependencies.make_gone()
+            )
         for attempt in held:
             attempt.free()
 
@@ -162,7 +164,9 @@
             address = self._attempt.decode.address
             fault.has_died = not connections.listens(address)
         self._note_failure(fault)
-        self._end_attempt(model_parts.sort_end(fault), self._name_decode())
+        self._end_attempt(
+            model_dependencies.sort_end(fault), self._name_decode()
+        )
         result: Source = expression.Error(fault)
         if self._may_move(fault):
             result = self._find_next_source(stream.expected)
@@ -216,9 +220,9 @@
         :param fault: why the answer is not whole; none if it is
         """
         self._is_closed = True
-        how = messages.JobEnd.DONE
+        how = jobs.JobEnd.DONE
         if fault is not None:
-            how = messages.JobEnd.CANCELLED
+            how = jobs.JobEnd.CANCELLED
         self._end_search()
         self._end_attempt(how)
         exchange = self._exchange
@@ -267,7 +271,9 @@
         with self._lock:
             self._attempt, self._next = chosen, None
         self._note_failure(replacement.fault)
-        before.end(model_parts.sort_end(replacement.fault), before.decode_name)
+        before.end(
+            model_dependencies.sort_end(replacement.fault), before.decode_name
+        )
         return True
 
     def _log_stay(self, fault: errors.Fault) -> None:
@@ -334,7 +340,9 @@
             with self._lock:
                 self._ticket = submitted.ok
             if self._exchange.has_gone.is_set():
-                parts.scheduling.give_up(submitted.ok, model_parts.make_gone())
+                parts.scheduling.give_up(
+                    submitted.ok, model_dependencies.make_gone()
+                )
             decision = parts.scheduling.wait(submitted.ok)
         waited_ms = parts.clock.now_ms() - began_ms
         parts.metrics.queue_wait.record(waited_ms)
@@ -343,7 +351,7 @@
         return decision.bind(lambda found: self._take(job, found))
 
     def _take(
-        self, job: messages.Job, assignment: messages.Assignment
+        self, job: jobs.Job, assignment: jobs.Assignment
     ) -> expression.Result[attempts.Attempt, errors.Fault]:
         """Turn a decision into an attempt, if the key still holds."""
         parts = self._parts
@@ -353,7 +361,7 @@
             for name in (assignment.prefill, assignment.decode)
         ]
         if held.is_error() or None in engines:
-            parts.scheduling.finish(job.job_id, messages.JobEnd.CANCELLED)
+            parts.scheduling.finish(job.job_id, jobs.JobEnd.CANCELLED)
             if held.is_error():
                 return expression.Error(held.error)
             return expression.Error(
@@ -391,7 +399,7 @@
             self._tries.search.has_begun and not self._parts.cuts_withdrawn
         )
         if not is_owed:
-            held = authenticate.check_key(
+            held = authentication.check_key(
                 self._parts.source, self._exchange, errors.Step.QUEUE
             )
         # What has begun was granted its tokens, and has used some of them.
@@ -403,8 +411,8 @@
         self, attempt: attempts.Attempt, offset: int, limit: clock.Deadline
     ) -> Source:
         if self._exchange.has_gone.is_set():
-            attempt.end(messages.JobEnd.CANCELLED)
-            return expression.Error(model_parts.make_gone())
+            attempt.end(jobs.JobEnd.CANCELLED)
+            return expression.Error(model_dependencies.make_gone())
         result = self._engines.run(attempt, offset, limit, self._leave_silent)
         if result.is_error():
             fault = result.error
@@ -416,9 +424,9 @@
             is_cancelled = (
                 not self._is_wanted() or fault.code is errors.Code.CANCELLED
             )
-            end = messages.JobEnd.CANCELLED
+            end = jobs.JobEnd.CANCELLED
             if not is_cancelled:
-                end = model_parts.sort_end(fault)
+                end = model_dependencies.sort_end(fault)
                 self._avoid = self._avoid | {blame}
             attempt.end(end, blame)
         return result
@@ -506,10 +514,12 @@
     def _drop_result(self, result: Source) -> Source:
         if result.is_ok():
             result.ok.connection.close()
-        self._end_attempt(messages.JobEnd.CANCELLED)
-        return expression.Error(self._word_last(model_parts.make_gone()))
+        self._end_attempt(jobs.JobEnd.CANCELLED)
+        return expression.Error(
+            self._word_last(model_dependencies.make_gone())
+        )
 
-    def _end_attempt(self, how: messages.JobEnd, blame: str = "") -> None:
+    def _end_attempt(self, how: jobs.JobEnd, blame: str = "") -> None:
         with self._lock:
             attempt = self._attempt
         if blame:
@@ -523,11 +533,11 @@
             ticket, attempt = self._ticket, self._next
         if self._replacement is None:
             return
-        gone = model_parts.make_gone()
+        gone = model_dependencies.make_gone()
         if ticket is not None:
             self._parts.scheduling.give_up(ticket, gone)
         if attempt is not None:
-            attempt.end(messages.JobEnd.CANCELLED)
+            attempt.end(jobs.JobEnd.CANCELLED)
 
     def _name_decode(self) -> str:
         return "" if self._attempt is None else self._attempt.decode_name
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -15,8 +15,8 @@
 from mulberryway.controllers import scheduling
 from mulberryway.filters import base
 from mulberryway.filters import route
-from mulberryway.policy import choosing
 from mulberryway.policy import poison
+from mulberryway.policy import server_selection
 from mulberryway.relay import watch
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import connections
@@ -55,7 +55,7 @@
     def __init__(
         self,
         directory_: directory.UpstreamDirectory,
-        chooser: choosing.ServerChooser,
+        chooser: server_selection.ServerChooser,
         tracer: traces.Tracer,
         clock_: clock.Clock,
         source: tables.TableSource,
@@ -217,13 +217,13 @@
         fault = None if result.is_ok() else result.error
         if exchange.has_gone.is_set():
             # A call that was ended for its caller says nothing of the server.
-            end = choosing.CallEnd.NO_VERDICT
+            end = server_selection.CallEnd.NO_VERDICT
         elif fault is None:
-            end = choosing.CallEnd.DONE
+            end = server_selection.CallEnd.DONE
         elif fault.code is errors.Code.UPSTREAM_UNREACHABLE:
-            end = choosing.CallEnd.UNREACHED
+            end = server_selection.CallEnd.UNREACHED
         else:
-            end = choosing.CallEnd.FAILED
+            end = server_selection.CallEnd.FAILED
         with self._lock:
             self._chooser.finish(
                 exchange.pool, upstream, end, now_ms - began_ms, now_ms
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -9,7 +9,7 @@
 from mulberryway import metrics
 from mulberryway import replies
 from mulberryway.filters import base
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 
 __all__ = [
     "Entry",
@@ -180,7 +180,7 @@
     """
 
     def __init__(
-        self, directory: entry.EntryDirectory, zone: str, ttl_ms: int
+        self, directory: endpoints.EntryDirectory, zone: str, ttl_ms: int
     ) -> None:
         self._directory = directory
         self._zone = zone
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -26,13 +26,13 @@
 from mulberryway.controllers import mirror_exchange
 from mulberryway.controllers import mirrored_tables
 from mulberryway.controllers import mirrors
-from mulberryway.controllers import notes
 from mulberryway.controllers import orders
 from mulberryway.controllers import probing
 from mulberryway.controllers import registration
 from mulberryway.controllers import reloading
+from mulberryway.controllers import scheduler_gossip
 from mulberryway.filters import repeats
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.peers import datagrams
 from mulberryway.peers import server as peer_server
 from mulberryway.peers.gen.membership import Membership
@@ -41,16 +41,16 @@
 from mulberryway.platform import interface
 from mulberryway.platform import store
 from mulberryway.platform import tables as platform_tables
-from mulberryway.policy import entry
-from mulberryway.policy import issuer
-from mulberryway.policy import lapses
+from mulberryway.policy import endpoints
+from mulberryway.policy import fairness
+from mulberryway.policy import leader_lease
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import member
-from mulberryway.policy import outages
 from mulberryway.policy import retries
+from mulberryway.policy import role_planner
 from mulberryway.policy import scheduler
-from mulberryway.policy import shaping
+from mulberryway.policy import store_reachability
 from mulberryway.policy import usage
-from mulberryway.policy import weighing
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory as directory_
 
@@ -75,18 +75,18 @@
 )
 
 
-class _AllEntries(entry.EntryDirectory):
+class _AllEntries(endpoints.EntryDirectory):
     """Tells callers of all VMs that take callers."""
 
     def __init__(self, assembly: "HostedAssembly") -> None:
         self._assembly = assembly
 
-    def list_addresses(self, caller_zone: str) -> list[entry.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
         """Return the addresses of all VMs that take callers.
 
         :param caller_zone: not looked at: callers choose by chance
         """
-        return entry.list_entries(
+        return endpoints.list_entries(
             self._assembly.members.list_members(),
             self._assembly.allowances.list_silent(),
         )
@@ -109,7 +109,7 @@
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
         self.incarnation = self.clock.wall_ms()
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.CallCounts()
         self.store = store.PlatformStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -123,7 +123,7 @@
         self.source = mirrored_tables.MirroredTables(
             platform_tables.TablesReader()
         )
-        self.outages = outages.Outages()
+        self.outages = store_reachability.Outages()
         self.keepers = self._make_keepers()
         self.exchange = mirror_exchange.MirrorExchange(
             self.keepers, self.client, self.clock, self._list_peers
@@ -256,8 +256,8 @@
             self.store,
             self.clock,
             source.refresh,
-            lapses.LapseDetector(
-                lapses.Limits(
+            mass_expiry.LapseDetector(
+                mass_expiry.Limits(
                     self.settings.upstreams_heartbeat_ms,
                     self.settings.upstreams_drain_ms,
                 ),
@@ -275,7 +275,7 @@
         return scheduler.FairScheduler(
             settings_.vm_name,
             self.incarnation,
-            weighing.find_weighing(settings_.policy_weighing),
+            fairness.find_weighing(settings_.policy_weighing),
             seed=random.SystemRandom().getrandbits(32),
             token_gap_ms=TOKEN_GAP_MS,
             budget=retries.NoBudget,
@@ -311,7 +311,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = notes.NotesController(
+        self.notes = scheduler_gossip.NotesController(
             self.router.scheduling,
             self.members,
             self.source,
@@ -366,7 +366,7 @@
             dict,
             self._may_issue_orders,
             self.clock,
-            shaping.ShapePlanner(),
+            role_planner.ShapePlanner(),
         )
 
     def _list_peers(self) -> list[str]:
@@ -399,7 +399,7 @@
         )
 
     def _may_issue_orders(self) -> bool:
-        candidates = issuer.choose_candidates(self.members.list_alive())
+        candidates = leader_lease.choose_candidates(self.members.list_alive())
         return self.settings.vm_name in candidates
 
     def _change_settings(self, changed: settings.Settings) -> None:
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -12,8 +12,8 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.objects import base
-from mulberryway.objects import counts
-from mulberryway.objects import decoding
+from mulberryway.objects import call_metrics
+from mulberryway.objects import codec
 
 __all__ = ["HttpObjectStore"]
 
@@ -61,7 +61,7 @@
         url: str,
         timeout_ms: int,
         clock_: clock.Clock,
-        counter: counts.CallCounter,
+        counter: call_metrics.CallCounter,
     ) -> None:
         self._url = url.rstrip("/")
         self._peer = urllib.parse.urlsplit(url).netloc
@@ -77,7 +77,7 @@
         reply = self._exchange("GET", _path(kind, name), None, purpose)
         return reply.bind(
             lambda body: self._read(
-                "GET", lambda: decoding.read_object(kind, body)
+                "GET", lambda: codec.read_object(kind, body)
             )
         )
 
@@ -87,9 +87,7 @@
         """Return all objects of a kind; see the base class."""
         reply = self._exchange("GET", _path(kind), None, purpose)
         return reply.bind(
-            lambda body: self._read(
-                "GET", lambda: decoding.read_list(kind, body)
-            )
+            lambda body: self._read("GET", lambda: codec.read_list(kind, body))
         )
 
     def create(
@@ -100,7 +98,7 @@
         reply = self._exchange("POST", _path(kind), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "POST", lambda: decoding.read_object(kind, body)
+                "POST", lambda: codec.read_object(kind, body)
             )
         )
 
@@ -118,7 +116,7 @@
         reply = self._exchange("PUT", _path(kind, name), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "PUT", lambda: decoding.read_object(kind, body)
+                "PUT", lambda: codec.read_object(kind, body)
             )
         )
 
@@ -155,7 +153,7 @@
             for line in self._read_lines(response, silence_ms):
                 event = line.bind(
                     lambda text: self._read(
-                        "GET", lambda: decoding.read_event(kind, text)
+                        "GET", lambda: codec.read_event(kind, text)
                     )
                 )
                 yield event
@@ -172,7 +170,7 @@
         """Return the platform's list of VMs; see the base class."""
         reply = self._exchange("GET", NODES, None, purpose)
         return reply.bind(
-            lambda body: self._read("GET", lambda: decoding.read_vms(body))
+            lambda body: self._read("GET", lambda: codec.read_vms(body))
         )
 
     def _exchange(
@@ -185,7 +183,7 @@
         with TRACER.start_as_current_span("platform") as span:
             span.set_attribute("purpose", purpose)
             deadline = clock.Deadline(self._clock.now_ms() + self._timeout_ms)
-            data = None if body is None else decoding.encode(body)
+            data = None if body is None else codec.encode(body)
             opened = self._send(verb, target, data, self._timeout_ms, purpose)
             reply = opened.bind(
                 lambda response: self._read_body(verb, response, deadline)
--- a/mulberryway/peers/membership_messages.py
+++ b/mulberryway/peers/membership_messages.py
@@ -1,7 +1,7 @@
 """Turns members and hints into messages between VMs, and back."""
 
 from mulberryway.peers.gen.membership import ttypes
-from mulberryway.policy import hint_board
+from mulberryway.policy import broadcast_queue
 from mulberryway.policy import member
 
 __all__ = ["pack_hint", "pack_member", "unpack_hint", "unpack_member"]
@@ -53,7 +53,7 @@
     )
 
 
-def pack_hint(hint: hint_board.Hint, now_ms: int) -> ttypes.Hint:
+def pack_hint(hint: broadcast_queue.Hint, now_ms: int) -> ttypes.Hint:
     """Return the message for a hint; its end goes as the time left.
 
     :param hint: the hint
@@ -69,14 +69,14 @@
     )
 
 
-def unpack_hint(message: ttypes.Hint, now_ms: int) -> hint_board.Hint:
+def unpack_hint(message: ttypes.Hint, now_ms: int) -> broadcast_queue.Hint:
     """Return the hint of a message.
 
     :param message: the message
     :param now_ms: the present
     :returns: a new hint
     """
-    return hint_board.Hint(
+    return broadcast_queue.Hint(
         message.kind,
         message.key,
         message.payload,
--- a/mulberryway/platform/callers.py
+++ b/mulberryway/platform/callers.py
@@ -12,7 +12,7 @@
 from mulberryway.filters import base
 from mulberryway.filters import status
 from mulberryway.platform import wire
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from mulberryway.policy import poison
 from mulberryway.upstreams import base as upstreams
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         lifecycle: status.Lifecycle,
-        entries: entry.EntryDirectory,
+        entries: endpoints.EntryDirectory,
         ttl_ms: int,
     ) -> None:
         self._lifecycle = lifecycle
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -12,7 +12,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import logs
-from mulberryway.platform import answers
+from mulberryway.platform import responses
 from mulberryway.platform import wire
 from mulberryway.upstreams import base
 from mulberryway.upstreams import connections
@@ -256,7 +256,7 @@
 
     def _make_headers(self, call: base.RawCall) -> dict[str, str]:
         left_ms = call.deadline.left_ms(self._clock.now_ms())
-        return answers.make_headers(
+        return responses.make_headers(
             call.headers, self.instance, max(left_ms, 1)
         )
 
@@ -324,7 +324,7 @@
         self, label: base.RunLabel, found: connections.Response
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
         if found.status != http.HTTPStatus.OK:
-            fault = answers.read_answer(
+            fault = responses.read_answer(
                 found.status,
                 found.headers,
                 found.body,
@@ -413,7 +413,7 @@
 def _read_decode_refusal(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
-    return answers.read_answer(
+    return responses.read_answer(
         status, headers, body, address, errors.Step.DECODE
     )
 
--- a/mulberryway/platform/interface.py
+++ b/mulberryway/platform/interface.py
@@ -3,9 +3,9 @@
 import collections.abc
 
 from mulberryway.filters import admission
-from mulberryway.filters import authenticate
+from mulberryway.filters import authentication
 from mulberryway.filters import base
-from mulberryway.filters import interface
+from mulberryway.filters import caller_api
 from mulberryway.filters import model_forward
 from mulberryway.filters import observe
 from mulberryway.filters import repeats
@@ -14,12 +14,12 @@
 from mulberryway.filters import status
 from mulberryway.platform import callers
 from mulberryway.platform import wire
-from mulberryway.policy import choosing
+from mulberryway.policy import server_selection
 
 __all__ = ["PlatformInterface"]
 
 
-class PlatformInterface(interface.Interface):
+class PlatformInterface(caller_api.Interface):
     """Requests that pass as they came, told apart by their headers.
 
     :param budget: counts requests, and repeats against them
@@ -29,7 +29,7 @@
         self._budget = budget
 
     def make_filters(
-        self, context: interface.Context
+        self, context: caller_api.Context
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
@@ -39,7 +39,7 @@
         return [
             observe.Observe(parts.tracer, parts.metrics, parts.clock),
             status.RefuseWhenStopping(context.lifecycle),
-            authenticate.Authenticate(
+            authentication.Authenticate(
                 context.source, wire.SCHEME, cleans_whole=False
             ),
             route.FindRoute(needs_id=False),
@@ -50,7 +50,7 @@
             model_forward.ModelForward(parts, model_forward.make_raw_stream),
             service_forward.ServiceForward(
                 parts.directory,
-                choosing.ServerChooser(settings_.vm_zone),
+                server_selection.ServerChooser(settings_.vm_zone),
                 parts.tracer,
                 parts.clock,
                 context.source,
@@ -61,7 +61,7 @@
         ]
 
     def make_side_filters(
-        self, context: interface.Context
+        self, context: caller_api.Context
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what the platform and collectors ask.
 
--- a/mulberryway/platform/service.py
+++ b/mulberryway/platform/service.py
@@ -6,7 +6,7 @@
 
 from mulberryway import clock
 from mulberryway import errors
-from mulberryway.platform import answers
+from mulberryway.platform import responses
 from mulberryway.platform import wire
 from mulberryway.upstreams import base
 from mulberryway.upstreams import connections
@@ -55,7 +55,7 @@
         :param interrupt: ends the call from another thread
         :returns: the reply, or a fault that says whether it ran
         """
-        sent = answers.make_headers(headers, self.instance, timeout_ms)
+        sent = responses.make_headers(headers, self.instance, timeout_ms)
         return self._caller.call(
             method,
             target,
@@ -92,7 +92,7 @@
         )
         if is_failure or is_refusal:
             return expression.Error(
-                answers.read_answer(
+                responses.read_answer(
                     found.status,
                     found.headers,
                     found.body,
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -12,7 +12,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.objects import base
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.platform import wire
 
 __all__ = ["PlatformStore"]
@@ -52,7 +52,7 @@
         url: str,
         timeout_ms: int,
         clock_: clock.Clock,
-        counter: counts.CallCounter,
+        counter: call_metrics.CallCounter,
     ) -> None:
         self._clock = clock_
         self._timeout_ms = timeout_ms
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -2,12 +2,12 @@
 
 from mulberryway import errors
 from mulberryway import tables
-from mulberryway.policy import messages
-from mulberryway.policy import meters
-from mulberryway.policy import neighbours
+from mulberryway.policy import fair_queue
+from mulberryway.policy import job_placement
+from mulberryway.policy import jobs
+from mulberryway.policy import peer_accounts
 from mulberryway.policy import placements
-from mulberryway.policy import placing
-from mulberryway.policy import queue
+from mulberryway.policy import pool_stats
 
 __all__ = ["Admission"]
 
@@ -33,17 +33,17 @@
 
     def __init__(
         self,
-        fair: queue.FairQueue,
-        placer: placing.Placer,
-        peers: neighbours.Neighbours,
-        measured: meters.Meters,
+        fair: fair_queue.FairQueue,
+        placer: job_placement.Placer,
+        peers: peer_accounts.Neighbours,
+        measured: pool_stats.Meters,
     ) -> None:
         self._fair = fair
         self._placer = placer
         self._peers = peers
         self._meters = measured
 
-    def check_room(self, job: messages.Job) -> errors.Fault | None:
+    def check_room(self, job: jobs.Job) -> errors.Fault | None:
         """Refuse what does not fit into the waiting room.
 
         :param job: the job
@@ -60,7 +60,7 @@
 
     def read_latest_ms(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         best: placements.Placement,
         pool: tables.Pool,
     ) -> int:
@@ -88,7 +88,7 @@
 
     def check_time(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         best: placements.Placement,
         latest_ms: int,
         now_ms: int,
@@ -125,7 +125,7 @@
         }
         return fault
 
-    def _estimate_slot_wait_ms(self, job: messages.Job, now_ms: int) -> float:
+    def _estimate_slot_wait_ms(self, job: jobs.Job, now_ms: int) -> float:
         # In virtual time a job waits until the account's start is reached;
         # virtual time moves by the pool's speed over the waiting weights.
         # This takes constant time however many jobs or accounts wait.
@@ -142,7 +142,7 @@
         return ahead * max(weights, state.weight) / speed / CLEARLY
 
 
-def estimate_lane_cost(lane: dict[str, queue.Entry]) -> float:
+def estimate_lane_cost(lane: dict[str, fair_queue.Entry]) -> float:
     """Return about what the jobs of a lane cost together.
 
     :param lane: the lane
@@ -155,7 +155,7 @@
 
 def make_refusal(
     code: errors.Code,
-    job: messages.Job,
+    job: jobs.Job,
     message: str,
     retry_after_ms: int | None = None,
 ) -> errors.Fault:
--- a/mulberryway/policy/beside.py
+++ b/mulberryway/policy/aggregated_serving.py
@@ -2,7 +2,7 @@
 
 import random
 
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import placements
 
 __all__ = ["choose_reader", "is_on_time", "saves_time"]
@@ -55,7 +55,7 @@
     )
 
 
-def is_on_time(apart: placements.Placement, job: messages.Job) -> bool:
+def is_on_time(apart: placements.Placement, job: jobs.Job) -> bool:
     """Tell whether a prompt that a prefill engine reads comes on time.
 
     :param apart: where it is read
@@ -68,7 +68,7 @@
 def saves_time(
     alone: placements.Placement,
     apart: placements.Placement,
-    job: messages.Job,
+    job: jobs.Job,
 ) -> bool:
     """Tell whether a decode engine should read a prompt itself.
 
@@ -85,7 +85,7 @@
     return alone.first_token_ms <= _read_limit_ms(apart, job)
 
 
-def _read_limit_ms(apart: placements.Placement, job: messages.Job) -> float:
+def _read_limit_ms(apart: placements.Placement, job: jobs.Job) -> float:
     # A prompt that came to another VM at the same moment may go before.
     return job.target_at_ms - max(apart.prefill_ms, placements.SAFETY_MS)
 
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -5,9 +5,9 @@
 import itertools
 
 from mulberryway import tables
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import allowance_times
+from mulberryway.policy import slot_lease_manager
 from mulberryway.policy import token_bucket
 
 __all__ = ["Lender", "Loan", "Share"]
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        keeper: allowance_keeper.SlotKeeper,
+        keeper: slot_lease_manager.SlotKeeper,
         times: allowance_times.AllowanceTimes,
         groups: int,
         parts: int,
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -7,7 +7,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import probes
 from mulberryway.upstreams import base as upstreams
 
@@ -25,7 +25,7 @@
 
     @abc.abstractmethod
     def submit(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
         """Take a job in, or refuse it at once.
 
@@ -35,7 +35,7 @@
         """
 
     @abc.abstractmethod
-    def dispatch(self, now_ms: int) -> messages.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.Dispatch:
         """Decide which waiting jobs start now and which are given up.
 
         :param now_ms: the present
@@ -191,7 +191,7 @@
     def finish(
         self,
         job_id: str,
-        end: messages.JobEnd,
+        end: jobs.JobEnd,
         upstream: str,
         now_ms: int,
     ) -> None:
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -9,7 +9,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.policy import base
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["FirstComeScheduler", "RandomOfTwoScheduler"]
@@ -52,8 +52,8 @@
 
     def __init__(self, seed: int = 0) -> None:
         self._random = random.Random(seed)
-        self._queue: collections.deque[messages.Job] = collections.deque()
-        self._waiting: dict[str, messages.Job] = {}
+        self._queue: collections.deque[jobs.Job] = collections.deque()
+        self._waiting: dict[str, jobs.Job] = {}
         self._running: dict[str, _Running] = {}
         self._members: dict[str, dict[str, _Member]] = {}
 
@@ -66,7 +66,7 @@
         """Choose one of at least one member."""
 
     def submit(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
         """Put a job at the queue's end.
 
@@ -84,7 +84,7 @@
         self._waiting[job.job_id] = job
         return expression.Ok(None)
 
-    def dispatch(self, now_ms: int) -> messages.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.Dispatch:
         """Start jobs from the queue's head while upstreams have room.
 
         :param now_ms: the present
@@ -93,7 +93,7 @@
         refusals = self._give_up_late(now_ms)
         assignments = []
         blocked: set[str] = set()
-        kept: collections.deque[messages.Job] = collections.deque()
+        kept: collections.deque[jobs.Job] = collections.deque()
         while self._queue:
             job = self._queue.popleft()
             if job.job_id not in self._waiting:
@@ -106,7 +106,7 @@
                 assignments.append(assignment)
         self._queue = kept
         wake_ms = min((job.deadline.at_ms for job in kept), default=None)
-        return messages.Dispatch(assignments, refusals, wake_ms)
+        return jobs.Dispatch(assignments, refusals, wake_ms)
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
         """Forget a waiting job.
@@ -138,7 +138,7 @@
     def finish(
         self,
         job_id: str,
-        end: messages.JobEnd,
+        end: jobs.JobEnd,
         upstream: str,
         now_ms: int,
     ) -> None:
@@ -216,7 +216,7 @@
         member.slots = slots
         return member
 
-    def _give_up_late(self, now_ms: int) -> list[messages.Refusal]:
+    def _give_up_late(self, now_ms: int) -> list[jobs.Refusal]:
         late = [
             job
             for job in self._waiting.values()
@@ -225,7 +225,7 @@
         for job in late:
             del self._waiting[job.job_id]
         return [
-            messages.Refusal(
+            jobs.Refusal(
                 job.job_id,
                 errors.Fault(
                     errors.Code.DEADLINE_EXCEEDED,
@@ -237,7 +237,7 @@
             for job in late
         ]
 
-    def _assign(self, job: messages.Job) -> messages.Assignment | None:
+    def _assign(self, job: jobs.Job) -> jobs.Assignment | None:
         usable = [
             member
             for member in self._members.get(job.pool, {}).values()
@@ -259,7 +259,7 @@
         decode.decodes += 1
         del self._waiting[job.job_id]
         self._running[job.job_id] = _Running(prefill, decode)
-        return messages.Assignment(
+        return jobs.Assignment(
             job.job_id, prefill.upstream.name, decode.upstream.name
         )
 
--- a/mulberryway/policy/queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -12,8 +12,8 @@
 
 import sortedcontainers
 
-from mulberryway.policy import entries
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
+from mulberryway.policy import queue_entries
 
 __all__ = ["AccountState", "Entry", "FairQueue", "Lane"]
 
@@ -31,9 +31,9 @@
 CLAIM_TOKENS = 6_000.0
 
 
-AccountState = entries.AccountState
-Entry = entries.Entry
-Lane = entries.Lane
+AccountState = queue_entries.AccountState
+Entry = queue_entries.Entry
+Lane = queue_entries.Lane
 
 
 class FairQueue:
@@ -105,7 +105,7 @@
         state = self._accounts.get(name)
         return state.weight if state is not None else 1
 
-    def has_room(self, job: messages.Job) -> bool:
+    def has_room(self, job: jobs.Job) -> bool:
         """Tell whether another job may wait.
 
         Made for one account that sends several times its rate: it can fill
--- a/mulberryway/policy/placing.py
+++ b/mulberryway/policy/job_placement.py
@@ -7,15 +7,15 @@
 import random
 
 from mulberryway import tables
-from mulberryway.policy import beside
+from mulberryway.policy import aggregated_serving
+from mulberryway.policy import fair_queue
 from mulberryway.policy import health
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import placements
-from mulberryway.policy import queue
-from mulberryway.policy import shifting
-from mulberryway.policy import slowness
+from mulberryway.policy import pool_upstreams
+from mulberryway.policy import slow_upstreams
 from mulberryway.policy import transfers
-from mulberryway.policy import views
+from mulberryway.policy import upstream_view
 
 __all__ = ["Placer"]
 
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        members: shifting.Members,
+        members: pool_upstreams.Members,
         random_: random.Random,
         token_gap_ms: int,
     ) -> None:
@@ -53,14 +53,14 @@
         self._random = random_
         self._gap_ms = token_gap_ms
         self._links = transfers.Links()
-        self.slowness = slowness.Slowness(members, token_gap_ms)
+        self.slowness = slow_upstreams.Slowness(members, token_gap_ms)
         self._usual_blocks = health.Average(0.0)
         # How long a stream usually holds its memory; set by the pool.
         self.stream_ms = 0.0
         self.is_blind = False
 
     def estimate(
-        self, job: messages.Job, pool: tables.Pool, now_ms: int
+        self, job: jobs.Job, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill that a job could get now.
 
@@ -81,7 +81,7 @@
 
     def choose(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.Entry,
         pool: tables.Pool,
         now_ms: int,
         yield_ms: int = 0,
@@ -97,10 +97,13 @@
         """
         apart = self._choose_apart(entry, pool, now_ms)
         placement = apart
-        if apart is None or not beside.is_on_time(apart, entry.job):
+        if apart is None or not aggregated_serving.is_on_time(
+            apart, entry.job
+        ):
             alone = self._choose_alone(entry, pool, apart, now_ms, yield_ms)
             if alone is not None and (
-                apart is None or beside.saves_time(alone, apart, entry.job)
+                apart is None
+                or aggregated_serving.saves_time(alone, apart, entry.job)
             ):
                 placement = alone
         if placement is None:
@@ -109,7 +112,7 @@
         return placement if left_ms >= placements.SAFETY_MS else None
 
     def _choose_apart(
-        self, entry: queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.Entry, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill, with a decode elsewhere."""
         options = self._list_prefills(entry, pool, now_ms)
@@ -131,7 +134,7 @@
 
     def _choose_alone(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.Entry,
         pool: tables.Pool,
         apart: placements.Placement | None,
         now_ms: int,
@@ -145,7 +148,7 @@
             self._plan_prefill(view, entry.job, pool, now_ms)
             for view in self._list_open(entry, blocks, now_ms)
         ]
-        placement = beside.choose_reader(
+        placement = aggregated_serving.choose_reader(
             options,
             apart is None and not self._reads_apart(now_ms),
             self.stream_ms,
@@ -173,7 +176,7 @@
     def commit(
         self,
         placement: placements.Placement,
-        job: messages.Job,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> None:
@@ -207,11 +210,11 @@
 
     def choose_other(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.Entry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
-    ) -> views.UpstreamView | None:
+    ) -> upstream_view.UpstreamView | None:
         """Return where a job whose prefill has ended can decode instead.
 
         :param entry: the job's entry
@@ -238,7 +241,7 @@
             if not view.health.is_ejected(now_ms)
         )
 
-    def is_tight(self, view: views.UpstreamView) -> bool:
+    def is_tight(self, view: upstream_view.UpstreamView) -> bool:
         """Tell whether an engine may have less room than is believed.
 
         Others may have chosen it since they were heard last.  Where so few
@@ -258,8 +261,8 @@
 
     @staticmethod
     def _list_usable(
-        all_: list[views.UpstreamView], job: messages.Job, now_ms: int
-    ) -> list[views.UpstreamView]:
+        all_: list[upstream_view.UpstreamView], job: jobs.Job, now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         works = [
             view for view in all_ if view.health.admits(job.may_move, now_ms)
         ]
@@ -269,7 +272,7 @@
         return other or works
 
     def _list_prefills(
-        self, entry: queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.Entry, pool: tables.Pool, now_ms: int
     ) -> list[placements.Placement]:
         job = entry.job
         usable = self._list_usable(self._members.prefills, job, now_ms)
@@ -281,9 +284,9 @@
             usable = willing or usable
         else:
             usable = []
-        if entry.lane is queue.Lane.SUSPECT:
+        if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
-        elif entry.lane is queue.Lane.LONG:
+        elif entry.lane is fair_queue.Lane.LONG:
             if now_ms < entry.latest_ms - LAST_CHANCE_MS:
                 usable = self._leave_room_for_short(usable, now_ms)
         if self.is_blind and len(usable) > BLIND_CHOICES:
@@ -291,8 +294,8 @@
         return [self._plan_prefill(view, job, pool, now_ms) for view in usable]
 
     def _leave_room_for_short(
-        self, usable: list[views.UpstreamView], now_ms: int
-    ) -> list[views.UpstreamView]:
+        self, usable: list[upstream_view.UpstreamView], now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         # Prefills run one after another, so once each upstream has a long one,
         # every short prompt misses its first token.  One upstream is left to
         # the short ones; with only one there is no choice.
@@ -307,8 +310,8 @@
 
     def _plan_prefill(
         self,
-        view: views.UpstreamView,
-        job: messages.Job,
+        view: upstream_view.UpstreamView,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> placements.Placement:
@@ -324,11 +327,11 @@
 
     def _choose_decode(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.Entry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
-    ) -> views.UpstreamView | None:
+    ) -> upstream_view.UpstreamView | None:
         blocks = placements.count_blocks(entry.job, pool)
         usable = self._list_open(entry, blocks, now_ms)
         if self.is_blind and len(usable) > BLIND_CHOICES:
@@ -342,8 +345,8 @@
         )
 
     def _list_open(
-        self, entry: queue.Entry, blocks: int, now_ms: int
-    ) -> list[views.UpstreamView]:
+        self, entry: fair_queue.Entry, blocks: int, now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         """Return the decode upstreams that probably have room."""
         usable = [
             view
@@ -352,15 +355,15 @@
             )
             if view.read_free(now_ms) > 0 and view.has_blocks(blocks)
         ]
-        if entry.lane is queue.Lane.SUSPECT:
+        if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
         return self.slowness.set_apart(usable, entry, now_ms)
 
     def _rate_decode(
         self,
-        view: views.UpstreamView,
+        view: upstream_view.UpstreamView,
         placement: placements.Placement,
-        job: messages.Job,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> float:
@@ -378,8 +381,8 @@
     def _plan_decode(
         self,
         placement: placements.Placement,
-        decode: views.UpstreamView,
-        job: messages.Job,
+        decode: upstream_view.UpstreamView,
+        job: jobs.Job,
         pool: tables.Pool,
     ) -> None:
         placement.decode = decode
--- a/mulberryway/policy/lapses.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -5,7 +5,7 @@
 servers live.  A server that leaves has its entry removed in the same way.
 """
 
-from mulberryway.policy import outages
+from mulberryway.policy import store_reachability
 
 __all__ = ["Absence", "LapseDetector", "Limits"]
 
@@ -97,7 +97,9 @@
 
     __slots__ = ("_limits", "_outages", "_absence", "_removed")
 
-    def __init__(self, limits: Limits, outages_: outages.Outages) -> None:
+    def __init__(
+        self, limits: Limits, outages_: store_reachability.Outages
+    ) -> None:
         self._limits = limits
         self._outages = outages_
         self._absence: Absence | None = None
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -7,7 +7,7 @@
 import collections.abc
 
 from mulberryway.objects import base
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 
 __all__ = ["KeptObject", "Mirror"]
 
@@ -31,7 +31,7 @@
         revision: int,
         noticed_ms: int,
         until_ms: int,
-        absence: lapses.Absence | None = None,
+        absence: mass_expiry.Absence | None = None,
     ) -> None:
         self.object = object_
         self.revision = revision
@@ -68,7 +68,7 @@
     )
 
     def __init__(
-        self, kind: str, detector: lapses.LapseDetector | None = None
+        self, kind: str, detector: mass_expiry.LapseDetector | None = None
     ) -> None:
         self.kind = kind
         self.objects: dict[str, base.StoredObject] = {}
@@ -79,7 +79,7 @@
         # Objects that were removed in or after one absence; that they lapsed
         # may show only when more of them go.
         self._removed: dict[str, base.StoredObject] = {}
-        self._removed_after: lapses.Absence | None = None
+        self._removed_after: mass_expiry.Absence | None = None
         self._kept: dict[str, KeptObject] = {}
         self._unreported: list[KeptObject] = []
 
--- a/mulberryway/policy/hearing.py
+++ b/mulberryway/policy/note_receiver.py
@@ -2,10 +2,10 @@
 
 import collections.abc
 
+from mulberryway.policy import failure_reports
 from mulberryway.policy import hints
 from mulberryway.policy import poison
-from mulberryway.policy import pools
-from mulberryway.policy import trust
+from mulberryway.policy import pool_scheduler
 
 __all__ = ["Hearer"]
 
@@ -57,14 +57,14 @@
         self._vm = vm
         self._register = register
         self._heard: dict[str, _Heard] = {}
-        self._trust = trust.Trust()
+        self._trust = failure_reports.Trust()
         self._swept_ms = 0
         self._pruned_ms = 0
 
     def note(
         self,
         note: hints.Note,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         """Take in a note.
@@ -111,7 +111,7 @@
 
     def sweep(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         """Forget silent peers, and tell the placers whether they are blind.
@@ -150,7 +150,8 @@
         return sum(len(heard.applied) for heard in self._heard.values())
 
     def _prune(
-        self, pools_: collections.abc.Mapping[str, pools.PoolScheduler]
+        self,
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> None:
         known = {
             (name, view.row.name)
@@ -167,7 +168,7 @@
     def _find(
         self,
         note: hints.Note,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> _Heard | None:
         """Return what was heard of the sender's life; none if it is over."""
@@ -184,7 +185,7 @@
         self,
         vm: str,
         holding: hints.Holding,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         pool = pools_.get(holding.pool)
@@ -208,7 +209,7 @@
 
 
 def _forget(
-    vm: str, pools_: collections.abc.Mapping[str, pools.PoolScheduler]
+    vm: str, pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler]
 ) -> None:
     for pool in pools_.values():
         pool.neighbours.forget(vm)
--- a/mulberryway/policy/telling.py
+++ b/mulberryway/policy/note_sender.py
@@ -5,7 +5,7 @@
 
 from mulberryway.policy import hints
 from mulberryway.policy import poison
-from mulberryway.policy import pools
+from mulberryway.policy import pool_scheduler
 
 __all__ = ["Teller"]
 
@@ -104,7 +104,7 @@
 
     def make_note(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> hints.Note | None:
         """Return what peers should hear now.
@@ -146,7 +146,7 @@
 
     def _build(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         waiting: dict[tuple[str, str], tuple[int, int]],
         deaths: list[hints.Death],
         now_ms: int,
@@ -178,7 +178,7 @@
 
     def _mark_whole(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         if self._whole_ms is not None and now_ms - self._whole_ms < WHOLE_MS:
@@ -195,7 +195,7 @@
     def _has_to_beat(
         self,
         pause_ms: int,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> bool:
         if pause_ms < HEARTBEAT_MS:
             return False
@@ -209,7 +209,7 @@
 
     @staticmethod
     def _list_waiting(
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> dict[tuple[str, str], tuple[int, int]]:
         return {
             (name, state.name): (
@@ -221,7 +221,7 @@
         }
 
     def _read_account(
-        self, pool: pools.PoolScheduler, account: str, now_ms: int
+        self, pool: pool_scheduler.PoolScheduler, account: str, now_ms: int
     ) -> hints.AccountNote:
         key = pool.row.name, account
         state = pool.fair.find_account(account, self._weights.get(key, 1))
@@ -241,7 +241,7 @@
 
 
 def _read_holding(
-    pool: pools.PoolScheduler | None, upstream: str, now_ms: int
+    pool: pool_scheduler.PoolScheduler | None, upstream: str, now_ms: int
 ) -> list[hints.Holding]:
     view = pool.members.find(upstream) if pool is not None else None
     if pool is None or view is None:
--- a/mulberryway/policy/neighbours.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -1,7 +1,7 @@
 """What peers told of the client accounts: work done, and work waiting."""
 
+from mulberryway.policy import fair_queue
 from mulberryway.policy import hints
-from mulberryway.policy import queue
 
 __all__ = ["Neighbours"]
 
@@ -28,7 +28,7 @@
 
     __slots__ = ("_fair", "_charged", "_waiting")
 
-    def __init__(self, fair: queue.FairQueue) -> None:
+    def __init__(self, fair: fair_queue.FairQueue) -> None:
         self._fair = fair
         self._charged: dict[str, dict[str, int]] = {}
         self._waiting: dict[str, dict[str, _Waiting]] = {}
@@ -63,8 +63,8 @@
 
     def count_ahead(
         self,
-        state: queue.AccountState,
-        entry: queue.Entry,
+        state: fair_queue.AccountState,
+        entry: fair_queue.Entry,
         slack_tokens: int,
         now_ms: int,
     ) -> int:
@@ -92,8 +92,8 @@
         self,
         account: str,
         waiting: _Waiting,
-        state: queue.AccountState,
-        entry: queue.Entry,
+        state: fair_queue.AccountState,
+        entry: fair_queue.Entry,
         slack_tokens: int,
     ) -> int:
         lead = state.start - self._fair.read_start(account)
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -1,8 +1,8 @@
 """A possible start of a job: where it runs, and when what comes."""
 
 from mulberryway import tables
-from mulberryway.policy import messages
-from mulberryway.policy import views
+from mulberryway.policy import jobs
+from mulberryway.policy import upstream_view
 
 __all__ = [
     "HOPS_MS",
@@ -54,13 +54,13 @@
 
     def __init__(
         self,
-        prefill: views.UpstreamView,
+        prefill: upstream_view.UpstreamView,
         tokens: float,
         prefill_ms: float,
         ready_ms: float,
     ) -> None:
         self.prefill = prefill
-        self.decode: views.UpstreamView | None = None
+        self.decode: upstream_view.UpstreamView | None = None
         self.tokens = tokens
         self.prefill_ms = prefill_ms
         self.ready_ms = ready_ms
@@ -90,7 +90,7 @@
         return self.decode is self.prefill
 
 
-def count_bytes(job: messages.Job, pool: tables.Pool) -> int:
+def count_bytes(job: jobs.Job, pool: tables.Pool) -> int:
     """Return the size of a job's KV cache.
 
     :param job: the job
@@ -100,7 +100,7 @@
     return job.prompt_tokens * pool.kv_bytes_per_token
 
 
-def count_blocks(job: messages.Job, pool: tables.Pool) -> int:
+def count_blocks(job: jobs.Job, pool: tables.Pool) -> int:
     """Return how much of a decode engine's memory a job may take.
 
     :param job: the job
@@ -115,7 +115,7 @@
 
 
 def read_zones(
-    prefill: views.UpstreamView, decode: views.UpstreamView
+    prefill: upstream_view.UpstreamView, decode: upstream_view.UpstreamView
 ) -> tuple[str, str]:
     """Return the zones between which a KV cache travels.
 
--- a/mulberryway/policy/pools.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -5,18 +5,18 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.policy import admission
-from mulberryway.policy import messages
-from mulberryway.policy import meters
-from mulberryway.policy import neighbours
+from mulberryway.policy import fair_queue
+from mulberryway.policy import fairness
+from mulberryway.policy import job_placement
+from mulberryway.policy import jobs
+from mulberryway.policy import peer_accounts
 from mulberryway.policy import placements
-from mulberryway.policy import placing
 from mulberryway.policy import poison
-from mulberryway.policy import queue
+from mulberryway.policy import pool_stats
+from mulberryway.policy import pool_upstreams
 from mulberryway.policy import retries
-from mulberryway.policy import running
-from mulberryway.policy import shifting
-from mulberryway.policy import views
-from mulberryway.policy import weighing
+from mulberryway.policy import running_jobs
+from mulberryway.policy import upstream_view
 
 __all__ = ["PoolScheduler"]
 
@@ -56,9 +56,9 @@
     def __init__(
         self,
         row: tables.Pool,
-        members: shifting.Members,
+        members: pool_upstreams.Members,
         register: poison.Register,
-        weighed: weighing.Weighing,
+        weighed: fairness.Weighing,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
@@ -67,10 +67,10 @@
     ) -> None:
         self.row = row
         self.members = members
-        self.fair = queue.FairQueue(most_entries, most_bytes)
-        self.placer = placing.Placer(members, random_, token_gap_ms)
-        self.neighbours = neighbours.Neighbours(self.fair)
-        self.meters = meters.Meters()
+        self.fair = fair_queue.FairQueue(most_entries, most_bytes)
+        self.placer = job_placement.Placer(members, random_, token_gap_ms)
+        self.neighbours = peer_accounts.Neighbours(self.fair)
+        self.meters = pool_stats.Meters()
         self.budget = budget or retries.RetryBudget()
         self._admission = admission.Admission(
             self.fair, self.placer, self.neighbours, self.meters
@@ -80,7 +80,7 @@
         self._free = UNKNOWN
         self._free_since_ms = 0
 
-    def submit(self, job: messages.Job, now_ms: int) -> errors.Fault | None:
+    def submit(self, job: jobs.Job, now_ms: int) -> errors.Fault | None:
         """Let a job wait, or refuse it at once.
 
         :param job: the job
@@ -112,11 +112,11 @@
             # Nobody has looked while nothing waited.
             self._free = UNKNOWN
         self.fair.push(
-            queue.Entry(job, lane, cost, latest_ms, best.prefill_ms)
+            fair_queue.Entry(job, lane, cost, latest_ms, best.prefill_ms)
         )
         return None
 
-    def give_up_late(self, now_ms: int) -> list[messages.Refusal]:
+    def give_up_late(self, now_ms: int) -> list[jobs.Refusal]:
         """Refuse the jobs that can no longer start in time.
 
         :param now_ms: the present
@@ -124,7 +124,7 @@
         """
         retry_ms = self.meters.hint_retry_ms(self.meters.hold_ms.value / 10)
         return [
-            messages.Refusal(
+            jobs.Refusal(
                 entry.job.job_id,
                 admission.make_refusal(
                     errors.Code.DEADLINE_EXCEEDED,
@@ -137,8 +137,8 @@
         ]
 
     def start_next(
-        self, now_ms: int, refusals: list[messages.Refusal]
-    ) -> running.Running | None:
+        self, now_ms: int, refusals: list[jobs.Refusal]
+    ) -> running_jobs.Running | None:
         """Start the job whose turn it is, if it can start.
 
         :param now_ms: the present
@@ -179,7 +179,7 @@
         return max(min(latest_ms, now_ms + pause_ms), now_ms + 1)
 
     def _check_standing(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> errors.Fault | None:
         standing = self._register.read_standing(job.digest, now_ms)
         if standing is not poison.Standing.QUARANTINED:
@@ -191,7 +191,7 @@
             "upstreams died while they ran this request",
         )
 
-    def _check_budget(self, job: messages.Job) -> errors.Fault | None:
+    def _check_budget(self, job: jobs.Job) -> errors.Fault | None:
         if job.attempt == 0:
             self.budget.earn()
             return None
@@ -205,13 +205,13 @@
         )
 
     def _choose_lane(
-        self, job: messages.Job, prefill_ms: float, now_ms: int
-    ) -> queue.Lane:
+        self, job: jobs.Job, prefill_ms: float, now_ms: int
+    ) -> fair_queue.Lane:
         standing = self._register.read_standing(job.digest, now_ms)
         if standing is poison.Standing.SUSPECT:
-            return queue.Lane.SUSPECT
+            return fair_queue.Lane.SUSPECT
         is_long = prefill_ms > LONG_PREFILL_MS
-        return queue.Lane.LONG if is_long else queue.Lane.SHORT
+        return fair_queue.Lane.LONG if is_long else fair_queue.Lane.SHORT
 
     def _note_free(self, free: int, now_ms: int) -> None:
         if free != self._free:
@@ -219,8 +219,8 @@
             self._free_since_ms = now_ms
 
     def _list_candidates(
-        self, now_ms: int, refusals: list[messages.Refusal]
-    ) -> list[queue.Entry]:
+        self, now_ms: int, refusals: list[jobs.Refusal]
+    ) -> list[fair_queue.Entry]:
         states = self.fair.list_next(ACCOUNTS_TRIED)
         limit = states[0].start + self._weighed.slack_tokens
         entries = [
@@ -246,24 +246,24 @@
 
     def _may_still_run(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.Entry,
         now_ms: int,
-        refusals: list[messages.Refusal],
+        refusals: list[jobs.Refusal],
     ) -> bool:
         fault = self._check_standing(entry.job, now_ms)
         if fault is not None:
             self.fair.remove(entry.job.job_id)
-            refusals.append(messages.Refusal(entry.job.job_id, fault))
+            refusals.append(jobs.Refusal(entry.job.job_id, fault))
             return False
         standing = self._register.read_standing(entry.job.digest, now_ms)
         if (
             standing is poison.Standing.SUSPECT
-            and entry.lane is not queue.Lane.SUSPECT
+            and entry.lane is not fair_queue.Lane.SUSPECT
         ):
-            self.fair.move(entry.job.job_id, queue.Lane.SUSPECT)
+            self.fair.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
         return True
 
-    def _count_ahead(self, entry: queue.Entry, now_ms: int) -> int:
+    def _count_ahead(self, entry: fair_queue.Entry, now_ms: int) -> int:
         """Return how many of the peers' jobs should go before one of ours."""
         job = entry.job
         state = self.fair.find_account(job.account, job.weight)
@@ -278,11 +278,11 @@
 
     def move_decode(
         self,
-        job: running.Running,
+        job: running_jobs.Running,
         refused: str,
         now_ms: int,
         is_unreached: bool = False,
-    ) -> views.UpstreamView | None:
+    ) -> upstream_view.UpstreamView | None:
         """Move a started job's reservation to another upstream.
 
         The prefill's result is lost unless a slot elsewhere takes it before
@@ -312,14 +312,17 @@
         return decode
 
     def _start(
-        self, entry: queue.Entry, placement: placements.Placement, now_ms: int
-    ) -> running.Running:
+        self,
+        entry: fair_queue.Entry,
+        placement: placements.Placement,
+        now_ms: int,
+    ) -> running_jobs.Running:
         job = entry.job
         self.fair.remove(job.job_id)
         entry.cost = self.meters.estimate_cost(job, placement.tokens)
         self.fair.charge(job.account, job.weight, entry.cost)
         self.placer.commit(placement, job, self.row, now_ms)
-        return running.Running(entry, placement, now_ms)
+        return running_jobs.Running(entry, placement, now_ms)
 
 
 def _limit_yield(ahead: int) -> int:
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -4,13 +4,13 @@
 import random
 
 from mulberryway import tables
-from mulberryway.policy import endings
+from mulberryway.policy import fairness
+from mulberryway.policy import job_completion
 from mulberryway.policy import poison
-from mulberryway.policy import pools
+from mulberryway.policy import pool_scheduler
+from mulberryway.policy import pool_upstreams
 from mulberryway.policy import retries
-from mulberryway.policy import shifting
-from mulberryway.policy import views
-from mulberryway.policy import weighing
+from mulberryway.policy import upstream_view
 
 __all__ = ["PoolSet"]
 
@@ -32,16 +32,16 @@
     def __init__(
         self,
         vm: str,
-        weighed: weighing.Weighing,
+        weighed: fairness.Weighing,
         register: poison.Register,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
         most_bytes: int,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
-        prefill_rate: float = views.PREFILL_MS_PER_TOKEN,
+        prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
-        self.pools: dict[str, pools.PoolScheduler] = {}
+        self.pools: dict[str, pool_scheduler.PoolScheduler] = {}
         self._vm = vm
         self._weighed = weighed
         self._register = register
@@ -52,10 +52,10 @@
         self._budget = budget
         self._prefill_rate = prefill_rate
         self._vms: tuple[str, ...] = (vm,)
-        self._endings: dict[str, endings.Endings] = {}
-        self._retired: dict[str, pools.PoolScheduler] = {}
+        self._endings: dict[str, job_completion.Endings] = {}
+        self._retired: dict[str, pool_scheduler.PoolScheduler] = {}
 
-    def find_any(self, name: str) -> pools.PoolScheduler:
+    def find_any(self, name: str) -> pool_scheduler.PoolScheduler:
         """Return a pool's scheduler, also of a pool that is gone.
 
         Jobs that had started when the pool went still end there.
@@ -65,7 +65,7 @@
         """
         return self.pools.get(name) or self._retired[name]
 
-    def find_endings(self, name: str) -> endings.Endings:
+    def find_endings(self, name: str) -> job_completion.Endings:
         """Return what ends the jobs of a pool, also of one that is gone.
 
         :param name: the pool's name, which must have been known
@@ -112,13 +112,13 @@
         pool = self._retired.pop(name, None)
         if pool is None:
             pool = self._make(row)
-            self._endings[name] = endings.Endings(pool, self._register)
+            self._endings[name] = job_completion.Endings(pool, self._register)
         self.pools[name] = pool
 
-    def _make(self, row: tables.Pool) -> pools.PoolScheduler:
-        return pools.PoolScheduler(
+    def _make(self, row: tables.Pool) -> pool_scheduler.PoolScheduler:
+        return pool_scheduler.PoolScheduler(
             row,
-            shifting.Members(self._vm, self._random, self._prefill_rate),
+            pool_upstreams.Members(self._vm, self._random, self._prefill_rate),
             self._register,
             self._weighed,
             self._random,
--- a/mulberryway/policy/meters.py
+++ b/mulberryway/policy/pool_stats.py
@@ -1,7 +1,7 @@
 """How fast a pool takes jobs and what they cost, learned from its own work."""
 
 from mulberryway.policy import health
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 
 __all__ = ["Meters", "PREFILL_TOKEN_COST"]
 
@@ -26,7 +26,7 @@
         self.cost = health.Average(OUTPUT_TOKENS, 0.05)
         self._outputs: dict[str, health.Average] = {}
 
-    def estimate_cost(self, job: messages.Job, prompt_tokens: float) -> float:
+    def estimate_cost(self, job: jobs.Job, prompt_tokens: float) -> float:
         """Return what a job will probably cost, in tokens.
 
         The most that may be generated says little: callers ask for far more
--- a/mulberryway/policy/sharing.py
+++ b/mulberryway/policy/pool_subsets.py
@@ -10,7 +10,7 @@
 import hashlib
 
 from mulberryway import tables
-from mulberryway.policy import cells
+from mulberryway.policy import subsetting
 
 __all__ = ["Share", "choose_reporter", "divide_pool"]
 
@@ -47,7 +47,9 @@
     :returns: its share; by the same rule as the scheduler's
     """
     names = [upstream.name for upstream in pool.upstreams]
-    division = cells.Cells(round(len(names) / cells.CELL_ENGINES), vms)
+    division = subsetting.Cells(
+        round(len(names) / subsetting.CELL_ENGINES), vms
+    )
     return Share(
         pool.name, division.choose(vm, names), division.list_peers(vm)
     )
--- a/mulberryway/policy/shifting.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -3,10 +3,10 @@
 import random
 
 from mulberryway import tables
-from mulberryway.policy import cells
 from mulberryway.policy import health
-from mulberryway.policy import speeds
-from mulberryway.policy import views
+from mulberryway.policy import prefill_speed
+from mulberryway.policy import subsetting
+from mulberryway.policy import upstream_view
 
 __all__ = ["Members"]
 
@@ -40,18 +40,18 @@
         self,
         vm: str,
         random_: random.Random,
-        prefill_rate: float = views.PREFILL_MS_PER_TOKEN,
+        prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self._vm = vm
         self._usual_rate = health.Floor(prefill_rate)
         self._random = random_
-        self._views: dict[str, views.UpstreamView] = {}
-        self._retired: dict[str, views.UpstreamView] = {}
-        self._divisions: dict[int, cells.Cells] = {}
-        self.prefills: list[views.UpstreamView] = []
-        self.decodes: list[views.UpstreamView] = []
+        self._views: dict[str, upstream_view.UpstreamView] = {}
+        self._retired: dict[str, upstream_view.UpstreamView] = {}
+        self._divisions: dict[int, subsetting.Cells] = {}
+        self.prefills: list[upstream_view.UpstreamView] = []
+        self.decodes: list[upstream_view.UpstreamView] = []
 
-    def find(self, upstream: str) -> views.UpstreamView | None:
+    def find(self, upstream: str) -> upstream_view.UpstreamView | None:
         """Return the view of one upstream, or none.
 
         :param upstream: its name
@@ -59,11 +59,13 @@
         """
         return self._views.get(upstream)
 
-    def list_all(self) -> list[views.UpstreamView]:
+    def list_all(self) -> list[upstream_view.UpstreamView]:
         """Return every view, of either role."""
         return list(self._views.values())
 
-    def has_few_left(self, view: views.UpstreamView, now_ms: int) -> bool:
+    def has_few_left(
+        self, view: upstream_view.UpstreamView, now_ms: int
+    ) -> bool:
         """Tell whether no more upstreams may be ejected on peers' word.
 
         :param view: the upstream in question; others of its role count
@@ -107,10 +109,10 @@
         self, pool: tables.Pool, vms: tuple[str, ...]
     ) -> list[tables.Upstream]:
         by_name = {row.name: row for row in pool.upstreams}
-        count = round(len(by_name) / cells.CELL_ENGINES)
+        count = round(len(by_name) / subsetting.CELL_ENGINES)
         division = self._divisions.get(count)
         if division is None:
-            division = cells.Cells(count, vms)
+            division = subsetting.Cells(count, vms)
             self._divisions = {count: division}
         return [
             by_name[name] for name in division.choose(self._vm, list(by_name))
@@ -122,18 +124,20 @@
 
     def _keep(
         self,
-        view: views.UpstreamView | None,
+        view: upstream_view.UpstreamView | None,
         row: tables.Upstream,
         pool: tables.Pool,
-    ) -> views.UpstreamView:
+    ) -> upstream_view.UpstreamView:
         blocks = pool.engine_tokens // max(pool.block_tokens, 1) or None
         is_new = view is None or row.role is not view.row.role
         if view is None:
-            view = views.UpstreamView(row, pool.slots, self._random, blocks)
+            view = upstream_view.UpstreamView(
+                row, pool.slots, self._random, blocks
+            )
         if is_new:
             reads_beside = row.role is tables.UpstreamRole.DECODE
             cost = SELF_READING_COST if reads_beside else 1.0
-            view.speed = speeds.ReadSpeed(self._usual_rate, cost)
+            view.speed = prefill_speed.ReadSpeed(self._usual_rate, cost)
         if row.role not in PREFILL_ROLES:
             view.prefixes.clear()
         view.row = row
--- a/mulberryway/policy/entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -4,7 +4,7 @@
 import enum
 import itertools
 
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 
 __all__ = ["AccountState", "Entry", "Lane"]
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         lane: Lane,
         cost: float,
         latest_ms: int,
--- a/mulberryway/policy/running.py
+++ b/mulberryway/policy/running_jobs.py
@@ -1,7 +1,7 @@
 """A job that has started, with everything it holds."""
 
+from mulberryway.policy import fair_queue
 from mulberryway.policy import placements
-from mulberryway.policy import queue
 
 __all__ = ["Running"]
 
@@ -29,7 +29,10 @@
     )
 
     def __init__(
-        self, entry: queue.Entry, placement: placements.Placement, now_ms: int
+        self,
+        entry: fair_queue.Entry,
+        placement: placements.Placement,
+        now_ms: int,
     ) -> None:
         self.entry = entry
         self.placement = placement
@@ -42,7 +45,7 @@
 
     def is_suspect(self) -> bool:
         """Tell whether it runs as the only suspect on its upstreams."""
-        return self.entry.lane is queue.Lane.SUSPECT
+        return self.entry.lane is fair_queue.Lane.SUSPECT
 
     def note_first_token(self, now_ms: int) -> None:
         """Begin to measure the gaps between tokens.
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -8,17 +8,17 @@
 from mulberryway import tables
 from mulberryway.policy import admission
 from mulberryway.policy import base
-from mulberryway.policy import hearing
+from mulberryway.policy import fairness
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
+from mulberryway.policy import note_receiver
+from mulberryway.policy import note_sender
 from mulberryway.policy import poison
 from mulberryway.policy import pool_set
 from mulberryway.policy import probes
 from mulberryway.policy import retries
-from mulberryway.policy import running
-from mulberryway.policy import telling
-from mulberryway.policy import views
-from mulberryway.policy import weighing
+from mulberryway.policy import running_jobs
+from mulberryway.policy import upstream_view
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["FairScheduler"]
@@ -53,14 +53,14 @@
         self,
         vm: str,
         incarnation: int = 0,
-        weighed: weighing.Weighing = weighing.WORST_SERVED,
+        weighed: fairness.Weighing = fairness.WORST_SERVED,
         register: poison.Register | None = None,
         seed: int = 0,
         token_gap_ms: int = TOKEN_GAP_MS,
         most_entries: int = MOST_ENTRIES,
         most_bytes: int = MOST_BYTES,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
-        prefill_rate: float = views.PREFILL_MS_PER_TOKEN,
+        prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self.register = register or poison.Register()
         self._set = pool_set.PoolSet(
@@ -76,13 +76,13 @@
         )
         self._pools = self._set.pools
         self._waiting: dict[str, str] = {}
-        self._running: dict[str, running.Running] = {}
-        self._dropped: list[messages.Refusal] = []
-        self._teller = telling.Teller(vm, incarnation, self.register)
-        self._hearer = hearing.Hearer(vm, self.register)
+        self._running: dict[str, running_jobs.Running] = {}
+        self._dropped: list[jobs.Refusal] = []
+        self._teller = note_sender.Teller(vm, incarnation, self.register)
+        self._hearer = note_receiver.Hearer(vm, self.register)
 
     def submit(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
         """Take a job in, or refuse it at once.
 
@@ -102,7 +102,7 @@
         self._waiting[job.job_id] = job.pool
         return expression.Ok(None)
 
-    def dispatch(self, now_ms: int) -> messages.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.Dispatch:
         """Start the jobs whose turn it is, and give up the late ones.
 
         :param now_ms: the present
@@ -111,7 +111,7 @@
         self._hearer.sweep(self._pools, now_ms)
         refusals = self._dropped
         self._dropped = []
-        assignments: list[messages.Assignment] = []
+        assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
             refusals += pool.give_up_late(now_ms)
             for _ in range(MOST_STARTS):
@@ -121,9 +121,7 @@
                 assignments.append(self._note_start(name, started, now_ms))
         for refusal in refusals:
             self._waiting.pop(refusal.job_id, None)
-        return messages.Dispatch(
-            assignments, refusals, self._read_wake_ms(now_ms)
-        )
+        return jobs.Dispatch(assignments, refusals, self._read_wake_ms(now_ms))
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
         """Forget a waiting job whose caller has gone.
@@ -226,7 +224,7 @@
     def finish(
         self,
         job_id: str,
-        end: messages.JobEnd,
+        end: jobs.JobEnd,
         upstream: str,
         now_ms: int,
     ) -> None:
@@ -408,11 +406,11 @@
                 fault = admission.make_refusal(
                     errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
                 )
-                self._dropped.append(messages.Refusal(job_id, fault))
+                self._dropped.append(jobs.Refusal(job_id, fault))
 
     def _note_start(
-        self, pool: str, started: running.Running, now_ms: int
-    ) -> messages.Assignment:
+        self, pool: str, started: running_jobs.Running, now_ms: int
+    ) -> jobs.Assignment:
         job = started.entry.job
         del self._waiting[job.job_id]
         self._running[job.job_id] = started
@@ -423,7 +421,7 @@
         self._tell_views(pool, started)
         decode = started.placement.decode
         assert decode is not None
-        assignment = messages.Assignment(
+        assignment = jobs.Assignment(
             job.job_id,
             started.placement.prefill.row.name,
             decode.row.name,
@@ -436,7 +434,7 @@
         }
         return assignment
 
-    def _read_room(self, pool: str, started: running.Running) -> int:
+    def _read_room(self, pool: str, started: running_jobs.Running) -> int:
         """Return the tokens to reserve for a decode; 0 for none.
 
         An engine admits a request that has room for its prompt; more than
@@ -447,7 +445,7 @@
         is_tight = self._pools[pool].placer.is_tight(decode)
         return started.entry.job.prompt_tokens if is_tight else 0
 
-    def _tell_views(self, pool: str, started: running.Running) -> None:
+    def _tell_views(self, pool: str, started: running_jobs.Running) -> None:
         for view in (started.placement.prefill, started.placement.decode):
             if view is not None:
                 self._teller.note_view(pool, view.row.name)
--- a/mulberryway/policy/slowness.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -2,9 +2,9 @@
 
 import statistics
 
-from mulberryway.policy import queue
-from mulberryway.policy import shifting
-from mulberryway.policy import views
+from mulberryway.policy import fair_queue
+from mulberryway.policy import pool_upstreams
+from mulberryway.policy import upstream_view
 
 __all__ = ["Slowness"]
 
@@ -30,17 +30,19 @@
 
     __slots__ = ("_members", "_token_gap_ms", "_median_ms", "_median_at_ms")
 
-    def __init__(self, members: shifting.Members, token_gap_ms: int) -> None:
+    def __init__(
+        self, members: pool_upstreams.Members, token_gap_ms: int
+    ) -> None:
         self._members = members
         self._token_gap_ms = token_gap_ms
-        self._median_ms = views.STEP_MS
+        self._median_ms = upstream_view.STEP_MS
         self._median_at_ms: int | None = None
 
     def read_step_ms(self) -> float:
         """Return the time between tokens that is usual here."""
         return self._median_ms
 
-    def is_slow(self, view: views.UpstreamView, now_ms: int) -> bool:
+    def is_slow(self, view: upstream_view.UpstreamView, now_ms: int) -> bool:
         """Tell whether an upstream is too slow.
 
         :param view: the upstream
@@ -55,10 +57,10 @@
 
     def set_apart(
         self,
-        usable: list[views.UpstreamView],
-        entry: queue.Entry,
+        usable: list[upstream_view.UpstreamView],
+        entry: fair_queue.Entry,
         now_ms: int,
-    ) -> list[views.UpstreamView]:
+    ) -> list[upstream_view.UpstreamView]:
         """Leave out the slow ones, but for a probe and as a last resort.
 
         :param usable: upstreams with a free slot
--- a/mulberryway/policy/views.py
+++ b/mulberryway/policy/upstream_view.py
@@ -8,11 +8,11 @@
 import random
 
 from mulberryway import tables
+from mulberryway.policy import chunked_prefill
 from mulberryway.policy import health
 from mulberryway.policy import hints
-from mulberryway.policy import prefixes
-from mulberryway.policy import reading
-from mulberryway.policy import speeds
+from mulberryway.policy import prefill_speed
+from mulberryway.policy import prefix_index
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["UpstreamView"]
@@ -109,17 +109,19 @@
         self.full_until_ms = 0
         self.resting_until_ms = 0
         self.rests = 0
-        self.speed = speeds.ReadSpeed(health.Floor(PREFILL_MS_PER_TOKEN), 1.0)
+        self.speed = prefill_speed.ReadSpeed(
+            health.Floor(PREFILL_MS_PER_TOKEN), 1.0
+        )
         self.step = health.Average(STEP_MS, STEP_PART)
         # The same where the engine reads nothing between its tokens.
         self.event = health.Floor(STEP_MS)
         self.step_seen_ms = 0
         self._own_step_ms = 0.0
         self.health = health.Health(random_)
-        self.prefixes = prefixes.PrefixIndex()
+        self.prefixes = prefix_index.PrefixIndex()
         # The longest pause of a stream that is on time; 0 for no target.
         self.pause_ms = 0
-        self.reads = reading.ReadingBudget()
+        self.reads = chunked_prefill.ReadingBudget()
         self._by_peer: dict[str, hints.Holding] = {}
         self._high = 0
         self._high_before = 0
@@ -402,7 +404,9 @@
 
         :param read_ms: how long the read takes by itself
         """
-        return reading.fits_pause(read_ms, self.pause_ms, self.event.value)
+        return chunked_prefill.fits_pause(
+            read_ms, self.pause_ms, self.event.value
+        )
 
     def _note_read(self, read_ms: float, now_ms: int) -> None:
         self.busy_until_ms = max(self.busy_until_ms, float(now_ms)) + read_ms
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -17,13 +17,13 @@
 from mulberryway.controllers import cancelling
 from mulberryway.controllers import claims
 from mulberryway.controllers import scheduling
+from mulberryway.filters import caller_api
 from mulberryway.filters import chain
-from mulberryway.filters import interface
-from mulberryway.filters import model_parts
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import status
 from mulberryway.policy import allowance
 from mulberryway.policy import base as policy
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from mulberryway.relay import loop
 from mulberryway.relay import pump
 from mulberryway.relay import stream as streams
@@ -101,14 +101,14 @@
         source: tables.TableSource,
         scheduler: policy.Scheduler,
         allowances: allowance.Allowances,
-        entries: entry.EntryDirectory,
+        entries: endpoints.EntryDirectory,
         may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
         on_withdraw: collections.abc.Callable[[], None] = lambda: None,
         directory_: directory.UpstreamDirectory | None = None,
         claim_store: claims.ClaimStore | None = None,
         has_settled: collections.abc.Callable[[], bool] = lambda: True,
         on_ready: collections.abc.Callable[[], None] = lambda: None,
-        interface_: interface.Interface | None = None,
+        interface_: caller_api.Interface | None = None,
         style: replies.Style = replies.OWN_STYLE,
         cuts_withdrawn: bool = True,
     ) -> None:
@@ -138,7 +138,7 @@
         self._has_settled = has_settled
         self._was_settled = False
         self._on_ready = on_ready
-        self._interface = interface_ or interface.OwnInterface()
+        self._interface = interface_ or caller_api.OwnInterface()
         self._cuts_withdrawn = cuts_withdrawn
         self._stop_at_ms: int | None = None
         self._has_begun = False
@@ -347,9 +347,9 @@
             ),
         )
 
-    def _make_context(self) -> interface.Context:
+    def _make_context(self) -> caller_api.Context:
         settings_ = self.settings
-        parts = model_parts.Parts(
+        parts = model_dependencies.Parts(
             settings_.vm_name,
             self._incarnation,
             settings_.router_token_gap_ms,
@@ -366,7 +366,7 @@
             settings_.upstreams_drain_ms // CHOICE_PART,
             self._cuts_withdrawn,
         )
-        return interface.Context(
+        return caller_api.Context(
             settings_,
             self,
             self._source,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -6,8 +6,8 @@
 import threading
 import time
 
+from soak import cluster
 from soak import history
-from soak import world
 from tests import hosted_fleet
 
 __all__ = ["Callers"]
@@ -44,7 +44,7 @@
         self,
         number: int,
         seed: int,
-        world_: world.World,
+        world_: cluster.World,
         ending: threading.Event,
     ) -> None:
         super().__init__(daemon=True)
@@ -62,14 +62,14 @@
             attempt = self._make_attempt(len(self.attempts))
             self.attempts.append(attempt)
             self._call(attempt)
-            attempt.ended_ms = world.now_ms()
+            attempt.ended_ms = cluster.now_ms()
         self._close()
 
     def _make_attempt(self, number: int) -> history.Attempt:
         kind = self._chance.choice(KINDS)
         key = self._choose_key()
         name = f"a{self._number}-{number}"
-        attempt = history.Attempt(name, kind, key, self._vm, world.now_ms())
+        attempt = history.Attempt(name, kind, key, self._vm, cluster.now_ms())
         attempt.path = f"/{kind.value}/{name}"
         attempt.sent = name.encode() * self._chance.randint(1, 40)
         attempt.has_left = self._chance.random() < LEAVE_PART
@@ -157,7 +157,7 @@
     """
 
     def __init__(
-        self, seed: int, world_: world.World, count: int = CALLERS
+        self, seed: int, world_: cluster.World, count: int = CALLERS
     ) -> None:
         self._ending = threading.Event()
         self._callers = [
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -5,9 +5,9 @@
 import signal
 import time
 
+from soak import cluster
 from soak import history
 from soak import plan
-from soak import world
 from tests import hosted_fleet
 
 __all__ = ["Injector"]
@@ -51,7 +51,7 @@
     :param steps: the plan
     """
 
-    def __init__(self, world_: world.World, steps: list[plan.Step]) -> None:
+    def __init__(self, world_: cluster.World, steps: list[plan.Step]) -> None:
         self._world = world_
         self._steps = steps
         self._actions: dict[
@@ -74,7 +74,7 @@
 
     def play(self) -> None:
         """Carry out all steps at their times, and wait for their ends."""
-        began_ms = world.now_ms()
+        began_ms = cluster.now_ms()
         with concurrent.futures.ThreadPoolExecutor(MOST_THREADS) as pool:
             running = [
                 pool.submit(self._play_step, step, began_ms)
@@ -84,16 +84,16 @@
                 one.result()
 
     def _play_step(self, step: plan.Step, began_ms: int) -> None:
-        wait_ms = began_ms + step.at_ms - world.now_ms()
+        wait_ms = began_ms + step.at_ms - cluster.now_ms()
         time.sleep(max(wait_ms, 0) / MS_IN_S)
         window = history.Window(
-            step.kind, name_target(step), world.now_ms(), 1 << 62
+            step.kind, name_target(step), cluster.now_ms(), 1 << 62
         )
         self._world.seen.windows.append(window)
         try:
             self._find_action(step)(step)
         finally:
-            window.to_ms = world.now_ms()
+            window.to_ms = cluster.now_ms()
 
     def _find_action(
         self, step: plan.Step
@@ -149,7 +149,7 @@
         ended = self._world.end_life(step.target)
         _rest(step)
         self._world.start_life(step.target)
-        time.sleep(world.LAPSE_S)
+        time.sleep(cluster.LAPSE_S)
         self._world.drop("servers", ended)
 
     def _pause_upstream(self, step: plan.Step) -> None:
@@ -199,11 +199,11 @@
 
     def _change_rate(self, step: plan.Step) -> None:
         with self._world.lock:
-            self._world.rate = world.RATE // 2
+            self._world.rate = cluster.RATE // 2
             self._world.configure()
         _rest(step)
         with self._world.lock:
-            self._world.rate = world.RATE
+            self._world.rate = cluster.RATE
             self._world.configure()
 
     def _poison(self, step: plan.Step) -> None:
@@ -214,7 +214,7 @@
             history.Kind.PLAIN,
             "k-large",
             number,
-            world.now_ms(),
+            cluster.now_ms(),
         )
         attempt.has_left = True
         self._world.seen.attempts.append(attempt)
@@ -223,7 +223,7 @@
         except OSError:
             # The VM may be down at this moment; nothing is owed to poison.
             pass
-        time.sleep(world.DOWN_S)
+        time.sleep(cluster.DOWN_S)
         self._revive()
 
     def _revive(self) -> None:
@@ -234,7 +234,9 @@
                 self._world.drop("servers", ended)
 
     def _note(self, what: str, name: str) -> None:
-        self._world.seen.edits.append(history.Edit(what, name, world.now_ms()))
+        self._world.seen.edits.append(
+            history.Edit(what, name, cluster.now_ms())
+        )
 
 
 def name_target(step: plan.Step) -> str:
--- a/soak/run.py
+++ b/soak/run.py
@@ -6,10 +6,10 @@
 
 from soak import callers
 from soak import checks
+from soak import cluster
 from soak import history
 from soak import injector
 from soak import plan
-from soak import world
 
 __all__ = ["Outcome", "play"]
 
@@ -18,10 +18,10 @@
 FREED_S = 1.5
 QUOTA = checks.Quota(
     "small",
-    world.RATE,
-    world.RATE,
-    world.OVER_PART,
-    world.OVER_TOKENS,
+    cluster.RATE,
+    cluster.RATE,
+    cluster.OVER_PART,
+    cluster.OVER_TOKENS,
 )
 
 
@@ -72,14 +72,14 @@
     :returns: what came of it
     """
     steps = plan.make_plan(seed, shape)
-    with world.World(shape) as world_:
+    with cluster.World(shape) as world_:
         crowd = callers.Callers(seed, world_)
-        began_ms = world.now_ms()
+        began_ms = cluster.now_ms()
         crowd.start()
         injector.Injector(world_, steps).play()
-        ended_ms = max(world.now_ms(), began_ms + shape.length_ms)
+        ended_ms = max(cluster.now_ms(), began_ms + shape.length_ms)
         world_.seen.calm_ms = ended_ms + plan.RECOVER_MS
-        left_ms = ended_ms + plan.CALM_MS - world.now_ms()
+        left_ms = ended_ms + plan.CALM_MS - cluster.now_ms()
         time.sleep(left_ms / MS_IN_S)
         world_.seen.attempts += crowd.stop()
         time.sleep(FREED_S)
@@ -91,7 +91,7 @@
     return Outcome(seed, steps, seen, broken)
 
 
-def _keep_logs(world_: world.World, folder: pathlib.Path) -> None:
+def _keep_logs(world_: cluster.World, folder: pathlib.Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     for file in pathlib.Path(world_.folder.name).iterdir():
         if file.suffix in (".log", ".jsonl"):
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -10,7 +10,7 @@
 from absl import flags
 
 from standins import engine_server
-from standins import engine_shape
+from standins import engine_types
 from standins import serving
 
 __all__ = ["run"]
@@ -38,13 +38,13 @@
     float: flags.DEFINE_float,
 }
 
-for _name, _value in vars(engine_shape.Shape()).items():
-    DEFINE[type(_value)](_name, _value, "see standins/engine_shape.py")
+for _name, _value in vars(engine_types.Shape()).items():
+    DEFINE[type(_value)](_name, _value, "see standins/engine_types.py")
 
 
-def make_shape() -> engine_shape.Shape:
+def make_shape() -> engine_types.Shape:
     """Return the figures from the command line."""
-    shape = engine_shape.Shape()
+    shape = engine_types.Shape()
     for name in vars(shape):
         setattr(shape, name, getattr(FLAGS, name))
     return shape
--- a/standins/engine_exchange.py
+++ b/standins/engine_completion.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from standins import answers
-from standins import engine_shape
+from standins import engine_types
 
 __all__ = ["Call", "Exchange", "read_call"]
 
@@ -80,7 +80,7 @@
     def __init__(
         self,
         call: Call,
-        run: engine_shape.Run,
+        run: engine_types.Run,
         record: dict[str, typing.Any],
         stamps: bool = False,
     ) -> None:
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -10,19 +10,19 @@
 import math
 import random
 
-from standins import engine_shape
-from standins import link
+from standins import engine_types
 from standins import load_history
 from standins import prefill_queue
-from standins import prefixes
+from standins import prefix_cache
+from standins import shared_link
 
 __all__ = ["EngineModel"]
 
-EventKind = engine_shape.EventKind
-ModelEvent = engine_shape.ModelEvent
-Phase = engine_shape.Phase
-Refused = engine_shape.Refused
-Run = engine_shape.Run
+EventKind = engine_types.EventKind
+ModelEvent = engine_types.ModelEvent
+Phase = engine_types.Phase
+Refused = engine_types.Refused
+Run = engine_types.Run
 
 NEVER = math.inf
 # How long an importing engine may keep another's handle without release.
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        shape: engine_shape.Shape,
+        shape: engine_types.Shape,
         role: str,
         models: tuple[str, ...],
         seed: int = 0,
@@ -51,7 +51,7 @@
         self.shape = shape
         self.role = role
         self.models = list(models)
-        self.cache = prefixes.PrefixCache(
+        self.cache = prefix_cache.PrefixCache(
             shape.cache_blocks,
             shape.cache_lag_ms,
             shape.cache_gap_share,
@@ -62,7 +62,7 @@
         self.free_blocks = shape.total_blocks
         self._numbers = itertools.count(1)
         self._prefills = prefill_queue.PrefillQueue(shape, self.cache)
-        self._link = link.Link(shape)
+        self._link = shared_link.Link(shape)
         self._batch: list[Run] = []
         self._reserved = 0
         self._step_ms = NEVER
--- a/standins/engine_server.py
+++ b/standins/engine_server.py
@@ -10,11 +10,11 @@
 from aiohttp import web
 
 from standins import answers
-from standins import engine_exchange
-from standins import engine_handles
+from standins import engine_completion
+from standins import engine_kv_transfer
 from standins import engine_model
-from standins import engine_reports
-from standins import engine_shape
+from standins import engine_status_api
+from standins import engine_types
 from standins import recorder
 from standins import serving
 
@@ -22,8 +22,8 @@
 
 CRASH_AFTER_S = 0.02
 CRASH_STATUS = 70
-Exchange = engine_exchange.Exchange
-EventKind = engine_shape.EventKind
+Exchange = engine_completion.Exchange
+EventKind = engine_types.EventKind
 
 
 class EngineServer:
@@ -42,7 +42,7 @@
     def __init__(
         self,
         address: str,
-        shape: engine_shape.Shape,
+        shape: engine_types.Shape,
         role: str,
         models: tuple[str, ...],
         seed: int,
@@ -59,7 +59,9 @@
         self._refuse_status = 0
         self._numbers = itertools.count(1)
         self._timer: asyncio.TimerHandle | None = None
-        self._handles = engine_handles.EngineHandles(self.model, self._pump)
+        self._handles = engine_kv_transfer.EngineHandles(
+            self.model, self._pump
+        )
 
     def make_app(self) -> web.Application:
         """Return the application to serve."""
@@ -67,7 +69,7 @@
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_delete("/v1/requests/{id}", self._cancel)
         app.router.add_post("/standin/faults", self._set_faults)
-        engine_reports.EngineReports(
+        engine_status_api.EngineReports(
             self.model, self.recorder, self._pump
         ).add_routes(app)
         self.recorder.add_routes(app)
@@ -93,7 +95,7 @@
         return now_ms
 
     def _tell(
-        self, event: engine_shape.ModelEvent, exchange: Exchange
+        self, event: engine_types.ModelEvent, exchange: Exchange
     ) -> None:
         if event.kind is EventKind.TOKEN:
             exchange.send_token(event.index)
@@ -102,9 +104,9 @@
             exchange.finish()
         elif event.kind is EventKind.PREFILLED:
             exchange.record["outcome"] = "prefilled"
-            engine_exchange.set_result(exchange.prefilled, None)
+            engine_completion.set_result(exchange.prefilled, None)
         elif event.kind is EventKind.IMPORTED:
-            engine_exchange.set_result(exchange.imported, None)
+            engine_completion.set_result(exchange.imported, None)
         elif event.kind is EventKind.EXPIRED:
             exchange.record["outcome"] = "expired"
 
@@ -119,7 +121,7 @@
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         raw = await request.read()
         self.recorder.note(request, raw)
-        call = engine_exchange.read_call(await serving.read_json(request))
+        call = engine_completion.read_call(await serving.read_json(request))
         refused = self._check(request)
         if refused is not None:
             return refused
@@ -136,13 +138,13 @@
         return await self._run_whole(request, call, exchange)
 
     def _make_exchange(
-        self, request: web.Request, call: engine_exchange.Call
+        self, request: web.Request, call: engine_completion.Call
     ) -> Exchange:
         request_id = request.headers.get(
             "X-Request-Id", f"{self.address}-{next(self._numbers)}"
         )
         answer = answers.Answer(call.model, call.prompt, call.max_tokens)
-        run = engine_shape.Run(
+        run = engine_types.Run(
             request_id,
             request.headers.get("X-Request-Owner", ""),
             call.model,
@@ -169,7 +171,7 @@
         return run.context
 
     def _refuse(
-        self, exchange: Exchange, refused: engine_shape.Refused
+        self, exchange: Exchange, refused: engine_types.Refused
     ) -> web.Response:
         exchange.record["outcome"] = "refused"
         return self._answer(
@@ -217,7 +219,7 @@
     async def _decode(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
+        call: engine_completion.Call,
         exchange: Exchange,
     ) -> web.StreamResponse:
         refused = self.model.submit_decode(exchange.run, self._now_ms())
@@ -227,7 +229,7 @@
             if not await self._handles.claim(call.params):
                 self._drop(exchange)
                 return self._refuse(
-                    exchange, engine_shape.Refused.HANDLE_EXPIRED
+                    exchange, engine_types.Refused.HANDLE_EXPIRED
                 )
             exchange.imported.add_done_callback(
                 lambda _: self._handles.release_later(call.params)
@@ -240,7 +242,7 @@
     async def _run_whole(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
+        call: engine_completion.Call,
         exchange: Exchange,
     ) -> web.StreamResponse:
         refused = self.model.submit_prefill(
@@ -257,7 +259,7 @@
     async def _reply(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
+        call: engine_completion.Call,
         exchange: Exchange,
     ) -> web.StreamResponse:
         if not call.stream:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 
 from standins import platform_faults
-from standins import rates
+from standins import rate_limits
 from standins import serving
 from standins import store
 from standins import watches
@@ -67,9 +67,9 @@
         self.store = store.Store(most_changes)
         self.faults = platform_faults.Faults(seed)
         self.watches = watches.Watches(self.store, self.faults)
-        self.calls = rates.Calls()
-        self._writes = rates.Rate(writes_per_s)
-        self._reads = rates.Rate(reads_per_s)
+        self.calls = rate_limits.Calls()
+        self._writes = rate_limits.Rate(writes_per_s)
+        self._reads = rate_limits.Rate(reads_per_s)
         self._nodes: list[typing.Any] = []
         self._nodes_lag_ms = nodes_lag_ms
         self._latency_ms = latency_ms
--- a/standins/link.py
+++ b/standins/shared_link.py
@@ -2,7 +2,7 @@
 
 import math
 
-from standins import engine_shape
+from standins import engine_types
 
 __all__ = ["Link"]
 
@@ -13,12 +13,12 @@
     :param shape: the engine's figures
     """
 
-    def __init__(self, shape: engine_shape.Shape) -> None:
+    def __init__(self, shape: engine_types.Shape) -> None:
         self._shape = shape
-        self._transfers: list[engine_shape.Run] = []
+        self._transfers: list[engine_types.Run] = []
         self._moved_ms = 0.0
 
-    def add(self, run: engine_shape.Run, now_ms: float) -> None:
+    def add(self, run: engine_types.Run, now_ms: float) -> None:
         """Begin a run's transfer.
 
         :param run: the run
@@ -30,7 +30,7 @@
         )
         self._transfers.append(run)
 
-    def remove(self, run: engine_shape.Run, now_ms: float) -> None:
+    def remove(self, run: engine_types.Run, now_ms: float) -> None:
         """Give a run's transfer up, if it has one.
 
         :param run: the run
@@ -48,7 +48,7 @@
         rate = self._bytes_per_ms() / len(self._transfers)
         return self._moved_ms + max(least, 0.0) / rate
 
-    def end_transfers(self, at_ms: float) -> list[engine_shape.Run]:
+    def end_transfers(self, at_ms: float) -> list[engine_types.Run]:
         """Take out the runs whose transfers have ended.
 
         :param at_ms: the present
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -15,8 +15,8 @@
 from mulberryway.objects import base as platform
 from mulberryway.peers.gen.allowances import Allowances as service
 from mulberryway.policy import allowance
-from mulberryway.policy import allowance_split
 from mulberryway.policy import member
+from mulberryway.policy import static_allowances
 from mulberryway.policy import token_bucket
 from tests import peer_network
 
@@ -107,7 +107,7 @@
         self.vms = []
         if is_split:
             self.books = [
-                allowance_split.SplitAllowances(source, self.clock, count)
+                static_allowances.SplitAllowances(source, self.clock, count)
                 for _ in names
             ]
             return
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -8,7 +8,7 @@
 
 from mulberryway import tables
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 OPERATOR = "operator-credential"
 SECRET = "fleet-secret"
@@ -29,7 +29,7 @@
         self.platform, platform_port = processes.start_standin(
             self.group, "platform"
         )
-        credential = f"--credential={router_rig.CREDENTIAL}"
+        credential = f"--credential={router_fixture.CREDENTIAL}"
         self.engines, self.engine_ports = processes.start_engines(
             self.group, ROLES, credential, *engine_flags
         )
@@ -123,12 +123,12 @@
                 "lm-pool": {
                     "kind": "model",
                     "models": ["m"],
-                    "credential": router_rig.CREDENTIAL,
+                    "credential": router_fixture.CREDENTIAL,
                     "upstreams": engines,
                 },
                 "member-api": {
                     "kind": "plain",
-                    "credential": router_rig.CREDENTIAL,
+                    "credential": router_fixture.CREDENTIAL,
                     "upstreams": service,
                 },
             },
@@ -139,8 +139,8 @@
                     "burst": RATE,
                 }
                 for name, key in (
-                    ("tea-estate", router_rig.KEY),
-                    ("surveyors", router_rig.OTHER_KEY),
+                    ("tea-estate", router_fixture.KEY),
+                    ("surveyors", router_fixture.OTHER_KEY),
                 )
             },
         }
@@ -202,6 +202,6 @@
     def __init__(self, port):
         self.port = port
 
-    connect = router_rig.Rig.connect
-    call = router_rig.Rig.call
-    complete = router_rig.Rig.complete
+    connect = router_fixture.Rig.connect
+    call = router_fixture.Rig.call
+    complete = router_fixture.Rig.complete
--- a/tests/policy_cases.py
+++ b/tests/policy_cases.py
@@ -2,7 +2,7 @@
 
 from mulberryway import clock
 from mulberryway import tables
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.upstreams import base as upstreams
 
 ROLES = tables.UpstreamRole
@@ -53,7 +53,7 @@
         "prefix_hashes": (),
         "body_bytes": 2_000,
     } | values
-    return messages.Job(
+    return jobs.Job(
         job_id,
         account,
         arrived_ms=now_ms,
--- a/tests/request_history.py
+++ b/tests/request_history.py
@@ -15,7 +15,7 @@
 from standins import answers
 from tests import deployment
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 CALLERS = 48
 MAX_TOKENS = 3
@@ -153,7 +153,7 @@
 
     async def attempt(self, session, port, record):
         method, path, body = "GET", f"/member/{record.name}", None
-        headers = {"Authorization": f"Bearer {router_rig.KEY}"}
+        headers = {"Authorization": f"Bearer {router_fixture.KEY}"}
         if record.kind == "booking":
             method, path, body = "POST", "/bookings", record.booking
             headers["Idempotency-Key"] = record.key
@@ -232,16 +232,16 @@
     runs = [
         run["id"]
         for port in world.engine_ports
-        for run in router_rig.list_runs(port)
+        for run in router_fixture.list_runs(port)
         if run["outcome"] != "refused"
     ]
     processes.wait_until(
-        lambda: not any(map(router_rig.list_held, world.engine_ports))
+        lambda: not any(map(router_fixture.list_held, world.engine_ports))
     )
     held = [
         one
         for port in world.engine_ports
-        for one in router_rig.list_held(port)
+        for one in router_fixture.list_held(port)
     ]
     return Effects(bookings["by_key"], runs, held)
 
@@ -264,7 +264,7 @@
         return
     if record.kind == "stream":
         text, is_done = read_stream(record.body)
-        expected = router_rig.expect_text(record.prompt, MAX_TOKENS)
+        expected = router_fixture.expect_text(record.prompt, MAX_TOKENS)
         if is_done and text != expected:
             yield "stream whole but wrong", record.number
         if not expected.startswith(text):
--- a/tests/router_rig.py
+++ b/tests/router_fixture.py
@@ -12,7 +12,7 @@
 from mulberryway import tables
 from mulberryway.policy import allowance
 from mulberryway.policy import baselines
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from standins import answers
 from tests import processes
 
@@ -71,12 +71,12 @@
         self.settled.append((reservation.account, reservation.tokens, used))
 
 
-class OneEntry(entry.EntryDirectory):
+class OneEntry(endpoints.EntryDirectory):
     def __init__(self, address):
         self.address = address
 
     def list_addresses(self, caller_zone):
-        return [entry.EntryAddress(self.address, "kandy-a")]
+        return [endpoints.EntryAddress(self.address, "kandy-a")]
 
 
 def make_account(name, key, *further):
--- a/tests/test_allowance_history.py
+++ b/tests/test_allowance_history.py
@@ -13,10 +13,10 @@
 
 from mulberryway.controllers import allowances
 from mulberryway.policy import allowance_borrower
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_lender
+from mulberryway.policy import slot_lease_manager
 from mulberryway.policy import token_bucket
-from tests import allowance_history
+from tests import allowance_simulation
 
 SCHEDULES = 1_000
 BATCH = 20
@@ -34,8 +34,8 @@
 def judge(seed, mode=None):
     """Return the overrun of one schedule and the tokens it granted."""
     mode = mode or MODES[seed % len(MODES)]
-    world = allowance_history.World(seed, mode).run()
-    overrun = allowance_history.find_overrun(world.grants, world.most)
+    world = allowance_simulation.World(seed, mode).run()
+    overrun = allowance_simulation.find_overrun(world.grants, world.most)
     return overrun, sum(tokens for _, _, tokens in world.grants)
 
 
@@ -75,7 +75,7 @@
 
 def note_written_at_once(self, slot, decision, record, sent_ms, now_ms):
     NOTE_WRITTEN(self, slot, decision, record, sent_ms, now_ms)
-    if decision is allowance_keeper.Decision.TAKE:
+    if decision is slot_lease_manager.Decision.TAKE:
         self.holdings[slot].start_ms = now_ms - 10_000
 
 
@@ -102,13 +102,13 @@
     loan.left, loan.is_closed = left, False
 
 
-NOTE_WRITTEN = allowance_keeper.SlotKeeper.note_written
+NOTE_WRITTEN = slot_lease_manager.SlotKeeper.note_written
 LEND = allowance_lender.Lender._lend
 CLOSE = allowance_lender.Lender.close
 CLOSE_BORROWED = allowance_borrower.Borrower._close
 
 BUCKET = token_bucket.TokenBucket
-KEEPER = allowance_keeper.SlotKeeper
+KEEPER = slot_lease_manager.SlotKeeper
 BROKEN = {
     "tokens on loan leave no room": (
         "calm",
@@ -207,6 +207,8 @@
     def test_the_checker_itself(self):
         limits = {"tea": (100, 500)}
         grants = [(0, "tea", 500), (1_000, "tea", 100)]
-        self.assertEqual(allowance_history.find_overrun(grants, limits), 0)
+        self.assertEqual(allowance_simulation.find_overrun(grants, limits), 0)
         grants.append((1_000, "tea", 1))
-        self.assertEqual(allowance_history.find_overrun(grants, limits), 1_000)
+        self.assertEqual(
+            allowance_simulation.find_overrun(grants, limits), 1_000
+        )
--- a/tests/test_allowance_sockets.py
+++ b/tests/test_allowance_sockets.py
@@ -13,7 +13,7 @@
 from mulberryway.policy import allowance_times
 from mulberryway.policy import member
 from tests import allowance_fleet
-from tests import allowance_history
+from tests import allowance_simulation
 
 SECRET = "fleet secret"
 GUARD_S = 20
@@ -80,7 +80,7 @@
 class AllowanceSocketsTest(unittest.TestCase):
     def setUp(self):
         account = tables.ClientAccount("tea", (), RATE, BURST)
-        source = allowance_history.SimSource(
+        source = allowance_simulation.SimSource(
             tables.Tables(1, (), (), (account,))
         )
         names = [f"vm{n}" for n in range(3)]
--- a/tests/test_allowance_split.py
+++ b/tests/test_allowance_split.py
@@ -5,7 +5,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import tables
-from mulberryway.policy import allowance_split
+from mulberryway.policy import static_allowances
 
 
 class FakeSource(tables.TableSource):
@@ -30,7 +30,7 @@
     def setUp(self):
         self.clock = clock.ManualClock()
         self.source = FakeSource()
-        self.allowances = allowance_split.SplitAllowances(
+        self.allowances = static_allowances.SplitAllowances(
             self.source, self.clock, 4
         )
         self.source.put(1, 400, 4_000)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,17 +4,17 @@
 
 from mulberryway import errors
 from mulberryway.controllers import allowance_state
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import allowance_times
-from tests import allowance_history
+from mulberryway.policy import slot_lease_manager
+from tests import allowance_simulation
 
-TAKE = allowance_keeper.Decision.TAKE
-NONE = allowance_keeper.Decision.NONE
-RELEASE = allowance_keeper.Decision.RELEASE
+TAKE = slot_lease_manager.Decision.TAKE
+NONE = slot_lease_manager.Decision.NONE
+RELEASE = slot_lease_manager.Decision.RELEASE
 
 
-class CalmWorld(allowance_history.World):
+class CalmWorld(allowance_simulation.World):
     """VMs, a platform and a network that work as they should."""
 
     def chance(self, probability):
@@ -125,7 +125,7 @@
 class SlotKeeperTest(unittest.TestCase):
     def setUp(self):
         self.times = allowance_times.AllowanceTimes()
-        self.keeper = allowance_keeper.SlotKeeper(
+        self.keeper = slot_lease_manager.SlotKeeper(
             "b", "10.0.0.2", 7, self.times
         )
 
--- a/tests/test_baselines.py
+++ b/tests/test_baselines.py
@@ -4,7 +4,7 @@
 
 from mulberryway import errors
 from mulberryway.policy import baselines
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from tests import policy_cases as cases
 
 
@@ -28,7 +28,7 @@
                 [a.job_id for a in first.assignments], ["j0", "j1"]
             )
             self.assertEqual(first.wake_ms, 1_100)
-            scheduler.finish("j0", messages.JobEnd.DONE, "", 10)
+            scheduler.finish("j0", jobs.JobEnd.DONE, "", 10)
             second = scheduler.dispatch(10)
             self.assertEqual([a.job_id for a in second.assignments], ["j2"])
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -4,10 +4,10 @@
 import unittest
 
 from mulberryway import tables
-from mulberryway.policy import choosing
 from mulberryway.policy import retries
+from mulberryway.policy import server_selection
 
-End = choosing.CallEnd
+End = server_selection.CallEnd
 ZONES = ("a", "b", "c")
 
 
@@ -24,7 +24,7 @@
 class ChooserTest(unittest.TestCase):
     def setUp(self):
         self.pool = make_pool()
-        self.chooser = choosing.ServerChooser("a")
+        self.chooser = server_selection.ServerChooser("a")
 
     def call(self, now_ms, judge, took_ms=60):
         """Make one call, one after another, and return the server."""
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -10,10 +10,10 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import peers
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claims as controller
 from mulberryway.peers.gen.claims import Claims
-from mulberryway.policy import claim_keepers
+from mulberryway.policy import claim_coordinators
 from mulberryway.policy import claim_records
 from mulberryway.policy import claims
 from mulberryway.policy import member
@@ -39,7 +39,9 @@
             name,
             1,
             peers=peers.PeerClient("s", self.clock),
-            find_keeper=claim_keeping.make_finder(name, lambda: self.members),
+            find_keeper=claim_coordination.make_finder(
+                name, lambda: self.members
+            ),
         )
         server = peers.PeerServer(
             processes.HOST,
@@ -68,7 +70,7 @@
             )
             digest = claim_records.read_id("a", key).digest
             shard = claims.pick_shard(digest)
-            chosen = claim_keepers.choose_keeper(shard, self.members)
+            chosen = claim_coordinators.choose_keeper(shard, self.members)
             if chosen.name == keeper:
                 return key
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 import expression
 
 from mulberryway import errors
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claim_log
 from mulberryway.controllers import claim_queue
 from mulberryway.controllers import claim_writer
@@ -92,7 +92,9 @@
             def __init__(self, request, is_own=True):
                 super().__init__(request)
 
-        with unittest.mock.patch.object(claim_keeping, "Waiter", Meddling):
+        with unittest.mock.patch.object(
+            claim_coordination, "Waiter", Meddling
+        ):
             self.check_broken("two runs", 200, keepers=True)
 
     def check_broken(self, message, count=60, **kwargs):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -10,7 +10,7 @@
 from mulberryway.admin import editor
 from mulberryway.controllers import configuration_watch
 from mulberryway.controllers import tables_in_force
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.tables import changes
 from mulberryway.tables import edits
 from mulberryway.tables import parse
@@ -88,7 +88,7 @@
         """The platform refuses calls over its rates, and an operator has to
         find out what they were made for.
         """
-        kept = counts.CallCounts()
+        kept = call_metrics.CallCounts()
         instruments = metrics.Metrics("vm")
         self.addCleanup(instruments.stop)
         kept.report(instruments)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 import unittest
 
 from benchmarks import decisions
-from benchmarks import decisions_fleet as fleet
+from benchmarks import decisions_simulation as fleet
 from benchmarks import decisions_workloads as workloads
 
 LENGTH_MS = 80_000
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -5,7 +5,7 @@
 
 from tests import deployment
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 STREAMS = 200
 
@@ -26,12 +26,12 @@
         def read(number):
             prompt = f"station log {number}"
             rig = self.rigs[number % len(self.rigs)]
-            stream = router_rig.OpenStream(rig, prompt, 12)
+            stream = router_fixture.OpenStream(rig, prompt, 12)
             events = stream.read_all()
             stream.close()
-            return router_rig.join_text(events) == router_rig.expect_text(
-                prompt, 12
-            )
+            return router_fixture.join_text(
+                events
+            ) == router_fixture.expect_text(prompt, 12)
 
         with concurrent.futures.ThreadPoolExecutor(STREAMS) as callers:
             whole = sum(callers.map(read, range(STREAMS)))
@@ -48,8 +48,8 @@
         """An operator withdraws a key while its caller reads a stream.  The
         caller must lose the stream visibly, and be refused on every VM.
         """
-        stream = router_rig.OpenStream(
-            self.rigs[1], "long", 5_000, router_rig.OTHER_KEY
+        stream = router_fixture.OpenStream(
+            self.rigs[1], "long", 5_000, router_fixture.OTHER_KEY
         )
         self.assertIn("choices", stream.read_event())
         rows = self.world.make_rows()
@@ -58,10 +58,10 @@
         for rig in self.rigs:
             processes.wait_until(
                 lambda rig=rig: (
-                    rig.complete(key=router_rig.OTHER_KEY).status == 401
+                    rig.complete(key=router_fixture.OTHER_KEY).status == 401
                 )
             )
-            reply = rig.complete(key=router_rig.OTHER_KEY)
+            reply = rig.complete(key=router_fixture.OTHER_KEY)
             self.assertEqual(reply.status, 401)
             self.assertEqual(rig.complete().status, 200)
         events = stream.read_all()
@@ -69,7 +69,9 @@
         self.assertTrue(
             processes.wait_until(
                 lambda: (
-                    not any(map(router_rig.list_held, self.world.engine_ports))
+                    not any(
+                        map(router_fixture.list_held, self.world.engine_ports)
+                    )
                 )
             )
         )
@@ -84,7 +86,7 @@
         with deployment.Deployment() as world:
             rig = deployment.PortRig(world.ports[0])
             other = deployment.PortRig(world.ports[1])
-            stream = router_rig.OpenStream(rig, "long", 800)
+            stream = router_fixture.OpenStream(rig, "long", 800)
             self.assertIn("choices", stream.read_event())
             world.routers[0].send_signal(15)
             processes.wait_until(
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -6,21 +6,21 @@
 import unittest
 
 from mulberryway.peers import datagrams
-from mulberryway.peers import note_messages
+from mulberryway.peers import gossip_messages
+from mulberryway.policy import failure_reports
+from mulberryway.policy import fairness
 from mulberryway.policy import health
-from mulberryway.policy import hearing
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
+from mulberryway.policy import note_receiver
+from mulberryway.policy import note_sender
 from mulberryway.policy import poison
 from mulberryway.policy import pool_set
 from mulberryway.policy import retries
 from mulberryway.policy import scheduler
-from mulberryway.policy import telling
-from mulberryway.policy import trust
-from mulberryway.policy import weighing
 from tests import policy_cases as cases
 
-End = messages.JobEnd
+End = jobs.JobEnd
 # How late other VMs hear of something in a large fleet.
 NEWS_MS = 30
 
@@ -28,7 +28,7 @@
 class TrustTest(unittest.TestCase):
     def test_vms_that_are_gone_are_forgotten(self):
         """Guards against a memory that grows with every VM that ever was."""
-        remembered = trust.Trust()
+        remembered = failure_reports.Trust()
         for number in range(1_000):
             now_ms = number * 1_000
             remembered.accepts(f"vm{number}", ("lm", "d0"), 8, now_ms)
@@ -40,10 +40,10 @@
     def test_upstreams_that_have_left_are_forgotten(self):
         """Guards against a memory that grows with every engine that was."""
         register = poison.Register()
-        hearer = hearing.Hearer("vm1", register)
+        hearer = note_receiver.Hearer("vm1", register)
         known = pool_set.PoolSet(
             "vm1",
-            weighing.find_weighing("goodput"),
+            fairness.find_weighing("goodput"),
             register,
             random.Random(1),
             300,
@@ -83,7 +83,9 @@
     def test_what_is_too_much_for_one_note_is_told_in_several(self):
         """Guards against outcomes that are lost beyond a note's limit."""
         received = [
-            note_messages.read_datagram(note_messages.write_note(note)).note
+            gossip_messages.read_datagram(
+                gossip_messages.write_note(note)
+            ).note
             for now_ms in (100, 200, 300)
             if (note := self.router.take_hints(now_ms)) is not None
         ]
@@ -115,12 +117,12 @@
             for note in filter(None, notes)
             if any(one.upstream == started.decode for one in note.holdings)
         ]
-        self.assertLessEqual(len(told), 2_000 / telling.LATER_MS + 1)
+        self.assertLessEqual(len(told), 2_000 / note_sender.LATER_MS + 1)
         self.assertGreaterEqual(len(told), 4)
 
     def test_a_note_fits_a_datagram(self):
         """Guards against notes that are too large to be sent."""
-        payload = note_messages.write_note(self.router.take_hints(100))
+        payload = gossip_messages.write_note(self.router.take_hints(100))
         self.assertLessEqual(len(payload), datagrams.MOST_PAYLOAD_BYTES)
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from mulberryway.policy import member
 
 
@@ -16,7 +16,9 @@
 
 class EntryTest(unittest.TestCase):
     def choose(self, members, zone="a", seed=0):
-        return entry.choose_addresses(members, zone, random.Random(seed), 0)
+        return endpoints.choose_addresses(
+            members, zone, random.Random(seed), 0
+        )
 
     def test_the_callers_zone_first_and_another_zone_last(self):
         members = [make(f"{z}{n}", z) for z in "abc" for n in range(3)]
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 
-from mulberryway.policy import cells
 from mulberryway.policy import health
-from mulberryway.policy import prefixes
+from mulberryway.policy import prefix_index
+from mulberryway.policy import subsetting
 from mulberryway.policy import transfers
 from mulberryway.upstreams import base as upstreams
 
@@ -14,7 +14,7 @@
     def setUp(self):
         self.vms = [f"vm{n}" for n in range(410)]
         self.engines = [f"e{n}" for n in range(4_800)]
-        self.division = cells.Cells(75, self.vms)
+        self.division = subsetting.Cells(75, self.vms)
 
     def test_every_engine_has_routers_and_few(self):
         """Each router looks at a part of the engines.  An engine in nobody's
@@ -32,7 +32,7 @@
         )
 
     def test_a_vm_that_goes_moves_few_others(self):
-        after = cells.Cells(75, self.vms[1:])
+        after = subsetting.Cells(75, self.vms[1:])
         moved = sum(
             after.find_cell(vm) != self.division.find_cell(vm)
             for vm in self.vms[1:]
@@ -46,7 +46,7 @@
         trusted all the same start prefills which take far longer than
         planned, and the first token is late.
         """
-        index = prefixes.PrefixIndex()
+        index = prefix_index.PrefixIndex()
         event = upstreams.CacheEvent
         index.note_events([event(1, ("a", "b"), ())])
         self.assertEqual(index.count_hits(("a", "b", "c")), 2)
@@ -58,9 +58,9 @@
         self.assertEqual(index.count_hits(("a",)), 0)
 
     def test_bounded(self):
-        index = prefixes.PrefixIndex()
+        index = prefix_index.PrefixIndex()
         index.note_own(tuple(f"h{n}" for n in range(5_000)))
-        self.assertEqual(len(index), prefixes.MOST_BLOCKS)
+        self.assertEqual(len(index), prefix_index.MOST_BLOCKS)
 
 
 class HealthTest(unittest.TestCase):
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -9,9 +9,9 @@
 import unittest
 
 from mulberryway.objects import base
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
-from mulberryway.policy import outages
+from mulberryway.policy import store_reachability
 
 HEARTBEAT_MS = 1_200
 DRAIN_MS = 2_000
@@ -84,10 +84,10 @@
 
     def __init__(self, name):
         self.name = name
-        self.outages = outages.Outages()
-        limits = lapses.Limits(HEARTBEAT_MS, DRAIN_MS)
+        self.outages = store_reachability.Outages()
+        limits = mass_expiry.Limits(HEARTBEAT_MS, DRAIN_MS)
         self.mirror = mirrors.Mirror(
-            "servers", lapses.LapseDetector(limits, self.outages)
+            "servers", mass_expiry.LapseDetector(limits, self.outages)
         )
         self.is_reached = True
         self.next_ms = 0
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -16,9 +16,9 @@
 from mulberryway.controllers import mirrors as controllers
 from mulberryway.objects import base
 from mulberryway.peers.gen.mirrors import ttypes
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
-from mulberryway.policy import outages
+from mulberryway.policy import store_reachability
 from tests import processes
 
 
@@ -33,10 +33,10 @@
 
 class MirrorTest(unittest.TestCase):
     def setUp(self):
-        self.outages = outages.Outages()
-        limits = lapses.Limits(heartbeat_ms=1_000, drain_ms=2_000)
+        self.outages = store_reachability.Outages()
+        limits = mass_expiry.Limits(heartbeat_ms=1_000, drain_ms=2_000)
         self.mirror = mirrors.Mirror(
-            "servers", lapses.LapseDetector(limits, self.outages)
+            "servers", mass_expiry.LapseDetector(limits, self.outages)
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.mirror.replace(rows, 10, 0)
@@ -398,13 +398,13 @@
     def setUp(self):
         self.clock = clock.ManualClock()
         self.store = ScriptedStore(self.clock)
-        self.outages = outages.Outages()
+        self.outages = store_reachability.Outages()
         self.keeper = controllers.MirrorKeeper(
             "servers",
             self.store,
             self.clock,
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), self.outages),
+            mass_expiry.LapseDetector(mass_expiry.Limits(), self.outages),
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.step((0, base.Listing(rows, 10)))
@@ -499,7 +499,9 @@
             store,
             clock.SystemClock(),
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), outages.Outages()),
+            mass_expiry.LapseDetector(
+                mass_expiry.Limits(), store_reachability.Outages()
+            ),
         )
         keeper.start()
         try:
@@ -508,7 +510,7 @@
             self.assertTrue(keeper.list_objects())
             gone = processes.wait_until(
                 lambda: not keeper.list_objects(),
-                lapses.RETURN_MS / 1e3 + 0.2,
+                mass_expiry.RETURN_MS / 1e3 + 0.2,
             )
             self.assertTrue(gone)
         finally:
@@ -526,7 +528,9 @@
             None,
             self.clock,
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), outages.Outages()),
+            mass_expiry.LapseDetector(
+                mass_expiry.Limits(), store_reachability.Outages()
+            ),
         )
         self.copy()
 
@@ -543,13 +547,13 @@
         self.step((0, fail()), (4_000, self.lapse_all()))
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
-        self.clock.advance_ms(lapses.RETURN_MS)
+        self.clock.advance_ms(mass_expiry.RETURN_MS)
         self.other.expire()
         self.assertEqual(self.list_other(), [])
 
     def test_a_copy_keeps_entries_no_longer_than_its_vm(self):
         self.step((0, fail()), (4_000, self.lapse_all()))
-        self.clock.advance_ms(lapses.RETURN_MS - 100)
+        self.clock.advance_ms(mass_expiry.RETURN_MS - 100)
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
         self.clock.advance_ms(100)
@@ -666,10 +670,10 @@
 
 class OutagesTest(unittest.TestCase):
     def test_alone_it_is_shared(self):
-        self.assertTrue(outages.Outages().is_shared(0, 0))
+        self.assertTrue(store_reachability.Outages().is_shared(0, 0))
 
     def test_one_vm_that_is_served_tells(self):
-        found = outages.Outages()
+        found = store_reachability.Outages()
         found.note_peer("a2", False, 0)
         found.note_peer("a3", True, 0)
         self.assertFalse(found.is_shared(0, 100))
@@ -680,7 +684,7 @@
         """Guards against a VM's own trouble that is taken for an outage
         because all had missed the store shortly before.
         """
-        found = outages.Outages()
+        found = store_reachability.Outages()
         found.note_peer("a2", False, 0)
         found.note_peer("a2", True, 1_000)
         self.assertFalse(found.is_shared(1_100, 1_200))
@@ -690,10 +694,10 @@
         to watch, calls would grow with the fleet.
         """
         vms = [f"a{n}" for n in range(90)]
-        watchers = outages.choose_watchers(vms)
-        self.assertEqual(len(watchers), outages.WATCHERS)
+        watchers = store_reachability.choose_watchers(vms)
+        self.assertEqual(len(watchers), store_reachability.WATCHERS)
         other = next(vm for vm in vms if vm not in watchers)
-        found = outages.Outages()
+        found = store_reachability.Outages()
         found.note_peer(watchers[0], True, 0)
         self.assertFalse(found.must_ask(other, vms, 100))
         self.assertTrue(found.must_ask(watchers[0], vms, 100))
@@ -703,11 +707,13 @@
         others would never hear of a change again.
         """
         vms = [f"a{n}" for n in range(90)]
-        watchers = outages.choose_watchers(vms)
+        watchers = store_reachability.choose_watchers(vms)
         other = next(vm for vm in vms if vm not in watchers)
-        found = outages.Outages()
+        found = store_reachability.Outages()
         self.assertTrue(found.must_ask(other, vms, 0))
         found.note_peer(watchers[0], True, 0)
-        self.assertTrue(found.must_ask(other, vms, outages.HEARD_MS))
+        self.assertTrue(
+            found.must_ask(other, vms, store_reachability.HEARD_MS)
+        )
         found.note_peer(watchers[0], False, 6_000)
         self.assertTrue(found.must_ask(other, vms, 6_100))
--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -6,7 +6,7 @@
 from mulberryway import clock
 from mulberryway import tables
 from mulberryway.filters import model_job
-from mulberryway.policy import entries
+from mulberryway.policy import queue_entries
 
 ARRIVED_MS = 1_000
 TARGET_MS = 900
@@ -49,7 +49,9 @@
         """
         lost_ms = ARRIVED_MS + 5_000
         job = make_job(lost_ms, lost_ms)
-        entry = entries.Entry(job, entries.Lane.SHORT, 100, lost_ms + 2_000)
+        entry = queue_entries.Entry(
+            job, queue_entries.Lane.SHORT, 100, lost_ms + 2_000
+        )
         self.assertFalse(entry.is_late(lost_ms))
         self.assertTrue(entry.is_late(lost_ms + TARGET_MS + 1))
 
