--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -9,7 +9,7 @@
 
 from mulberryway import errors
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 LONG = 400
 
@@ -18,7 +18,7 @@
     """Ask for a stream and return the socket, its reply unread."""
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
-    connection.settimeout(router_rig.GUARD_S)
+    connection.settimeout(router_fixture.GUARD_S)
     connection.connect(("127.0.0.1", port))
     body = json.dumps(
         {
@@ -31,7 +31,7 @@
     connection.sendall(
         (
             "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
-            f"Authorization: Bearer {router_rig.KEY}\r\n"
+            f"Authorization: Bearer {router_fixture.KEY}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n{body}"
         ).encode()
     )
@@ -61,7 +61,7 @@
         self.group.processes += self.processes.values()
         for process in self.processes.values():
             process.wait_ready()
-        self.rig = router_rig.Rig(
+        self.rig = router_fixture.Rig(
             self.make_tables(),
             self.make_settings(),
             may_repeat=self.may_repeat,
@@ -74,13 +74,13 @@
         return True
 
     def make_settings(self):
-        settings_ = router_rig.make_settings()
+        settings_ = router_fixture.make_settings()
         settings_.router_token_gap_ms = 1_000
         return settings_
 
     def make_tables(self, ports=None):
-        return router_rig.make_tables(
-            map(router_rig.make_upstream, self.roles, ports or self.ports),
+        return router_fixture.make_tables(
+            map(router_fixture.make_upstream, self.roles, ports or self.ports),
             timeout_ms=3_000,
         )
 
@@ -94,7 +94,7 @@
                 if self.processes[port].popen.poll() is None
                 and any(
                     held["phase"] == "decode"
-                    for held in router_rig.list_held(port)
+                    for held in router_fixture.list_held(port)
                 )
             ]
 
@@ -105,7 +105,7 @@
         ports = [port for port in self.ports if port not in without]
         self.assertTrue(
             processes.wait_until(
-                lambda: not any(map(router_rig.list_held, ports))
+                lambda: not any(map(router_fixture.list_held, ports))
             )
         )
         # A dead engine confirms no cancel, and holds nothing either.
@@ -121,15 +121,15 @@
         """The engine that decodes dies.  The caller must get the rest from
         another engine, no token twice and none missing.
         """
-        stream = router_rig.OpenStream(self.rig, "killed", LONG)
+        stream = router_fixture.OpenStream(self.rig, "killed", LONG)
         first = stream.read_event()
         killed = self.find_decoding()
         self.processes[killed].kill()
         events = [first, *stream.read_all()]
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events),
-            router_rig.expect_text("killed", LONG),
+            router_fixture.join_text(events),
+            router_fixture.expect_text("killed", LONG),
         )
         self.assertEqual(len({event["id"] for event in events[:-1]}), 1)
         stream.close()
@@ -139,7 +139,7 @@
         """The engine that decodes stops without closing its connections.
         After the limit on a gap the answer must go on elsewhere.
         """
-        stream = router_rig.OpenStream(self.rig, "paused", LONG)
+        stream = router_fixture.OpenStream(self.rig, "paused", LONG)
         first = stream.read_event()
         paused = self.find_decoding()
         self.processes[paused].send_signal(19)
@@ -148,8 +148,8 @@
         finally:
             self.processes[paused].send_signal(18)
         self.assertEqual(
-            router_rig.join_text(events),
-            router_rig.expect_text("paused", LONG),
+            router_fixture.join_text(events),
+            router_fixture.expect_text("paused", LONG),
         )
         stream.close()
         self.check_free()
@@ -189,8 +189,8 @@
     """Streams with a target whose engine fails long after they began."""
 
     def make_tables(self):
-        return router_rig.make_tables(
-            map(router_rig.make_upstream, self.roles, self.ports),
+        return router_fixture.make_tables(
+            map(router_fixture.make_upstream, self.roles, self.ports),
             timeout_ms=8_000,
             is_streaming=True,
             target_ms=300,
@@ -199,7 +199,7 @@
 
     def test_resumed_after_the_time_in_which_streams_have_to_begin(self):
         """Guards against a limit for first tokens that ends later ones."""
-        stream = router_rig.OpenStream(self.rig, "late", LONG)
+        stream = router_fixture.OpenStream(self.rig, "late", LONG)
         events = [stream.read_event()]
         killed = self.find_decoding()
         began_s = time.monotonic()
@@ -210,7 +210,8 @@
         stream.close()
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text("late", LONG)
+            router_fixture.join_text(events),
+            router_fixture.expect_text("late", LONG),
         )
         self.check_free(killed)
 
@@ -226,7 +227,7 @@
         """
         for port in self.ports[1:4]:
             self.processes[port].kill()
-        stream = router_rig.OpenStream(self.rig, "tried", LONG)
+        stream = router_fixture.OpenStream(self.rig, "tried", LONG)
         events = [stream.read_event()]
         killed = self.find_decoding()
         self.processes[killed].kill()
@@ -234,7 +235,8 @@
         stream.close()
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text("tried", LONG)
+            router_fixture.join_text(events),
+            router_fixture.expect_text("tried", LONG),
         )
 
 
@@ -245,8 +247,8 @@
     pause_s = 1.5
 
     def make_tables(self):
-        return router_rig.make_tables(
-            map(router_rig.make_upstream, self.roles, self.ports),
+        return router_fixture.make_tables(
+            map(router_fixture.make_upstream, self.roles, self.ports),
             timeout_ms=8_000,
             most_attempts=2,
         )
@@ -255,7 +257,7 @@
         """Guards against answers cut because an attempt that was sent to no
         engine counts among those that the route allows.
         """
-        stream = router_rig.OpenStream(self.rig, "twice", LONG)
+        stream = router_fixture.OpenStream(self.rig, "twice", LONG)
         events = [stream.read_event()]
         decoding = self.processes[self.find_decoding()]
         decoding.send_signal(signal.SIGSTOP)
@@ -270,11 +272,12 @@
         stream.close()
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text("twice", LONG)
+            router_fixture.join_text(events),
+            router_fixture.expect_text("twice", LONG),
         )
 
     def count_prompts(self):
-        return len(router_rig.list_runs(self.ports[0]))
+        return len(router_fixture.list_runs(self.ports[0]))
 
 
 class GrantedStreamTest(EnginesTest):
@@ -284,8 +287,8 @@
 
     def read_killed(self, prompt, change):
         """Return a stream's events whose engine dies after a change."""
-        stream = router_rig.OpenStream(
-            self.rig, prompt, LONG, router_rig.OTHER_KEY
+        stream = router_fixture.OpenStream(
+            self.rig, prompt, LONG, router_fixture.OTHER_KEY
         )
         first = stream.read_event()
         change()
@@ -297,13 +300,16 @@
     def check_whole(self, events, prompt):
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text(prompt, LONG)
+            router_fixture.join_text(events),
+            router_fixture.expect_text(prompt, LONG),
         )
 
     def withdraw_key(self):
-        accounts = (router_rig.make_account("tea-estate", router_rig.KEY),)
+        accounts = (
+            router_fixture.make_account("tea-estate", router_fixture.KEY),
+        )
         self.rig.source.change(
-            router_rig.make_tables(
+            router_fixture.make_tables(
                 self.rig.source.current.pools["lm-pool"].upstreams,
                 accounts=accounts,
                 timeout_ms=3_000,
@@ -337,35 +343,35 @@
         return settings_
 
     def make_tables(self):
-        return router_rig.make_tables(
-            map(router_rig.make_upstream, self.roles, self.ports),
+        return router_fixture.make_tables(
+            map(router_fixture.make_upstream, self.roles, self.ports),
             timeout_ms=8_000,
         )
 
     def leave(self, port):
         """Take an engine out of the tables."""
         engines = [
-            router_rig.make_upstream(role, one)
+            router_fixture.make_upstream(role, one)
             for role, one in zip(self.roles, self.ports, strict=True)
             if one != port
         ]
         self.rig.source.change(
-            router_rig.make_tables(engines, timeout_ms=8_000)
+            router_fixture.make_tables(engines, timeout_ms=8_000)
         )
 
     def test_no_stream_is_sent_to_an_engine_that_has_left(self):
         """Guards against a decode by a choice that is older than the time for
         which a leaving engine serves on.
         """
-        stream = router_rig.OpenStream(self.rig, "leaves", 40)
-        processes.wait_until(lambda: router_rig.list_held(self.ports[0]))
+        stream = router_fixture.OpenStream(self.rig, "leaves", 40)
+        processes.wait_until(lambda: router_fixture.list_held(self.ports[0]))
         chosen = self.ports[1]
         self.leave(chosen)
         events = stream.read_all()
         stream.close()
         self.assertEqual(events[-1], "[DONE]")
-        self.assertEqual(router_rig.list_runs(chosen), [])
-        self.assertTrue(router_rig.list_runs(self.ports[2]))
+        self.assertEqual(router_fixture.list_runs(chosen), [])
+        self.assertTrue(router_fixture.list_runs(self.ports[2]))
 
 
 class PausedEngineTest(EnginesTest):
@@ -384,7 +390,7 @@
 
     def read_paused(self, prompt, *killed):
         """Return a stream's events whose engine pauses after the first."""
-        stream = router_rig.OpenStream(self.rig, prompt, LONG)
+        stream = router_fixture.OpenStream(self.rig, prompt, LONG)
         first = stream.read_event()
         paused = self.find_decoding()
         for port in killed:
@@ -405,7 +411,8 @@
     def check_whole(self, events, prompt):
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text(prompt, LONG)
+            router_fixture.join_text(events),
+            router_fixture.expect_text(prompt, LONG),
         )
 
     def test_kept_where_no_repeat_is_left(self):
@@ -433,7 +440,7 @@
         """A caller closes its connection in mid-answer.  The engine would
         generate to the end for nobody.
         """
-        stream = router_rig.OpenStream(self.rig, "gone", 5_000)
+        stream = router_fixture.OpenStream(self.rig, "gone", 5_000)
         stream.read_event()
         stream.reply.close()
         stream.close()
@@ -442,13 +449,15 @@
     def test_in_prefill(self):
         """A caller goes while a long prompt is computed."""
         prompt = "x" * 100_000
-        stream = router_rig.OpenStream(self.rig, prompt, 50)
+        stream = router_fixture.OpenStream(self.rig, prompt, 50)
         self.assertTrue(
-            processes.wait_until(lambda: router_rig.list_held(self.ports[0]))
+            processes.wait_until(
+                lambda: router_fixture.list_held(self.ports[0])
+            )
         )
         stream.close()
         self.check_free()
-        runs = router_rig.list_runs(self.ports[0])
+        runs = router_fixture.list_runs(self.ports[0])
         self.assertEqual(runs[-1]["outcome"], "cancelled")
 
     def test_while_queued(self):
@@ -459,9 +468,9 @@
         pool = self.rig.source.current.pools["lm-pool"]
         pool.slots = 1
         self.rig.router.scheduling.change_tables(self.rig.source.current)
-        first = router_rig.OpenStream(self.rig, "first", 200)
+        first = router_fixture.OpenStream(self.rig, "first", 200)
         first.read_event()
-        second = router_rig.OpenStream(self.rig, "second", 5)
+        second = router_fixture.OpenStream(self.rig, "second", 5)
         self.assertTrue(
             processes.wait_until(
                 lambda: self.rig.router.scheduling.waiting == 1
@@ -476,7 +485,7 @@
         first.read_all()
         first.close()
         self.check_free()
-        self.assertEqual(len(router_rig.list_runs(self.ports[0])), 1)
+        self.assertEqual(len(router_fixture.list_runs(self.ports[0])), 1)
 
     def test_key_withdrawn_while_queued(self):
         """A key is withdrawn while its request waits for a slot.  When the
@@ -485,18 +494,20 @@
         pool = self.rig.source.current.pools["lm-pool"]
         pool.slots = 1
         self.rig.router.scheduling.change_tables(self.rig.source.current)
-        first = router_rig.OpenStream(self.rig, "first", 200)
+        first = router_fixture.OpenStream(self.rig, "first", 200)
         first.read_event()
-        second = router_rig.OpenStream(
-            self.rig, "second", 5, router_rig.OTHER_KEY
+        second = router_fixture.OpenStream(
+            self.rig, "second", 5, router_fixture.OTHER_KEY
         )
         self.assertTrue(
             processes.wait_until(
                 lambda: self.rig.router.scheduling.waiting == 1
             )
         )
-        accounts = (router_rig.make_account("tea-estate", router_rig.KEY),)
-        changed = router_rig.make_tables(
+        accounts = (
+            router_fixture.make_account("tea-estate", router_fixture.KEY),
+        )
+        changed = router_fixture.make_tables(
             self.rig.source.current.pools["lm-pool"].upstreams,
             accounts=accounts,
         )
@@ -506,14 +517,14 @@
         self.assertEqual(reply.status, 401)
         self.assertEqual(json.loads(reply.read())["error"]["run"], "not_run")
         self.assertEqual(first.read_all()[-1], "[DONE]")
-        self.assertEqual(len(router_rig.list_runs(self.ports[0])), 1)
+        self.assertEqual(len(router_fixture.list_runs(self.ports[0])), 1)
 
     def test_slow_caller(self):
         """A caller reads slowly.  It must still get every token, and the
         router must not keep the whole answer in its memory for it.
         """
         connection = send_raw(self.rig.port, "slow", 300, 4_096)
-        router_rig.pause(0.5)
+        router_fixture.pause(0.5)
         data = b""
         while b"[DONE]" not in data:
             data += connection.recv(256)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -5,9 +5,9 @@
 
 from mulberryway import clock
 from mulberryway.peers import datagrams
-from mulberryway.peers import note_messages
+from mulberryway.peers import gossip_messages
 from mulberryway.policy import hints
-from mulberryway.policy import sharing
+from mulberryway.policy import pool_subsets
 from mulberryway.upstreams import base as upstreams
 from tests import policy_cases as cases
 from tests import processes
@@ -21,19 +21,21 @@
         pool = cases.make_pool(prefills=160, decodes=320)
         asked = []
         for vm in vms:
-            share = sharing.divide_pool(pool, vm, vms)
+            share = pool_subsets.divide_pool(pool, vm, vms)
             self.assertLess(len(share.peers), 8)
             asked += [
                 name
                 for name in share.upstreams
-                if sharing.choose_reporter(name, [*share.peers, vm]) == vm
+                if pool_subsets.choose_reporter(name, [*share.peers, vm]) == vm
             ]
         self.assertEqual(
             sorted(asked), sorted(one.name for one in pool.upstreams)
         )
 
     def test_a_small_pool_is_shared_by_all(self):
-        share = sharing.divide_pool(cases.make_pool(), "b", ("a", "b", "c"))
+        share = pool_subsets.divide_pool(
+            cases.make_pool(), "b", ("a", "b", "c")
+        )
         self.assertEqual(share.upstreams, ["p0", "p1", "d0", "d1"])
         self.assertEqual(sorted(share.peers), ["a", "c"])
 
@@ -41,11 +43,13 @@
 class CodecTest(unittest.TestCase):
     def test_reads_on_after_a_broken_message(self):
         """Guards against a thread that reads nothing after one bad packet."""
-        payload = note_messages.write_note(hints.Note("a", 7, 3, [], [], []))
+        payload = gossip_messages.write_note(hints.Note("a", 7, 3, [], [], []))
         for size in range(1, len(payload)):
             with self.assertRaises((EOFError, TypeError)):
-                note_messages.read_datagram(payload[:size])
-            self.assertEqual(note_messages.read_datagram(payload).note.vm, "a")
+                gossip_messages.read_datagram(payload[:size])
+            self.assertEqual(
+                gossip_messages.read_datagram(payload).note.vm, "a"
+            )
 
 
 class DatagramsTest(unittest.TestCase):
@@ -79,11 +83,11 @@
             [hints.AccountNote("lm", "tea", 2, 5_000, 3, 250, 77)],
             [hints.Death("ab" * 16, "lm/d0", 40, True)],
         )
-        payload = note_messages.write_note(note)
+        payload = gossip_messages.write_note(note)
         self.sender.send(self.address, payload)
         self.wait_for(payload)
-        back = note_messages.read_datagram(self.got[-1]).note
-        self.assertEqual(note_messages.write_note(back), payload)
+        back = gossip_messages.read_datagram(self.got[-1]).note
+        self.assertEqual(gossip_messages.write_note(back), payload)
         self.assertEqual(back.holdings[0].blocks, 12)
         self.assertEqual(back.holdings[0].step_ms, 41)
         self.assertEqual(back.accounts[0].prefill_ms, 77)
@@ -94,12 +98,12 @@
             upstreams.CacheEvent(n, tuple(f"{n:016x}" for _ in range(9)), ())
             for n in range(100)
         ]
-        news = note_messages.EngineNews(
+        news = gossip_messages.EngineNews(
             "lm", "p0", cases.make_load(running=3), events
         )
-        payload = note_messages.write_news(news)
+        payload = gossip_messages.write_news(news)
         self.assertLess(len(payload), datagrams.MOST_PAYLOAD_BYTES)
-        back = note_messages.read_datagram(payload).news[0]
+        back = gossip_messages.read_datagram(payload).news[0]
         self.assertEqual(back.load.running, 3)
         self.assertEqual(back.events[-1].stored, events[-1].stored)
         numbers = [one.sequence for one in back.events]
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,11 +8,11 @@
 
 from mulberryway import clock
 from mulberryway.controllers import claims
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 from mulberryway.policy import claim_records
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 VMS = ("a1", "b1")
 PLATFORM_TIMEOUT_MS = 500
@@ -29,7 +29,7 @@
         _, cls.service = processes.start_standin(
             group,
             "service",
-            f"--credential={router_rig.CREDENTIAL}",
+            f"--credential={router_fixture.CREDENTIAL}",
         )
         cls.control, *ports = processes.pick_ports(3)
         cls.service_by_proxy, cls.platform_by_proxy = ports
@@ -54,9 +54,9 @@
             f"http://{processes.HOST}:{cls.platform_by_proxy}",
             PLATFORM_TIMEOUT_MS,
             clock_,
-            counts.CallCounts(),
+            call_metrics.CallCounts(),
         )
-        rig = router_rig.Rig(
+        rig = router_fixture.Rig(
             cls.make_tables(cls.service_by_proxy),
             claims=claims.ClaimStore(store, clock_, vm, 1, 1),
         )
@@ -66,8 +66,8 @@
 
     @staticmethod
     def make_tables(port):
-        upstream = router_rig.make_upstream("service", port)
-        return router_rig.make_tables((), (upstream,))
+        upstream = router_fixture.make_upstream("service", port)
+        return router_fixture.make_tables((), (upstream,))
 
     def setUp(self):
         self.clock = clock.SystemClock()
@@ -202,7 +202,7 @@
         self.assertGreater(sum(runs), len(keys) / 2)
 
     def test_call_without_a_claim_store_is_refused(self):
-        rig = router_rig.Rig(self.make_tables(self.service))
+        rig = router_fixture.Rig(self.make_tables(self.service))
         with rig:
             key = self.make_key()
             reply = rig.call("POST", "/bookings", b"{}", Idempotency_Key=key)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,7 +10,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.controllers import orders as controllers
-from mulberryway.policy import issuer
+from mulberryway.policy import leader_lease
 from mulberryway.policy import orders
 from mulberryway.upstreams import base as upstreams
 from tests import fakes
@@ -93,14 +93,14 @@
 class LeaseTest(unittest.TestCase):
     def test_candidates_are_few_and_the_same_for_all(self):
         vms = [f"vm{n}" for n in range(410)]
-        chosen = issuer.choose_candidates(vms)
-        self.assertEqual(len(chosen), issuer.CANDIDATES)
-        self.assertEqual(chosen, issuer.choose_candidates(reversed(vms)))
+        chosen = leader_lease.choose_candidates(vms)
+        self.assertEqual(len(chosen), leader_lease.CANDIDATES)
+        self.assertEqual(chosen, leader_lease.choose_candidates(reversed(vms)))
 
     def test_a_stale_read_brings_no_old_holder_back(self):
-        lease = issuer.IssuerLease("a", 1)
-        lease.note_read(issuer.LeaseRecord("b", 1, 5, 0), 50, 0)
-        lease.note_read(issuer.LeaseRecord("c", 1, 4, 9), 40, 10)
+        lease = leader_lease.IssuerLease("a", 1)
+        lease.note_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
+        lease.note_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
         self.assertEqual((lease.fencing, lease.version), (5, 50))
 
 
@@ -181,7 +181,7 @@
 
     def give_order(self, order):
         world = self.world
-        flight_ms = world.random.randint(0, issuer.FLIGHT_MS)
+        flight_ms = world.random.randint(0, leader_lease.FLIGHT_MS)
         at_ms = world.clock.now_ms() + flight_ms
         world.arrivals[self.name].append((at_ms, order.fencing))
         # Most answers are lost, so that orders are given all the time.
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -9,8 +9,8 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.objects import base
-from mulberryway.platform import answers
 from mulberryway.platform import engine
+from mulberryway.platform import responses
 from mulberryway.platform import tables as platform_tables
 from mulberryway.platform import wire
 from mulberryway.upstreams import base as upstreams
@@ -197,7 +197,7 @@
 
 class AnswerTest(unittest.TestCase):
     def read(self, status, *headers):
-        return answers.read_answer(
+        return responses.read_answer(
             status, list(headers), b"x", "10.0.0.1:80", errors.Step.DECODE
         )
 
@@ -223,7 +223,7 @@
         self.assertIsNone(fault.answer)
 
     def test_headers_for_an_upstream(self):
-        found = answers.make_headers(
+        found = responses.make_headers(
             [
                 ("Host", "site.example"),
                 ("Deadline-Ms", "9000"),
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -8,7 +8,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.objects import base
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http as platform
 
 ITEM = {"metadata": {"name": "a", "resourceVersion": "7"}, "value": {"x": 1}}
@@ -60,7 +60,7 @@
         self.addCleanup(self.server.server_close)
         self.addCleanup(self.server.shutdown)
         self.addCleanup(self.released.set)
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.CallCounts()
         self.store = platform.HttpObjectStore(
             f"http://127.0.0.1:{self.server.server_port}",
             300,
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -3,13 +3,13 @@
 import unittest
 
 from mulberryway import errors
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import poison
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-DIED = messages.JobEnd.DIED
-DONE = messages.JobEnd.DONE
+DIED = jobs.JobEnd.DIED
+DONE = jobs.JobEnd.DONE
 
 
 class RouterCase(unittest.TestCase):
--- a/tests/test_poison_router.py
+++ b/tests/test_poison_router.py
@@ -4,7 +4,7 @@
 
 from mulberryway.policy import scheduler
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 # Long enough that the engine dies during the prefill.
 POISON = "POISON in the log " + "x" * 10_000
@@ -22,16 +22,16 @@
             for role in ROLES
         ]
         self.engines = [process for process, _ in started]
-        tables = router_rig.make_tables(
+        tables = router_fixture.make_tables(
             map(
-                router_rig.make_upstream,
+                router_fixture.make_upstream,
                 ROLES,
                 [port for _, (port,) in started],
             ),
             timeout_ms=5_000,
         )
         fair = scheduler.FairScheduler("vm1", seed=1)
-        self.rig = router_rig.Rig(tables, scheduler=fair)
+        self.rig = router_fixture.Rig(tables, scheduler=fair)
         self.rig.__enter__()
         self.addCleanup(self.rig.__exit__)
 
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -8,8 +8,8 @@
 from mulberryway import errors
 from mulberryway.controllers import probing
 from mulberryway.policy import member
+from mulberryway.policy import pool_subsets
 from mulberryway.policy import probes
-from mulberryway.policy import sharing
 from tests import policy_cases as cases
 
 VMS = tuple(f"vm{n}" for n in range(40))
@@ -67,17 +67,17 @@
         """Guards an engine that comes back against a probe of each VM."""
         due = [probes.Ejected("lm", "d0", True)]
         asked = [name for name in VMS if self.step(name, due)[0].asked]
-        self.assertEqual(asked, [sharing.choose_reporter("d0", VMS)])
+        self.assertEqual(asked, [pool_subsets.choose_reporter("d0", VMS)])
 
     def test_the_answer_is_taken_in(self):
-        prober = sharing.choose_reporter("d1", VMS)
+        prober = pool_subsets.choose_reporter("d1", VMS)
         due = [probes.Ejected("lm", "d1", True)]
         self.assertEqual(self.step(prober, due)[0].noted, [("d1", True)])
         failed, _ = self.step(prober, due, answers=False)
         self.assertEqual(failed.noted, [("d1", False)])
 
     def test_nothing_is_probed_before_it_is_due(self):
-        prober = sharing.choose_reporter("d1", VMS)
+        prober = pool_subsets.choose_reporter("d1", VMS)
         early = [probes.Ejected("lm", "d1", False)]
         stub, made = self.step(prober, early)
         self.assertEqual(stub.asked, [])
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from mulberryway.policy import queue
+from mulberryway.policy import fair_queue
 from tests import policy_cases as cases
 
 
 def push(fair, job_id, account, cost=100.0, latest_ms=1_000, **values):
     job = cases.make_job(job_id, account, **values)
-    fair.push(queue.Entry(job, queue.Lane.SHORT, cost, latest_ms))
+    fair.push(fair_queue.Entry(job, fair_queue.Lane.SHORT, cost, latest_ms))
 
 
 def serve(fair):
@@ -22,7 +22,7 @@
 
 class QueueTest(unittest.TestCase):
     def setUp(self):
-        self.fair = queue.FairQueue(100, 1_000_000)
+        self.fair = fair_queue.FairQueue(100, 1_000_000)
 
     def test_tokens_count_not_requests(self):
         """One account sends few dear requests and another many cheap ones.
@@ -55,7 +55,7 @@
             push(self.fair, f"b{number}", "b", cost=1_000)
             push(self.fair, f"c{number}", "a", cost=1_000)
         served = [serve(self.fair) for _ in range(40)]
-        claim = queue.CLAIM_TOKENS / 1_000
+        claim = fair_queue.CLAIM_TOKENS / 1_000
         self.assertGreaterEqual(served.count("a"), (40 - claim) / 2 - 1)
 
     def test_one_account_cannot_fill_the_room(self):
@@ -91,11 +91,11 @@
 
     def test_lanes_overtake(self):
         job = cases.make_job("long", "a")
-        self.fair.push(queue.Entry(job, queue.Lane.LONG, 1, 1_000))
+        self.fair.push(fair_queue.Entry(job, fair_queue.Lane.LONG, 1, 1_000))
         push(self.fair, "short", "a", now_ms=5)
         heads = self.fair.list_next(1)[0].list_heads()
         self.assertEqual([e.job.job_id for e in heads], ["long", "short"])
-        self.fair.move("short", queue.Lane.SUSPECT)
+        self.fair.move("short", fair_queue.Lane.SUSPECT)
         self.fair.remove("long")
         heads = self.fair.list_next(1)[0].list_heads()
         self.assertEqual([e.job.job_id for e in heads], ["short"])
--- a/tests/test_raw_stream.py
+++ b/tests/test_raw_stream.py
@@ -4,7 +4,7 @@
 
 from mulberryway import errors
 from mulberryway.relay import events
-from mulberryway.relay import raw_stream
+from mulberryway.relay import passthrough_stream
 from mulberryway.relay import writers
 from mulberryway.upstreams import base as upstreams
 
@@ -23,11 +23,11 @@
 class RawStreamTest(unittest.TestCase):
     def make(self, chunked=True, length=None, headers=HEADERS):
         head = writers.ReplyHead(True, True, [])
-        self.writer = raw_stream.RawWriter(head)
+        self.writer = passthrough_stream.RawWriter(head)
         source = upstreams.TokenStream(
             None, b"", chunked, "r", length, headers
         )
-        return raw_stream.RawStream(
+        return passthrough_stream.RawStream(
             None, self.writer, source, None, None, 1_000, 1_000
         )
 
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from mulberryway.policy import chunked_prefill
 from mulberryway.policy import health
-from mulberryway.policy import messages
-from mulberryway.policy import reading
+from mulberryway.policy import jobs
 from mulberryway.policy import retries
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
@@ -87,7 +87,7 @@
         Each by itself is no harm; both together make every caller of the
         engine wait 0.4 s for the next event.
         """
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ReadingBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_100))
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_200))
@@ -99,14 +99,14 @@
         """An engine needs longer for a read than was thought.  The next one
         would begin before its streams have had an event.
         """
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ReadingBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         budget.shift(60.0)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_240))
         self.assertTrue(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_300))
 
     def test_streams_that_have_paused_too_long(self):
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ReadingBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         self.assertFalse(budget.is_broken(4_000, 1_100))
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_100)
@@ -114,7 +114,7 @@
         self.assertFalse(budget.is_broken(4_000, 6_000))
 
     def test_engine_without_streams_harms_nobody(self):
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ReadingBudget()
         budget.note(500.0, PAUSE_MS, EVENT_MS, 0, 1_000)
         self.assertFalse(budget.is_broken(4_000, 1_600))
 
@@ -236,7 +236,7 @@
         first = rig.submit(0)
         rig.start(0)
         router = rig.routers[0]
-        router.finish(first, messages.JobEnd.REFUSED_BY_ENGINE, "p0", 5)
+        router.finish(first, jobs.JobEnd.REFUSED_BY_ENGINE, "p0", 5)
         rig.submit(10)
         (one,) = rig.start(10)
         self.assertEqual(one.prefill, one.decode)
--- a/tests/test_reconciling.py
+++ b/tests/test_reconciling.py
@@ -6,7 +6,7 @@
 
 from mulberryway import clock
 from mulberryway import metrics
-from mulberryway.controllers import owners
+from mulberryway.controllers import owner_liveness
 from mulberryway.controllers import reconciling
 from mulberryway.objects import base as platform
 from mulberryway.policy import member
@@ -52,7 +52,9 @@
             5,
             lambda: [engine],
             self.running.__contains__,
-            owners.MemberOwners(lambda: self.members, self.store, self.clock),
+            owner_liveness.MemberOwners(
+                lambda: self.members, self.store, self.clock
+            ),
             metrics.Metrics("a"),
             self.clock,
         )
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -6,7 +6,7 @@
 import unittest
 
 from tests import request_history as history
-from tests import router_rig
+from tests import router_fixture
 
 REQUESTS = 20_000
 FAULT_EVERY = 800
@@ -40,7 +40,7 @@
     record = history.Record(number, "stream", f"n{number}")
     record.status, record.is_whole = 200, True
     record.request_id = f"vm0.1-{number}"
-    text = router_rig.expect_text(text_of or record.prompt, 3)
+    text = router_fixture.expect_text(text_of or record.prompt, 3)
     event = json.dumps({"id": "x", "choices": [{"text": text}]})
     record.body = f"data: {event}\n\ndata: [DONE]\n\n".encode()
     return record
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 
 class PathTest(unittest.TestCase):
@@ -19,16 +19,16 @@
             cls.group,
             roles,
             "--token_ms=5",
-            f"--credential={router_rig.CREDENTIAL}",
+            f"--credential={router_fixture.CREDENTIAL}",
         )
         cls.service, cls.service_port = processes.start_standin(
-            cls.group, "service", f"--credential={router_rig.CREDENTIAL}"
+            cls.group, "service", f"--credential={router_fixture.CREDENTIAL}"
         )
-        cls.tables = router_rig.make_tables(
-            map(router_rig.make_upstream, roles, cls.ports),
-            [router_rig.make_upstream("service", cls.service_port)],
+        cls.tables = router_fixture.make_tables(
+            map(router_fixture.make_upstream, roles, cls.ports),
+            [router_fixture.make_upstream("service", cls.service_port)],
         )
-        cls.rig = router_rig.Rig(cls.tables).__enter__()
+        cls.rig = router_fixture.Rig(cls.tables).__enter__()
 
     @classmethod
     def tearDownClass(cls):
@@ -36,17 +36,18 @@
         cls.group.stop()
 
     def test_stream(self):
-        stream = router_rig.OpenStream(self.rig, "why", 20)
+        stream = router_fixture.OpenStream(self.rig, "why", 20)
         events = stream.read_all()
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
-            router_rig.join_text(events), router_rig.expect_text("why", 20)
+            router_fixture.join_text(events),
+            router_fixture.expect_text("why", 20),
         )
         self.assertEqual(stream.reply.read(), b"\n")
         stream.close()
 
     def test_connection_serves_again_after_a_stream(self):
-        stream = router_rig.OpenStream(self.rig, "one", 5)
+        stream = router_fixture.OpenStream(self.rig, "one", 5)
         stream.read_all()
         stream.reply.read()
         stream.connection.request("GET", "/healthz")
@@ -57,19 +58,21 @@
         reply = self.rig.complete("whole", max_tokens=6)
         self.assertEqual(reply.status, 200)
         choice = reply.json()["choices"][0]
-        self.assertEqual(choice["text"], router_rig.expect_text("whole", 6))
+        self.assertEqual(
+            choice["text"], router_fixture.expect_text("whole", 6)
+        )
         self.assertEqual(choice["finish_reason"], "length")
         self.assertEqual(reply.json()["usage"]["completion_tokens"], 6)
 
     def test_fifty_at_once(self):
         def read(number):
             prompt = f"log {number}"
-            stream = router_rig.OpenStream(self.rig, prompt, 10)
+            stream = router_fixture.OpenStream(self.rig, prompt, 10)
             events = stream.read_all()
             stream.close()
-            return router_rig.join_text(events) == router_rig.expect_text(
-                prompt, 10
-            )
+            return router_fixture.join_text(
+                events
+            ) == router_fixture.expect_text(prompt, 10)
 
         with concurrent.futures.ThreadPoolExecutor(50) as callers:
             self.assertTrue(all(callers.map(read, range(50))))
@@ -90,7 +93,7 @@
         upstream that logs what it gets would then hold a key with which
         anybody may spend the account's allowance.
         """
-        key = router_rig.KEY
+        key = router_fixture.KEY
         self.rig.call(
             "POST",
             f"/member/x?a=1&note={key}&key={key}",
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -4,14 +4,14 @@
 
 from mulberryway import errors
 from mulberryway import tables
-from mulberryway.policy import messages
-from mulberryway.policy import queue
+from mulberryway.policy import fair_queue
+from mulberryway.policy import jobs
 from mulberryway.policy import retries
 from mulberryway.policy import scheduler
 from mulberryway.upstreams import base as upstreams
 from tests import policy_cases as cases
 
-End = messages.JobEnd
+End = jobs.JobEnd
 
 
 class SchedulerCase(unittest.TestCase):
@@ -384,7 +384,7 @@
 class OrderTest(SchedulerCase):
     def test_goodput_puts_cheap_prompts_first_and_worst_served_does_not(self):
         for name, expected in (("worst_served", "dear"), ("goodput", "cheap")):
-            weighed = scheduler.weighing.find_weighing(name)
+            weighed = scheduler.fairness.find_weighing(name)
             router = scheduler.FairScheduler("vm1", weighed=weighed)
             pool = cases.make_pool(decodes=1, slots=1)
             router.change_pools({"lm": pool}, 0)
@@ -405,4 +405,4 @@
         self.assertIn("short", started)
         fair = router._pools["lm"].fair
         lanes = fair.list_next(1)[0].lanes
-        self.assertTrue(lanes[queue.Lane.LONG])
+        self.assertTrue(lanes[fair_queue.Lane.LONG])
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies
 
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-ENDS = list(messages.JobEnd)
+ENDS = list(jobs.JobEnd)
 UPSTREAMS = ("p0", "p1", "d0", "d1", "")
 POOLS = (
     {"lm": cases.make_pool()},
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,27 +5,27 @@
 import unittest
 
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
-KEY_LINE = f"Authorization: Bearer {router_rig.KEY}\r\n"
+KEY_LINE = f"Authorization: Bearer {router_fixture.KEY}\r\n"
 
 
 class ServerTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        settings_ = router_rig.make_settings()
+        settings_ = router_fixture.make_settings()
         settings_.router_body_bytes = 10_000
         settings_.router_header_bytes = 2_000
         settings_.router_body_ms = 600
         settings_.router_threads = 4
-        cls.rig = router_rig.Rig(router_rig.make_tables(), settings_)
+        cls.rig = router_fixture.Rig(router_fixture.make_tables(), settings_)
         cls.rig.__enter__()
         cls.addClassCleanup(cls.rig.__exit__)
 
     def exchange(self, *pieces):
         """Send raw bytes and return all that comes until the close."""
         with socket.create_connection(
-            ("127.0.0.1", self.rig.port), router_rig.GUARD_S
+            ("127.0.0.1", self.rig.port), router_fixture.GUARD_S
         ) as connection:
             for piece in pieces:
                 connection.sendall(piece.encode())
@@ -138,7 +138,7 @@
         """A VM starts while the platform is down and has met no other VM.
         It must say that it knows nothing and not guess.
         """
-        with router_rig.Rig() as rig:
+        with router_fixture.Rig() as rig:
             self.assertEqual(rig.call("GET", "/readyz", key="").status, 503)
             reply = rig.complete()
             self.assertEqual(reply.status, 503)
@@ -151,22 +151,24 @@
         """Many callers send at once while all workers wait on a slow
         service.  Those that cannot be queued must be refused at once.
         """
-        settings_ = router_rig.make_settings()
+        settings_ = router_fixture.make_settings()
         settings_.router_threads = 1
         with processes.Group() as group:
             _, port = processes.start_standin(
                 group, "service", "--delay_ms=1500"
             )
-            service = router_rig.make_upstream("service", port)
-            with router_rig.Rig(
-                router_rig.make_tables((), [service]), settings_
+            service = router_fixture.make_upstream("service", port)
+            with router_fixture.Rig(
+                router_fixture.make_tables((), [service]), settings_
             ) as rig:
                 callers = [rig.connect() for _ in range(8)]
                 for caller in callers:
                     caller.request(
                         "GET",
                         "/member/x",
-                        headers={"Authorization": f"Bearer {router_rig.KEY}"},
+                        headers={
+                            "Authorization": f"Bearer {router_fixture.KEY}"
+                        },
                     )
                 statuses = [caller.getresponse().status for caller in callers]
                 self.assertIn(503, statuses)
--- a/tests/test_service_forward.py
+++ b/tests/test_service_forward.py
@@ -9,10 +9,10 @@
 from mulberryway import traces
 from mulberryway.filters import base
 from mulberryway.filters import service_forward
-from mulberryway.policy import choosing
+from mulberryway.policy import server_selection
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
-from tests import router_rig
+from tests import router_fixture
 
 POOL = "member-api"
 
@@ -56,11 +56,11 @@
 class RepeatTest(unittest.TestCase):
     def setUp(self):
         self.clock = clock.ManualClock()
-        self.source = router_rig.StaticTables(self.make_tables("s1", "s2"))
+        self.source = router_fixture.StaticTables(self.make_tables("s1", "s2"))
         self.servers = SilentServers(self.clock, self.change)
         self.forward = service_forward.ServiceForward(
             self.servers,
-            choosing.ServerChooser("kandy-a"),
+            server_selection.ServerChooser("kandy-a"),
             traces.Tracer("a1"),
             self.clock,
             self.source,
@@ -69,9 +69,9 @@
 
     def make_tables(self, *names):
         services = [
-            router_rig.make_upstream("service", 9, name) for name in names
+            router_fixture.make_upstream("service", 9, name) for name in names
         ]
-        return router_rig.make_tables((), services)
+        return router_fixture.make_tables((), services)
 
     def change(self):
         self.source.change(self.make_tables(*self.next))
@@ -98,7 +98,7 @@
         """An operator removes the pool under way; the call came under the
         tables before and ends by them.
         """
-        empty = router_rig.make_tables()
+        empty = router_fixture.make_tables()
         empty.pools.pop(POOL)
         self.servers.on_wait = lambda: self.source.change(empty)
         self.assertTrue(self.send().is_ok())
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import retries
+from mulberryway.policy import role_planner
 from mulberryway.policy import scheduler
-from mulberryway.policy import shaping
 from tests import policy_cases as cases
 
 # The pattern that these answer, by the operators' sheets: prompts of 5,000
@@ -103,7 +103,7 @@
         rig.submit(0)
         rig.submit(1_000)
         for one in running:
-            rig.scheduler.finish(one.job_id, messages.JobEnd.DONE, "", 1_100)
+            rig.scheduler.finish(one.job_id, jobs.JobEnd.DONE, "", 1_100)
         first = rig.start(1_100)
         self.assertEqual(first[0].job_id, f"j{rig.count}")
 
@@ -154,24 +154,24 @@
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
     def test_surplus_prefill_engines_become_decode_engines(self):
-        found = self.plan(shaping.ShapePlanner(), prefills=4, decodes=3)
+        found = self.plan(role_planner.ShapePlanner(), prefills=4, decodes=3)
         self.assertEqual([one.row.name for one in found], ["p0", "p1"])
         self.assertEqual({one.argument for one in found}, {"decode"})
 
     def test_pool_in_shape_needs_nothing(self):
-        planner = shaping.ShapePlanner()
+        planner = role_planner.ShapePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=4), [])
         self.assertEqual(self.plan(planner, prefills=0, decodes=4), [])
 
     def test_small_pool_stays_as_it_is(self):
-        planner = shaping.ShapePlanner()
+        planner = role_planner.ShapePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=0), [])
 
     def test_order_is_not_repeated_while_it_may_be_under_way(self):
         """An order got no answer, and may be carried out twelve seconds
         later.  Repeated, it would empty another engine as well.
         """
-        planner = shaping.ShapePlanner()
+        planner = role_planner.ShapePlanner()
         for order in self.plan(planner, prefills=4, decodes=3):
             planner.note_failed(order, 0)
         self.assertEqual(self.plan(planner, 12_000, prefills=4, decodes=3), [])
@@ -180,7 +180,7 @@
 
     def test_leaving_engines_do_not_count(self):
         found = self.plan(
-            shaping.ShapePlanner(),
+            role_planner.ShapePlanner(),
             prefills=3,
             decodes=3,
             leaving=("p0", "p1"),
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -6,8 +6,8 @@
 import unittest
 
 from standins import answers
-from standins import engine_exchange
-from standins import engine_shape
+from standins import engine_completion
+from standins import engine_types
 from tests import processes
 
 PROMPT = "drifted fix " * 30
@@ -199,11 +199,11 @@
         with a later token, and a checker blamed the router for it.
         """
         await asyncio.sleep(0)
-        call = engine_exchange.read_call(
+        call = engine_completion.read_call(
             {"model": "m", "prompt": PROMPT, "max_tokens": 3, "stream": True}
         )
-        run = engine_shape.Run("r-1", "a1/7", "m", (), 90, 3)
-        exchange = engine_exchange.Exchange(call, run, {"tokens": 0})
+        run = engine_types.Run("r-1", "a1/7", "m", (), 90, 3)
+        exchange = engine_completion.Exchange(call, run, {"tokens": 0})
         exchange.send_token(0)
         transport = FakeTransport()
         exchange.attach(transport)
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -4,20 +4,20 @@
 
 from standins import answers
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
 FAR_MS = 100_000.0
 
 
 def make_run(name, prompt=1_024, output=10, hashes=(), priority=0):
-    return engine_shape.Run(
+    return engine_types.Run(
         name, "a1/1", "m", hashes, prompt, output, priority
     )
 
 
 class EngineModelTest(unittest.TestCase):
     def make(self, role="both", **figures):
-        shape = engine_shape.Shape()
+        shape = engine_types.Shape()
         for name, value in figures.items():
             setattr(shape, name, value)
         return engine_model.EngineModel(shape, role, ("m",))
@@ -29,13 +29,13 @@
             self.assertIsNone(model.submit_decode(run, 0.0))
         self.assertEqual(
             model.submit_decode(make_run("c"), 0.0),
-            engine_shape.Refused.FULL,
+            engine_types.Refused.FULL,
         )
         events = model.advance(FAR_MS)
         times = [
             event.at_ms
             for event in events
-            if event.kind is engine_shape.EventKind.TOKEN
+            if event.kind is engine_types.EventKind.TOKEN
             and event.run is runs[0]
         ]
         self.assertEqual(len(times), 10)
@@ -51,7 +51,7 @@
         done = [
             event
             for event in events
-            if event.kind is engine_shape.EventKind.PREFILLED
+            if event.kind is engine_types.EventKind.PREFILLED
         ]
         self.assertEqual(
             [event.run.request_id for event in done], ["a", "c", "b"]
@@ -78,7 +78,7 @@
         imported = [
             event.at_ms
             for event in model.advance(FAR_MS)
-            if event.kind is engine_shape.EventKind.IMPORTED
+            if event.kind is engine_types.EventKind.IMPORTED
         ]
         self.assertEqual(len(imported), 2)
         for at_ms in imported:
--- a/tests/test_upstream_faults.py
+++ b/tests/test_upstream_faults.py
@@ -12,7 +12,7 @@
 from mulberryway.upstreams import http_service
 from tests import fakes
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 
 class ProxiedServiceTest(unittest.TestCase):
@@ -34,11 +34,11 @@
         self.control = control
         # By its name the proxied one is chosen first.
         servers = [
-            router_rig.make_upstream("service", front, "a"),
-            router_rig.make_upstream("service", self.services[1], "b"),
+            router_fixture.make_upstream("service", front, "a"),
+            router_fixture.make_upstream("service", self.services[1], "b"),
         ]
-        self.rig = router_rig.Rig(
-            router_rig.make_tables((), servers, timeout_ms=1_500),
+        self.rig = router_fixture.Rig(
+            router_fixture.make_tables((), servers, timeout_ms=1_500),
             claims=claims.ClaimStore(
                 fakes.MemoryStore(), clock.SystemClock(), "a1", 7
             ),
@@ -58,7 +58,9 @@
         return self.rig.call("POST", "/bookings", body, Idempotency_Key=key)
 
     def count_bookings(self):
-        return sum(len(router_rig.list_runs(port)) for port in self.services)
+        return sum(
+            len(router_fixture.list_runs(port)) for port in self.services
+        )
 
     def test_reply_lost_after_the_effect(self):
         """A booking takes effect and its reply is lost.  The caller must
@@ -89,10 +91,10 @@
         """
         (unused,) = processes.pick_ports(1)
         servers = [
-            router_rig.make_upstream("service", port, name)
+            router_fixture.make_upstream("service", port, name)
             for port, name in ((unused, "a"), (self.services[1], "b"))
         ]
-        self.rig.source.change(router_rig.make_tables((), servers))
+        self.rig.source.change(router_fixture.make_tables((), servers))
         self.assertEqual(self.book(self.make_key()).status, 201)
         self.assertEqual(self.count_bookings(), 1)
 
@@ -179,19 +181,19 @@
             processes.call(
                 control, "POST", "/standin/pairs/p", {"stall_down": True}
             )
-            current = router_rig.make_tables(
-                map(router_rig.make_upstream, roles, [front, *ports[1:]]),
+            current = router_fixture.make_tables(
+                map(router_fixture.make_upstream, roles, [front, *ports[1:]]),
                 timeout_ms=2_000,
             )
-            with router_rig.Rig(current) as rig:
+            with router_fixture.Rig(current) as rig:
                 reply = rig.complete("silent", max_tokens=5)
                 self.assertEqual(reply.status, 200)
                 self.assertEqual(
                     reply.json()["choices"][0]["text"],
-                    router_rig.expect_text("silent", 5),
+                    router_fixture.expect_text("silent", 5),
                 )
                 self.assertTrue(
                     processes.wait_until(
-                        lambda: not any(map(router_rig.list_held, ports))
+                        lambda: not any(map(router_fixture.list_held, ports))
                     )
                 )
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -21,7 +21,7 @@
 from tests import deployment
 from tests import hosted_fleet
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 __all__ = ["main"]
 
@@ -275,10 +275,10 @@
     prompts = [f"log {n}" for n in range(VMS * 4)]
 
     def is_whole(n: int) -> bool:
-        stream = router_rig.OpenStream(rigs[n % VMS], prompts[n], 12)
-        text = router_rig.join_text(stream.read_all())
+        stream = router_fixture.OpenStream(rigs[n % VMS], prompts[n], 12)
+        text = router_fixture.join_text(stream.read_all())
         stream.close()
-        return text == router_rig.expect_text(prompts[n], 12)
+        return text == router_fixture.expect_text(prompts[n], 12)
 
     with concurrent.futures.ThreadPoolExecutor() as pool:
         whole = list(pool.map(is_whole, range(len(prompts))))
@@ -385,7 +385,7 @@
 
 def _wait_status(rig: deployment.PortRig, status: int) -> int:
     def read() -> int:
-        return rig.complete(key=router_rig.OTHER_KEY).status
+        return rig.complete(key=router_fixture.OTHER_KEY).status
 
     processes.wait_until(lambda: read() == status, WAIT_S)
     return read()
