--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -19,9 +19,9 @@
 OUT = pathlib.Path("out")
 # The decisions give the brief's four measures; the others take processes,
 # minutes, and a machine that does nothing else.
-USUAL = ("decisions",)
-EVERY = (
-    *USUAL,
+DEFAULT_BENCHMARKS = ("decisions",)
+ALL_BENCHMARKS = (
+    *DEFAULT_BENCHMARKS,
     "decisions_cost",
     "relay",
     "configuration",
@@ -38,7 +38,9 @@
 )
 ROW_KEYS = ("deployment", "routers", "load", "rival")
 
-flags.DEFINE_list("only", list(USUAL), "measurements to run; or: every")
+flags.DEFINE_list(
+    "only", list(DEFAULT_BENCHMARKS), "measurements to run; or: every"
+)
 flags.DEFINE_boolean("plots", True, "draw the four measures as a picture")
 
 
@@ -47,7 +49,7 @@
 
     :param arguments: what is left of the command line
     """
-    names = EVERY if FLAGS.only == ["every"] else FLAGS.only
+    names = ALL_BENCHMARKS if FLAGS.only == ["every"] else FLAGS.only
     results = {
         name: _name_rows(
             importlib.import_module(f"benchmarks.{name}").measure()
--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -35,7 +35,7 @@
 STEP_MS = 250
 
 
-class Run:
+class AllowanceSimulation:
     """One run of callers against one way of counting."""
 
     def __init__(
@@ -172,14 +172,16 @@
 def measure() -> dict[str, typing.Any]:
     """Return the runs by name."""
     runs = {
-        "split, even, 9 VMs": Run(9, 5, 0.0, is_split=True),
-        "shares, even, 9 VMs": Run(9, 5, 0.0),
-        "split, skewed, 9 VMs": Run(9, 5, 0.9, is_split=True),
-        "shares, skewed, 9 VMs": Run(9, 5, 0.9),
-        "shares, even, 3 VMs": Run(3, 5, 0.0),
-        "shares, even, 27 VMs, 15 accounts": Run(27, 15, 0.0),
-        "shares, even, 81 VMs, 45 accounts": Run(81, 45, 0.0),
-        "shares, skewed, 81 VMs, 45 accounts": Run(81, 45, 0.9),
+        "split, even, 9 VMs": AllowanceSimulation(9, 5, 0.0, is_split=True),
+        "shares, even, 9 VMs": AllowanceSimulation(9, 5, 0.0),
+        "split, skewed, 9 VMs": AllowanceSimulation(9, 5, 0.9, is_split=True),
+        "shares, skewed, 9 VMs": AllowanceSimulation(9, 5, 0.9),
+        "shares, even, 3 VMs": AllowanceSimulation(3, 5, 0.0),
+        "shares, even, 27 VMs, 15 accounts": AllowanceSimulation(27, 15, 0.0),
+        "shares, even, 81 VMs, 45 accounts": AllowanceSimulation(81, 45, 0.0),
+        "shares, skewed, 81 VMs, 45 accounts": AllowanceSimulation(
+            81, 45, 0.9
+        ),
     }
     found = {name: run.run() for name, run in runs.items()}
     _keep(found)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -15,7 +15,7 @@
 
 
 def render_table(
-    lines: list[capacity_rows.Line], folder: pathlib.Path = series.FOLDER
+    lines: list[capacity_rows.Row], folder: pathlib.Path = series.FOLDER
 ) -> str:
     """Return a table in Markdown.
 
@@ -30,7 +30,7 @@
     return "\n".join([head, *(_render_line(line, folder) for line in lines)])
 
 
-def _render_line(line: capacity_rows.Line, folder: pathlib.Path) -> str:
+def _render_line(line: capacity_rows.Row, folder: pathlib.Path) -> str:
     measured = [series.read_series(name, folder) for name in line.names]
     fits = [series.fit_line(one) for one in measured]
     first = measured[0]
@@ -53,7 +53,7 @@
 
 def render_page(
     page: str,
-    tables: dict[str, list[capacity_rows.Line]],
+    tables: dict[str, list[capacity_rows.Row]],
     folder: pathlib.Path,
 ) -> str:
     """Put freshly worked out tables into the page's text.
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -2,7 +2,7 @@
 
 import collections.abc
 
-__all__ = ["Line", "Target"]
+__all__ = ["Row", "Target"]
 
 
 class Target:
@@ -25,7 +25,7 @@
     EDITS_PER_S = EDITS_PER_DAY / SECONDS_PER_DAY
 
 
-class Line:
+class Row:
     """One row of a table: a quantity at the target's size.
 
     :param role: which process or part
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -6,7 +6,7 @@
 
 __all__ = ["TABLES"]
 
-Line = capacity_rows.Line
+Row = capacity_rows.Row
 Target = capacity_rows.Target
 
 PER_VM = Target.REQUESTS_PER_VM
@@ -17,7 +17,7 @@
 MS_IN_US = 1_000
 
 CONTROL = [
-    Line(
+    Row(
         "router, at rest",
         "processor, ms/s a VM, all controllers",
         ("control-cpu-ms-per-s",),
@@ -26,7 +26,7 @@
         CPU_LIMIT,
         "probes, one question a second to a peer, notes only on change",
     ),
-    Line(
+    Row(
         "router, at rest",
         "memory, MB a VM",
         ("control-memory-mb",),
@@ -35,7 +35,7 @@
         "128 MB",
         "one process a VM; segments of the tables are kept once",
     ),
-    Line(
+    Row(
         "membership",
         "processor, ms/s a VM",
         ("membership-cpu",),
@@ -44,7 +44,7 @@
         CPU_LIMIT,
         "one random probe a second with hearsay",
     ),
-    Line(
+    Row(
         "membership",
         "bytes/s a VM",
         ("membership-bytes",),
@@ -53,7 +53,7 @@
         BYTES_LIMIT,
         "news in bounded pieces along with probes",
     ),
-    Line(
+    Row(
         "configuration",
         "bytes/s a VM, at rest",
         ("configuration-rest-bytes",),
@@ -62,7 +62,7 @@
         BYTES_LIMIT,
         "roots travel between peers; only newer ones are sent",
     ),
-    Line(
+    Row(
         "configuration",
         "bytes/s a VM, 1,800 edits a day",
         ("configuration-edit-bytes",),
@@ -71,7 +71,7 @@
         BYTES_LIMIT,
         "an edit moves the root and one segment",
     ),
-    Line(
+    Row(
         "configuration",
         "ms until an edit is in force everywhere, the slowest",
         ("configuration-in-force",),
@@ -80,7 +80,7 @@
         "4,000 ms",
         "handed to three VMs, then by revisions in probes",
     ),
-    Line(
+    Row(
         "allowances",
         "processor, ms/s a VM, accounts at 85 % of their rate, 3.8 "
         "requests/s a VM (11.8 at 3 VMs)",
@@ -90,7 +90,7 @@
         CPU_LIMIT,
         "8 parts an account, loans between VMs",
     ),
-    Line(
+    Row(
         "allowances",
         "peer calls a request, accounts at 85 % of their rate",
         ("allowances-calls",),
@@ -99,7 +99,7 @@
         "-",
         "loans sized by a second's demand",
     ),
-    Line(
+    Row(
         "allowances",
         "bytes/s a VM, accounts at 85 % of their rate, 3.8 requests/s a VM "
         "(11.8 at 3 VMs)",
@@ -109,7 +109,7 @@
         BYTES_LIMIT,
         "as above",
     ),
-    Line(
+    Row(
         "scheduler",
         "processor, ms/s a VM, decisions of 22 requests/s, by engines",
         ("decision-cpu-engines",),
@@ -118,7 +118,7 @@
         CPU_LIMIT,
         "cells of 64 engines and some six routers",
     ),
-    Line(
+    Row(
         "scheduler",
         "processor, ms/s a VM, decisions of 22 requests/s, by accounts",
         ("decision-cpu-accounts",),
@@ -130,7 +130,7 @@
 ]
 
 PLATFORM = [
-    Line(
+    Row(
         "platform",
         "calls/s of all VMs at rest",
         ("control-platform-calls-per-s",),
@@ -139,7 +139,7 @@
         "some hundred writes and 2,000 reads a second",
         "three watchers a region, slots by lease, the list by turns",
     ),
-    Line(
+    Row(
         "platform",
         "calls/s for the tables, at rest",
         ("configuration-platform-calls",),
@@ -151,7 +151,7 @@
 ]
 
 DATA = [
-    Line(
+    Row(
         "router, data path",
         "processor, ms/s for 6,340 tokens/s",
         ("relay-cpu",),
@@ -160,7 +160,7 @@
         "one core: 1,000 ms/s",
         "one event loop for all streams",
     ),
-    Line(
+    Row(
         "router, data path",
         "processor, ms/s for 22 requests/s, short answers",
         ("request-cpu",),
@@ -169,7 +169,7 @@
         "one core: 1,000 ms/s",
         "a thread until the decode has begun",
     ),
-    Line(
+    Row(
         "router, data path",
         "memory, MB with 420 streams",
         ("relay-memory",),
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -33,7 +33,7 @@
 # VMs, and callers at each of them who book without a pause.
 CASES = ((1, 1), (1, 8), (1, 32), (3, 8), (9, 1), (9, 8))
 CLOCK = clock.SystemClock()
-REPLY = claim_records.KeptReply(
+REPLY = claim_records.CachedReply(
     201, [("Content-Type", "application/json")], b'{"booking": 123456}'
 )
 
@@ -55,7 +55,7 @@
             f"http://{processes.HOST}:{port}",
             TIMEOUT_MS,
             CLOCK,
-            call_metrics.CallCounts(),
+            call_metrics.InMemoryCallCounter(),
         )
 
     def book(self, key: str) -> float:
@@ -78,7 +78,7 @@
             name,
             1,
             peers=peers_,
-            find_keeper=claim_coordination.make_finder(
+            find_keeper=claim_coordination.make_coordinator_finder(
                 name, self.list_keepers
             ),
         )
@@ -111,7 +111,7 @@
             self.refused.append(began.error.message)
             return added_ms
         CLOCK.sleep_ms(SERVICE_MS)
-        self.claims.end(began.ok, errors.Run.RAN, REPLY)
+        self.claims.end(began.ok, errors.ExecutionStatus.RAN, REPLY)
         return added_ms
 
     def stop(self) -> None:
@@ -119,7 +119,7 @@
         self.server.stop()
 
 
-class LonelyVm(LogVm):
+class LocalWriterVm(LogVm):
     """The batched log, each VM writing for itself."""
 
     def list_keepers(self) -> list[member.Member]:
@@ -148,7 +148,7 @@
     def book(vm: Vm) -> list[float]:
         added = []
         while CLOCK.now_ms() < end_ms:
-            key = claim_records.make_key(CLOCK.wall_ms(), next(numbers))
+            key = claim_records.make_uuid7(CLOCK.wall_ms(), next(numbers))
             added.append(vm.book(key))
         return added
 
@@ -188,8 +188,8 @@
         "writes_per_booking": writes / len(added),
         "reads_per_booking": (seen["total"] - writes) / len(added),
         "sent_bytes_per_booking": sum(seen["bytes"].values()) / len(added),
-        "added_p50_ms": outcome.pick_percentile(added, 0.5),
-        "added_p95_ms": outcome.pick_percentile(added, 0.95),
+        "added_p50_ms": outcome.compute_percentile(added, 0.5),
+        "added_p95_ms": outcome.compute_percentile(added, 0.95),
         "platform_cpu_ms_per_booking": cpu_s / len(added) * 1000,
     }
 
@@ -203,10 +203,10 @@
         for vms, callers in CASES
         for name, make_vm in (
             ("log", LogVm),
-            ("lonely", LonelyVm),
+            ("lonely", LocalWriterVm),
             ("objects", ObjectVm),
         )
-        if vms > 1 or make_vm is not LonelyVm
+        if vms > 1 or make_vm is not LocalWriterVm
     }
 
 
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -37,7 +37,7 @@
 SIZES = (3, 9, 27, 81)
 ACCOUNTS = 2_200
 EDITS = 15
-REST_S = 20
+IDLE_S = 20
 FIRST_PORT = 23_000
 SECRET = "fleet secret"
 ZONES = ("kandy-a", "matale-b", "nuwara-c")
@@ -119,7 +119,7 @@
                 self.usages.append(json.loads(line))
 
 
-class Run:
+class VmFleet:
     """One fleet of a size.
 
     :param count: how many VMs
@@ -142,7 +142,7 @@
         time.sleep(1)
         self.vms = [Vm(self.write(folder, n)) for n in range(count)]
         self.client = peers.PeerClient(SECRET, self.clock, 2_000)
-        self.counts = call_metrics.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         self.fleet = fleet.Fleet(
             self.client,
             f"127.0.0.1:{FIRST_PORT + 1}",
@@ -252,14 +252,14 @@
     :returns: times in milliseconds, calls, bytes, processor time
     """
     with tempfile.TemporaryDirectory() as folder:
-        run = Run(count, pathlib.Path(folder))
+        run = VmFleet(count, pathlib.Path(folder))
         try:
             return _measure_run(run)
         finally:
             run.stop()
 
 
-def _measure_run(run: Run) -> Report:
+def _measure_run(run: VmFleet) -> Report:
     run.wait_for_vms()
     applied = run.admin.apply("bench", make_text(), 0, "first")
     if applied.is_error():
@@ -290,14 +290,14 @@
     return report | _read_times(run, sent, accepted)
 
 
-def _measure_rest(run: Run) -> Report:
+def _measure_rest(run: VmFleet) -> Report:
     before = run.read_platform_calls()
-    time.sleep(REST_S)
+    time.sleep(IDLE_S)
     calls = run.read_platform_calls() - before
-    return {"rest_platform_calls_per_s": calls / REST_S}
+    return {"rest_platform_calls_per_s": calls / IDLE_S}
 
 
-def _make_edits(run: Run) -> tuple[dict[int, int], dict[int, int]]:
+def _make_edits(run: VmFleet) -> tuple[dict[int, int], dict[int, int]]:
     """Make edits one after another; every third withdraws a key."""
     sent: dict[int, int] = {}
     accepted: dict[int, int] = {}
@@ -323,7 +323,7 @@
 
 
 def _read_times(
-    run: Run, sent: dict[int, int], accepted: dict[int, int]
+    run: VmFleet, sent: dict[int, int], accepted: dict[int, int]
 ) -> Report:
     """A VM that skipped a revision has it from its next one on."""
     everywhere = {
@@ -355,12 +355,12 @@
         )
 
     return {
-        "rest_cpu_ms_per_s_per_vm": grow("cpu_s", 0) * MS_IN_S / REST_S,
+        "rest_cpu_ms_per_s_per_vm": grow("cpu_s", 0) * MS_IN_S / IDLE_S,
         "rest_configuration_bytes_per_s_per_vm": grow("configuration_bytes", 0)
-        / REST_S,
+        / IDLE_S,
         "rest_membership_bytes_per_s_per_vm": grow("membership_bytes", 0)
-        / REST_S,
-        "rest_platform_bytes_per_s_per_vm": grow("platform_bytes", 0) / REST_S,
+        / IDLE_S,
+        "rest_platform_bytes_per_s_per_vm": grow("platform_bytes", 0) / IDLE_S,
         "edit_cpu_ms_per_vm": grow("cpu_s", 1) * MS_IN_S / EDITS,
         "edit_configuration_bytes_per_vm": grow("configuration_bytes", 1)
         / EDITS,
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -39,7 +39,7 @@
 
     def __init__(self, settings_: settings.Settings) -> None:
         self.clock = clock.SystemClock()
-        self.counts = call_metrics.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         store = http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -22,7 +22,7 @@
 COMMAND = "python -m benchmarks.control"
 SIZES = (3, 9, 27)
 RATES = (0, 10, 20, 40)
-REST_S = 15.0
+IDLE_S = 15.0
 LOAD_S = 15.0
 SETTLE_S = 10.0
 KEYS = {"tea-estate": ("key-of-the-tea-estate",)}
@@ -38,7 +38,7 @@
 
     :returns: figures by fleet size and by requests a second and VM
     """
-    at_rest = {str(size): measure_rest(size) for size in SIZES}
+    at_rest = {str(size): measure_idle(size) for size in SIZES}
     loaded = measure_rates()
     for name, unit in (
         ("cpu_ms_per_s", "ms of processor a second, each VM at rest"),
@@ -61,7 +61,7 @@
     )
 
 
-def measure_rest(size: int) -> Figures:
+def measure_idle(size: int) -> Figures:
     """Return what a router takes while no request comes.
 
     :param size: how many VMs
@@ -69,7 +69,7 @@
     """
     with deployment.Deployment(size, 1, accounts=KEYS) as running:
         time.sleep(SETTLE_S)
-        return _observe(running, lambda: time.sleep(REST_S))
+        return _observe(running, lambda: time.sleep(IDLE_S))
 
 
 def measure_rates() -> dict[str, Figures]:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -27,12 +27,12 @@
 GAP_MS = 63
 SEED = 1
 ROUTERS = (3, 9)
-RIVALS = ("worst_served", "goodput", "first_come", "random_of_two")
-BASELINES = RIVALS[2:]
+SCHEDULERS = ("worst_served", "goodput", "first_come", "random_of_two")
+BASELINES = SCHEDULERS[2:]
 # Others may use the machine, so only some of its cores are taken.
 WORKERS = 4
 OUT = pathlib.Path("out/decisions.json")
-AIMS = {
+TARGETS = {
     "goodput_part": 0.9,
     "wasted_part": 0.01,
     "worst_served_part": 0.95,
@@ -57,7 +57,7 @@
     cases = [
         Case(deployment.name, routers, load.name, rival)
         for deployment, routers, load, rival in itertools.product(
-            workloads.DEPLOYMENTS, ROUTERS, workloads.LOADS, RIVALS
+            workloads.DEPLOYMENTS, ROUTERS, workloads.WORKLOADS, SCHEDULERS
         )
     ]
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as executor:
@@ -65,10 +65,10 @@
     return {
         "length_ms": LENGTH_MS,
         "seed": SEED,
-        "aims": AIMS,
+        "aims": TARGETS,
         "rows": rows,
-        "behind": list_behind(rows),
-        "short_of_aim": list_short(rows),
+        "behind": list_baseline_wins(rows),
+        "short_of_aim": list_missed_targets(rows),
     }
 
 
@@ -82,20 +82,22 @@
     deployment = next(
         one for one in workloads.DEPLOYMENTS if one.name == case.deployment
     )
-    load = next(one for one in workloads.LOADS if one.name == case.load)
-    arrivals = workloads.arrive(deployment, load, length_ms, SEED)
+    load = next(one for one in workloads.WORKLOADS if one.name == case.load)
+    arrivals = workloads.generate_arrivals(deployment, load, length_ms, SEED)
     schedulers = [
         make_scheduler(case.rival, number) for number in range(case.routers)
     ]
-    run = fleet.Fleet(deployment, schedulers, load.slow)
+    run = fleet.Simulation(deployment, schedulers, load.slow)
     outcomes = run.run(arrivals, length_ms)
-    return case._asdict() | judge(deployment, load, outcomes, length_ms)
+    return case._asdict() | compute_metrics(
+        deployment, load, outcomes, length_ms
+    )
 
 
 def make_scheduler(rival: str, number: int) -> base.Scheduler:
     """Return one router's scheduler.
 
-    :param rival: one of ``RIVALS``
+    :param rival: one of ``SCHEDULERS``
     :param number: which router
     :returns: the scheduler
     """
@@ -104,23 +106,23 @@
     if rival == "random_of_two":
         return baselines.RandomOfTwoScheduler(number)
     return scheduler.FairScheduler(
-        f"vm{number}", weighed=fairness.find_weighing(rival), seed=number
+        f"vm{number}", weighed=fairness.find_fairness_mode(rival), seed=number
     )
 
 
 @functools.cache
 def _read_capacity(deployment: str, load: str, length_ms: int) -> float:
     owner = next(o for o in workloads.DEPLOYMENTS if o.name == deployment)
-    kind = next(o for o in workloads.LOADS if o.name == load)
-    arrivals = workloads.arrive(owner, kind, length_ms, SEED)
+    kind = next(o for o in workloads.WORKLOADS if o.name == load)
+    arrivals = workloads.generate_arrivals(owner, kind, length_ms, SEED)
     engine = limits.measure_decode_limit(arrivals, False, length_ms)
     # No token of the slow engine meets the target between tokens.
     return engine * (owner.decodes - kind.slow)
 
 
-def judge(
+def compute_metrics(
     deployment: workloads.Deployment,
-    load: workloads.Load,
+    load: workloads.Workload,
     outcomes: list[fleet.Outcome],
     length_ms: int,
 ) -> dict[str, typing.Any]:
@@ -147,7 +149,7 @@
             served[account] += outcome.tokens / seconds
     capacity = _read_capacity(deployment.name, load.name, length_ms)
     limit = min(capacity, sum(demands.values()))
-    dues = limits.share_out(demands, capacity)
+    dues = limits.compute_max_min_shares(demands, capacity)
     within = {a for a in demands if demands[a] <= dues[a] + 1e-6}
     good = [o for o in outcomes if o.is_good(FIRST_TOKEN_MS, GAP_MS)]
     # Below the engines' limit what counts is which requests were served well;
@@ -220,7 +222,7 @@
     ]
 
 
-def list_behind(rows: list[dict[str, typing.Any]]) -> list[str]:
+def list_baseline_wins(rows: list[dict[str, typing.Any]]) -> list[str]:
     """Return where a baseline does better than the deployment's scheduler.
 
     :param rows: all rows
@@ -232,7 +234,7 @@
         f" {own[measure]} against {row[measure]} ({row['rival']})"
         for own in filter(_is_own, rows)
         for row in _find_baselines(rows, own)
-        for measure in AIMS
+        for measure in TARGETS
         if (
             own[measure] < row[measure]
             if measure in higher
@@ -241,7 +243,7 @@
     ]
 
 
-def list_short(rows: list[dict[str, typing.Any]]) -> list[str]:
+def list_missed_targets(rows: list[dict[str, typing.Any]]) -> list[str]:
     """Return where the deployment's scheduler falls short of an aim.
 
     :param rows: all rows
@@ -250,11 +252,11 @@
     found = []
     for own in filter(_is_own, rows):
         name = f"{own['deployment']} r{own['routers']} {own['load']}"
-        if own["goodput_part"] < AIMS["goodput_part"]:
+        if own["goodput_part"] < TARGETS["goodput_part"]:
             found.append(f"{name}: goodput {own['goodput_part']}")
-        if own["wasted_part"] >= AIMS["wasted_part"]:
+        if own["wasted_part"] >= TARGETS["wasted_part"]:
             found.append(f"{name}: wasted prefill {own['wasted_part']}")
-        if own["worst_served_part"] < AIMS["worst_served_part"]:
+        if own["worst_served_part"] < TARGETS["worst_served_part"]:
             found.append(f"{name}: worst served {own['worst_served_part']}")
         if own["load"] == "below" and own["refused_within_rate"]:
             found.append(f"{name}: refused {own['refused_within_rate']}")
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -102,7 +102,7 @@
         number = _submit(router, number, accounts, now_ms)
         submits += time.process_time() - begun
         begun = time.process_time()
-        router.finish(running.pop(0), jobs.JobEnd.DONE, "", now_ms)
+        router.finish(running.pop(0), jobs.JobOutcome.DONE, "", now_ms)
         found = router.dispatch(now_ms).assignments
         router.take_hints(now_ms)
         starts += time.process_time() - begun
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -7,7 +7,7 @@
 from standins import engine_model
 from standins import engine_types
 
-__all__ = ["measure_decode_limit", "share_out"]
+__all__ = ["measure_decode_limit", "compute_max_min_shares"]
 
 
 def measure_decode_limit(
@@ -23,7 +23,7 @@
     :param length_ms: for how long it is fed
     :returns: tokens a second
     """
-    shape = engine_types.Shape()
+    shape = engine_types.EngineParameters()
     if slow:
         shape.slow_factor = fleet.SLOW_FACTOR
     engine = engine_model.EngineModel(shape, "decode", ("m",))
@@ -46,14 +46,16 @@
     number: int,
     now_ms: float,
 ) -> None:
-    run = engine_types.Run(
+    run = engine_types.EngineRequest(
         str(number), "ideal", "m", (), 1, arrival.output_tokens
     )
     if engine.submit_decode(run, now_ms) is not None:
         raise RuntimeError("the ideal feed was refused")
 
 
-def share_out(demands: dict[str, float], capacity: float) -> dict[str, float]:
+def compute_max_min_shares(
+    demands: dict[str, float], capacity: float
+) -> dict[str, float]:
     """Return each account's due: its demand, or an equal part of what is left.
 
     :param demands: tokens a second by account
--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -20,17 +20,17 @@
 from standins import engine_model
 from standins import engine_types
 
-__all__ = ["Fleet", "Outcome"]
+__all__ = ["Simulation", "Outcome"]
 
-HOP_MS = 1
-NOTE_MS = 2
+NETWORK_DELAY_MS = 1
+GOSSIP_DELAY_MS = 2
 REPORT_MS = 500
-COUNT_MS = 1_000
+TOKEN_COUNT_INTERVAL_MS = 1_000
 MOST_ATTEMPTS = 3
 # A refused decode may look for another slot while the prefill's result
 # lives (800 ms).
-MOVE_WITHIN_MS = 650
-MOVE_PAUSE_MS = 30
+DECODE_RETRY_TIMEOUT_MS = 650
+DECODE_RETRY_DELAY_MS = 30
 FIRST_TOKEN_MS = 1_100
 SLOW_FACTOR = 2.2
 SLOW_FROM_MS = 20_000
@@ -107,7 +107,7 @@
         self.is_prefilled = False
 
 
-class Fleet:
+class Simulation:
     """Some routers before one pool.
 
     :param deployment: sizes
@@ -277,7 +277,7 @@
             for name in (assignment.prefill, assignment.decode):
                 self.last_start_ms[name] = self.now_ms
             self._at(
-                self.now_ms + HOP_MS,
+                self.now_ms + NETWORK_DELAY_MS,
                 lambda one=flight: self._start_prefill(one),
             )
         self._tell(router)
@@ -300,7 +300,7 @@
         for peer in range(len(self._schedulers)):
             if peer != router:
                 self._at(
-                    self.now_ms + NOTE_MS,
+                    self.now_ms + GOSSIP_DELAY_MS,
                     lambda peer=peer, note=note: self._hear(peer, note),
                 )
 
@@ -319,8 +319,10 @@
         if refused is not None:
             self._retry(flight, name)
 
-    def _make_run(self, flight: _Flight, name: str) -> engine_types.Run:
-        run = engine_types.Run(
+    def _make_run(
+        self, flight: _Flight, name: str
+    ) -> engine_types.EngineRequest:
+        run = engine_types.EngineRequest(
             name,
             f"vm{flight.router}",
             "m",
@@ -349,7 +351,7 @@
         self._follow(name)
         if refused is None:
             return
-        if self.now_ms - flight.prefilled_ms < MOVE_WITHIN_MS:
+        if self.now_ms - flight.prefilled_ms < DECODE_RETRY_TIMEOUT_MS:
             self._move_decode(flight, prefill, name)
             return
         source.release_handle(flight.handle, self.now_ms)
@@ -365,10 +367,10 @@
         other = scheduler.move_decode(
             flight.job.job_id, refused, int(self.now_ms)
         )
-        pause_ms = MOVE_PAUSE_MS
+        pause_ms = DECODE_RETRY_DELAY_MS
         if other is not None:
             flight.assignment.decode = other
-            pause_ms = HOP_MS
+            pause_ms = NETWORK_DELAY_MS
         self._tell(flight.router)
         self._at(
             self.now_ms + pause_ms,
@@ -379,7 +381,7 @@
         flight.outcome.wasted += int(flight.told)
 
     def _retry(self, flight: _Flight, blamed: str) -> None:
-        end = jobs.JobEnd.REFUSED_BY_ENGINE
+        end = jobs.JobOutcome.REFUSED_BY_ENGINE
         job = flight.job
         self._schedulers[flight.router].finish(
             job.job_id, end, blamed, int(self.now_ms)
@@ -438,7 +440,7 @@
             flight.told = computed
             flight.outcome.prefilled += computed
             self._at(
-                self.now_ms + 2 * HOP_MS,
+                self.now_ms + 2 * NETWORK_DELAY_MS,
                 lambda: self._start_decode(flight, name),
             )
         elif event.kind is Kind.IMPORTED:
@@ -448,7 +450,7 @@
             self._follow(source)
         elif event.kind is Kind.FINISHED:
             self._at(
-                self.now_ms + HOP_MS,
+                self.now_ms + NETWORK_DELAY_MS,
                 lambda: self._finish(flight, event.at_ms),
             )
 
@@ -457,13 +459,13 @@
     ) -> None:
         outcome = flight.outcome
         outcome.tokens += 1
-        outcome.last_ms = event.at_ms + HOP_MS
+        outcome.last_ms = event.at_ms + NETWORK_DELAY_MS
         scheduler = self._schedulers[flight.router]
         if outcome.first_ms is None:
             outcome.first_ms = outcome.last_ms
             flight.told = event.at_ms
             scheduler.note_first_token(flight.job.job_id, int(self.now_ms))
-        elif event.at_ms - flight.told >= COUNT_MS:
+        elif event.at_ms - flight.told >= TOKEN_COUNT_INTERVAL_MS:
             flight.told = event.at_ms
             scheduler.note_tokens(
                 flight.job.job_id, outcome.tokens, int(self.now_ms)
@@ -474,7 +476,7 @@
         job_id, now_ms = flight.job.job_id, int(self.now_ms)
         scheduler = self._schedulers[flight.router]
         scheduler.note_tokens(job_id, flight.outcome.tokens, now_ms)
-        scheduler.finish(job_id, jobs.JobEnd.DONE, "", now_ms)
+        scheduler.finish(job_id, jobs.JobOutcome.DONE, "", now_ms)
         del self._flights[job_id]
         self._pump(flight.router)
 
@@ -522,7 +524,7 @@
     return tables.Pool(pool.name, pool.kind, rows, pool.models)
 
 
-def _make_shape() -> engine_types.Shape:
-    shape = engine_types.Shape()
+def _make_shape() -> engine_types.EngineParameters:
+    shape = engine_types.EngineParameters()
     shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
     return shape
--- a/benchmarks/decisions_workloads.py
+++ b/benchmarks/decisions_workloads.py
@@ -5,7 +5,14 @@
 import math
 import random
 
-__all__ = ["DEPLOYMENTS", "LOADS", "Arrival", "Deployment", "Load", "arrive"]
+__all__ = [
+    "DEPLOYMENTS",
+    "WORKLOADS",
+    "Arrival",
+    "Deployment",
+    "Workload",
+    "generate_arrivals",
+]
 
 TOKEN_MS = 37.0
 OUTPUT_MEDIAN = 220
@@ -65,7 +72,7 @@
 )
 
 
-class Load:
+class Workload:
     """One kind of demand.
 
     :param name: what it is called in the table
@@ -107,14 +114,14 @@
         self.sticky = sticky
 
 
-LOADS = (
-    Load("below", 0.7),
-    Load("saturation", 1.0),
-    Load("bursts", 0.75, bursts=True),
-    Load("skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), sticky=True),
-    Load("slow upstream", 0.6, slow=True),
-    Load("long and short", 0.75, long_part=0.15),
-    Load("1.5 saturation", 1.5),
+WORKLOADS = (
+    Workload("below", 0.7),
+    Workload("saturation", 1.0),
+    Workload("bursts", 0.75, bursts=True),
+    Workload("skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), sticky=True),
+    Workload("slow upstream", 0.6, slow=True),
+    Workload("long and short", 0.75, long_part=0.15),
+    Workload("1.5 saturation", 1.5),
 )
 
 
@@ -167,8 +174,8 @@
         self.tokens = 0
 
 
-def arrive(
-    deployment: Deployment, load: Load, length_ms: int, seed: int
+def generate_arrivals(
+    deployment: Deployment, load: Workload, length_ms: int, seed: int
 ) -> list[Arrival]:
     """Return all arrivals of one load.
 
@@ -190,7 +197,7 @@
         found.append(maker.make(len(found), at_ms))
 
 
-def _read_burst(load: Load, at_ms: float) -> float:
+def _read_burst(load: Workload, at_ms: float) -> float:
     if not load.bursts:
         return 1.0
     # 5 s of 20 at 2.8 times the rest keep the mean at one.
@@ -209,7 +216,7 @@
 
 
 class _Maker:
-    def __init__(self, load: Load, random_: random.Random) -> None:
+    def __init__(self, load: Workload, random_: random.Random) -> None:
         self._load = load
         self._random = random_
         self._bounds = list(itertools.accumulate(load.shares))
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -30,7 +30,7 @@
 FAILED = 1
 
 
-class Seen:
+class ResponseCounts:
     """What one sort of call got.
 
     :param whole: answers that were complete and right
@@ -56,7 +56,9 @@
         self._running = running
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self.seen: dict[tuple[str, str], Seen] = collections.defaultdict(Seen)
+        self.seen: dict[tuple[str, str], ResponseCounts] = (
+            collections.defaultdict(ResponseCounts)
+        )
         self.after_withdrawal: collections.Counter[str] = collections.Counter()
 
     def run(self) -> list[str]:
@@ -205,7 +207,7 @@
 
     def _book(self, port: int, account: str, key: str, name: str) -> None:
         now_ms = clock.SystemClock().wall_ms()
-        once = claim_records.make_key(now_ms, secrets.randbits(74))
+        once = claim_records.make_uuid7(now_ms, secrets.randbits(74))
         headers = {**_authorize(key), "Idempotency-Key": once}
         first, repeat = (
             processes.call(port, "POST", "/bookings", {"pen": name}, headers)
--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -37,7 +37,7 @@
 
 def _run(name: str, vms: int, fault: str) -> dict[str, typing.Any]:
     zones = LARGE_ZONES if vms >= LARGE_VMS else SMALL_ZONES
-    fleet = model.Fleet(vms, zones, KINDS[name])
+    fleet = model.SimulatedNetwork(vms, zones, KINDS[name])
     if fault == "frozen":
         # The first VM of each zone has the fast link that makes a relay.
         fleet.frozen |= set(fleet.names[:zones])
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -12,7 +12,7 @@
 
 __all__ = [
     "DirectNode",
-    "Fleet",
+    "SimulatedNetwork",
     "GossipNode",
     "Node",
     "RelayNode",
@@ -40,7 +40,9 @@
     :param own: the VM
     """
 
-    def __init__(self, fleet: "Fleet", own: dissemination.Receiver) -> None:
+    def __init__(
+        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+    ) -> None:
         self.fleet = fleet
         self.own = own
         self.seen: set[bytes] = set()
@@ -104,7 +106,9 @@
 class RelayNode(Node):
     """Runs the product's own disseminator."""
 
-    def __init__(self, fleet: "Fleet", own: dissemination.Receiver) -> None:
+    def __init__(
+        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+    ) -> None:
         super().__init__(fleet, own)
         self.disseminator = dissemination.Disseminator(own)
 
@@ -181,7 +185,7 @@
         self.missed = missed
 
 
-class Fleet:
+class SimulatedNetwork:
     """VMs in zones, and the datagrams between them.
 
     :param vms: how many
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -42,7 +42,7 @@
 )
 
 
-class Target:
+class SystemUnderTest:
     """Something that streams are asked of.
 
     :param name: for the report
@@ -65,7 +65,7 @@
 
 
 def run_streams(
-    target: Target, count: int, tokens: int, spread_ms: int = 0
+    target: SystemUnderTest, count: int, tokens: int, spread_ms: int = 0
 ) -> tuple[list[outcome.Outcome], float]:
     """Run streams.
 
@@ -75,7 +75,7 @@
     :param spread_ms: over how long they begin, in milliseconds
     :returns: what callers got, and how long it took in milliseconds
     """
-    row = plan.CallerPlan(
+    row = plan.ClientProfile(
         "bench",
         target.key,
         burst=count,
@@ -87,7 +87,9 @@
     return caller.run_plan(plan_)
 
 
-def measure_streams(target: Target, count: int) -> dict[str, typing.Any]:
+def measure_streams(
+    target: SystemUnderTest, count: int
+) -> dict[str, typing.Any]:
     """Return tokens a second, cores and the added gaps of many streams.
 
     :param target: whom to ask
@@ -109,13 +111,13 @@
         "tokens_per_s": tokens / elapsed_ms * 1000,
         "cores": used_s / elapsed_ms * 1000,
         "us_per_token": used_s / max(tokens, 1) * 1e6,
-        "added_gap_p95_ms": outcome.pick_percentile(added, 0.95),
-        "added_gap_p99_ms": outcome.pick_percentile(added, 0.99),
+        "added_gap_p95_ms": outcome.compute_percentile(added, 0.95),
+        "added_gap_p99_ms": outcome.compute_percentile(added, 0.99),
         "resident_mb": memory / 1e6,
     }
 
 
-def measure_burst(target: Target) -> dict[str, typing.Any]:
+def measure_burst(target: SystemUnderTest) -> dict[str, typing.Any]:
     """Return the first tokens of callers who all come at once.
 
     :param target: whom to ask
@@ -125,13 +127,13 @@
     firsts = [found.first_ms for found in outcomes if found.tokens]
     return {
         "whole": sum(found.is_whole for found in outcomes),
-        "first_p50_ms": outcome.pick_percentile(firsts, 0.5),
-        "first_p95_ms": outcome.pick_percentile(firsts, 0.95),
+        "first_p50_ms": outcome.compute_percentile(firsts, 0.5),
+        "first_p95_ms": outcome.compute_percentile(firsts, 0.95),
         "first_max_ms": max(firsts, default=0.0),
     }
 
 
-def measure_target(target: Target) -> dict[str, typing.Any]:
+def measure_target(target: SystemUnderTest) -> dict[str, typing.Any]:
     """Return all figures of one target; a small run warms it up.
 
     :param target: whom to ask
@@ -146,7 +148,7 @@
 
 def start_relay(
     group: processes.Group, name: str, module: str, engines: tuple[str, ...]
-) -> Target:
+) -> SystemUnderTest:
     """Start a relay.
 
     :param group: the processes to add it to
@@ -163,7 +165,7 @@
         ports=[port],
     )
     address = f"{processes.HOST}:{port}"
-    return Target(name, (address,), process.popen.pid)
+    return SystemUnderTest(name, (address,), process.popen.pid)
 
 
 def measure() -> dict[str, typing.Any]:
@@ -174,7 +176,7 @@
         )
         engines = tuple(f"{processes.HOST}:{port}" for port in ports)
         targets = [
-            Target("straight", engines, None),
+            SystemUnderTest("straight", engines, None),
             start_relay(
                 group, "baseline", "benchmarks.baseline_relay", engines
             ),
--- a/benchmarks/static_router.py
+++ b/benchmarks/static_router.py
@@ -54,10 +54,10 @@
         pass
 
 
-class NoEntry(endpoints.EntryDirectory):
+class NoEntry(endpoints.EndpointDirectory):
     """Names nobody."""
 
-    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         return []
 
 
--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -23,14 +23,14 @@
 
 KEY_PREFIX = "mw_"
 KEY_BYTES = 32
-EDIT_MS = 10_000
-MOST_WAIT_MS = 60_000
+EDIT_TIMEOUT_MS = 10_000
+MAX_WAIT_MS = 60_000
 # Garbage is looked for after so many revisions, by whoever makes the edit,
 # so that no VM has to be chosen for it.
-COLLECT_EVERY = 64
+GC_REVISION_INTERVAL = 64
 
-T = typing.TypeVar("T", bound=responses.Answer)
-Outcome = expression.Result[T, errors.Fault]
+T = typing.TypeVar("T", bound=responses.Response)
+Result = expression.Result[T, errors.Fault]
 
 
 class Administration:
@@ -44,16 +44,16 @@
         self._editor = editor_
         self._fleet = fleet_
 
-    def show(self) -> Outcome[responses.TablesAnswer]:
+    def show(self) -> Result[responses.TablesResponse]:
         """Return the accepted tables."""
-        return self._read_tables().map(response_builders.make_tables)
+        return self._read_tables().map(response_builders.make_tables_response)
 
-    def diff(self, text: str) -> Outcome[responses.LinesAnswer]:
+    def diff(self, text: str) -> Result[responses.DiffResponse]:
         """Return what a text of tables would change; change nothing.
 
         :param text: the tables as TOML
         """
-        return parse.read_rows(text).bind(
+        return parse.parse_rows(text).bind(
             lambda rows: self._read_tables().bind(
                 lambda current: _diff(current, rows)
             )
@@ -61,7 +61,7 @@
 
     def apply(
         self, operator: str, text: str, revision: int, edit_id: str
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         """Replace all tables.
 
         :param operator: who wants it
@@ -70,7 +70,7 @@
             it a colleague's edit in between would be reverted unseen
         :param edit_id: the edit's own id
         """
-        return parse.read_rows(text).bind(
+        return parse.parse_rows(text).bind(
             lambda rows: self._submit(
                 operator, changes.ReplaceAll(rows), edit_id, revision
             )
@@ -84,7 +84,7 @@
         values: dict[str, typing.Any],
         expected: str | None,
         edit_id: str,
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         """Add or replace a row.
 
         :param operator: who wants it
@@ -104,7 +104,7 @@
         name: str,
         expected: str | None,
         edit_id: str,
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         """Delete a row.
 
         :param operator: who wants it
@@ -118,7 +118,7 @@
 
     def give_key(
         self, operator: str, account: str, edit_id: str
-    ) -> Outcome[responses.KeyAnswer]:
+    ) -> Result[responses.KeyResponse]:
         """Make a key for a client account; it is shown this once.
 
         :param operator: who wants it
@@ -128,7 +128,7 @@
         key = KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
         digest = tables.digest_key(key)
         given = self._submit(
-            operator, changes.GiveKey(account, digest), edit_id
+            operator, changes.AddKey(account, digest), edit_id
         )
         return given.bind(
             lambda answer: self._check_given(answer, account, key, digest)
@@ -136,7 +136,7 @@
 
     def withdraw_key(
         self, operator: str, account: str, prefix: str, edit_id: str
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         """Take a key from a client account.
 
         :param operator: who wants it
@@ -144,18 +144,18 @@
         :param prefix: the first digits of the key's digest
         :param edit_id: the edit's own id
         """
-        if len(prefix) < response_builders.KEY_DIGITS:
+        if len(prefix) < response_builders.KEY_DIGEST_DIGITS:
             return _refuse(
                 errors.Code.BAD_REQUEST,
-                f"expected at least {response_builders.KEY_DIGITS} "
+                f"expected at least {response_builders.KEY_DIGEST_DIGITS} "
                 "digits of the digest",
             )
-        change = changes.WithdrawKey(account, prefix)
+        change = changes.RevokeKey(account, prefix)
         return self._submit(operator, change, edit_id)
 
     def restore(
         self, operator: str, edit_id: str
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         """Bring a platform forward that was restored from an old copy.
 
         :param operator: who wants it
@@ -165,29 +165,29 @@
         newest = self._fleet.read_newest()
         restored = newest.bind(
             lambda found: self._editor.restore(
-                edit, found.root, found.segments, EDIT_MS
+                edit, found.root, found.segments, EDIT_TIMEOUT_MS
             )
         )
         return restored.map(
-            lambda accepted: responses.EditAnswer(edit_id, accepted.revision)
+            lambda accepted: responses.EditResponse(edit_id, accepted.revision)
         )
 
-    def read_history(self) -> Outcome[responses.HistoryAnswer]:
+    def read_history(self) -> Result[responses.HistoryResponse]:
         """Return past edits."""
         held = self._editor.accepted.read_root()
         return held.bind(
             lambda found: self._editor.accepted.read_history(found.root)
-        ).map(response_builders.make_history)
+        ).map(response_builders.make_history_response)
 
     def wait(
         self, revision: int | None, timeout_ms: int
-    ) -> Outcome[responses.FleetAnswer]:
+    ) -> Result[responses.RolloutResponse]:
         """Wait until a revision is in force on all VMs.
 
         :param revision: the revision; none for the accepted one
         :param timeout_ms: the longest wait; 0 to look once
         """
-        limit_ms = min(timeout_ms, MOST_WAIT_MS)
+        limit_ms = min(timeout_ms, MAX_WAIT_MS)
         if revision is not None:
             return expression.Ok(self._fleet.wait_in_force(revision, limit_ms))
         held = self._editor.accepted.read_root()
@@ -197,11 +197,13 @@
             )
         )
 
-    def read_status(self) -> Outcome[responses.StatusAnswer]:
+    def read_status(self) -> Result[responses.StatusResponse]:
         """Return the state of VMs, pools and client accounts."""
         states = self._fleet.read_states()
         return self._read_tables().map(
-            lambda current: response_builders.make_status(current, states)
+            lambda current: response_builders.make_status_response(
+                current, states
+            )
         )
 
     def _read_tables(
@@ -218,9 +220,9 @@
         change: changes.Change,
         edit_id: str,
         revision: int | None = None,
-    ) -> Outcome[responses.EditAnswer]:
+    ) -> Result[responses.EditResponse]:
         edit = edits.Edit(edit_id, operator, (change,), revision)
-        submitted = self._editor.submit(edit, EDIT_MS)
+        submitted = self._editor.submit(edit, EDIT_TIMEOUT_MS)
         if submitted.is_error():
             LOG.warning(
                 "edit %s of operator %s refused: %s: %s",
@@ -231,17 +233,19 @@
             )
             return expression.Error(submitted.error)
         accepted = submitted.ok
-        if accepted.revision % COLLECT_EVERY == 0:
+        if accepted.revision % GC_REVISION_INTERVAL == 0:
             threading.Thread(target=self._editor.collect, daemon=True).start()
-        return expression.Ok(responses.EditAnswer(edit_id, accepted.revision))
+        return expression.Ok(
+            responses.EditResponse(edit_id, accepted.revision)
+        )
 
     def _check_given(
         self,
-        answer: responses.EditAnswer,
+        answer: responses.EditResponse,
         account: str,
         key: str,
         digest: str,
-    ) -> Outcome[responses.KeyAnswer]:
+    ) -> Result[responses.KeyResponse]:
         """Show a key only if it is the one that the edit gave.
 
         An operator whose answer was lost sends the edit again.  It counts
@@ -258,21 +262,21 @@
                 f"edit {answer.edit_id} has given a key already, or it has "
                 "been withdrawn; a key is shown once, so withdraw it and "
                 "give another",
-                errors.Run.RAN,
+                errors.ExecutionStatus.RAN,
             )
         return expression.Ok(
-            responses.KeyAnswer(
+            responses.KeyResponse(
                 answer.edit_id, answer.revision, account, key, digest
             )
         )
 
 
 def _diff(
-    current: tables.Tables, rows: parse.PlainTables
-) -> Outcome[responses.LinesAnswer]:
+    current: tables.Tables, rows: parse.EncodedTables
+) -> Result[responses.DiffResponse]:
     edit = edits.Edit("diff", "", (changes.ReplaceAll(rows),))
     return edit.apply(current).map(
-        lambda made: responses.LinesAnswer(
+        lambda made: responses.DiffResponse(
             current.revision, edits.diff_tables(current, made)
         )
     )
@@ -281,7 +285,7 @@
 def _refuse(
     code: errors.Code,
     message: str,
-    run: errors.Run = errors.Run.NOT_RUN,
+    run: errors.ExecutionStatus = errors.ExecutionStatus.NOT_RUN,
 ) -> expression.Result[typing.Any, errors.Fault]:
     return expression.Error(
         errors.Fault(code, errors.Step.ADMIN, "", run, message)
--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -20,13 +20,13 @@
 LOG = logging.getLogger(__name__)
 
 JSON_TYPE = "application/json"
-MOST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 
 Environ = dict[str, typing.Any]
-Result = expression.Result[responses.Answer, errors.Fault]
+Result = expression.Result[responses.Response, errors.Fault]
 
 
-Handler = collections.abc.Callable[[calls.Call], Result]
+Handler = collections.abc.Callable[[calls.OperatorRequest], Result]
 
 
 class Operation:
@@ -53,7 +53,9 @@
     """
 
     def __init__(
-        self, admin: administration.Administration, operators: calls.Operators
+        self,
+        admin: administration.Administration,
+        operators: calls.OperatorAuthenticator,
     ) -> None:
         self._admin = admin
         self._operators = operators
@@ -96,7 +98,7 @@
                 errors.Fault(
                     errors.Code.INTERNAL,
                     errors.Step.ADMIN,
-                    run=errors.Run.MAY_HAVE_RUN,
+                    run=errors.ExecutionStatus.MAY_HAVE_RUN,
                 )
             )
         status, body = _encode(result)
@@ -131,10 +133,10 @@
                 errors.Code.UNKNOWN_ROUTE, "there is no such operation"
             )
         operation, match = found
-        call = calls.read_call(environ, operator, match.groups())
+        call = calls.parse_request(environ, operator, match.groups())
         return operation.handle(call)
 
-    def _apply(self, call: calls.Call) -> Result:
+    def _apply(self, call: calls.OperatorRequest) -> Result:
         return self._admin.apply(
             call.operator,
             call.read_text("text"),
@@ -142,13 +144,13 @@
             call.read_edit_id(),
         )
 
-    def _diff(self, call: calls.Call) -> Result:
+    def _diff(self, call: calls.OperatorRequest) -> Result:
         return self._admin.diff(call.read_text("text"))
 
-    def _restore(self, call: calls.Call) -> Result:
+    def _restore(self, call: calls.OperatorRequest) -> Result:
         return self._admin.restore(call.operator, call.read_edit_id())
 
-    def _put_row(self, call: calls.Call) -> Result:
+    def _put_row(self, call: calls.OperatorRequest) -> Result:
         values = call.body.get("values")
         if not isinstance(values, dict):
             raise calls.bad_request("values: expected an object")
@@ -160,7 +162,7 @@
             call.read_edit_id(),
         )
 
-    def _delete_row(self, call: calls.Call) -> Result:
+    def _delete_row(self, call: calls.OperatorRequest) -> Result:
         return self._admin.delete_row(
             call.operator,
             *call.parts,
@@ -168,20 +170,20 @@
             call.read_edit_id(),
         )
 
-    def _give_key(self, call: calls.Call) -> Result:
+    def _give_key(self, call: calls.OperatorRequest) -> Result:
         return self._admin.give_key(
             call.operator, *call.parts, call.read_edit_id()
         )
 
-    def _withdraw_key(self, call: calls.Call) -> Result:
+    def _withdraw_key(self, call: calls.OperatorRequest) -> Result:
         return self._admin.withdraw_key(
             call.operator, *call.parts, call.read_edit_id()
         )
 
-    def _wait(self, call: calls.Call) -> Result:
+    def _wait(self, call: calls.OperatorRequest) -> Result:
         wait_ms = call.read_query_number("wait_ms") or 0
         return self._admin.wait(
-            call.read_query_number("revision"), min(wait_ms, MOST_WAIT_MS)
+            call.read_query_number("revision"), min(wait_ms, MAX_WAIT_MS)
         )
 
 
--- a/mulberryway/admin/calls.py
+++ b/mulberryway/admin/calls.py
@@ -10,18 +10,24 @@
 
 from mulberryway import errors
 
-__all__ = ["MOST_BODY_BYTES", "Call", "Operators", "bad_request", "read_call"]
+__all__ = [
+    "MAX_BODY_BYTES",
+    "OperatorRequest",
+    "OperatorAuthenticator",
+    "bad_request",
+    "parse_request",
+]
 
 BEARER = "Bearer "
-MOST_BODY_BYTES = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 EDIT_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 EDIT_ID_BYTES = 12
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 
 Environ = dict[str, typing.Any]
 
 
-class Operators:
+class OperatorAuthenticator:
     """Knows the operators by the digests of their credentials.
 
     :param digests: SHA-256 digests of credentials, by operator's name
@@ -50,7 +56,7 @@
         return matches[0] if matches else None
 
 
-class Call:
+class OperatorRequest:
     """One call of an operator.
 
     :param operator: who calls
@@ -124,12 +130,14 @@
         text = self.query.get(key)
         if text is None:
             return None
-        if not text.isdecimal() or len(text) > MOST_DIGITS:
+        if not text.isdecimal() or len(text) > MAX_DIGITS:
             raise bad_request(f"{key}: expected a whole number")
         return int(text)
 
 
-def read_call(environ: Environ, operator: str, parts: tuple[str, ...]) -> Call:
+def parse_request(
+    environ: Environ, operator: str, parts: tuple[str, ...]
+) -> OperatorRequest:
     """Return the call that a request makes.
 
     :param environ: the request, as WSGI describes it
@@ -138,7 +146,7 @@
     :raises MulberrywayError: if the body cannot be read
     """
     query = urllib.parse.parse_qsl(environ.get("QUERY_STRING", ""))
-    return Call(operator, _read_body(environ), parts, dict(query))
+    return OperatorRequest(operator, _read_body(environ), parts, dict(query))
 
 
 def bad_request(message: str) -> errors.MulberrywayError:
@@ -161,7 +169,7 @@
     if not text.isdecimal():
         raise bad_request("expected a Content-Length")
     length = int(text)
-    if length > MOST_BODY_BYTES:
+    if length > MAX_BODY_BYTES:
         raise errors.MulberrywayError(
             errors.Fault(errors.Code.BODY_TOO_LARGE, errors.Step.ADMIN)
         )
--- a/mulberryway/admin/client.py
+++ b/mulberryway/admin/client.py
@@ -58,9 +58,12 @@
             result = self._call_one(url, method, path, body)
             if result.is_ok() or result.error.step is not errors.Step.PEER:
                 return result
-            unknown = unknown or result.error.run is not errors.Run.NOT_RUN
+            unknown = (
+                unknown
+                or result.error.run is not errors.ExecutionStatus.NOT_RUN
+            )
         if unknown:
-            result.error.run = errors.Run.MAY_HAVE_RUN
+            result.error.run = errors.ExecutionStatus.MAY_HAVE_RUN
         return result
 
     def edit(
@@ -100,15 +103,17 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            return _unreached(peer, error, errors.Run.NOT_RUN)
+            return _unreached(peer, error, errors.ExecutionStatus.NOT_RUN)
         except (urllib3.exceptions.HTTPError, ValueError) as error:
-            return _unreached(peer, error, errors.Run.MAY_HAVE_RUN)
+            return _unreached(peer, error, errors.ExecutionStatus.MAY_HAVE_RUN)
         if response.status < 300:
             return expression.Ok(answer)
         return expression.Error(_read_fault(answer, peer))
 
 
-def _unreached(peer: str, error: Exception, run: errors.Run) -> Result:
+def _unreached(
+    peer: str, error: Exception, run: errors.ExecutionStatus
+) -> Result:
     fault = _fault(
         errors.Code.PEER_UNREACHABLE, peer, f"{peer}: {type(error).__name__}"
     )
@@ -123,7 +128,7 @@
             errors.Code(found["code"]),
             errors.Step(found["step"]),
             found["peer"],
-            errors.Run(found["run"]),
+            errors.ExecutionStatus(found["run"]),
             found["message"],
             found["retry_after_ms"],
         )
--- a/mulberryway/admin/editor.py
+++ b/mulberryway/admin/editor.py
@@ -23,7 +23,7 @@
 
 Announce = collections.abc.Callable[[roots.Root, list[segments.Segment]], None]
 
-MOST_PAUSE_MS = 500
+MAX_BACKOFF_MS = 500
 
 
 class Editor:
@@ -65,7 +65,7 @@
 
     def submit(
         self, edit: edits.Edit, timeout_ms: int
-    ) -> expression.Result[submissions.Accepted, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         """Make an edit take effect, or say truly that it did not.
 
         :param edit: the edit; sent again with the same id it counts once
@@ -81,7 +81,7 @@
                 self._log(submission, tried.ok)
                 return tried
             over = deadline.has_passed(self._clock.now_ms())
-            if over or not submissions.may_try_again(tried.error):
+            if over or not submissions.is_retriable(tried.error):
                 return expression.Error(submission.end(tried.error))
             self._pause(submission)
 
@@ -91,7 +91,7 @@
         root: roots.Root,
         rows: list[segments.Segment],
         timeout_ms: int,
-    ) -> expression.Result[submissions.Accepted, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         """Bring a platform forward that was restored from an old copy.
 
         VMs keep what was accepted and refuse the old root, and edits are
@@ -110,7 +110,7 @@
         if held.is_error():
             return expression.Error(submission.end(held.error))
         if held.ok.root.revision >= root.revision:
-            return submissions.refuse_restoring(held.ok.root.revision)
+            return submissions.reject_restore(held.ok.root.revision)
         made = self._make_restored(edit, held.ok.root, root, rows)
         done = made.bind(lambda new: self._accept(submission, held.ok, new))
         if done.is_error():
@@ -130,19 +130,19 @@
         past = self.accepted.read_history(root)
         return past.bind(
             lambda entries: self._segments.collect(
-                root, history.list_retired(entries)
+                root, history.list_replaced_digests(entries)
             )
         )
 
     def _try(
         self, submission: submissions.Submission
-    ) -> expression.Result[submissions.Accepted, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         read = self.accepted.read_root()
         if read.is_error():
             return expression.Error(read.error)
         held = read.ok
         if not self._is_current(held, submission):
-            return submissions.refuse_stale()
+            return submissions.reject_stale_root()
         found = self._find(held.root, submission)
         if found.is_error():
             return found
@@ -160,16 +160,18 @@
     def _accept(
         self,
         submission: submissions.Submission,
-        held: root_store.HeldRoot,
+        held: root_store.VersionedRoot,
         new: submissions.NewState,
-    ) -> expression.Result[submissions.Accepted, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         written = self._write(submission, held, new.root)
         if written.is_ok():
             self._announce(new.root, new.segments)
         return written
 
     def _is_current(
-        self, held: root_store.HeldRoot, submission: submissions.Submission
+        self,
+        held: root_store.VersionedRoot,
+        submission: submissions.Submission,
     ) -> bool:
         return (
             held.version > submission.newer_than
@@ -178,27 +180,31 @@
 
     def _find(
         self, root: roots.Root, submission: submissions.Submission
-    ) -> expression.Result[submissions.Accepted | None, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit | None, errors.Fault]:
         """Look for the edit among those that were accepted."""
         edit_id = submission.edit.edit_id
         mark = root.find_edit(edit_id)
         if mark is not None:
-            return expression.Ok(submissions.Accepted(edit_id, mark.revision))
-        if len(root.marks) < roots.MOST_MARKS:
+            return expression.Ok(
+                submissions.AcceptedEdit(edit_id, mark.revision)
+            )
+        if len(root.marks) < roots.MAX_EDIT_RECORDS:
             return expression.Ok(None)
         past = self.accepted.read_history(root)
         if past.is_error():
             return expression.Error(past.error)
         revision = history.find_edit(past.ok, edit_id)
         if revision is not None:
-            return expression.Ok(submissions.Accepted(edit_id, revision))
+            return expression.Ok(submissions.AcceptedEdit(edit_id, revision))
         unknown = submission.unknown_from
         if unknown is not None and past.ok[0]["revision"] > unknown + 1:
-            return submissions.refuse_forgotten(edit_id)
+            return submissions.reject_unverifiable_edit(edit_id)
         return expression.Ok(None)
 
     def _make_root(
-        self, submission: submissions.Submission, held: root_store.HeldRoot
+        self,
+        submission: submissions.Submission,
+        held: root_store.VersionedRoot,
     ) -> expression.Result[submissions.NewState, errors.Fault]:
         """Write what the new root needs; that alone changes nothing."""
         edit = submission.edit
@@ -250,8 +256,8 @@
         self, new: list[segments.Segment], revision: int
     ) -> expression.Result[None, errors.Fault]:
         for segment in new:
-            if len(segment.content) > segments.MOST_SEGMENT_BYTES:
-                return submissions.refuse_large(segment)
+            if len(segment.content) > segments.MAX_SEGMENT_BYTES:
+                return submissions.reject_oversized_segment(segment)
             written = self._segments.write(segment, revision)
             if written.is_error():
                 return written
@@ -260,15 +266,15 @@
     def _write(
         self,
         submission: submissions.Submission,
-        held: root_store.HeldRoot,
+        held: root_store.VersionedRoot,
         root: roots.Root,
-    ) -> expression.Result[submissions.Accepted, errors.Fault]:
+    ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         """Send the same update until there is a definite answer."""
         while True:
             written = self.accepted.write_root(held, root)
             if written.is_ok():
                 return expression.Ok(
-                    submissions.Accepted(
+                    submissions.AcceptedEdit(
                         submission.edit.edit_id, root.revision
                     )
                 )
@@ -276,7 +282,7 @@
             if fault.code is not errors.Code.PLATFORM_UNAVAILABLE:
                 submission.newer_than = held.version
                 return expression.Error(fault)
-            if fault.run is not errors.Run.NOT_RUN:
+            if fault.run is not errors.ExecutionStatus.NOT_RUN:
                 submission.unknown_from = held.root.revision
             if submission.deadline.has_passed(self._clock.now_ms()):
                 return expression.Error(fault)
@@ -285,12 +291,12 @@
     def _pause(self, submission: submissions.Submission) -> None:
         pause_ms = submission.pause_ms
         self._clock.sleep_ms(self._random.randint(pause_ms // 2, pause_ms))
-        submission.pause_ms = min(pause_ms * 2, MOST_PAUSE_MS)
+        submission.pause_ms = min(pause_ms * 2, MAX_BACKOFF_MS)
 
     def _log(
         self,
         submission: submissions.Submission,
-        accepted: submissions.Accepted,
+        accepted: submissions.AcceptedEdit,
     ) -> None:
         LOG.info(
             "edit accepted: revision %d, id %s, operator %s: %s",
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -24,10 +24,10 @@
 THREADS = 16
 # Two more VMs than the own one hear of an edit before the operator does, so
 # that neither one VM's death nor an outage keeps it from the others.
-TOLD_OTHERS = 2
+ANNOUNCE_FANOUT = 2
 POLL_MS = 100
 # A VM may have the word of others that had not heard of an edit yet.
-SPREAD_MS = 3_000
+PROPAGATION_MARGIN_MS = 3_000
 
 
 class Fleet:
@@ -82,7 +82,7 @@
         # Other zones first: a zone may be lost in this very moment.
         others.sort(key=lambda member: member.zone == own_zone)
         told = [self._own_address]
-        told += [member.address for member in others[:TOLD_OTHERS]]
+        told += [member.address for member in others[:ANNOUNCE_FANOUT]]
         calls = [
             self._pool.submit(
                 self._client.call,
@@ -154,7 +154,7 @@
 
     def wait_in_force(
         self, revision: int, timeout_ms: int
-    ) -> responses.FleetAnswer:
+    ) -> responses.RolloutResponse:
         """Wait until no VM serves with tables older than a revision.
 
         A VM that cannot be reached counts as refusing when it has been out
@@ -187,7 +187,7 @@
             ]
             is_done = bool(members) and not waiting
             if is_done or deadline.has_passed(now_ms):
-                return responses.FleetAnswer(
+                return responses.RolloutResponse(
                     revision, is_done, waiting, list(states.values())
                 )
             self._clock.sleep_ms(POLL_MS)
@@ -198,7 +198,7 @@
         if state.is_reached:
             return state.revision >= revision or not state.is_serving
         silent_ms = self._clock.now_ms() - reached_ms
-        return silent_ms > self._fresh_ms + SPREAD_MS
+        return silent_ms > self._fresh_ms + PROPAGATION_MARGIN_MS
 
     def _ask(self, members: list[ttypes.Member]) -> list[responses.VmState]:
         replies = self._pool.map(
--- a/mulberryway/admin/history.py
+++ b/mulberryway/admin/history.py
@@ -6,23 +6,23 @@
 from mulberryway.tables import edits
 from mulberryway.tables import root as roots
 
-__all__ = ["Entry", "add_edit", "find_edit", "list_retired"]
+__all__ = ["HistoryEntry", "add_edit", "find_edit", "list_replaced_digests"]
 
 # A tenth of a day's edits at the target size, in some 25 KB.
-MOST_EDITS = 100
+MAX_EDITS = 100
 # VMs that lag behind may still fetch the segments of these many roots.
-KEPT_ROOTS = 8
+RETAINED_ROOTS = 8
 
-Entry = dict[str, typing.Any]
+HistoryEntry = dict[str, typing.Any]
 
 
 def add_edit(
-    past: list[Entry],
+    past: list[HistoryEntry],
     edit: edits.Edit,
     root: roots.Root,
     retired: set[str],
     wall_ms: int,
-) -> list[Entry]:
+) -> list[HistoryEntry]:
     """Return the history that an edit makes.
 
     :param past: entries so far, the newest last
@@ -38,16 +38,16 @@
         "operator": edit.operator,
         "wall_ms": wall_ms,
         "summary": edit.describe(),
-        "retired": sorted({*retired, root.history} - {roots.EMPTY}),
+        "retired": sorted({*retired, root.history} - {roots.EMPTY_DIGEST}),
     }
-    kept = [*past, entry][-MOST_EDITS:]
+    kept = [*past, entry][-MAX_EDITS:]
     # Only the collector reads what was replaced, and only of the last
     # edits; an apply of whole tables replaces every segment.
-    old = [{**entry, "retired": []} for entry in kept[:-KEPT_ROOTS]]
-    return old + kept[-KEPT_ROOTS:]
+    old = [{**entry, "retired": []} for entry in kept[:-RETAINED_ROOTS]]
+    return old + kept[-RETAINED_ROOTS:]
 
 
-def find_edit(past: list[Entry], edit_id: str) -> int | None:
+def find_edit(past: list[HistoryEntry], edit_id: str) -> int | None:
     """Return the revision that an edit made, if it is remembered.
 
     :param past: entries
@@ -59,12 +59,12 @@
     )
 
 
-def list_retired(past: list[Entry]) -> set[str]:
+def list_replaced_digests(past: list[HistoryEntry]) -> set[str]:
     """Return the digests that recent edits replaced.
 
     :param past: entries, the newest last
     """
-    recent = past[-KEPT_ROOTS:]
+    recent = past[-RETAINED_ROOTS:]
     return set(
         itertools.chain.from_iterable(entry["retired"] for entry in recent)
     )
--- a/mulberryway/admin/response_builders.py
+++ b/mulberryway/admin/response_builders.py
@@ -8,13 +8,18 @@
 from mulberryway.tables import changes
 from mulberryway.tables import parse
 
-__all__ = ["KEY_DIGITS", "make_history", "make_status", "make_tables"]
+__all__ = [
+    "KEY_DIGEST_DIGITS",
+    "make_history_response",
+    "make_status_response",
+    "make_tables_response",
+]
 
 # So many digits of a key's digest name it.
-KEY_DIGITS = 8
+KEY_DIGEST_DIGITS = 8
 
 
-def make_tables(current: tables.Tables) -> responses.TablesAnswer:
+def make_tables_response(current: tables.Tables) -> responses.TablesResponse:
     """Return tables as they may be shown.
 
     :param current: the tables
@@ -26,25 +31,25 @@
         for name, row in by_name.items()
     }
     text = parse.format_rows(changes.hide_credentials(rows))
-    return responses.TablesAnswer(current.revision, text, digests)
+    return responses.TablesResponse(current.revision, text, digests)
 
 
-def make_history(
+def make_history_response(
     past: list[dict[str, typing.Any]],
-) -> responses.HistoryAnswer:
+) -> responses.HistoryResponse:
     """Return past edits as operators see them.
 
     :param past: entries of the history, the newest last
     """
     shown = ("revision", "edit_id", "operator", "wall_ms", "summary")
-    return responses.HistoryAnswer(
+    return responses.HistoryResponse(
         [{key: entry[key] for key in shown} for entry in past]
     )
 
 
-def make_status(
+def make_status_response(
     current: tables.Tables, states: list[responses.VmState]
-) -> responses.StatusAnswer:
+) -> responses.StatusResponse:
     """Return the state of VMs, pools and client accounts.
 
     :param current: the accepted tables
@@ -63,11 +68,11 @@
     }
     accounts = {
         name: {
-            "keys": [digest[:KEY_DIGITS] for digest in row.key_digests],
+            "keys": [digest[:KEY_DIGEST_DIGITS] for digest in row.key_digests],
             "rate": row.rate,
             "burst": row.burst,
             "weight": row.weight,
         }
         for name, row in current.accounts.items()
     }
-    return responses.StatusAnswer(current.revision, states, pools, accounts)
+    return responses.StatusResponse(current.revision, states, pools, accounts)
--- a/mulberryway/admin/responses.py
+++ b/mulberryway/admin/responses.py
@@ -3,19 +3,19 @@
 import typing
 
 __all__ = [
-    "Answer",
-    "EditAnswer",
-    "FleetAnswer",
-    "HistoryAnswer",
-    "KeyAnswer",
-    "LinesAnswer",
-    "StatusAnswer",
-    "TablesAnswer",
+    "Response",
+    "EditResponse",
+    "RolloutResponse",
+    "HistoryResponse",
+    "KeyResponse",
+    "DiffResponse",
+    "StatusResponse",
+    "TablesResponse",
     "VmState",
 ]
 
 
-class Answer:
+class Response:
     """An answer whose attributes are its JSON form."""
 
     __slots__ = ()
@@ -26,14 +26,14 @@
 
 
 def _encode(value: typing.Any) -> typing.Any:
-    if isinstance(value, Answer):
+    if isinstance(value, Response):
         return value.encode()
     if isinstance(value, list):
         return [_encode(item) for item in value]
     return value
 
 
-class TablesAnswer(Answer):
+class TablesResponse(Response):
     """The accepted tables.
 
     :param revision: their revision
@@ -51,7 +51,7 @@
         self.digests = digests
 
 
-class LinesAnswer(Answer):
+class DiffResponse(Response):
     """What a text of tables would change.
 
     :param revision: the revision that it was compared with
@@ -65,7 +65,7 @@
         self.lines = lines
 
 
-class EditAnswer(Answer):
+class EditResponse(Response):
     """An edit that the platform holds; see ``in_force`` for the rest.
 
     :param edit_id: the edit's own id
@@ -79,7 +79,7 @@
         self.revision = revision
 
 
-class KeyAnswer(Answer):
+class KeyResponse(Response):
     """A new key, which is shown this once.
 
     :param edit_id: the edit's own id
@@ -101,7 +101,7 @@
         self.digest = digest
 
 
-class HistoryAnswer(Answer):
+class HistoryResponse(Response):
     """Past edits, the newest last.
 
     :param edits: revision, id, operator, time and summary of each
@@ -113,7 +113,7 @@
         self.edits = edits
 
 
-class VmState(Answer):
+class VmState(Response):
     """The tables that a VM has.
 
     :param name: the VM's name
@@ -150,7 +150,7 @@
         self.is_serving = is_serving
 
 
-class FleetAnswer(Answer):
+class RolloutResponse(Response):
     """How far a revision has come.
 
     :param revision: the revision
@@ -175,7 +175,7 @@
         self.vms = vms
 
 
-class StatusAnswer(Answer):
+class StatusResponse(Response):
     """VMs, pools and client accounts.
 
     :param revision: the accepted revision
--- a/mulberryway/admin/server.py
+++ b/mulberryway/admin/server.py
@@ -26,8 +26,8 @@
 THREADS = 16
 BACKLOG = 64
 HEADER_BYTES = 16_384
-IDLE_S = 30
-STOP_S = 15
+IDLE_TIMEOUT_S = 30
+SHUTDOWN_TIMEOUT_S = 15
 POLL_S = 0.01
 # An offer of whole tables is a megabyte, which a VM takes some time to read.
 PEER_TIMEOUT_MS = 2_000
@@ -43,7 +43,7 @@
     def __init__(
         self, settings_: settings.Settings, clock_: clock.Clock
     ) -> None:
-        self.counts = call_metrics.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         store = http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -89,12 +89,12 @@
     def stop(self) -> None:
         """Finish the calls that run, then stop."""
         self._server.stop()
-        self._thread.join(STOP_S)
+        self._thread.join(SHUTDOWN_TIMEOUT_S)
         self._fleet.close()
         self._client.close()
 
     def _make_server(self, settings_: settings.Settings) -> wsgi.Server:
-        operators = calls.Operators(settings_.admin_operators)
+        operators = calls.OperatorAuthenticator(settings_.admin_operators)
         server = wsgi.Server(
             (settings_.vm_address, settings_.admin_port),
             api.AdminApi(self.administration, operators),
@@ -102,11 +102,11 @@
             server_name="mulberryway-admin",
             max=THREADS,
             request_queue_size=BACKLOG,
-            timeout=IDLE_S,
-            shutdown_timeout=STOP_S,
+            timeout=IDLE_TIMEOUT_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             accepted_queue_size=BACKLOG,
             accepted_queue_timeout=0,
         )
         server.max_request_header_size = HEADER_BYTES
-        server.max_request_body_size = calls.MOST_BODY_BYTES
+        server.max_request_body_size = calls.MAX_BODY_BYTES
         return server
--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -12,20 +12,20 @@
 from mulberryway.tables import segments
 
 __all__ = [
-    "Accepted",
+    "AcceptedEdit",
     "NewState",
     "Submission",
-    "may_try_again",
-    "refuse_forgotten",
-    "refuse_large",
-    "refuse_restoring",
-    "refuse_stale",
+    "is_retriable",
+    "reject_unverifiable_edit",
+    "reject_oversized_segment",
+    "reject_restore",
+    "reject_stale_root",
 ]
 
-PAUSE_MS = 20
+INITIAL_BACKOFF_MS = 20
 
 
-class Accepted:
+class AcceptedEdit:
     """The platform holds an edit; it need not be in force yet.
 
     :param edit_id: the edit's own id
@@ -55,7 +55,7 @@
         self.newer_than = -1
         # The revision from which an update was sent whose end is unknown.
         self.unknown_from: int | None = None
-        self.pause_ms = PAUSE_MS
+        self.pause_ms = INITIAL_BACKOFF_MS
 
     def end(self, fault: errors.Fault) -> errors.Fault:
         """Return a fault that tells truly whether the edit may stand.
@@ -63,7 +63,11 @@
         :param fault: why it goes no further
         """
         unknown = self.unknown_from is not None
-        fault.run = errors.Run.MAY_HAVE_RUN if unknown else errors.Run.NOT_RUN
+        fault.run = (
+            errors.ExecutionStatus.MAY_HAVE_RUN
+            if unknown
+            else errors.ExecutionStatus.NOT_RUN
+        )
         return fault
 
 
@@ -83,7 +87,7 @@
         self.segments = new_segments
 
 
-def may_try_again(fault: errors.Fault) -> bool:
+def is_retriable(fault: errors.Fault) -> bool:
     """Tell faults of the platform from refusals of the edit itself.
 
     A conflict or a missing segment at the platform means that the root has
@@ -96,7 +100,7 @@
     )
 
 
-def refuse_stale() -> expression.Result[typing.Any, errors.Fault]:
+def reject_stale_root() -> expression.Result[typing.Any, errors.Fault]:
     """Return the fault for a root older than one that is known."""
     return expression.Error(
         errors.Fault(
@@ -108,7 +112,7 @@
     )
 
 
-def refuse_forgotten(
+def reject_unverifiable_edit(
     edit_id: str,
 ) -> expression.Result[typing.Any, errors.Fault]:
     """Return the fault for an edit too old to be told about.
@@ -125,7 +129,7 @@
     )
 
 
-def refuse_large(
+def reject_oversized_segment(
     segment: segments.Segment,
 ) -> expression.Result[None, errors.Fault]:
     """Return the fault for rows that do not fit one object.
@@ -138,12 +142,12 @@
             errors.Step.TABLES,
             "segment",
             message=f"rows of one segment take {len(segment.content)} bytes; "
-            f"expected at most {segments.MOST_SEGMENT_BYTES}",
+            f"expected at most {segments.MAX_SEGMENT_BYTES}",
         )
     )
 
 
-def refuse_restoring(
+def reject_restore(
     revision: int,
 ) -> expression.Result[typing.Any, errors.Fault]:
     """Return the fault for a platform that need not be brought forward.
--- a/mulberryway/admin/text_output.py
+++ b/mulberryway/admin/text_output.py
@@ -5,20 +5,20 @@
 import typing
 
 __all__ = [
-    "show_edit",
-    "show_fleet",
-    "show_history",
-    "show_key",
-    "show_lines",
-    "show_status",
-    "show_tables",
+    "format_edit",
+    "format_rollout",
+    "format_history",
+    "format_key",
+    "format_diff",
+    "format_status",
+    "format_tables",
 ]
 
 Answer = dict[str, typing.Any]
 MS_IN_S = 1000
 
 
-def show_tables(answer: Answer) -> str:
+def format_tables(answer: Answer) -> str:
     """Return the tables; the first line lets ``apply`` find the revision.
 
     :param answer: the answer's object
@@ -26,7 +26,7 @@
     return f"# revision {answer['revision']}\n{answer['text']}"
 
 
-def show_lines(answer: Answer) -> str:
+def format_diff(answer: Answer) -> str:
     """Return what would change.
 
     :param answer: the answer's object
@@ -34,7 +34,7 @@
     return "\n".join(answer["lines"] or ["no difference"])
 
 
-def show_edit(answer: Answer) -> str:
+def format_edit(answer: Answer) -> str:
     """Return what became of an edit.
 
     :param answer: the answer's object
@@ -44,7 +44,7 @@
     )
 
 
-def show_key(answer: Answer) -> str:
+def format_key(answer: Answer) -> str:
     """Return a new key.
 
     :param answer: the answer's object
@@ -56,7 +56,7 @@
     )
 
 
-def show_history(answer: Answer) -> str:
+def format_history(answer: Answer) -> str:
     """Return past edits, one a line.
 
     :param answer: the answer's object
@@ -75,7 +75,7 @@
     )
 
 
-def show_fleet(answer: Answer) -> str:
+def format_rollout(answer: Answer) -> str:
     """Return how far a revision has come.
 
     :param answer: the answer's object
@@ -88,7 +88,7 @@
     return f"{head}\n{_show_vms(answer['vms'])}"
 
 
-def show_status(answer: Answer) -> str:
+def format_status(answer: Answer) -> str:
     """Return VMs, pools and client accounts.
 
     :param answer: the answer's object
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -58,7 +58,7 @@
     ) -> None:
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
-        self.platform_counts = call_metrics.CallCounts()
+        self.platform_counts = call_metrics.InMemoryCallCounter()
         self.store = platform_http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -69,7 +69,7 @@
             settings_.peers_secret, self.clock, settings_.peers_timeout_ms
         )
         own = f"{settings_.vm_address}:{settings_.peers_port}"
-        self.incarnation = membership.find_incarnation(
+        self.incarnation = membership.choose_incarnation(
             settings_.vm_name,
             [seed for seed in settings_.peers_seeds if seed != own],
             self.client,
@@ -85,7 +85,7 @@
             settings_.vm_name,
             self.incarnation,
             peers=self.client,
-            find_keeper=claim_coordination.make_finder(
+            find_keeper=claim_coordination.make_coordinator_finder(
                 settings_.vm_name, self.members.list_members
             ),
         )
@@ -105,7 +105,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = scheduler_gossip.NotesController(
+        self.notes = scheduler_gossip.SchedulerGossipController(
             self.router.scheduling,
             self.members,
             self.configuration.source,
@@ -119,7 +119,7 @@
             self.directory,
             self.clock,
         )
-        self.reports = engine_reports.EngineReports(
+        self.reports = engine_reports.EngineReportController(
             self.notes,
             self.router.scheduling,
             self.directory,
@@ -127,12 +127,12 @@
             settings_.vm_name,
             self.clock,
         )
-        self.reconciling = reconciling.Reconciling(
+        self.reconciling = reconciling.ReconcileController(
             settings_.vm_name,
             self.incarnation,
             self.reports.list_engines,
             self.router.scheduling.is_running,
-            owner_liveness.MemberOwners(
+            owner_liveness.MembershipLivenessChecker(
                 self.members.list_members, self.store, self.clock
             ),
             self.router.metrics,
@@ -162,7 +162,7 @@
             },
             self.clock,
         )
-        self.datagrams = datagrams.Datagrams(
+        self.datagrams = datagrams.DatagramTransport(
             settings_.vm_address,
             settings_.peers_port,
             settings_.peers_secret,
@@ -221,7 +221,7 @@
     def _find_engine(
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
-        return directory.find_by_name(
+        return directory.find_engine_by_name(
             self.configuration.source.read_tables(),
             self.directory,
             pool,
@@ -265,7 +265,7 @@
             scheduler.FairScheduler(
                 settings_.vm_name,
                 self.incarnation,
-                fairness.find_weighing(settings_.policy_weighing),
+                fairness.find_fairness_mode(settings_.policy_weighing),
                 seed=random.SystemRandom().getrandbits(32),
             ),
             self.allowances,
--- a/mulberryway/commands/losses.py
+++ b/mulberryway/commands/losses.py
@@ -10,14 +10,16 @@
 
 from mulberryway.commands import story
 
-__all__ = ["Losses", "add_up", "main", "run", "write_report"]
+__all__ = ["LossSummary", "summarize", "main", "run", "format_report"]
 
 FLAGS = flags.FLAGS
 NOTHING_FOUND = 1
-ENDED = "a request ended"
-CHOSEN = "engines were chosen"
-UNANSWERED = "a prefill was not answered, the decode engine reads the prompt"
-IN_VAIN = "a prompt was read in vain"
+REQUEST_ENDED = "a request ended"
+ENGINES_SELECTED = "engines were chosen"
+PREFILL_OUTCOME_UNKNOWN = (
+    "a prefill was not answered, the decode engine reads the prompt"
+)
+PREFILL_WASTED = "a prompt was read in vain"
 ON_TIME = "on time"
 # Steps before the first piece, as the log names them, and as people do.
 STEPS = (
@@ -25,16 +27,16 @@
     ("read_ms", "waited for its prompt to be read"),
     ("begin_ms", "waited for the decode to begin"),
 )
-PAUSED = "a late pause"
+GAP_EXCEEDED = "a late pause"
 # Longest pauses are put together by so many milliseconds.
-PAUSE_STEP_MS = 100
-MOST_PAUSE_MS = 500
+GAP_BUCKET_MS = 100
+MAX_GAP_BUCKET_MS = 500
 
 Line = story.Line
 Reads = dict[str, list[int]]
 
 
-class Losses:
+class LossSummary:
     """What became of the streams in some logs.
 
     :param ends: streams by what became of them
@@ -51,7 +53,7 @@
         self.pauses: dict[int, list[int]] = {}
 
 
-def add_up(lines: collections.abc.Iterable[Line]) -> Losses:
+def summarize(lines: collections.abc.Iterable[Line]) -> LossSummary:
     """Return what became of the streams that some lines tell of.
 
     :param lines: lines of any VMs in any order
@@ -60,27 +62,27 @@
     chosen = {
         line.get("request_id"): line
         for line in known
-        if line["message"] == CHOSEN
+        if line["message"] == ENGINES_SELECTED
     }
     reads = _find_reads(known)
-    losses = Losses()
+    losses = LossSummary()
     for line in known:
-        if line["message"] == IN_VAIN:
+        if line["message"] == PREFILL_WASTED:
             losses.in_vain[_name_fault(line)] += line["tokens"]
-        elif line["message"] == UNANSWERED:
+        elif line["message"] == PREFILL_OUTCOME_UNKNOWN:
             job = chosen.get(line["request_id"])
             if job is not None:
                 name = f"no answer, {_name_fault(line)}"
                 losses.in_vain[name] += job["prompt_tokens"]
-        elif line["message"] == ENDED and line.get("target_ms"):
-            losses.ends[sort_end(line)] += 1
+        elif line["message"] == REQUEST_ENDED and line.get("target_ms"):
+            losses.ends[classify_outcome(line)] += 1
             job = chosen.get(line["request_id"])
             if line["first_ms"] and job is not None:
                 _note_pause(losses, line, job, reads)
     return losses
 
 
-def sort_end(line: Line) -> str:
+def classify_outcome(line: Line) -> str:
     """Return what became of a stream, in a few words.
 
     :param line: the line that tells of its end
@@ -92,11 +94,11 @@
         step, words = max(STEPS, key=lambda step: line.get(step[0], 0))
         return f"a late first piece: {words}"
     if line["gap_ms"] > line["target_gap_ms"] > 0:
-        return PAUSED
+        return GAP_EXCEEDED
     return ON_TIME
 
 
-def write_report(losses: Losses) -> str:
+def format_report(losses: LossSummary) -> str:
     """Return a report for people.
 
     :param losses: what was added up
@@ -125,12 +127,12 @@
     :param arguments: the program's name, then files; none for standard input
     :returns: the exit status; 1 if the logs tell of no stream
     """
-    texts = story.read_texts(arguments[1:])
-    losses = add_up(story.read_lines(texts))
+    texts = story.read_raw_lines(arguments[1:])
+    losses = summarize(story.parse_lines(texts))
     if not losses.ends:
         print("the logs tell of no stream", file=sys.stderr)
         return NOTHING_FOUND
-    print(write_report(losses))
+    print(format_report(losses))
     return 0
 
 
@@ -144,21 +146,23 @@
     reads: Reads = collections.defaultdict(list)
     for line in lines:
         is_alone = line.get("prefill") == line.get("decode", "")
-        if line["message"] == CHOSEN and is_alone:
+        if line["message"] == ENGINES_SELECTED and is_alone:
             reads[line["decode"]].append(line["time_ms"])
-        elif line["message"] == UNANSWERED:
+        elif line["message"] == PREFILL_OUTCOME_UNKNOWN:
             reads[line["decode"]].append(line["time_ms"])
     return reads
 
 
-def _note_pause(losses: Losses, line: Line, job: Line, reads: Reads) -> None:
+def _note_pause(
+    losses: LossSummary, line: Line, job: Line, reads: Reads
+) -> None:
     began_ms = line["time_ms"] - line["took_ms"] + line["first_ms"]
     beside = sum(
         began_ms <= at_ms <= line["time_ms"]
         for at_ms in reads.get(job["decode"], ())
     )
-    step = line["gap_ms"] // PAUSE_STEP_MS * PAUSE_STEP_MS
-    losses.pauses.setdefault(min(step, MOST_PAUSE_MS), []).append(beside)
+    step = line["gap_ms"] // GAP_BUCKET_MS * GAP_BUCKET_MS
+    losses.pauses.setdefault(min(step, MAX_GAP_BUCKET_MS), []).append(beside)
 
 
 def _name_fault(line: Line) -> str:
--- a/mulberryway/commands/operate.py
+++ b/mulberryway/commands/operate.py
@@ -168,17 +168,19 @@
 
 
 COMMANDS = {
-    "show": Command((0,), _show, text_output.show_tables),
-    "diff": Command((1,), _diff, text_output.show_lines),
-    "apply": Command((1,), _apply, text_output.show_edit, True),
-    "put": Command((2,), _put, text_output.show_edit, True),
-    "delete": Command((1,), _delete, text_output.show_edit, True),
-    "give-key": Command((1,), _give_key, text_output.show_key, True),
-    "withdraw-key": Command((2,), _withdraw_key, text_output.show_edit, True),
-    "history": Command((0,), _read_history, text_output.show_history),
-    "wait": Command((0, 1), _wait, text_output.show_fleet),
-    "restore": Command((0,), _restore, text_output.show_edit, True),
-    "status": Command((0,), _read_status, text_output.show_status),
+    "show": Command((0,), _show, text_output.format_tables),
+    "diff": Command((1,), _diff, text_output.format_diff),
+    "apply": Command((1,), _apply, text_output.format_edit, True),
+    "put": Command((2,), _put, text_output.format_edit, True),
+    "delete": Command((1,), _delete, text_output.format_edit, True),
+    "give-key": Command((1,), _give_key, text_output.format_key, True),
+    "withdraw-key": Command(
+        (2,), _withdraw_key, text_output.format_edit, True
+    ),
+    "history": Command((0,), _read_history, text_output.format_history),
+    "wait": Command((0, 1), _wait, text_output.format_rollout),
+    "restore": Command((0,), _restore, text_output.format_edit, True),
+    "status": Command((0,), _read_status, text_output.format_status),
 }
 
 
@@ -240,7 +242,7 @@
         print(json.dumps({"error": body}))
         return
     print(f"{fault.code.value}: {fault.message}", file=sys.stderr)
-    if edit_id and fault.run is errors.Run.MAY_HAVE_RUN:
+    if edit_id and fault.run is errors.ExecutionStatus.MAY_HAVE_RUN:
         print(
             "the edit may have been accepted; the same command with "
             f"--edit_id {edit_id} settles it and counts once",
--- a/mulberryway/commands/router.py
+++ b/mulberryway/commands/router.py
@@ -14,7 +14,7 @@
 __all__ = ["main", "run"]
 
 FLAGS = flags.FLAGS
-BAD_SETTINGS = 2
+BAD_SETTINGS_STATUS = 2
 
 flags.DEFINE_string("settings", None, "the TOML file with the settings")
 
@@ -29,7 +29,7 @@
         read = settings.read_settings(FLAGS.settings)
     except errors.SettingsError as error:
         print(error.fault.message, file=sys.stderr)
-        return BAD_SETTINGS
+        return BAD_SETTINGS_STATUS
     logs.set_up(read.vm_name, read.telemetry_log_level, read.telemetry_debug)
     process.run_until_stopped(assembly.Assembly(read))
     return 0
--- a/mulberryway/commands/story.py
+++ b/mulberryway/commands/story.py
@@ -10,14 +10,14 @@
 from absl import app
 from absl import flags
 
-__all__ = ["find_lines", "main", "read_texts", "run", "write_line"]
+__all__ = ["select_lines", "main", "read_raw_lines", "run", "format_line"]
 
 FLAGS = flags.FLAGS
 NOTHING_FOUND = 1
 # Around a request these tell what its VM believed: lines of the same VM that
 # name no request, from so long before its first line on.
-BEFORE_MS = 2_000
-COMMON = ("time_ms", "level", "vm", "logger", "message", "request_id")
+CONTEXT_MS = 2_000
+STANDARD_FIELDS = ("time_ms", "level", "vm", "logger", "message", "request_id")
 
 flags.DEFINE_string("id", None, "the id that the caller has, or its beginning")
 flags.DEFINE_bool(
@@ -27,7 +27,7 @@
 Line = dict[str, typing.Any]
 
 
-def read_texts(names: list[str]) -> collections.abc.Iterable[str]:
+def read_raw_lines(names: list[str]) -> collections.abc.Iterable[str]:
     """Return the lines of some files; of standard input if there is none.
 
     :param names: the files' names
@@ -42,7 +42,7 @@
     )
 
 
-def read_lines(
+def parse_lines(
     texts: collections.abc.Iterable[str],
 ) -> collections.abc.Iterator[Line]:
     """Return the lines that can be read; others are passed over.
@@ -62,7 +62,7 @@
             yield line
 
 
-def find_lines(
+def select_lines(
     lines: collections.abc.Iterable[Line], request_id: str, beliefs: bool
 ) -> list[Line]:
     """Return what was logged of a request, oldest first.
@@ -80,7 +80,7 @@
     if not own or not beliefs:
         return own
     vms = {line["vm"] for line in own}
-    first_ms, last_ms = own[0]["time_ms"] - BEFORE_MS, own[-1]["time_ms"]
+    first_ms, last_ms = own[0]["time_ms"] - CONTEXT_MS, own[-1]["time_ms"]
     return [
         line
         for line in known
@@ -93,14 +93,16 @@
     ]
 
 
-def write_line(line: Line, first_ms: int) -> str:
+def format_line(line: Line, first_ms: int) -> str:
     """Return a line for people.
 
     :param line: what was logged
     :param first_ms: when the story begins
     """
     fields = " ".join(
-        f"{name}={value}" for name, value in line.items() if name not in COMMON
+        f"{name}={value}"
+        for name, value in line.items()
+        if name not in STANDARD_FIELDS
     )
     at_ms = line["time_ms"] - first_ms
     return f"{at_ms:+7d} ms  {line['vm']}  {line['message']}  {fields}"
@@ -112,14 +114,14 @@
     :param arguments: the program's name, then files; none for standard input
     :returns: the exit status; 1 if nothing is known of the request
     """
-    found = find_lines(
-        read_lines(read_texts(arguments[1:])), FLAGS.id, FLAGS.beliefs
+    found = select_lines(
+        parse_lines(read_raw_lines(arguments[1:])), FLAGS.id, FLAGS.beliefs
     )
     if not found:
         print(f"nothing was logged of {FLAGS.id}", file=sys.stderr)
         return NOTHING_FOUND
     for line in found:
-        print(write_line(line, found[0]["time_ms"]))
+        print(format_line(line, found[0]["time_ms"]))
     return 0
 
 
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -20,10 +20,10 @@
 PREFIX = "group-"
 STEP_MS = 1_000
 # Bounds what one VM asks of the platform: a few objects in each step.
-MOST_GROUPS_PER_STEP = 16
+MAX_GROUPS_PER_STEP = 16
 # A stop does not wait longer for a platform that is down.  What could not be
 # released passes on when the platform's list drops the VM.
-RELEASE_MS = 5_000
+RELEASE_TIMEOUT_MS = 5_000
 
 
 class MemberSource(typing.Protocol):
@@ -82,7 +82,7 @@
         if now_ms - self._start_ms >= self._times.settle_ms:
             self._read_own_records()
             due = self._list_due(now_ms)
-            for group in due[:MOST_GROUPS_PER_STEP]:
+            for group in due[:MAX_GROUPS_PER_STEP]:
                 self._settle(group)
         self._tell_holdings()
 
@@ -93,7 +93,7 @@
             slots = list(self._state.keeper.holdings)
             for slot in slots:
                 self._state.keeper.give_up(slot)
-        end = clock.Deadline(self.clock.now_ms() + RELEASE_MS)
+        end = clock.Deadline(self.clock.now_ms() + RELEASE_TIMEOUT_MS)
         for group in {slot // self._state.parts for slot in slots}:
             if not end.has_passed(self.clock.now_ms()):
                 self._settle(group)
@@ -112,7 +112,7 @@
         holders = {
             slot: one.peer
             for one in members
-            if one.health is not member.Health.DEAD
+            if one.health is not member.MemberStatus.DEAD
             and one.name != self._state.keeper.vm
             for slot in allowance_state.unpack_holdings(one.holdings)
         }
@@ -226,7 +226,7 @@
 
     def _decide(
         self, group: int, records: dict[int, allowance_slots.SlotRecord]
-    ) -> dict[int, slot_lease_manager.Decision]:
+    ) -> dict[int, slot_lease_manager.LeaseAction]:
         first = group * self._state.parts
         decisions = {}
         with self._state.lock:
@@ -239,11 +239,11 @@
                     self._is_wanted(slot, now_ms),
                     now_ms,
                 )
-                if decision is slot_lease_manager.Decision.RELEASE:
+                if decision is slot_lease_manager.LeaseAction.RELEASE:
                     # Never spend from a slot that others may have already.
                     self._state.keeper.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
-                if decision is not slot_lease_manager.Decision.NONE:
+                if decision is not slot_lease_manager.LeaseAction.NONE:
                     decisions[part] = decision
         return decisions
 
@@ -251,7 +251,7 @@
         self,
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, slot_lease_manager.Decision],
+        decisions: dict[int, slot_lease_manager.LeaseAction],
     ) -> dict[int, allowance_slots.SlotRecord]:
         with self._state.lock:
             made = {
@@ -266,7 +266,7 @@
         self,
         group: int,
         written: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, slot_lease_manager.Decision],
+        decisions: dict[int, slot_lease_manager.LeaseAction],
         sent_ms: int,
     ) -> None:
         with self._state.lock:
--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -41,14 +41,16 @@
         self.times = times or allowance_times.AllowanceTimes()
         self.groups = groups
         self.parts = parts
-        self.keeper = slot_lease_manager.SlotKeeper(
+        self.keeper = slot_lease_manager.SlotLeaseManager(
             own.name, own.address, own.incarnation, self.times
         )
         self.lender = allowance_lender.Lender(
             self.keeper, self.times, groups, parts
         )
         self.borrower = allowance_borrower.Borrower(self.times)
-        self.book = leased_rate_limiter.ShareBook(self.lender, self.borrower)
+        self.book = leased_rate_limiter.LeasedRateLimiter(
+            self.lender, self.borrower
+        )
         # Whom to ask, by slot: ``host:port`` of holders; only a hint.
         self.holders: dict[int, str] = {}
 
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -31,7 +31,7 @@
 CLOSE_MS = 200
 # A holder that did not answer is not asked again for a while: each request
 # would wait for it in turn.
-SILENT_MS = 2_000
+UNRESPONSIVE_BACKOFF_MS = 2_000
 
 
 class AllowanceService(service.Iface):
@@ -133,7 +133,7 @@
         with self._state.lock:
             now_ms = self.clock.now_ms()
             return isinstance(
-                reservation, leased_rate_limiter.ShareReservation
+                reservation, leased_rate_limiter.LeasedReservation
             ) and self._state.book.is_usable(reservation, now_ms)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
@@ -142,7 +142,7 @@
         :param reservation: what was taken
         :param used: tokens that the caller received or that were computed
         """
-        if isinstance(reservation, leased_rate_limiter.ShareReservation):
+        if isinstance(reservation, leased_rate_limiter.LeasedReservation):
             with self._state.lock:
                 now_ms = self.clock.now_ms()
                 self._state.book.settle(reservation, used, now_ms)
@@ -160,7 +160,7 @@
 
     def _reserve_borrowed(
         self, account: str, tokens: int
-    ) -> leased_rate_limiter.ShareReservation | None:
+    ) -> leased_rate_limiter.LeasedReservation | None:
         # One thread asks for an account at a time.  Many that ask at once
         # would each get a part of what one of them needs.
         end = clock.Deadline(self.clock.now_ms() + BORROW_MS)
@@ -177,7 +177,7 @@
 
     def _ask_holders(
         self, account: str, tokens: int, end: clock.Deadline
-    ) -> leased_rate_limiter.ShareReservation | None:
+    ) -> leased_rate_limiter.LeasedReservation | None:
         for peer in self._list_holders(account):
             is_more = True
             while is_more and not end.has_passed(self.clock.now_ms()):
@@ -199,7 +199,7 @@
     def _list_holders(self, account: str) -> list[str]:
         """Return whom to ask, those who had most left before the others."""
         parts = self._state.parts
-        group = allowance_slots.find_group(account, self._state.groups)
+        group = allowance_slots.compute_group(account, self._state.groups)
         now_ms = self.clock.now_ms()
         with self._state.lock:
             holders = {
@@ -219,7 +219,7 @@
         self,
         peer: str,
         account: str,
-        ask: leased_rate_limiter.Ask,
+        ask: leased_rate_limiter.BorrowPlan,
         end: clock.Deadline,
     ) -> bool:
         """Ask a VM for a loan; tell whether it has more to lend."""
@@ -237,14 +237,16 @@
         )
         with self._state.lock:
             if not answer.is_ok():
-                self._silent[peer] = self.clock.now_ms() + SILENT_MS
+                self._silent[peer] = (
+                    self.clock.now_ms() + UNRESPONSIVE_BACKOFF_MS
+                )
                 borrower.cancel(number, peer)
                 return False
             loan = answer.ok
             self._left[(account, peer)] = loan.left
             borrower.add(
                 number,
-                allowance_borrower.Borrowed(
+                allowance_borrower.BorrowedLoan(
                     number,
                     peer,
                     account,
--- a/mulberryway/controllers/cancelling.py
+++ b/mulberryway/controllers/cancelling.py
@@ -11,7 +11,7 @@
 from mulberryway.controllers import base
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["Cancelling"]
+__all__ = ["CancelController"]
 
 LOG = logging.getLogger(__name__)
 
@@ -19,11 +19,11 @@
 IDLE_MS = 5_000
 # An engine that has not confirmed for so long has lost its memory anyway,
 # or the reconcilers of all VMs find what it still holds.
-GIVE_UP_MS = 60_000
-MOST_DELAY_MS = 2_000
+CANCEL_TIMEOUT_MS = 60_000
+MAX_BACKOFF_MS = 2_000
 # A stopping process waits this long for a confirmation; what it leaves
 # unconfirmed, other VMs' reconcilers find.
-FRESH_MS = 3_000
+RECENT_CANCEL_MS = 3_000
 WORKERS = 8
 
 
@@ -31,16 +31,19 @@
     __slots__ = ("engine", "label", "due_ms", "delay_ms", "give_up_ms")
 
     def __init__(
-        self, engine: upstreams.Engine, label: upstreams.RunLabel, now_ms: int
+        self,
+        engine: upstreams.Engine,
+        label: upstreams.AttemptLabel,
+        now_ms: int,
     ) -> None:
         self.engine = engine
         self.label = label
         self.due_ms = now_ms
         self.delay_ms = PERIOD_MS
-        self.give_up_ms = now_ms + GIVE_UP_MS
+        self.give_up_ms = now_ms + CANCEL_TIMEOUT_MS
 
 
-class Cancelling(base.Controller):
+class CancelController(base.Controller):
     """Frees engine memory that nobody waits for any more.
 
     A cancel is lost when its connection breaks, and the engine would then
@@ -72,10 +75,10 @@
     def is_fresh(self) -> bool:
         """Whether an engine may soon confirm what is open."""
         newest_ms = self._newest_ms
-        return self.clock.now_ms() - newest_ms < FRESH_MS
+        return self.clock.now_ms() - newest_ms < RECENT_CANCEL_MS
 
     def cancel(
-        self, engine: upstreams.Engine, label: upstreams.RunLabel
+        self, engine: upstreams.Engine, label: upstreams.AttemptLabel
     ) -> None:
         """Free what an engine holds for an attempt; returns at once.
 
@@ -130,14 +133,14 @@
         elif now_ms >= cancel.give_up_ms:
             LOG.warning(
                 "a cancel was never confirmed",
-                extra=logs.describe(
+                extra=logs.make_extra(
                     result.error, request_id=cancel.label.request_id
                 ),
             )
             self._end(cancel, "given_up")
         else:
             cancel.due_ms = now_ms + cancel.delay_ms
-            cancel.delay_ms = min(cancel.delay_ms * 2, MOST_DELAY_MS)
+            cancel.delay_ms = min(cancel.delay_ms * 2, MAX_BACKOFF_MS)
             self._wait(cancel)
 
     def _end(self, cancel: _Cancel, result: str) -> None:
--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -14,28 +14,33 @@
 from mulberryway.policy import claim_records
 from mulberryway.policy import member
 
-__all__ = ["ClaimHandler", "FindKeeper", "KeptShard", "make_finder"]
+__all__ = [
+    "ClaimHandler",
+    "FindCoordinator",
+    "ShardClient",
+    "make_coordinator_finder",
+]
 
 # Given a shard's number, returns the keeper's peer address, or none if that
 # is this VM.
-FindKeeper = collections.abc.Callable[[int], str | None]
+FindCoordinator = collections.abc.Callable[[int], str | None]
 
 Record = claim_records.Record
-Waiter = claim_queue.Waiter
+PendingClaim = claim_queue.PendingClaim
 
 # What a keeper may take of an attempt's time; the rest is for writing here.
-KEEPER_SHARE = 0.5
-ENDS_LIMIT_MS = 500
-BUSY_PAUSE_MS = 30
+COORDINATOR_DEADLINE_FRACTION = 0.5
+ENDS_TIMEOUT_MS = 500
+BUSY_RETRY_DELAY_MS = 30
 # The peers' server has eight threads, and membership needs some of them: a
 # slow platform must not make this VM look dead.
-MOST_SERVED = 4
+MAX_CONCURRENT_REQUESTS = 4
 
 
-def make_finder(
+def make_coordinator_finder(
     own: str,
     list_members: collections.abc.Callable[[], list[member.Member]],
-) -> FindKeeper:
+) -> FindCoordinator:
     """Return what finds keepers among the members.
 
     :param own: this VM's name
@@ -43,7 +48,7 @@
     """
 
     def find(shard: int) -> str | None:
-        keeper = claim_coordinators.choose_keeper(shard, list_members())
+        keeper = claim_coordinators.choose_coordinator(shard, list_members())
         if keeper is None or keeper.name == own:
             return None
         return keeper.peer
@@ -51,7 +56,7 @@
     return find
 
 
-class KeptShard:
+class ShardClient:
     """One shard as this VM uses it.
 
     Attempts go to the keeper in batches; if it does not answer well, this
@@ -61,7 +66,7 @@
     :param number: the shard's number
     :param writer: this VM's own end of the log
     :param peers: calls other VMs
-    :param find_keeper: see :data:`FindKeeper`
+    :param find_keeper: see :data:`FindCoordinator`
     :param clock_: where the time comes from
     """
 
@@ -70,7 +75,7 @@
         number: int,
         writer: claim_writer.ClaimWriter,
         peers: client.PeerClient,
-        find_keeper: FindKeeper,
+        find_keeper: FindCoordinator,
         clock_: clock.Clock,
     ) -> None:
         self.writer = writer
@@ -82,7 +87,9 @@
         self._lock = threading.Lock()
         self._ends: dict[str, Record] = {}
 
-    def submit(self, waiters: list[Waiter], deadline: clock.Deadline) -> None:
+    def submit(
+        self, waiters: list[PendingClaim], deadline: clock.Deadline
+    ) -> None:
         """Find out what attempts may do.
 
         :param waiters: attempts of this VM; each has a result afterwards
@@ -142,7 +149,7 @@
             self._number,
             [claim_messages.encode_record(record) for record in ends],
             at_once,
-            timeout_ms=min(limit_ms, ENDS_LIMIT_MS),
+            timeout_ms=min(limit_ms, ENDS_TIMEOUT_MS),
         )
         if sent.is_error() or not sent.ok:
             return False
@@ -152,7 +159,9 @@
                     del self._ends[record.digest]
         return True
 
-    def _ask(self, batch: list[Waiter], deadline: clock.Deadline) -> None:
+    def _ask(
+        self, batch: list[PendingClaim], deadline: clock.Deadline
+    ) -> None:
         """Let the keeper serve a batch, or else this VM's own writer."""
         keeper = self._find_keeper(self._number)
         if keeper is not None:
@@ -163,14 +172,16 @@
             self.writer.submit(left, deadline)
 
     def _ask_keeper(
-        self, keeper: str, sent: list[Waiter], deadline: clock.Deadline
+        self, keeper: str, sent: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
         # Ends go first: a repeat of a call that ended here must find it.
         self._send_ends(keeper, deadline, False)
-        wishes = [claim_messages.pack_wish(waiter.request) for waiter in sent]
+        wishes = [
+            claim_messages.pack_request(waiter.request) for waiter in sent
+        ]
         left_ms = deadline.left_ms(self._clock.now_ms())
         limit = clock.Deadline(
-            self._clock.now_ms() + int(left_ms * KEEPER_SHARE)
+            self._clock.now_ms() + int(left_ms * COORDINATOR_DEADLINE_FRACTION)
         )
         verdicts = self._call_keeper(keeper, wishes, limit)
         if verdicts is None or len(verdicts) != len(sent):
@@ -202,10 +213,12 @@
                 return None
             if answered.ok or not wishes:
                 return answered.ok
-            self._clock.sleep_ms(BUSY_PAUSE_MS)
+            self._clock.sleep_ms(BUSY_RETRY_DELAY_MS)
         return None
 
-    def _settle(self, waiter: Waiter, result: claim_queue.Decided) -> None:
+    def _settle(
+        self, waiter: PendingClaim, result: claim_queue.ClaimResult
+    ) -> None:
         record = result.ok.record
         if waiter.settle(result) or record is None:
             return
@@ -227,7 +240,7 @@
     ) -> None:
         self._writers = writers
         self._clock = clock_
-        self._places = threading.BoundedSemaphore(MOST_SERVED)
+        self._places = threading.BoundedSemaphore(MAX_CONCURRENT_REQUESTS)
 
     def decide(
         self, shard: int, wishes: list[ttypes.Wish], limit_ms: int
@@ -240,7 +253,7 @@
         :returns: a verdict for each, or nothing at all if this VM is busy
         """
         waiters = [
-            Waiter(claim_messages.unpack_wish(wish), is_own=False)
+            PendingClaim(claim_messages.unpack_request(wish), is_own=False)
             for wish in wishes
         ]
         if not self._places.acquire(blocking=False):
@@ -268,7 +281,7 @@
         if not self._places.acquire(blocking=False):
             return False
         try:
-            limit = clock.Deadline(self._clock.now_ms() + ENDS_LIMIT_MS)
+            limit = clock.Deadline(self._clock.now_ms() + ENDS_TIMEOUT_MS)
             return writer.flush(limit)
         finally:
             self._places.release()
--- a/mulberryway/controllers/claim_log.py
+++ b/mulberryway/controllers/claim_log.py
@@ -12,14 +12,14 @@
 from mulberryway.policy import claim_slots
 from mulberryway.policy import claims
 
-__all__ = ["ClaimLog", "MakeShard", "OnFresh"]
+__all__ = ["ClaimLog", "MakeShard", "OnNewRecords"]
 
 LOG = logging.getLogger(__name__)
 
 PURPOSE = "claims"
 
 MakeShard = collections.abc.Callable[[], claims.Shard]
-OnFresh = collections.abc.Callable[[list[claim_records.Record]], None]
+OnNewRecords = collections.abc.Callable[[list[claim_records.Record]], None]
 
 
 class ClaimLog:
@@ -40,7 +40,7 @@
         kind: str,
         store: base.ObjectStore,
         make_shard: MakeShard,
-        on_fresh: OnFresh,
+        on_fresh: OnNewRecords,
     ) -> None:
         self.shard = make_shard()
         self.is_known = False
--- a/mulberryway/controllers/claim_messages.py
+++ b/mulberryway/controllers/claim_messages.py
@@ -13,9 +13,9 @@
     "decode_record",
     "encode_record",
     "pack_result",
-    "pack_wish",
+    "pack_request",
     "unpack_result",
-    "unpack_wish",
+    "unpack_request",
 ]
 
 
@@ -36,7 +36,7 @@
     return claim_records.Record.decode(json.loads(text))
 
 
-def pack_wish(request: claims.ClaimRequest) -> ttypes.Wish:
+def pack_request(request: claims.ClaimRequest) -> ttypes.Wish:
     """Return an attempt's wish as a message.
 
     :param request: the wish
@@ -46,7 +46,7 @@
     )
 
 
-def unpack_wish(wish: ttypes.Wish) -> claims.ClaimRequest:
+def unpack_request(wish: ttypes.Wish) -> claims.ClaimRequest:
     """Return the wish in a message.
 
     :param wish: the message
@@ -55,7 +55,7 @@
     return claims.ClaimRequest(id_, wish.call, wish.owner)
 
 
-def pack_result(result: claim_queue.Decided) -> ttypes.Verdict:
+def pack_result(result: claim_queue.ClaimResult) -> ttypes.Verdict:
     """Return what became of a wish as a message.
 
     :param result: the verdict, or a fault
@@ -69,7 +69,7 @@
     )
 
 
-def unpack_result(verdict: ttypes.Verdict) -> claim_queue.Decided:
+def unpack_result(verdict: ttypes.Verdict) -> claim_queue.ClaimResult:
     """Return what a message says became of a wish.
 
     :param verdict: the message
--- a/mulberryway/controllers/claim_queue.py
+++ b/mulberryway/controllers/claim_queue.py
@@ -9,18 +9,18 @@
 from mulberryway import errors
 from mulberryway.policy import claims
 
-__all__ = ["ClaimQueue", "Decided", "Waiter", "refuse"]
+__all__ = ["ClaimQueue", "ClaimResult", "PendingClaim", "refuse"]
 
 # A batch is bounded so that a slot stays far below the platform's megabyte
 # and one caller's wait does not grow with everybody's.
-MOST_BATCH = 256
+MAX_BATCH_SIZE = 256
 RETRY_AFTER_MS = 1_000
-SETTLING = threading.Lock()
+RESOLVE_LOCK = threading.Lock()
 
-Decided = expression.Result[claims.Decision, errors.Fault]
+ClaimResult = expression.Result[claims.Decision, errors.Fault]
 
 
-class Waiter:
+class PendingClaim:
     """One attempt that waits for its verdict.
 
     :param request: its wish
@@ -35,11 +35,11 @@
     ) -> None:
         self.request = request
         self.is_own = is_own
-        self.result: Decided | None = None
+        self.result: ClaimResult | None = None
         # Its claim was sent, so it may stand in the log.
         self.may_be_written = False
 
-    def settle(self, result: Decided) -> bool:
+    def settle(self, result: ClaimResult) -> bool:
         """Set the result unless there is one already.
 
         An attempt may stand in two queues, the keeper's and this VM's own.
@@ -50,7 +50,7 @@
         :param result: the verdict, or a fault
         :returns: whether the attempt gets it
         """
-        with SETTLING:
+        with RESOLVE_LOCK:
             if self.result is None:
                 self.result = result
                 return True
@@ -61,12 +61,12 @@
 
         :returns: false if it has a result already
         """
-        with SETTLING:
+        with RESOLVE_LOCK:
             self.may_be_written |= self.result is None
             return self.result is None
 
 
-Serve = collections.abc.Callable[[list[Waiter], clock.Deadline], None]
+Serve = collections.abc.Callable[[list[PendingClaim], clock.Deadline], None]
 
 
 class ClaimQueue:
@@ -89,9 +89,11 @@
         self._served_ms = clock_.now_ms() - pace_ms
         self._lock = threading.Lock()
         self._serving = threading.Lock()
-        self._waiters: list[Waiter] = []
+        self._waiters: list[PendingClaim] = []
 
-    def submit(self, waiters: list[Waiter], deadline: clock.Deadline) -> None:
+    def submit(
+        self, waiters: list[PendingClaim], deadline: clock.Deadline
+    ) -> None:
         """Wait until attempts have their verdicts.
 
         :param waiters: the attempts; each has a result afterwards
@@ -132,13 +134,13 @@
         self._served_ms = self._clock.now_ms()
         self._serve(self._take_batch(), deadline)
 
-    def _take_batch(self) -> list[Waiter]:
+    def _take_batch(self) -> list[PendingClaim]:
         with self._lock:
-            batch = self._waiters[:MOST_BATCH]
-            del self._waiters[:MOST_BATCH]
+            batch = self._waiters[:MAX_BATCH_SIZE]
+            del self._waiters[:MAX_BATCH_SIZE]
         return batch
 
-    def _give_up(self, waiters: list[Waiter]) -> None:
+    def _give_up(self, waiters: list[PendingClaim]) -> None:
         fault = refuse("the claim was not made in time")
         with self._lock:
             self._waiters = [
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -17,20 +17,20 @@
 
 Record = claim_records.Record
 ClaimState = claim_records.ClaimState
-Waiter = claim_queue.Waiter
+PendingClaim = claim_queue.PendingClaim
 
 # Ends of calls that are not written yet, as in an outage.  What is dropped
 # beyond this answers repeats with "may have run" instead of the reply.
-MOST_ENDS = 4_096
-MOST_END_BYTES = 65_536
-MOST_ABANDONED = 16_384
+MAX_PENDING_ENDS = 4_096
+MAX_END_BYTES = 65_536
+MAX_ABANDONED = 16_384
 # The least time between two writes of claims to one shard.  With one writer
 # a shard, all shards together write at most 160 times a second, however many
 # calls there are, and twice a second each for ends that no claim took along;
 # a call that comes after a quiet time does not wait.
-PACE_MS = 100
+MIN_WRITE_INTERVAL_MS = 100
 # A VM that no longer writes a shard need not keep its megabyte in memory.
-FORGET_MS = 60_000
+VIEW_IDLE_TIMEOUT_MS = 60_000
 
 
 class ClaimWriter:
@@ -57,11 +57,15 @@
         self._clock = clock_
         self._used_ms = clock_.now_ms()
         self._lock = threading.Lock()
-        self._queue = claim_queue.ClaimQueue(clock_, self._write, PACE_MS)
+        self._queue = claim_queue.ClaimQueue(
+            clock_, self._write, MIN_WRITE_INTERVAL_MS
+        )
         self._ends: dict[str, Record] = {}
         self._abandoned: dict[str, None] = {}
 
-    def submit(self, waiters: list[Waiter], deadline: clock.Deadline) -> None:
+    def submit(
+        self, waiters: list[PendingClaim], deadline: clock.Deadline
+    ) -> None:
         """Find out what attempts may do; ``OWNED`` means: run the call.
 
         :param waiters: the attempts; afterwards each has a verdict other
@@ -72,7 +76,7 @@
         for waiter in waiters:
             self.abandon(waiter)
 
-    def abandon(self, waiter: Waiter) -> None:
+    def abandon(self, waiter: PendingClaim) -> None:
         """Remember that an attempt will not run though its claim may stand.
 
         Its caller was told "not run" and may repeat the call; the claim
@@ -87,7 +91,7 @@
             return
         with self._lock:
             self._abandoned[waiter.request.owner] = None
-            while len(self._abandoned) > MOST_ABANDONED:
+            while len(self._abandoned) > MAX_ABANDONED:
                 self._abandoned.pop(next(iter(self._abandoned)))
 
     def note_end(self, record: Record) -> None:
@@ -97,7 +101,7 @@
         """
         with self._lock:
             self._ends[record.digest] = record
-            while len(self._ends) > MOST_ENDS:
+            while len(self._ends) > MAX_PENDING_ENDS:
                 self._ends.pop(next(iter(self._ends)))
 
     def flush(self, deadline: clock.Deadline) -> bool:
@@ -116,10 +120,12 @@
     def _is_unused(self) -> bool:
         return (
             self.log.shard.has_slots()
-            and self._clock.now_ms() - self._used_ms > FORGET_MS
+            and self._clock.now_ms() - self._used_ms > VIEW_IDLE_TIMEOUT_MS
         )
 
-    def _write(self, batch: list[Waiter], deadline: clock.Deadline) -> None:
+    def _write(
+        self, batch: list[PendingClaim], deadline: clock.Deadline
+    ) -> None:
         """Write for a batch; only one thread at a time does."""
         if not batch and not self._ends and self._is_unused():
             self.log.forget()
@@ -138,7 +144,7 @@
         for waiter in batch:
             waiter.settle(expression.Error(refusal))
 
-    def _try_once(self, batch: list[Waiter]) -> errors.Fault | None:
+    def _try_once(self, batch: list[PendingClaim]) -> errors.Fault | None:
         """Decide and append once; return why it has to be done again."""
         fault = self.log.read_news()
         if fault is not None:
@@ -155,8 +161,8 @@
         return fault
 
     def _sort_out(
-        self, batch: list[Waiter]
-    ) -> tuple[list[Waiter], list[Record]]:
+        self, batch: list[PendingClaim]
+    ) -> tuple[list[PendingClaim], list[Record]]:
         """Settle whom the log answers; return who needs an append.
 
         :returns: attempts to grant, at most one for each call, and ends of
@@ -164,7 +170,7 @@
         """
         ends = self._pick_ends()
         known = {record.digest: record for record in ends}
-        claimed: dict[str, Waiter] = {}
+        claimed: dict[str, PendingClaim] = {}
         for waiter in batch:
             if waiter.result is not None:
                 continue
@@ -193,14 +199,16 @@
             for record in self._ends.values():
                 size += len(record.reply.body) if record.reply else 0
                 if (
-                    size > MOST_END_BYTES
-                    or len(picked) >= claim_queue.MOST_BATCH
+                    size > MAX_END_BYTES
+                    or len(picked) >= claim_queue.MAX_BATCH_SIZE
                 ):
                     break
                 picked.append(record)
         return picked
 
-    def _decide(self, waiter: Waiter, end: Record | None) -> claims.Decision:
+    def _decide(
+        self, waiter: PendingClaim, end: Record | None
+    ) -> claims.Decision:
         decision = self.log.shard.decide(waiter.request, self._clock.wall_ms())
         unfinished = decision.verdict is claims.Verdict.UNFINISHED
         if end is None or not unfinished or decision.record.owner != end.owner:
@@ -210,10 +218,12 @@
         # The release is appended in the same write, before this claim.
         return claims.Decision(claims.Verdict.FREE)
 
-    def _settle(self, waiter: Waiter, decision: claims.Decision) -> None:
+    def _settle(self, waiter: PendingClaim, decision: claims.Decision) -> None:
         waiter.settle(expression.Ok(decision))
 
-    def _settle_written(self, free: list[Waiter], ends: list[Record]) -> None:
+    def _settle_written(
+        self, free: list[PendingClaim], ends: list[Record]
+    ) -> None:
         for waiter in free:
             decision = self.log.shard.decide(
                 waiter.request, self._clock.wall_ms()
@@ -250,7 +260,7 @@
 
 
 def _is_lost(fault: errors.Fault) -> bool:
-    return fault.run is errors.Run.MAY_HAVE_RUN
+    return fault.run is errors.ExecutionStatus.MAY_HAVE_RUN
 
 
 def _moved() -> errors.Fault:
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -24,17 +24,19 @@
 __all__ = ["ClaimStore", "Grant"]
 
 FLUSH_MS = 500
-FLUSH_LIMIT_MS = 1_000
-RELEASE_LIMIT_MS = 200
+FLUSH_TIMEOUT_MS = 1_000
+RELEASE_TIMEOUT_MS = 200
 # A claim takes some milliseconds.  A platform that takes calls and does not
 # answer is told from that long before a caller's own patience ends.
-DECIDE_LIMIT_MS = 3_000
+DECIDE_TIMEOUT_MS = 3_000
 # A repeat that waits for the first attempt holds a worker thread; a caller
 # that repeats a slow call in a loop must not take all of them.
-MOST_FOLLOWERS = 8
+MAX_WAITING_DUPLICATES = 8
 RETRY_AFTER_MS = 1_000
 
-Began = expression.Result["Grant | claim_records.KeptReply", errors.Fault]
+BeginResult = expression.Result[
+    "Grant | claim_records.KeptReply", errors.Fault
+]
 Verdict = claims.Verdict
 ClaimState = claim_records.ClaimState
 
@@ -73,10 +75,10 @@
         clock_: clock.Clock,
         vm: str,
         incarnation: int,
-        shards: int = claims.SHARDS,
+        shards: int = claims.SHARD_COUNT,
         make_shard: collections.abc.Callable[[], claims.Shard] = claims.Shard,
         peers: client.PeerClient | None = None,
-        find_keeper: claim_coordination.FindKeeper = lambda shard: None,
+        find_keeper: claim_coordination.FindCoordinator = lambda shard: None,
     ) -> None:
         super().__init__("claims", clock_, FLUSH_MS)
         self._prefix = f"{vm}/{incarnation}/"
@@ -89,7 +91,7 @@
         ]
         self.handler = claim_coordination.ClaimHandler(writers, clock_)
         self._shards = [
-            claim_coordination.KeptShard(
+            claim_coordination.ShardClient(
                 number, writer, peers, find_keeper, clock_
             )
             for number, writer in enumerate(writers)
@@ -103,7 +105,7 @@
         for shard in self._shards:
             if self.is_stopping():
                 return
-            shard.flush(self._limit(FLUSH_LIMIT_MS))
+            shard.flush(self._limit(FLUSH_TIMEOUT_MS))
 
     def stop(self, wait_ms: int = 2_000) -> None:
         """Write what is left, then end the thread.
@@ -117,17 +119,17 @@
 
     def begin(
         self, account: str, key: str, call: str, deadline: clock.Deadline
-    ) -> Began:
+    ) -> BeginResult:
         """Ask to run a call.
 
         :param account: the client account
         :param key: its ``Idempotency-Key``
-        :param call: see :func:`claim_records.digest_call`
+        :param call: see :func:`claim_records.fingerprint_call`
         :param deadline: when the attempt gives up
         :returns: the right to run it, or the reply that it had before, or
             why neither
         """
-        id_ = claim_records.read_id(account, key)
+        id_ = claim_records.parse_claim_id(account, key)
         if id_ is None:
             return _refuse(
                 errors.Code.REQUEST_ID_REQUIRED,
@@ -143,8 +145,8 @@
     def end(
         self,
         grant: Grant,
-        run: errors.Run,
-        reply: claim_records.KeptReply | None = None,
+        run: errors.ExecutionStatus,
+        reply: claim_records.CachedReply | None = None,
     ) -> None:
         """Note how a granted call came to its end; called once.
 
@@ -158,28 +160,28 @@
         :param reply: what the service replied
         """
         shard = self._find_shard(grant.claim.digest)
-        if run is errors.Run.RAN:
+        if run is errors.ExecutionStatus.RAN:
             kept = reply if reply is not None and reply.fits() else None
             shard.note_end(grant.claim.end(ClaimState.DONE, kept))
-        elif run is errors.Run.NOT_RUN:
+        elif run is errors.ExecutionStatus.NOT_RUN:
             shard.note_end(grant.claim.end(ClaimState.RELEASED, None))
-            shard.flush(self._limit(RELEASE_LIMIT_MS), at_once=True)
+            shard.flush(self._limit(RELEASE_TIMEOUT_MS), at_once=True)
         with self._lock:
             self._running.pop(grant.claim.owner, None)
         grant.ended.set()
 
     def _decide(
         self, id_: claim_records.ClaimId, call: str, deadline: clock.Deadline
-    ) -> claim_queue.Decided:
+    ) -> claim_queue.ClaimResult:
         owner = f"{self._prefix}{next(self._numbers)}"
         request = claims.ClaimRequest(id_, call, owner)
-        limit = self._limit(DECIDE_LIMIT_MS)
+        limit = self._limit(DECIDE_TIMEOUT_MS)
         limit.at_ms = min(limit.at_ms, deadline.at_ms)
-        waiter = claim_queue.Waiter(request)
+        waiter = claim_queue.PendingClaim(request)
         self._find_shard(id_.digest).submit([waiter], limit)
         return waiter.result
 
-    def _answer(self, decision: claims.Decision) -> Began:
+    def _answer(self, decision: claims.Decision) -> BeginResult:
         if decision.verdict is Verdict.OWNED:
             grant = Grant(decision.record)
             with self._lock:
@@ -189,7 +191,8 @@
             if decision.record.reply is not None:
                 return expression.Ok(decision.record.reply)
             return _refuse_repeat(
-                errors.Run.RAN, "the call ran; its reply was too large to keep"
+                errors.ExecutionStatus.RAN,
+                "the call ran; its reply was too large to keep",
             )
         return _explain(decision)
 
@@ -206,7 +209,7 @@
             return False
         with self._lock:
             grant = self._running.get(decision.record.owner)
-            if grant is None or self._followers >= MOST_FOLLOWERS:
+            if grant is None or self._followers >= MAX_WAITING_DUPLICATES:
                 return False
             self._followers += 1
         try:
@@ -216,14 +219,14 @@
             with self._lock:
                 self._followers -= 1
 
-    def _find_shard(self, digest: str) -> claim_coordination.KeptShard:
+    def _find_shard(self, digest: str) -> claim_coordination.ShardClient:
         return self._shards[claims.pick_shard(digest, len(self._shards))]
 
     def _limit(self, limit_ms: int) -> clock.Deadline:
         return clock.Deadline(self.clock.now_ms() + limit_ms)
 
 
-def _explain(decision: claims.Decision) -> Began:
+def _explain(decision: claims.Decision) -> BeginResult:
     if decision.verdict is Verdict.REUSED:
         return _refuse(
             errors.Code.REQUEST_ID_REUSED,
@@ -236,25 +239,27 @@
         )
     if decision.verdict is Verdict.FORGOTTEN:
         return _refuse_repeat(
-            errors.Run.MAY_HAVE_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN,
             "the Idempotency-Key is too old to tell whether the call ran",
         )
     return _refuse_repeat(
-        errors.Run.MAY_HAVE_RUN,
+        errors.ExecutionStatus.MAY_HAVE_RUN,
         "the same call was begun before and its end is not known",
         RETRY_AFTER_MS,
     )
 
 
-def _refuse(code: errors.Code, message: str) -> Began:
+def _refuse(code: errors.Code, message: str) -> BeginResult:
     return expression.Error(
         errors.Fault(code, errors.Step.ADMISSION, message=message)
     )
 
 
 def _refuse_repeat(
-    run: errors.Run, message: str, retry_after_ms: int | None = None
-) -> Began:
+    run: errors.ExecutionStatus,
+    message: str,
+    retry_after_ms: int | None = None,
+) -> BeginResult:
     return expression.Error(
         errors.Fault(
             errors.Code.DUPLICATE,
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -23,16 +23,16 @@
 
 LOG = logging.getLogger(__name__)
 
-READ = "configuration_read"
+READ_PURPOSE = "configuration_read"
 PERIOD_MS = 1_000
 # The chosen VMs ask the platform this often, so that confirmations spread.
-CONFIRM_MS = 2_000
+CONFIRM_INTERVAL_MS = 2_000
 # A VM whose confirmation is older than passing on explains asks the
 # platform itself.  Each waits longer the more VMs there are, so that a cut
 # between VMs costs the platform at most some twenty reads a second.
-OLD_MS = 8_000
+STALE_CONFIRMATION_MS = 8_000
 READ_SPACING_MS = 50
-ASKED_PEERS = 3
+PEER_SAMPLE_SIZE = 3
 # With an old confirmation, most VMs are asked within this many steps; with
 # 410 VMs that is 41 questions a second until the platform answers again.
 QUORUM_STEPS = 5
@@ -57,7 +57,7 @@
         rng: random.Random,
     ) -> None:
         super().__init__("configuration", clock_, PERIOD_MS)
-        self.in_force = tables_in_force.TablesInForce(
+        self.in_force = tables_in_force.ActiveTables(
             clock_,
             settings_.configuration_fresh_ms,
             settings_.configuration_outage_ms,
@@ -72,7 +72,7 @@
         self._next_read_ms = 0
         self._last_judged: freshness.Freshness | None = None
         self._heard_ms: dict[str, int] = {}
-        self._fleet = peak_fleet_size.FleetPeak()
+        self._fleet = peak_fleet_size.PeakFleetSize()
 
     def step(self) -> None:
         """Follow news, ask a peer or the platform, and judge freshness."""
@@ -144,7 +144,7 @@
             for peer in self._peers.list_peers()
             if peer.region == region
         ]
-        return configuration_watch.is_chosen(
+        return configuration_watch.is_selected_watcher(
             self._settings.vm_name,
             names,
             self._settings.configuration_watchers,
@@ -156,7 +156,9 @@
         :returns: whether it confirmed or brought a root
         """
         asked_ms = self.clock.now_ms()
-        found = self._store.read(root_store.KIND, root_store.NAME, READ)
+        found = self._store.read(
+            root_store.KIND, root_store.NAME, READ_PURPOSE
+        )
         if found.is_error():
             return False
         revision = self.offer_value(found.ok.value)
@@ -218,7 +220,10 @@
         offer = self.in_force.offer(
             root, lambda missing: self._fetch(missing, address)
         )
-        good = (tables_in_force.Offer.TAKEN, tables_in_force.Offer.KNOWN)
+        good = (
+            tables_in_force.OfferResult.TAKEN,
+            tables_in_force.OfferResult.KNOWN,
+        )
         return root.revision if offer in good else None
 
     def _fetch(self, missing: list[str], address: str) -> dict[str, bytes]:
@@ -245,12 +250,12 @@
         if now_ms < self._next_read_ms:
             return False
         age_ms = self.in_force.age_ms()
-        is_old = age_ms is None or age_ms > OLD_MS
+        is_old = age_ms is None or age_ms > STALE_CONFIRMATION_MS
         if self.is_watcher():
-            self._next_read_ms = now_ms + CONFIRM_MS
+            self._next_read_ms = now_ms + CONFIRM_INTERVAL_MS
             return True
         if is_old:
-            spacing_ms = max(CONFIRM_MS, READ_SPACING_MS * len(peers))
+            spacing_ms = max(CONFIRM_INTERVAL_MS, READ_SPACING_MS * len(peers))
             self._next_read_ms = now_ms + self._random.randint(
                 spacing_ms // 2, spacing_ms * 3 // 2
             )
@@ -258,16 +263,18 @@
 
     def _ask_peers(self, peers: list[configuration_peers.PeerVm]) -> None:
         age_ms = self.in_force.age_ms()
-        if age_ms is not None and age_ms <= OLD_MS:
-            asked = self._random.sample(peers, min(ASKED_PEERS, len(peers)))
+        if age_ms is not None and age_ms <= STALE_CONFIRMATION_MS:
+            asked = self._random.sample(
+                peers, min(PEER_SAMPLE_SIZE, len(peers))
+            )
             any(self.pull(peer.address) for peer in asked)
             return
         shuffled = self._random.sample(peers, len(peers))
         longest_ago = sorted(
             shuffled, key=lambda peer: self._heard_ms.get(peer.address, 0)
         )
-        needed = freshness.count_needed(self._fleet.most)
-        count = ASKED_PEERS + needed // QUORUM_STEPS
+        needed = freshness.count_quorum_peers(self._fleet.most)
+        count = PEER_SAMPLE_SIZE + needed // QUORUM_STEPS
         for peer in longest_ago[:count]:
             self.pull(peer.address)
 
@@ -286,7 +293,7 @@
         # A VM that was started during a cut has a small fleet confirmed;
         # what it has seen alive since counts too.
         fleet_size = max(confirmation.fleet_size, self._fleet.most)
-        needed = freshness.count_needed(fleet_size)
+        needed = freshness.count_quorum_peers(fleet_size)
         if not self.in_force.is_witness():
             needed += 1
         times = sorted(self._heard_ms.values(), reverse=True)
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -10,7 +10,7 @@
 __all__ = ["ConfigurationHandler"]
 
 # Well under the transport's limit on a frame; the asker asks again.
-MOST_REPLY_BYTES = 500_000
+MAX_REPLY_BYTES = 500_000
 
 
 class ConfigurationHandler(Configuration.Iface):
@@ -47,7 +47,7 @@
             roots.encode_content(root.encode()) if is_newer else b"",
             age_ms,
             fleet_size,
-            judged is not freshness.Freshness.CUT_OFF,
+            judged is not freshness.Freshness.PARTITIONED,
             in_force.is_witness(),
         )
 
@@ -63,7 +63,7 @@
             if content is None:
                 continue
             size += len(content)
-            if found and size > MOST_REPLY_BYTES:
+            if found and size > MAX_REPLY_BYTES:
                 break
             found.append(ttypes.Segment(digest, content))
         return found
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -117,7 +117,7 @@
             one.zone,
             one.region,
             one.peer,
-            one.health is not member.Health.DEAD,
+            one.health is not member.MemberStatus.DEAD,
         )
         for one in members.list_members()
         if one.name != members.own.name
--- a/mulberryway/controllers/configuration_watch.py
+++ b/mulberryway/controllers/configuration_watch.py
@@ -11,15 +11,15 @@
 from mulberryway.objects import base as platform
 from mulberryway.objects import roots
 
-__all__ = ["RootWatch", "WatchTarget", "is_chosen"]
+__all__ = ["RootWatch", "WatchTarget", "is_selected_watcher"]
 
 LOG = logging.getLogger(__name__)
 
-WATCH = "configuration_watch"
+WATCH_PURPOSE = "configuration_watch"
 PERIOD_MS = 500
 
 
-def is_chosen(
+def is_selected_watcher(
     name: str, others: collections.abc.Collection[str], count: int
 ) -> bool:
     """Tell whether a VM is among those that watch, by rendezvous hashing.
@@ -85,13 +85,13 @@
         """Watch until the watch ends or another VM is chosen."""
         if not self._target.is_watcher():
             return
-        found = self._store.read(roots.KIND, roots.NAME, WATCH)
+        found = self._store.read(roots.KIND, roots.NAME, WATCH_PURPOSE)
         version = 0
         if found.is_ok():
             version = found.ok.version
             self._take(found.ok.value)
         events = self._store.watch(
-            roots.KIND, version, self._silence_ms, WATCH
+            roots.KIND, version, self._silence_ms, WATCH_PURPOSE
         )
         for event in events:
             if event.is_error():
--- a/mulberryway/controllers/dissemination.py
+++ b/mulberryway/controllers/dissemination.py
@@ -17,8 +17,8 @@
 IDLE_MS = 1_000
 # In a fleet of more VMs than this, what they tell comes by the hundred
 # datagrams a second, and may wait a little to be read together.
-PROMPT_VMS = 40
-GATHER_MS = 20
+MAX_UNBATCHED_VMS = 40
+RECEIVE_BATCH_MS = 20
 DIRECTIONS = {True: "sent", False: "received"}
 
 
@@ -34,7 +34,7 @@
 
     def __init__(self, own: member.Member, clock_: clock.Clock) -> None:
         super().__init__("dissemination", clock_, IDLE_MS)
-        self.datagrams: datagrams.Datagrams | None = None
+        self.datagrams: datagrams.DatagramTransport | None = None
         self.on_items: collections.abc.Callable[[list[bytes]], None] = (
             lambda items: None
         )
@@ -52,8 +52,8 @@
             self._addresses = {one.name: one.address for one in receivers}
             self._disseminator.change_receivers(receivers)
         if self.datagrams is not None:
-            is_large = len(alive) > PROMPT_VMS
-            self.datagrams.gather_ms = GATHER_MS if is_large else 0
+            is_large = len(alive) > MAX_UNBATCHED_VMS
+            self.datagrams.gather_ms = RECEIVE_BATCH_MS if is_large else 0
 
     def find_address(self, name: str) -> str:
         """Return where a VM answers peers; empty if it is not known.
@@ -99,7 +99,7 @@
         :param payload: its payload
         :param sender: ``host:port`` of the VM that sent it
         """
-        envelope = envelopes.read_envelope(payload)
+        envelope = envelopes.decode_envelope(payload)
         with self._lock:
             packets = self._disseminator.take(
                 envelope, sender, self.clock.now_ms()
@@ -169,7 +169,7 @@
         for packet in packets:
             key = id(packet.envelope)
             if key not in payloads:
-                payloads[key] = envelopes.write_envelope(packet.envelope)
+                payloads[key] = envelopes.encode_envelope(packet.envelope)
             self.datagrams.send(
                 packet.address,
                 payloads[key],
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -12,21 +12,21 @@
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
-__all__ = ["EngineReports"]
+__all__ = ["EngineReportController"]
 
 # An engine's report lags by some hundred milliseconds itself, so asking more
 # often than this tells nothing new.
-LEAST_PERIOD_MS = 500
+MIN_PERIOD_MS = 500
 # Bounds the processor time that reports take: with more engines each is asked
 # more seldom.
-MOST_CALLS_PER_S = 12
+MAX_CALLS_PER_S = 12
 CALLS_PER_ENGINE = 2
 MS_IN_S = 1_000
 # One engine that does not answer must not hold the others' reports up.
 WORKERS = 4
 
 
-class EngineReports(base.Controller):
+class EngineReportController(base.Controller):
     """Asks the engines that fall to this router, and tells its cell.
 
     :param notes_: knows the cell, and carries what was learnt to it
@@ -39,14 +39,14 @@
 
     def __init__(
         self,
-        notes_: scheduler_gossip.NotesController,
-        scheduling_: scheduling.Scheduling,
+        notes_: scheduler_gossip.SchedulerGossipController,
+        scheduling_: scheduling.SchedulingController,
         directory_: directory.UpstreamDirectory,
         source: tables.TableSource,
         vm: str,
         clock_: clock.Clock,
     ) -> None:
-        super().__init__("engine-reports", clock_, LEAST_PERIOD_MS)
+        super().__init__("engine-reports", clock_, MIN_PERIOD_MS)
         self._notes = notes_
         self._scheduling = scheduling_
         self._directory = directory_
@@ -64,9 +64,7 @@
             return
         asked = self._list_asked(found)
         calls = len(asked) * CALLS_PER_ENGINE
-        self.period_ms = max(
-            LEAST_PERIOD_MS, calls * MS_IN_S // MOST_CALLS_PER_S
-        )
+        self.period_ms = max(MIN_PERIOD_MS, calls * MS_IN_S // MAX_CALLS_PER_S)
         list(self._workers.map(lambda one: self._ask(*one), asked))
 
     def stop(self, wait_ms: int = 2_000) -> None:
@@ -89,7 +87,7 @@
 
     def _list_asked(
         self, found: tables.Tables
-    ) -> list[tuple[pool_subsets.Share, tables.Pool, tables.Upstream]]:
+    ) -> list[tuple[pool_subsets.PoolSubset, tables.Pool, tables.Upstream]]:
         return [
             (share, found.pools[share.pool], upstream)
             for share in self._notes.shares
@@ -98,7 +96,7 @@
         ]
 
     def _list_own(
-        self, share: pool_subsets.Share, pool: tables.Pool
+        self, share: pool_subsets.PoolSubset, pool: tables.Pool
     ) -> list[tables.Upstream]:
         vms = [*share.peers, self._vm]
         considered = set(share.upstreams)
@@ -106,12 +104,12 @@
             upstream
             for upstream in pool.upstreams
             if upstream.name in considered
-            and pool_subsets.choose_reporter(upstream.name, vms) == self._vm
+            and pool_subsets.choose_load_poller(upstream.name, vms) == self._vm
         ]
 
     def _ask(
         self,
-        share: pool_subsets.Share,
+        share: pool_subsets.PoolSubset,
         pool: tables.Pool,
         upstream: tables.Upstream,
     ) -> None:
@@ -122,10 +120,10 @@
         events = self._read_events(engine, (pool.name, upstream.name))
         self._scheduling.note_load(pool.name, upstream.name, load.ok)
         self._scheduling.note_cache_events(pool.name, upstream.name, events)
-        news = gossip_messages.EngineNews(
+        news = gossip_messages.EngineReport(
             pool.name, upstream.name, load.ok, events
         )
-        self._notes.send(gossip_messages.write_news(news), share.peers)
+        self._notes.send(gossip_messages.encode_report(news), share.peers)
 
     def _read_events(
         self, engine: upstreams.Engine, key: tuple[str, str]
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -21,10 +21,10 @@
 IDLE_MS = 250
 # A VM that asks the store tells at least this often that it is reached, or
 # all others would take it for away and ask themselves.
-WATCHER_MS = 1_500
+WATCHER_HEARTBEAT_MS = 1_500
 # A refusal tells when to come back; within it the others' counts arrive too.
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 5_000
+MIN_RETRY_MS = 200
+MAX_RETRY_MS = 5_000
 
 
 class FleetAllowances(base.Controller, allowance.Allowances):
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        book: usage.UsageBook,
+        book: usage.ReplicatedRateLimiter,
         read_mirrors: collections.abc.Callable[[], dict[str, int]],
         is_store_reached: collections.abc.Callable[[], bool | None],
         clock_: clock.Clock,
@@ -77,7 +77,7 @@
         # store tell it at once, the others with their next heartbeat.
         now_ms = self.clock.now_ms()
         has_changed = (mirrors, is_reached) != self._told
-        is_due = now_ms - self._told_ms >= WATCHER_MS
+        is_due = now_ms - self._told_ms >= WATCHER_HEARTBEAT_MS
         is_news = (has_changed or is_due) and is_reached is not None
         self._told = mirrors, is_reached
         with self._lock:
@@ -86,7 +86,7 @@
             self._told_ms = now_ms
             message.is_store_reached = is_reached
             self.send_all(
-                gossip_messages.write_usage(message), not message.is_heartbeat
+                gossip_messages.encode_usage(message), not message.is_heartbeat
             )
 
     def take(self, told: usage.Usage) -> None:
@@ -143,7 +143,7 @@
             errors.Step.ADMISSION,
             account,
             message="the account has used its rate and burst",
-            retry_after_ms=min(max(wait_ms, LEAST_RETRY_MS), MOST_RETRY_MS),
+            retry_after_ms=min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS),
         )
         fault.inputs = inputs | {"tokens": tokens}
         return expression.Error(fault)
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -9,18 +9,18 @@
 from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
 
-__all__ = ["KeptReport", "report"]
+__all__ = ["RetainedObjectReport", "report"]
 
 LOG = logging.getLogger(__name__)
 
 # Names in one log line, whose length is bounded so.
-MOST_NAMED = 8
+MAX_LOGGED_NAMES = 8
 
-Kept = collections.abc.Sequence[mirrors.KeptObject]
+Kept = collections.abc.Sequence[mirrors.RetainedObject]
 Fields = dict[str, typing.Any]
 
 
-class KeptReport:
+class RetainedObjectReport:
     """Counts one kind's removals that take effect late, and logs them.
 
     :param kind: the plural kind
@@ -34,7 +34,7 @@
     __slots__ = ("kind", "kept", "expired", "delay_ms", "_detector")
 
     def __init__(
-        self, kind: str, detector: mass_expiry.LapseDetector | None
+        self, kind: str, detector: mass_expiry.MassExpiryDetector | None
     ) -> None:
         self.kind = kind
         self.kept = 0
@@ -51,7 +51,7 @@
         first = kept[0]
         LOG.warning(
             "removed objects are kept for a while",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 **self._describe(kept),
                 keeps_ms=first.until_ms - now_ms,
                 **self._describe_absence(first.absence, now_ms),
@@ -68,7 +68,7 @@
         self.delay_ms += sum(now_ms - one.noticed_ms for one in expired)
         LOG.warning(
             "kept objects are given up",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 **self._describe(expired),
                 kept_ms=now_ms - min(one.noticed_ms for one in expired),
                 overdue_ms=now_ms - min(one.until_ms for one in expired),
@@ -78,13 +78,13 @@
     def _describe(self, kept: Kept) -> Fields:
         return {
             "kind": self.kind,
-            "objects": [one.object.name for one in kept[:MOST_NAMED]],
+            "objects": [one.object.name for one in kept[:MAX_LOGGED_NAMES]],
             "count": len(kept),
             "revision": max(one.revision for one in kept),
         }
 
     def _describe_absence(
-        self, absence: mass_expiry.Absence | None, now_ms: int
+        self, absence: mass_expiry.UnreachablePeriod | None, now_ms: int
     ) -> Fields:
         if absence is None or self._detector is None:
             return {"cause": "many went at once, here or at another VM"}
@@ -99,7 +99,7 @@
 
 
 def report(
-    reports: collections.abc.Collection[KeptReport],
+    reports: collections.abc.Collection[RetainedObjectReport],
     metrics_: metrics.Metrics,
 ) -> None:
     """Let removals that take effect late appear among a process's metrics.
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -15,23 +15,23 @@
 from mulberryway.policy import member
 from mulberryway.policy import membership
 
-__all__ = ["MembershipController", "find_incarnation"]
+__all__ = ["MembershipController", "choose_incarnation"]
 
 # A new piece of urgent news goes to this many VMs at once, and each of them
 # does the same: with 410 VMs everybody has it after about five hops.
 FAN_OUT = 3
 # A flood of news must not turn into a flood of messages: what comes within
 # this pause goes out with the next regular probe at the latest.
-URGENT_PAUSE_MS = 50
+URGENT_MIN_INTERVAL_MS = 50
 # All VMs together read the platform's list this often; each of n reads it
 # every n times this, so the platform's load does not grow with the fleet.
-LIST_MS = 10_000
+LIST_INTERVAL_MS = 10_000
 # A VM that knows nobody has nothing else to go by.
-ALONE_LIST_MS = 5_000
+ISOLATED_LIST_INTERVAL_MS = 5_000
 DEAD_PROBE_PERIODS = 10
 
 
-def find_incarnation(
+def choose_incarnation(
     name: str,
     seeds: collections.abc.Iterable[str],
     peers: client.PeerClient,
@@ -64,7 +64,7 @@
     return max([clock_.wall_ms(), *(number + 1 for number in known)])
 
 
-class MembershipController(base.Controller, endpoints.EntryDirectory):
+class MembershipController(base.Controller, endpoints.EndpointDirectory):
     """Probes other VMs, answers their probes, and spreads hints.
 
     :param own: this VM
@@ -136,12 +136,12 @@
                     sorted(
                         one.name
                         for one in self._view.list_members()
-                        if one.health is not member.Health.DEAD
+                        if one.health is not member.MemberStatus.DEAD
                     )
                 )
             return self._alive
 
-    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         """Return addresses in the order in which a caller should try them.
 
         :param caller_zone: the caller's zone; empty if not known
@@ -156,7 +156,7 @@
                 self.exchange.revision,
                 now_ms,
             )
-            return endpoints.choose_addresses(
+            return endpoints.choose_endpoints(
                 self._view.list_members(), caller_zone, self._random, now_ms
             )
 
@@ -269,7 +269,7 @@
     def _hurry(self) -> None:
         self._is_urgent = True
         now_ms = self.clock.now_ms()
-        if now_ms - self._urgent_ms >= URGENT_PAUSE_MS:
+        if now_ms - self._urgent_ms >= URGENT_MIN_INTERVAL_MS:
             self._urgent_ms = now_ms
             self.wake()
 
@@ -312,7 +312,11 @@
             return
         with self._lock:
             count = len(self._view.list_members())
-        pause_ms = ALONE_LIST_MS if count == 1 else LIST_MS * count
+        pause_ms = (
+            ISOLATED_LIST_INTERVAL_MS
+            if count == 1
+            else LIST_INTERVAL_MS * count
+        )
         # Spread, else VMs that started together would read together.
         spread_ms = self._random.randint(pause_ms // 2, pause_ms * 3 // 2)
         self._next_list_ms = now_ms + spread_ms
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -40,7 +40,7 @@
     ) -> None:
         self.lock = threading.RLock()
         self.view = view
-        self.board = broadcast_queue.HintBoard()
+        self.board = broadcast_queue.BroadcastQueue()
         self.revision = 0
         self.streams = 0
         self.on_hint: dict[str, list[OnHint]] = {}
@@ -120,7 +120,7 @@
     def _choose_members(self, receiver: str) -> list[member.Member]:
         news = self.view.take_news()
         known = self.view.find(receiver)
-        if known is None or known.health is member.Health.ALIVE:
+        if known is None or known.health is member.MemberStatus.ALIVE:
             return news
         # A VM that is wrongly thought dead has to hear so, else it cannot
         # deny it: after a lost link nobody passes that old news on.
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -6,12 +6,12 @@
 from mulberryway.objects import base as objects
 from mulberryway.policy import mirrors
 
-__all__ = ["Copy", "pack", "unpack"]
+__all__ = ["MirrorSnapshot", "encode_snapshot", "decode_snapshot"]
 
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
-class Copy:
+class MirrorSnapshot:
     """Another VM's mirror.
 
     :param objects: what the store holds as far as that VM knows
@@ -23,13 +23,13 @@
     def __init__(
         self,
         objects_: list[objects.StoredObject],
-        kept: list[mirrors.KeptObject],
+        kept: list[mirrors.RetainedObject],
     ) -> None:
         self.objects = objects_
         self.kept = kept
 
 
-def pack(mirror: mirrors.Mirror, now_ms: int) -> bytes:
+def encode_snapshot(mirror: mirrors.Mirror, now_ms: int) -> bytes:
     """Return a mirror's objects as rows of name, version and value.
 
     Rows of kept objects have a fourth entry: for how many milliseconds more
@@ -50,11 +50,13 @@
         ]
         for one in mirror.list_kept()
     ]
-    return zlib.compress(json.dumps(rows).encode(), PACK_LEVEL)
+    return zlib.compress(json.dumps(rows).encode(), COMPRESSION_LEVEL)
 
 
-def unpack(kind: str, revision: int, content: bytes, now_ms: int) -> Copy:
-    """Read what :func:`pack` made.
+def decode_snapshot(
+    kind: str, revision: int, content: bytes, now_ms: int
+) -> MirrorSnapshot:
+    """Read what :func:`encode_snapshot` made.
 
     :param kind: the plural kind
     :param revision: the copy's revision
@@ -62,12 +64,14 @@
     :param now_ms: the present
     """
     found: list[objects.StoredObject] = []
-    kept: list[mirrors.KeptObject] = []
+    kept: list[mirrors.RetainedObject] = []
     for name, version, value, *left_ms in json.loads(zlib.decompress(content)):
         one = objects.StoredObject(kind, name, version, value)
         if left_ms:
             until_ms = now_ms + left_ms[0]
-            kept.append(mirrors.KeptObject(one, revision, now_ms, until_ms))
+            kept.append(
+                mirrors.RetainedObject(one, revision, now_ms, until_ms)
+            )
         else:
             found.append(one)
-    return Copy(found, kept)
+    return MirrorSnapshot(found, kept)
--- a/mulberryway/controllers/mirror_exchange.py
+++ b/mulberryway/controllers/mirror_exchange.py
@@ -12,19 +12,19 @@
 from mulberryway.controllers import mirrors
 from mulberryway.peers.gen.mirrors import Mirrors
 
-__all__ = ["MirrorExchange"]
+__all__ = ["MirrorSyncController"]
 
 LOG = logging.getLogger(__name__)
 
 PERIOD_MS = 1_000
 # Until it has a copy of each kind a VM refuses its callers.
-FIRST_PERIOD_MS = 250
+INITIAL_SYNC_PERIOD_MS = 250
 # A VM that hears of a newer revision leaves its own watch so long to bring
 # it before it asks the other VM.
-PATIENCE_MS = 60
+FETCH_DELAY_MS = 60
 
 
-class MirrorExchange(base.Controller):
+class MirrorSyncController(base.Controller):
     """Asks other VMs for mirrors that are newer than this VM's.
 
     A VM that the store turns away, or that starts while the store is away,
@@ -39,12 +39,12 @@
 
     def __init__(
         self,
-        keepers: collections.abc.Mapping[str, mirrors.MirrorKeeper],
+        keepers: collections.abc.Mapping[str, mirrors.MirrorController],
         client: peers.PeerClient,
         clock_: clock.Clock,
         list_addresses: collections.abc.Callable[[], list[str]],
     ) -> None:
-        super().__init__("mirror-exchange", clock_, FIRST_PERIOD_MS)
+        super().__init__("mirror-exchange", clock_, INITIAL_SYNC_PERIOD_MS)
         self._keepers = keepers
         self._client = client
         self._list_addresses = list_addresses
@@ -82,7 +82,7 @@
             newer, self._newer = self._newer, {}
         if not newer:
             return
-        self.clock.sleep_ms(PATIENCE_MS)
+        self.clock.sleep_ms(FETCH_DELAY_MS)
         for kind, (revision, address) in newer.items():
             if self._keepers[kind].revision >= revision:
                 continue
@@ -141,7 +141,7 @@
     def _log_failure(self, kind: str, fault: errors.Fault) -> None:
         LOG.info(
             "a newer copy could not be read from another VM",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault, kind=kind, revision=self._keepers[kind].revision
             ),
         )
--- a/mulberryway/controllers/mirrored_tables.py
+++ b/mulberryway/controllers/mirrored_tables.py
@@ -51,8 +51,8 @@
         self._tables: tables.Tables | None = None
         self._subscribers: list[OnChange] = []
         self._revision = 0
-        self.configuration: mirrors.MirrorKeeper | None = None
-        self.servers: mirrors.MirrorKeeper | None = None
+        self.configuration: mirrors.MirrorController | None = None
+        self.servers: mirrors.MirrorController | None = None
 
     def read_tables(self) -> tables.Tables | None:
         """Return the tables in force, or none before the first are known."""
@@ -83,7 +83,7 @@
                 # requests where none may go.
                 LOG.error(
                     "the configuration cannot be read",
-                    extra=logs.describe(reason=repr(error)),
+                    extra=logs.make_extra(reason=repr(error)),
                 )
                 return
             if found is None:
@@ -93,7 +93,7 @@
                 on_change(found)
         LOG.info(
             "tables are in force",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 revision=found.revision,
                 configuration=self.configuration.revision,
                 servers=self.servers.revision,
@@ -105,5 +105,5 @@
         )
 
 
-def _is_known(*keepers: mirrors.MirrorKeeper | None) -> bool:
+def _is_known(*keepers: mirrors.MirrorController | None) -> bool:
     return all(keeper is not None and keeper.is_known for keeper in keepers)
--- a/mulberryway/controllers/mirrors.py
+++ b/mulberryway/controllers/mirrors.py
@@ -17,25 +17,25 @@
 from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
 
-__all__ = ["MirrorHandler", "MirrorKeeper"]
+__all__ = ["MirrorHandler", "MirrorController"]
 
 LOG = logging.getLogger(__name__)
 
 # A watch that waits longer costs fewer calls, and shows later that its
 # connection has fallen silent; news come through other VMs meanwhile.
-WAIT_MS = 2_500
+LONG_POLL_MS = 2_500
 # Pauses grow and are spread, so that VMs do not all ask a store that has come
 # back at the same moment.
-LEAST_PAUSE_MS = 100
-MOST_PAUSE_MS = 1_000
+MIN_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 1_000
 NO_PAUSE_MS = 1
 # After a change, others that follow at once come with the same answer.
-CHANGE_PAUSE_MS = 50
+CHANGE_BATCH_DELAY_MS = 50
 # How soon a VM that does not watch notices that it has to.
-LOOK_MS = 200
+WATCHER_CHECK_MS = 200
 
 
-class MirrorKeeper(base.Controller):
+class MirrorController(base.Controller):
     """Watches one kind and keeps its mirror.
 
     :param kind: the plural kind
@@ -53,14 +53,14 @@
         store: objects.RevisionedStore,
         clock_: clock.Clock,
         on_change: collections.abc.Callable[[], None],
-        detector: mass_expiry.LapseDetector | None = None,
+        detector: mass_expiry.MassExpiryDetector | None = None,
         is_watcher: collections.abc.Callable[[], bool] = lambda: True,
     ) -> None:
-        super().__init__(f"mirror-{kind}", clock_, LEAST_PAUSE_MS)
+        super().__init__(f"mirror-{kind}", clock_, MIN_BACKOFF_MS)
         self.kind = kind
         self._store = store
         self._on_change = on_change
-        self.kept = kept_objects.KeptReport(kind, detector)
+        self.kept = kept_objects.RetainedObjectReport(kind, detector)
         self._mirror = mirrors.Mirror(kind, detector)
         self._keeps_objects = detector is not None
         self._lock = threading.Lock()
@@ -119,11 +119,11 @@
     def step(self) -> None:
         """Ask the store once; a watch waits for changes."""
         if not self._needs_listing and not self._is_watcher():
-            self.period_ms = LOOK_MS
+            self.period_ms = WATCHER_CHECK_MS
             return
         before = self._mirror.revision
         # After an outage it matters that the store is back.
-        wait_ms = WAIT_MS if self._was_reached else 0
+        wait_ms = LONG_POLL_MS if self._was_reached else 0
         asked_ms = self.clock.now_ms()
         fault = self._list() if self._needs_listing else self._poll(wait_ms)
         now_ms = self.clock.now_ms()
@@ -131,7 +131,9 @@
             self._was_answered = True
             self._note_reached(True)
             has_changed = self._mirror.revision != before
-            self.period_ms = CHANGE_PAUSE_MS if has_changed else NO_PAUSE_MS
+            self.period_ms = (
+                CHANGE_BATCH_DELAY_MS if has_changed else NO_PAUSE_MS
+            )
         elif fault.code is errors.Code.HISTORY_GONE:
             self._needs_listing = True
             self.period_ms = NO_PAUSE_MS
@@ -145,7 +147,7 @@
                 )
             self._note_reached(False, fault)
             self.period_ms = min(
-                max(self.period_ms * 2, LEAST_PAUSE_MS), MOST_PAUSE_MS
+                max(self.period_ms * 2, MIN_BACKOFF_MS), MAX_BACKOFF_MS
             )
             self.period_ms = int(
                 self.period_ms * (0.75 + self._random.random() / 2)
@@ -177,13 +179,13 @@
                 return revision, b""
             if self._mirror.list_kept():
                 # How long an object is kept for changes with each copy.
-                return revision, mirror_codec.pack(
+                return revision, mirror_codec.encode_snapshot(
                     self._mirror, self.clock.now_ms()
                 )
             if self._packed_edits != self._mirror.edits:
                 # All VMs of a fleet ask for the same copy after a change.
                 self._packed_edits = self._mirror.edits
-                self._packed = mirror_codec.pack(self._mirror, 0)
+                self._packed = mirror_codec.encode_snapshot(self._mirror, 0)
             return revision, self._packed
 
     def unpack(self, revision: int, content: bytes) -> None:
@@ -193,7 +195,9 @@
         :param content: the packed objects
         """
         now_ms = self.clock.now_ms()
-        copy = mirror_codec.unpack(self.kind, revision, content, now_ms)
+        copy = mirror_codec.decode_snapshot(
+            self.kind, revision, content, now_ms
+        )
         with self._lock:
             has_changed = self._mirror.adopt(
                 copy.objects, revision, now_ms, copy.kept
@@ -202,7 +206,7 @@
         if has_changed:
             LOG.info(
                 "a newer copy came from another VM",
-                extra=logs.describe(kind=self.kind, revision=revision),
+                extra=logs.make_extra(kind=self.kind, revision=revision),
             )
             self._note_kept()
             self._on_change()
@@ -253,7 +257,7 @@
         self._note_kept()
         LOG.info(
             "the store's objects have changed",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 kind=self.kind,
                 revision=self.revision,
                 count=len(self._mirror.objects),
@@ -267,7 +271,7 @@
             self._was_reached = is_reached
             LOG.warning(
                 "the store is back" if is_reached else "the store is away",
-                extra=logs.describe(
+                extra=logs.make_extra(
                     fault, kind=self.kind, revision=self.revision
                 ),
             )
@@ -280,7 +284,7 @@
     """
 
     def __init__(
-        self, keepers: collections.abc.Mapping[str, MirrorKeeper]
+        self, keepers: collections.abc.Mapping[str, MirrorController]
     ) -> None:
         self._keepers = keepers
 
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -24,7 +24,7 @@
 PERIOD_MS = 1_000
 # Orders in one step: the lease is renewed between steps, and a step that lasts
 # too long loses it.
-MOST_ORDERS = 50
+MAX_ORDERS_PER_STEP = 50
 
 EngineFinder = collections.abc.Callable[[str, str], upstreams.Engine | None]
 LoadReader = collections.abc.Callable[
@@ -66,7 +66,7 @@
         self._find_engine = find_engine
         self._read_loads = read_loads
         self._is_candidate = is_candidate
-        self._lease = leader_lease.IssuerLease(vm, incarnation)
+        self._lease = leader_lease.LeaderLease(vm, incarnation)
         self._planner = planner or orders.OrderPlanner()
         self._fencing = 0
 
@@ -83,7 +83,7 @@
             self._fencing = self._lease.fencing
             self._planner.forget()
         planned = self._planner.plan(tables_.pools, self._read_loads(), now_ms)
-        for order in planned[:MOST_ORDERS]:
+        for order in planned[:MAX_ORDERS_PER_STEP]:
             self._give(order)
 
     def _is_idle(self, tables_: tables.Tables) -> bool:
@@ -95,10 +95,10 @@
 
     def _keep_lease(self) -> None:
         act = self._lease.decide(self._is_candidate(), self.clock.now_ms())
-        if act is leader_lease.LeaseAct.READ:
+        if act is leader_lease.LeaseAction.READ:
             self._read()
             act = self._lease.decide(True, self.clock.now_ms())
-        if act is leader_lease.LeaseAct.WRITE:
+        if act is leader_lease.LeaseAction.WRITE:
             self._write()
 
     def _read(self) -> None:
@@ -120,7 +120,7 @@
             result = self._store.create(KIND, NAME, value, PURPOSE)
         if result.is_ok():
             self._note_written(record, result.ok.version, sent_ms)
-        elif result.error.run is errors.Run.MAY_HAVE_RUN:
+        elif result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN:
             self._read_back(record, sent_ms)
         elif result.error.code is errors.Code.CONFLICT:
             # Somebody else wrote: whatever we held, it is theirs now.
@@ -184,7 +184,7 @@
         now_ms = self.clock.now_ms()
         LOG.info(
             "an order was given",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 result.error if result.is_error() else None,
                 pool=order.pool,
                 upstream=order.row.name,
--- a/mulberryway/controllers/owner_liveness.py
+++ b/mulberryway/controllers/owner_liveness.py
@@ -9,11 +9,11 @@
 from mulberryway.objects import base as platform
 from mulberryway.policy import member
 
-__all__ = ["Liveness", "MemberOwners", "OwnerView"]
+__all__ = ["Liveness", "MembershipLivenessChecker", "LivenessChecker"]
 
 PURPOSE = "reconciling"
 # One reading of the platform's list serves all questions for this long.
-LIST_MS = 5_000
+LIST_TTL_MS = 5_000
 
 
 class Liveness(enum.Enum):
@@ -24,7 +24,7 @@
     UNKNOWN = "unknown"
 
 
-class OwnerView(abc.ABC):
+class LivenessChecker(abc.ABC):
     """What is known about the routers that own requests."""
 
     @abc.abstractmethod
@@ -37,7 +37,7 @@
         """
 
 
-class MemberOwners(OwnerView):
+class MembershipLivenessChecker(LivenessChecker):
     """Joins what the VMs tell one another with the platform's list.
 
     A VM that the others cannot reach may still reach engines and callers,
@@ -77,14 +77,14 @@
             return Liveness.UNKNOWN
         if found.incarnation > incarnation:
             return Liveness.DEAD
-        if found.health is not member.Health.DEAD:
+        if found.health is not member.MemberStatus.DEAD:
             return Liveness.ALIVE
         return Liveness.DEAD if self._has_left(vm) else Liveness.UNKNOWN
 
     def _has_left(self, vm: str) -> bool:
         with self._lock:
             now_ms = self._clock.now_ms()
-            if self._listed is None or now_ms - self._listed_ms > LIST_MS:
+            if self._listed is None or now_ms - self._listed_ms > LIST_TTL_MS:
                 listed = self._store.list_vms(PURPOSE)
                 if listed.is_error() or not listed.ok:
                     # A list that names nobody is a list that is broken.
--- a/mulberryway/controllers/peak_fleet_size.py
+++ b/mulberryway/controllers/peak_fleet_size.py
@@ -1,13 +1,13 @@
 """How many VMs there were before a cut made the fleet look small."""
 
-__all__ = ["FleetPeak"]
+__all__ = ["PeakFleetSize"]
 
 # A cut makes the fleet look small.  The most VMs of the last minutes count,
 # so that both sides of a cut know that they are a part.
 PEAK_MS = 600_000
 
 
-class FleetPeak:
+class PeakFleetSize:
     """The most VMs that were alive at once in the last minutes."""
 
     __slots__ = ("_now", "_before", "_until_ms")
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -22,7 +22,7 @@
 IDLE_MS = 1_000
 # One silent engine must not hold up the probes of others.
 WORKERS = 2
-MOST_PROBES = 16
+MAX_PROBES_PER_STEP = 16
 
 
 class ProbingController(base.Controller):
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        scheduling_: scheduling.Scheduling,
+        scheduling_: scheduling.SchedulingController,
         members: membership.MembershipController,
         source: tables.TableSource,
         directory_: directory.UpstreamDirectory,
@@ -66,9 +66,9 @@
             one
             for one in ejected
             if one.is_due
-            and pool_subsets.choose_reporter(one.upstream, vms) == own
+            and pool_subsets.choose_load_poller(one.upstream, vms) == own
         ]
-        list(self._workers.map(self._probe, due[:MOST_PROBES]))
+        list(self._workers.map(self._probe, due[:MAX_PROBES_PER_STEP]))
 
     def stop(self, wait_ms: int = 2_000) -> None:
         """End the thread and its helpers.
@@ -78,13 +78,13 @@
         super().stop(wait_ms)
         self._workers.shutdown(wait=False, cancel_futures=True)
 
-    def _log_changes(self, ejected: list[probes.Ejected]) -> None:
+    def _log_changes(self, ejected: list[probes.EjectedUpstream]) -> None:
         names = frozenset((one.pool, one.upstream) for one in ejected)
         if names == self._ejected:
             return
         LOG.info(
             "other engines are ejected now",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 added=sorted(map("/".join, names - self._ejected)),
                 ended=sorted(map("/".join, self._ejected - names)),
                 count=len(names),
@@ -92,8 +92,8 @@
         )
         self._ejected = names
 
-    def _probe(self, ejected: probes.Ejected) -> None:
-        engine = directory.find_by_name(
+    def _probe(self, ejected: probes.EjectedUpstream) -> None:
+        engine = directory.find_engine_by_name(
             self._source.read_tables(),
             self._directory,
             ejected.pool,
@@ -104,7 +104,7 @@
         answer = engine.report_load()
         LOG.info(
             "an ejected engine was probed",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 answer.error if answer.is_error() else None,
                 pool=ejected.pool,
                 upstream=ejected.upstream,
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -10,7 +10,7 @@
 from mulberryway.controllers import owner_liveness
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["Reconciling"]
+__all__ = ["ReconcileController"]
 
 LOG = logging.getLogger(__name__)
 
@@ -18,12 +18,12 @@
 # A request counts as left behind only when it has looked so for this long:
 # the engine's answer is a moment old, and an attempt is known to its own
 # router a moment after the engine learns of it, or before.
-GRACE_MS = 3_000
+ORPHAN_GRACE_MS = 3_000
 
 Key = tuple[str, str, int]
 
 
-class Reconciling(base.Controller):
+class ReconcileController(base.Controller):
     """Compares what engines hold with which owners live.
 
     A VM that vanishes with its connections open leaves requests at engines;
@@ -46,7 +46,7 @@
         incarnation: int,
         list_engines: collections.abc.Callable[[], list[upstreams.Engine]],
         is_running: collections.abc.Callable[[str], bool],
-        view: owner_liveness.OwnerView,
+        view: owner_liveness.LivenessChecker,
         metrics_: metrics.Metrics,
         clock_: clock.Clock,
     ) -> None:
@@ -73,7 +73,7 @@
     def _look(
         self,
         engine: upstreams.Engine,
-        held: list[upstreams.HeldRequest],
+        held: list[upstreams.InFlightRequest],
         seen: dict[Key, int],
     ) -> None:
         now_ms = self.clock.now_ms()
@@ -84,10 +84,10 @@
             key = (label.request_id, label.vm, label.incarnation)
             since_ms = self._since_ms.get(key, now_ms)
             seen[key] = min(since_ms, seen.get(key, since_ms))
-            if now_ms - since_ms >= GRACE_MS:
+            if now_ms - since_ms >= ORPHAN_GRACE_MS:
                 self._free(engine, label)
 
-    def _is_left_behind(self, label: upstreams.RunLabel) -> bool:
+    def _is_left_behind(self, label: upstreams.AttemptLabel) -> bool:
         if (label.vm, label.incarnation) == (self._vm, self._incarnation):
             return not self._is_running(label.request_id)
         if label.vm == self._vm:
@@ -98,7 +98,7 @@
         return alive is owner_liveness.Liveness.DEAD
 
     def _free(
-        self, engine: upstreams.Engine, label: upstreams.RunLabel
+        self, engine: upstreams.Engine, label: upstreams.AttemptLabel
     ) -> None:
         result = engine.cancel(label)
         if result.is_error():
@@ -106,7 +106,7 @@
         self._metrics.reconciled.add(1, {"owner": label.vm})
         LOG.warning(
             "a request was freed that its owner had left behind",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 request_id=label.request_id,
                 owner=label.vm,
                 incarnation=label.incarnation,
--- a/mulberryway/controllers/registration.py
+++ b/mulberryway/controllers/registration.py
@@ -10,7 +10,7 @@
 from mulberryway.objects import base as objects
 from mulberryway.policy import member
 
-__all__ = ["Registration"]
+__all__ = ["RegistrationController"]
 
 LOG = logging.getLogger(__name__)
 
@@ -19,10 +19,10 @@
 # Until it is written it is tried this often; it matters only to VMs whose
 # seeds are all gone, so nothing hangs on the moment.
 RETRY_MS = 3_000
-DONE_MS = 600_000
+REGISTERED_PERIOD_MS = 600_000
 
 
-class Registration(base.Controller):
+class RegistrationController(base.Controller):
     """Writes this VM's entry once, and reads the others'.
 
     :param own: this VM
@@ -47,7 +47,7 @@
 
     def step(self) -> None:
         """Write the entry if it is not there."""
-        if self.period_ms == DONE_MS:
+        if self.period_ms == REGISTERED_PERIOD_MS:
             return
         value = {"address": self._own.peer, "zone": self._own.zone}
         result = self._store.create(KIND, self._own.name, value, PURPOSE)
@@ -56,11 +56,11 @@
         if fault is None or fault.code is errors.Code.CONFLICT:
             fault = self._list()
         if fault is None:
-            self.period_ms = DONE_MS
+            self.period_ms = REGISTERED_PERIOD_MS
             return
         LOG.info(
             "this VM could not be registered",
-            extra=logs.describe(fault, retry_ms=RETRY_MS),
+            extra=logs.make_extra(fault, retry_ms=RETRY_MS),
         )
 
     def _list(self) -> errors.Fault | None:
--- a/mulberryway/controllers/reloading.py
+++ b/mulberryway/controllers/reloading.py
@@ -9,7 +9,7 @@
 from mulberryway import settings
 from mulberryway.controllers import base
 
-__all__ = ["Reloading"]
+__all__ = ["SettingsReloadController"]
 
 LOG = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
 OnChange = collections.abc.Callable[[settings.Settings], None]
 
 
-class Reloading(base.Controller):
+class SettingsReloadController(base.Controller):
     """Reads the settings file again and again.
 
     A file that cannot be used changes nothing: what a process began with
@@ -51,7 +51,7 @@
         except errors.SettingsError as error:
             LOG.error(
                 "the changed settings cannot be used",
-                extra=logs.describe(error.fault),
+                extra=logs.make_extra(error.fault),
             )
             return
         LOG.info("the settings have changed and are in force")
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -16,21 +16,21 @@
 from mulberryway.policy import pool_subsets
 from mulberryway.policy import usage as usages
 
-__all__ = ["NotesController"]
+__all__ = ["SchedulerGossipController"]
 
 # The scheduler itself keeps notes this far apart.
 PERIOD_MS = 20
 # A router at rest looks for news less often, as each look costs processor
 # time.
 IDLE_MS = 200
-BUSY_FOR_MS = 500
+BUSY_HOLD_MS = 500
 # Dividing 4,800 engines among 410 VMs takes some 70 ms, five times what
 # control may take in a second, so it is done only when either has changed.
-LOOK_MS = 1_000
+MEMBERSHIP_CHECK_MS = 1_000
 DEATH = "death"
 
 
-class NotesController(base.Controller):
+class SchedulerGossipController(base.Controller):
     """Sends this router's notes to its cell, and takes in the cell's.
 
     Notes go only to routers that share upstreams.  A death under a request
@@ -45,14 +45,14 @@
 
     def __init__(
         self,
-        scheduling_: scheduling.Scheduling,
+        scheduling_: scheduling.SchedulingController,
         members: membership.MembershipController,
         source: tables.TableSource,
         dissemination_: dissemination.DisseminationController,
         clock_: clock.Clock,
     ) -> None:
         super().__init__("notes", clock_, PERIOD_MS)
-        self.shares: tuple[pool_subsets.Share, ...] = ()
+        self.shares: tuple[pool_subsets.PoolSubset, ...] = ()
         self._dissemination = dissemination_
         self._others: frozenset[str] = frozenset()
         self._vms: tuple[str, ...] = ()
@@ -75,15 +75,15 @@
     def step(self) -> None:
         """Send a note if one is due."""
         now_ms = self.clock.now_ms()
-        self._is_idle = now_ms - self._changed_ms > BUSY_FOR_MS
+        self._is_idle = now_ms - self._changed_ms > BUSY_HOLD_MS
         self.period_ms = IDLE_MS if self._is_idle else PERIOD_MS
         if now_ms >= self._look_ms:
-            self._look_ms = now_ms + LOOK_MS
+            self._look_ms = now_ms + MEMBERSHIP_CHECK_MS
             self._look()
         note = self._scheduling.take_hints()
         if note is None:
             return
-        payload = gossip_messages.write_note(note)
+        payload = gossip_messages.encode_note(note)
         peers = self._list_peers()
         if peers >= self._others:
             self._dissemination.publish(payload, not note.is_heartbeat)
@@ -105,7 +105,7 @@
 
         :param items: encoded notes, counts and reports
         """
-        received = [gossip_messages.read_datagram(item) for item in items]
+        received = [gossip_messages.decode_datagram(item) for item in items]
         notes = [one.note for one in received if one.note is not None]
         if notes:
             self._scheduling.note_hints(notes)
@@ -116,7 +116,7 @@
             for news in one.news:
                 self._take_news(news)
 
-    def _take_news(self, news: gossip_messages.EngineNews) -> None:
+    def _take_news(self, news: gossip_messages.EngineReport) -> None:
         self._scheduling.note_load(news.pool, news.upstream, news.load)
         self._scheduling.note_cache_events(
             news.pool, news.upstream, news.events
@@ -140,7 +140,9 @@
             self._divided = state
             self._scheduling.change_vms(vms)
             self.shares = tuple(
-                pool_subsets.divide_pool(pool, self._members.own.name, vms)
+                pool_subsets.find_pool_subset(
+                    pool, self._members.own.name, vms
+                )
                 for pool in found.pools.values()
                 if pool.kind is tables.PoolKind.MODEL
             )
@@ -149,7 +151,7 @@
         alive = [
             one
             for one in self._members.list_members()
-            if one.health is not member.Health.DEAD
+            if one.health is not member.MemberStatus.DEAD
         ]
         self._dissemination.change_members(alive)
         self._others = frozenset(one.name for one in alive) - {
@@ -163,13 +165,13 @@
         self._members.publish(
             DEATH,
             f"{death.digest}/{death.upstream}",
-            gossip_messages.write_death(death),
-            poison.KEPT_MS,
+            gossip_messages.encode_death(death),
+            poison.QUARANTINE_MS,
         )
 
     def _take_death(self, hint: broadcast_queue.Hint) -> None:
-        death = gossip_messages.read_death(hint.payload)
+        death = gossip_messages.decode_death(hint.payload)
         # The hint may have gone from VM to VM for a while.
         left_ms = max(hint.until_ms - self.clock.now_ms(), 0)
-        death.age_ms = max(poison.KEPT_MS - left_ms, 0)
+        death.age_ms = max(poison.QUARANTINE_MS - left_ms, 0)
         self._scheduling.note_deaths([death])
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -15,17 +15,17 @@
 from mulberryway.policy import probes
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["Scheduling", "Ticket"]
+__all__ = ["SchedulingController", "Ticket"]
 
 IDLE_MS = 1_000
 MS_IN_S = 1_000
 # A decision that is this late has been lost; the guard keeps a worker from
 # waiting for ever for what will not come.
-OVERDUE_MS = 2_000
+DECISION_GRACE_MS = 2_000
 # Other routers' hints come by the hundred a second in a large fleet, and with
 # jobs waiting a dispatch takes longer than reading a hint.  Hints that come
 # within this time share one.
-HINTED_MS = 20
+GOSSIP_DISPATCH_INTERVAL_MS = 20
 
 Decision = expression.Result[jobs.Assignment, errors.Fault]
 
@@ -44,7 +44,7 @@
         self.decision: Decision | None = None
 
 
-class Scheduling(base.Controller):
+class SchedulingController(base.Controller):
     """Holds the lock around a scheduler, which has none of its own.
 
     Every change that may let a job start is followed at once by a dispatch
@@ -90,7 +90,9 @@
         """Dispatch, and sleep until the scheduler wants to be asked again."""
         with self._lock:
             wake_ms = self._dispatch()
-            longest_ms = HINTED_MS if self._tickets else IDLE_MS
+            longest_ms = (
+                GOSSIP_DISPATCH_INTERVAL_MS if self._tickets else IDLE_MS
+            )
         now_ms = self.clock.now_ms()
         self.period_ms = (
             longest_ms
@@ -123,7 +125,7 @@
         :returns: where it runs, or why not
         """
         job = ticket.job
-        left_ms = job.deadline.left_ms(self.clock.now_ms()) + OVERDUE_MS
+        left_ms = job.deadline.left_ms(self.clock.now_ms()) + DECISION_GRACE_MS
         if not ticket.decided.wait(left_ms / MS_IN_S):
             self.give_up(
                 ticket,
@@ -175,7 +177,7 @@
             self._scheduler.note_first_token(job_id, self.clock.now_ms())
 
     def finish(
-        self, job_id: str, end: jobs.JobEnd, upstream: str = ""
+        self, job_id: str, end: jobs.JobOutcome, upstream: str = ""
     ) -> None:
         """Let a started job's reservations go; further calls do nothing.
 
@@ -259,7 +261,7 @@
         with self._lock:
             return self._scheduler.has_room(pool, besides, self.clock.now_ms())
 
-    def list_ejected(self) -> list[probes.Ejected]:
+    def list_ejected(self) -> list[probes.EjectedUpstream]:
         """Return the engines that get no requests, and which need a probe."""
         with self._lock:
             return self._scheduler.list_ejected(self.clock.now_ms())
@@ -292,7 +294,7 @@
             now_ms = self.clock.now_ms()
             for note in notes:
                 self._scheduler.note_hints(note, now_ms)
-            if now_ms - self._dispatched_ms >= HINTED_MS:
+            if now_ms - self._dispatched_ms >= GOSSIP_DISPATCH_INTERVAL_MS:
                 self._dispatch()
 
     def note_deaths(self, deaths: list[hints.Death]) -> None:
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -12,7 +12,7 @@
 from mulberryway.tables import root as roots
 from mulberryway.tables import segments
 
-__all__ = ["Offer", "TablesInForce"]
+__all__ = ["OfferResult", "ActiveTables"]
 
 LOG = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
 ]
 
 
-class Offer(enum.Enum):
+class OfferResult(enum.Enum):
     """What became of a root that was offered."""
 
     TAKEN = "taken"
@@ -31,7 +31,7 @@
     DIFFERENT = "different"
 
 
-class TablesInForce(tables.TableSource):
+class ActiveTables(tables.TableSource):
     """Takes newer roots, refuses older ones, and knows their age.
 
     :param clock_: where the time comes from
@@ -59,7 +59,7 @@
 
     def read_tables(self) -> tables.Tables | None:
         """Return the tables, or none while they must not be used."""
-        if self.judge() is freshness.Freshness.CUT_OFF:
+        if self.judge() is freshness.Freshness.PARTITIONED:
             return None
         return self._tables
 
@@ -105,10 +105,10 @@
         """Decide whether the tables may be used now."""
         confirmation = self._confirmation
         if confirmation is None:
-            return freshness.Freshness.CUT_OFF
+            return freshness.Freshness.PARTITIONED
         # Both times are compared with the clock at each request: a VM that
         # was paused must not go on by what it knew before the pause.
-        return freshness.judge_freshness(
+        return freshness.evaluate_freshness(
             confirmation,
             self._quorum_ms,
             self._clock.now_ms(),
@@ -131,7 +131,7 @@
         """
         return self._cache.find(digest)
 
-    def offer(self, root: roots.Root, fetch: Fetch) -> Offer:
+    def offer(self, root: roots.Root, fetch: Fetch) -> OfferResult:
         """Take a root over if it is newer than the one in force.
 
         A root comes from watches whose events may be crossed, platform
@@ -147,19 +147,19 @@
             self._newest_seen = max(self._newest_seen, root.revision)
             offer = self._compare(root)
             missing = self._cache.list_missing(root)
-        if offer is not Offer.TAKEN:
+        if offer is not OfferResult.TAKEN:
             return offer
         # Fetching may take seconds; meanwhile another thread may take a
         # newer root, so everything is compared again.
         fetched = fetch(missing) if missing else {}
         with self._lock:
             offer = self._compare(root)
-            if offer is not Offer.TAKEN:
+            if offer is not OfferResult.TAKEN:
                 return offer
             if not self._fill(root, fetched):
-                return Offer.INCOMPLETE
+                return OfferResult.INCOMPLETE
             self._install(root)
-        return Offer.TAKEN
+        return OfferResult.TAKEN
 
     def confirm(self, revision: int, at_ms: int, fleet_size: int) -> bool:
         """Note that the platform held no newer root at a time.
@@ -185,22 +185,22 @@
             self._confirmation = freshness.Confirmation(at_ms, fleet_size)
             return True
 
-    def _compare(self, root: roots.Root) -> Offer:
+    def _compare(self, root: roots.Root) -> OfferResult:
         if root.revision < self._root.revision:
             LOG.warning(
                 "an old root was refused: revision %d, in force %d",
                 root.revision,
                 self._root.revision,
             )
-            return Offer.OLD
+            return OfferResult.OLD
         if root.revision > self._root.revision:
-            return Offer.TAKEN
+            return OfferResult.TAKEN
         if root.digest() == self._root.digest():
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         # The platform lost an accepted root, or somebody wrote to it by
         # hand.  Taking the other one would revert what was accepted.
         LOG.error("two roots of revision %d", root.revision)
-        return Offer.DIFFERENT
+        return OfferResult.DIFFERENT
 
     def _fill(
         self, root: roots.Root, fetched: collections.abc.Mapping[str, bytes]
--- a/mulberryway/errors.py
+++ b/mulberryway/errors.py
@@ -14,7 +14,7 @@
     "MulberrywayError",
     "PeerError",
     "PlatformError",
-    "Run",
+    "ExecutionStatus",
     "SettingsError",
     "Step",
     "TablesError",
@@ -22,7 +22,7 @@
 ]
 
 
-class Run(enum.Enum):
+class ExecutionStatus(enum.Enum):
     """Whether the request behind a fault was executed by an upstream.
 
     Only ``NOT_RUN`` lets a non-idempotent request go to another upstream.
@@ -122,7 +122,7 @@
         code: Code,
         step: Step,
         peer: str = "",
-        run: Run = Run.NOT_RUN,
+        run: ExecutionStatus = ExecutionStatus.NOT_RUN,
         message: str = "",
         retry_after_ms: int | None = None,
         has_died: bool = False,
--- a/mulberryway/filters/admission.py
+++ b/mulberryway/filters/admission.py
@@ -11,7 +11,7 @@
 from mulberryway.policy import allowance
 from mulberryway.policy import poison
 
-__all__ = ["Admission", "ReadCall", "estimate_tokens"]
+__all__ = ["Admission", "ModelRequestParser", "estimate_tokens"]
 
 BYTES_PER_TOKEN = 4
 DEFAULT_MAX_TOKENS = 16
@@ -27,11 +27,11 @@
     return max(-(-len(prompt.encode()) // BYTES_PER_TOKEN), 1)
 
 
-class ReadCall(base.Filter):
+class ModelRequestParser(base.Filter):
     """Checks the body of a model request; other requests pass untouched."""
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a well-formed request go on.
 
@@ -96,7 +96,7 @@
         self._charges_whole = charges_whole
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a request go on that its account can pay for.
 
@@ -107,7 +107,7 @@
         is_plain = exchange.pool.kind is tables.PoolKind.PLAIN
         if (is_plain and not self._charges_whole) or not exchange.account.name:
             return proceed(exchange)
-        charge = base.Charge(
+        charge = base.TokenReservation(
             self._allowances,
             exchange.account.name,
             exchange.estimate + exchange.max_tokens,
@@ -127,7 +127,9 @@
         if not self._charges_whole:
             return outcome.used_tokens
         fault = outcome.fault
-        has_run = fault is None or fault.run is not errors.Run.NOT_RUN
+        has_run = (
+            fault is None or fault.run is not errors.ExecutionStatus.NOT_RUN
+        )
         return exchange.estimate + exchange.max_tokens if has_run else 0
 
 
--- a/mulberryway/filters/attempt.py
+++ b/mulberryway/filters/attempt.py
@@ -46,13 +46,13 @@
 
     def __init__(
         self,
-        label: upstreams.RunLabel,
+        label: upstreams.AttemptLabel,
         job_id: str,
         prefill: upstreams.Engine,
         decode: upstreams.Engine,
         assignment: jobs.Assignment,
-        scheduling_: scheduling.Scheduling,
-        cancelling_: cancelling.Cancelling,
+        scheduling_: scheduling.SchedulingController,
+        cancelling_: cancelling.CancelController,
         chosen_ms: int,
     ) -> None:
         self.label = label
@@ -71,7 +71,7 @@
         self._is_over = False
         self._is_cancelled = False
 
-    def end(self, how: jobs.JobEnd, blame: str = "") -> None:
+    def end(self, how: jobs.JobOutcome, blame: str = "") -> None:
         """Give the slot back, and free engine memory unless all went well.
 
         :param how: how it ended
@@ -82,7 +82,7 @@
                 return
             self._is_over = True
         self._scheduling.finish(self.job_id, how, blame)
-        if how is not jobs.JobEnd.DONE:
+        if how is not jobs.JobOutcome.DONE:
             self.free()
 
     def require_room(self, tokens: int) -> None:
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -7,13 +7,13 @@
 from mulberryway.filters import base
 from mulberryway.filters import credentials
 
-__all__ = ["Authenticate", "check_key"]
+__all__ = ["Authentication", "revalidate_key"]
 
 SCHEME = "bearer "
 RETRY_AFTER_MS = 1_000
 
 
-class Authenticate(base.Filter):
+class Authentication(base.Filter):
     """Checks the key of every request and takes it out of the request.
 
     A connection says nothing about its next request: keys are withdrawn
@@ -36,7 +36,7 @@
         self._cleans_whole = cleans_whole
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a request with a known key go on, without the key.
 
@@ -57,23 +57,23 @@
         key = _read_key(exchange, self._scheme)
         digest = tables.digest_key(key)
         account = found.find_account(digest) if key else None
-        if account is None and is_open(found, exchange):
-            account = tables.ANYBODY
+        if account is None and has_public_route(found, exchange):
+            account = tables.ANONYMOUS_ACCOUNT
         if account is None:
             return expression.Error(_refuse())
         exchange.tables = found
         exchange.key_digest = digest
         exchange.account = account
         if not self._cleans_whole:
-            credentials.drop_headers(exchange, key)
+            credentials.strip_key_headers(exchange, key)
             return proceed(exchange)
-        cleaned = credentials.Cleaner(key).clean(exchange)
+        cleaned = credentials.CredentialScrubber(key).clean(exchange)
         if cleaned.is_error():
             return expression.Error(cleaned.error)
         return proceed(exchange)
 
 
-def check_key(
+def revalidate_key(
     source: tables.TableSource, exchange: base.Exchange, step: errors.Step
 ) -> expression.Result[None, errors.Fault]:
     """Check again that a request's key still belongs to its account.
@@ -87,7 +87,7 @@
     :returns: nothing, or ``UNAUTHENTICATED``
     """
     found = source.read_tables()
-    if found is not None and is_open(found, exchange):
+    if found is not None and has_public_route(found, exchange):
         return expression.Ok(None)
     account = (
         None if found is None else found.find_account(exchange.key_digest)
@@ -97,7 +97,7 @@
     return expression.Ok(None)
 
 
-def is_open(found: tables.Tables, exchange: base.Exchange) -> bool:
+def has_public_route(found: tables.Tables, exchange: base.Exchange) -> bool:
     """Tell whether a request needs no key.
 
     :param found: the tables in force
--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -17,10 +17,17 @@
 from mulberryway.relay import stream as streams
 from mulberryway.relay import writers
 
-__all__ = ["Exchange", "Filter", "Lent", "Outcome", "Proceed", "Stages"]
+__all__ = [
+    "Exchange",
+    "Filter",
+    "StreamedAnswer",
+    "Outcome",
+    "NextHandler",
+    "StageTimings",
+]
 
 
-class Lent:
+class StreamedAnswer:
     """An answer that goes on after the chain has ended.
 
     :param stream: what the relay carries to the caller
@@ -51,10 +58,10 @@
 
 
 Finisher = collections.abc.Callable[[Outcome], None]
-Answer = expression.Result[replies.Reply | Lent, errors.Fault]
+Answer = expression.Result[replies.Reply | StreamedAnswer, errors.Fault]
 
 
-class Charge:
+class TokenReservation:
     """The tokens of one request, from its admission to its end.
 
     :param allowances: the accounts' tokens
@@ -122,7 +129,7 @@
         return held is not None and self._allowances.is_usable(held)
 
 
-class Stages:
+class StageTimings:
     """How long a model request's steps took, over all its attempts, in ms.
 
     They tell whether a late stream waited for room, for other prompts or for
@@ -227,7 +234,7 @@
         self.call: typing.Any = {}
         self.model = ""
         self.prefix_hashes: tuple[str, ...] = ()
-        self.charge: Charge | None = None
+        self.charge: TokenReservation | None = None
         self.estimate = 0
         self.max_tokens = 0
         # How many tokens the answer probably has; 0 for as many as it may.
@@ -245,7 +252,7 @@
         # arrival, and the longest time between two pieces; 0 for none yet.
         self.first_ms = 0
         self.gap_ms = 0
-        self.stages = Stages()
+        self.stages = StageTimings()
         self._finishers: list[Finisher] = []
         self._lock = threading.Lock()
 
@@ -290,14 +297,14 @@
             finisher(outcome)
 
 
-Proceed = collections.abc.Callable[[Exchange], Answer]
+NextHandler = collections.abc.Callable[[Exchange], Answer]
 
 
 class Filter(abc.ABC):
     """One step of the chain."""
 
     @abc.abstractmethod
-    def handle(self, exchange: Exchange, proceed: Proceed) -> Answer:
+    def handle(self, exchange: Exchange, proceed: NextHandler) -> Answer:
         """Answer a request, refuse it, or let the rest of the chain do so.
 
         :param exchange: the request
--- a/mulberryway/filters/caller_api.py
+++ b/mulberryway/filters/caller_api.py
@@ -20,10 +20,10 @@
 from mulberryway.policy import endpoints
 from mulberryway.policy import server_selection
 
-__all__ = ["Context", "Interface", "OwnInterface"]
+__all__ = ["FilterDependencies", "CallerApi", "NativeApi"]
 
 
-class Context:
+class FilterDependencies:
     """What the filters of a router are made from.
 
     :param settings_: the settings of the process
@@ -50,10 +50,10 @@
         settings_: settings.Settings,
         lifecycle: status.Lifecycle,
         source: tables.TableSource,
-        entries: endpoints.EntryDirectory,
+        entries: endpoints.EndpointDirectory,
         allowances: allowance.Allowances,
         claim_store: claims.ClaimStore | None,
-        parts: model_dependencies.Parts,
+        parts: model_dependencies.ModelDependencies,
     ) -> None:
         self.settings = settings_
         self.lifecycle = lifecycle
@@ -64,12 +64,12 @@
         self.parts = parts
 
 
-class Interface(abc.ABC):
+class CallerApi(abc.ABC):
     """Another interface for callers fits in here."""
 
     @abc.abstractmethod
     def make_filters(
-        self, context: Context
+        self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
@@ -77,20 +77,20 @@
         """
 
     def make_side_filters(
-        self, context: Context
+        self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what is asked on ports of its own.
 
         :param context: what they are made from
         """
-        return [status.ShowMetrics(context.parts.metrics)]
+        return [status.MetricsEndpoint(context.parts.metrics)]
 
 
-class OwnInterface(Interface):
+class NativeApi(CallerApi):
     """The project's own interface, as docs/design/interfaces.md tells it."""
 
     def make_filters(
-        self, context: Context
+        self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
@@ -98,23 +98,23 @@
         """
         settings_, parts = context.settings, context.parts
         return [
-            status.Health(context.lifecycle),
-            status.Entry(
+            status.HealthEndpoint(context.lifecycle),
+            status.DiscoveryEndpoint(
                 context.entries,
                 settings_.vm_zone,
                 settings_.router_entry_ttl_ms,
             ),
-            observe.Observe(parts.tracer, parts.metrics, parts.clock),
-            status.RefuseWhenStopping(context.lifecycle),
-            authentication.Authenticate(context.source),
-            route.FindRoute(),
-            admission.ReadCall(),
+            observe.RequestTelemetry(parts.tracer, parts.metrics, parts.clock),
+            status.ShutdownRejection(context.lifecycle),
+            authentication.Authentication(context.source),
+            route.RouteMatcher(),
+            admission.ModelRequestParser(),
             admission.Admission(context.allowances),
             model_forward.ModelForward(parts),
-            once.RunOnce(context.claim_store),
+            once.IdempotencyGuard(context.claim_store),
             service_forward.ServiceForward(
                 parts.directory,
-                server_selection.ServerChooser(settings_.vm_zone),
+                server_selection.ServerSelector(settings_.vm_zone),
                 parts.tracer,
                 parts.clock,
                 context.source,
--- a/mulberryway/filters/chain.py
+++ b/mulberryway/filters/chain.py
@@ -39,11 +39,11 @@
                 errors.Fault(
                     errors.Code.INTERNAL,
                     errors.Step.CALLER,
-                    run=errors.Run.MAY_HAVE_RUN,
+                    run=errors.ExecutionStatus.MAY_HAVE_RUN,
                 )
             )
 
-    def _step(self, place: int) -> base.Proceed:
+    def _step(self, place: int) -> base.NextHandler:
         if place == len(self._filters):
             return _refuse
         filter_ = self._filters[place]
