--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -9,7 +9,7 @@
 from mulberryway import errors
 from mulberryway.filters import base
 
-__all__ = ["Cleaner", "drop_headers"]
+__all__ = ["CredentialScrubber", "strip_key_headers"]
 
 # Headers that carry credentials by their purpose, whatever their value.
 SECRET_HEADERS = frozenset(
@@ -30,7 +30,7 @@
 )
 # What the router alone says to upstreams; a caller's own would let it speak
 # for another client account, or free another request's memory.
-OWN_HEADERS = frozenset(
+ROUTER_HEADERS = frozenset(
     (
         "x-request-id",
         "x-request-owner",
@@ -58,12 +58,12 @@
 REPLACEMENT = "[removed]"
 # A key this short, as people give in trials, may be part of any word, so it
 # is looked for as a whole value only.  Keys that are given out are longer.
-SHORT_KEY = 8
+MIN_SUBSTRING_KEY_LENGTH = 8
 
 Json = typing.Any
 
 
-def drop_headers(exchange: base.Exchange, key: str) -> None:
+def strip_key_headers(exchange: base.Exchange, key: str) -> None:
     """Take the headers out that carry a key, and leave the rest as it is.
 
     :param exchange: the request
@@ -76,7 +76,7 @@
     ]
 
 
-class Cleaner:
+class CredentialScrubber:
     """Removes one key from one request.
 
     A key is removed by the usual places of credentials and, wherever else
@@ -90,7 +90,7 @@
     def __init__(self, key: str) -> None:
         self._key = key
         self._raw = key.encode()
-        self._is_short = len(key) < SHORT_KEY
+        self._is_short = len(key) < MIN_SUBSTRING_KEY_LENGTH
         self._has_changed = False
 
     def clean(
@@ -118,7 +118,7 @@
         name = name.lower().replace("_", "-")
         return (
             name in SECRET_HEADERS
-            or name in OWN_HEADERS
+            or name in ROUTER_HEADERS
             or self._holds(value)
             or self._holds(urllib.parse.unquote_plus(value))
             or self._holds(name)
--- a/mulberryway/filters/model_dependencies.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -17,17 +17,22 @@
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
-__all__ = ["Parts", "Source", "make_gone", "sort_end"]
+__all__ = [
+    "ModelDependencies",
+    "SourceResult",
+    "make_disconnect_fault",
+    "classify_job_end",
+]
 
-Source = expression.Result[upstreams.TokenStream, errors.Fault]
-ENDS = {
-    errors.Code.UPSTREAM_TIMEOUT: jobs.JobEnd.TIMED_OUT,
-    errors.Code.UPSTREAM_REFUSED: jobs.JobEnd.REFUSED_BY_ENGINE,
-    errors.Code.UPSTREAM_UNREACHABLE: jobs.JobEnd.UNREACHED,
+SourceResult = expression.Result[upstreams.TokenStream, errors.Fault]
+JOB_END_BY_CODE = {
+    errors.Code.UPSTREAM_TIMEOUT: jobs.JobOutcome.TIMED_OUT,
+    errors.Code.UPSTREAM_REFUSED: jobs.JobOutcome.REFUSED_BY_ENGINE,
+    errors.Code.UPSTREAM_UNREACHABLE: jobs.JobOutcome.UNREACHED,
 }
 
 
-def sort_end(fault: errors.Fault) -> jobs.JobEnd:
+def classify_job_end(fault: errors.Fault) -> jobs.JobOutcome:
     """Return how an attempt ended that an upstream did not answer whole.
 
     :param fault: what befell it
@@ -35,11 +40,11 @@
         from one that answered with an error
     """
     if fault.has_died:
-        return jobs.JobEnd.DIED
-    return ENDS.get(fault.code, jobs.JobEnd.FAILED)
+        return jobs.JobOutcome.DIED
+    return JOB_END_BY_CODE.get(fault.code, jobs.JobOutcome.FAILED)
 
 
-class Parts:
+class ModelDependencies:
     """What all model requests share.
 
     :param vm: the VM's name
@@ -76,11 +81,11 @@
         gap_ms: int,
         clock_: clock.Clock,
         source: tables.TableSource,
-        scheduling_: scheduling.Scheduling,
-        cancelling_: cancelling.Cancelling,
+        scheduling_: scheduling.SchedulingController,
+        cancelling_: cancelling.CancelController,
         directory_: directory.UpstreamDirectory,
         relay: pump.Relay,
-        callers: watch.CallerWatch,
+        callers: watch.DisconnectMonitor,
         tracer: traces.Tracer,
         metrics_: metrics.Metrics,
         may_repeat: collections.abc.Callable[[str], bool],
@@ -104,7 +109,7 @@
         self.cuts_withdrawn = cuts_withdrawn
 
 
-def make_gone() -> errors.Fault:
+def make_disconnect_fault() -> errors.Fault:
     """Return the fault of a request whose caller has gone."""
     return errors.Fault(
         errors.Code.CANCELLED,
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -15,45 +15,47 @@
 from mulberryway.filters import model_dependencies
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["EngineSteps", "share_ms"]
+__all__ = ["EngineCalls", "compute_attempt_timeout_ms"]
 
 LOG = logging.getLogger(__name__)
 
 # An engine that fell silent must leave time for another one.
-PART_OF_LEFT = 2
-LEAST_WAIT_MS = 200
+REMAINING_TIME_DIVISOR = 2
+MIN_ATTEMPT_TIMEOUT_MS = 200
 # A prefill's result lives for less than a second; some of it is needed for
 # the transfer.
-MOVE_WITHIN_MS = 500
-MOVE_PAUSE_MS = 30
+DECODE_REASSIGN_TIMEOUT_MS = 500
+DECODE_REASSIGN_DELAY_MS = 30
 # Engines that are asked for room in one try; each costs a round trip.
-MOST_RESERVES = 4
+MAX_RESERVE_ATTEMPTS = 4
 # A prefill without an answer is given up early enough for the decode engine,
 # which holds a slot for the request, to read the prompt itself.
-PREFILL_PATIENCE = 3
-LEAST_PREFILL_MS = 400
+PREFILL_TIMEOUT_FACTOR = 3
+MIN_PREFILL_TIMEOUT_MS = 400
 # After these a decode has not run, and the prefill's result is still there.
-NOT_TAKEN = frozenset(
+DECODE_NOT_STARTED = frozenset(
     (errors.Code.UPSTREAM_REFUSED, errors.Code.UPSTREAM_UNREACHABLE)
 )
 # After these the engine may have read the prompt, which runs nothing; a
 # refusal counts as an attempt of its own, and a connection that was never
 # made lets the whole request move.
-UNANSWERED = frozenset(
+PREFILL_OUTCOME_UNKNOWN = frozenset(
     (errors.Code.UPSTREAM_TIMEOUT, errors.Code.UPSTREAM_FAILED)
 )
 
 
-def share_ms(limit: clock.Deadline, now_ms: int) -> int:
+def compute_attempt_timeout_ms(limit: clock.Deadline, now_ms: int) -> int:
     """Return how long one engine may take.
 
     :param limit: when the caller stops waiting
     :param now_ms: the present
     """
-    return max(limit.left_ms(now_ms) // PART_OF_LEFT, LEAST_WAIT_MS)
+    return max(
+        limit.left_ms(now_ms) // REMAINING_TIME_DIVISOR, MIN_ATTEMPT_TIMEOUT_MS
+    )
 
 
-class EngineSteps:
+class EngineCalls:
     """The calls of one request to engines, over all its attempts.
 
     ``has_run`` tells whether the request may have run at any of them, and
@@ -66,7 +68,9 @@
     __slots__ = ("has_run", "sent_to", "_exchange", "_parts", "_may_begin")
 
     def __init__(
-        self, exchange: base.Exchange, parts: model_dependencies.Parts
+        self,
+        exchange: base.Exchange,
+        parts: model_dependencies.ModelDependencies,
     ) -> None:
         self.has_run = False
         self.sent_to: set[str] = set()
@@ -80,7 +84,7 @@
         offset: int,
         limit: clock.Deadline,
         may_begin: collections.abc.Callable[[], bool],
-    ) -> model_dependencies.Source:
+    ) -> model_dependencies.SourceResult:
         """Take an attempt to the beginning of its stream.
 
         :param attempt: the attempt, its slot reserved
@@ -124,7 +128,7 @@
         their memory is some time old.  A prompt that was read for an engine
         without room is lost.
         """
-        for _ in range(MOST_RESERVES):
+        for _ in range(MAX_RESERVE_ATTEMPTS):
             result = attempt.decode.prepare(
                 attempt.label, self._read_room(attempt)
             )
@@ -135,11 +139,13 @@
                 break
         return result
 
-    def _read_room(self, attempt: attempts.Attempt) -> upstreams.Room | None:
+    def _read_room(
+        self, attempt: attempts.Attempt
+    ) -> upstreams.ReservationRequest | None:
         hold_ms = self._exchange.pool.hold_ms
         if not hold_ms or not attempt.room_tokens:
             return None
-        return upstreams.Room(
+        return upstreams.ReservationRequest(
             attempt.room_tokens, hold_ms, attempt.must_reserve
         )
 
@@ -151,7 +157,7 @@
     ) -> None:
         LOG.info(
             "a prompt was read in vain",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 prefill=attempt.prefill_name,
@@ -166,7 +172,7 @@
     ) -> expression.Result[upstreams.PrefillResult, errors.Fault]:
         """Let the decode engine read a prompt whose prefill has no answer."""
         is_lost = (
-            fault.code in UNANSWERED
+            fault.code in PREFILL_OUTCOME_UNKNOWN
             and fault.step is errors.Step.PREFILL
             and not fault.has_died
         )
@@ -178,7 +184,7 @@
             return expression.Error(fault)
         LOG.info(
             "a prefill was not answered, the decode engine reads the prompt",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 decode=attempt.decode_name,
@@ -215,7 +221,7 @@
         found: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
-    ) -> model_dependencies.Source:
+    ) -> model_dependencies.SourceResult:
         """Decode where a slot is reserved, or where one comes free.
 
         Another router may have taken the slot before its note came, or the
@@ -223,11 +229,11 @@
         with it, and its result lives long enough to look for another slot.
         """
         clock_ = self._parts.clock
-        until = clock.Deadline(clock_.now_ms() + MOVE_WITHIN_MS)
+        until = clock.Deadline(clock_.now_ms() + DECODE_REASSIGN_TIMEOUT_MS)
         result = self._decode_once(attempt, found, offset, limit)
         while (
             result.is_error()
-            and result.error.code in NOT_TAKEN
+            and result.error.code in DECODE_NOT_STARTED
             and result.error.step is errors.Step.DECODE
             and not until.has_passed(clock_.now_ms())
             and not self._exchange.has_gone.is_set()
@@ -268,7 +274,7 @@
         if self._move_decode(attempt):
             return found
         if not attempt.decode.reads_prompts:
-            self._parts.clock.sleep_ms(MOVE_PAUSE_MS)
+            self._parts.clock.sleep_ms(DECODE_REASSIGN_DELAY_MS)
             return found
         if not found.transfer:
             return None
@@ -291,7 +297,7 @@
                 break
             if self._move_decode(attempt, is_unreached=True):
                 return found
-            clock_.sleep_ms(MOVE_PAUSE_MS)
+            clock_.sleep_ms(DECODE_REASSIGN_DELAY_MS)
         return None
 
     def _move_decode(
@@ -314,7 +320,7 @@
         found: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
-    ) -> model_dependencies.Source:
+    ) -> model_dependencies.SourceResult:
         if not self._may_begin():
             return expression.Error(
                 errors.Fault(
@@ -381,11 +387,11 @@
         share = self._share(limit)
         if not attempt.decode.reads_prompts:
             return share
-        patience_ms = attempt.ready_in_ms * PREFILL_PATIENCE
-        return min(share, max(patience_ms, LEAST_PREFILL_MS))
+        patience_ms = attempt.ready_in_ms * PREFILL_TIMEOUT_FACTOR
+        return min(share, max(patience_ms, MIN_PREFILL_TIMEOUT_MS))
 
     def _share(self, limit: clock.Deadline) -> int:
-        return share_ms(limit, self._parts.clock.now_ms())
+        return compute_attempt_timeout_ms(limit, self._parts.clock.now_ms())
 
     def find_engine(self, name: str) -> upstreams.Engine | None:
         """Return an engine by the newest tables.
--- a/mulberryway/filters/model_forward.py
+++ b/mulberryway/filters/model_forward.py
@@ -13,11 +13,11 @@
 from mulberryway.relay import writers
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["ModelForward", "make_raw_stream", "make_stream_of_events"]
+__all__ = ["ModelForward", "make_raw_stream", "make_event_stream"]
 
 
 StreamMaker = collections.abc.Callable[
-    [base.Exchange, model_run.ModelRun, upstreams.TokenStream, int],
+    [base.Exchange, model_run.ModelRequest, upstreams.TokenStream, int],
     streams.Stream,
 ]
 
@@ -32,14 +32,14 @@
 
     def __init__(
         self,
-        parts: model_dependencies.Parts,
+        parts: model_dependencies.ModelDependencies,
         make_stream: StreamMaker | None = None,
     ) -> None:
         self._parts = parts
-        self._make_stream = make_stream or make_stream_of_events
+        self._make_stream = make_stream or make_event_stream
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Begin a decode and lend the caller's connection.
 
@@ -49,19 +49,19 @@
         """
         if exchange.pool.kind is tables.PoolKind.PLAIN:
             return proceed(exchange)
-        run = model_run.ModelRun(exchange, self._parts)
+        run = model_run.ModelRequest(exchange, self._parts)
         found = run.begin()
         if found.is_error():
             return expression.Error(found.error)
         stream = self._make_stream(
             exchange, run, found.ok, run.read_gap_limit_ms()
         )
-        return expression.Ok(base.Lent(stream))
+        return expression.Ok(base.StreamedAnswer(stream))
 
 
-def make_stream_of_events(
+def make_event_stream(
     exchange: base.Exchange,
-    run: model_run.ModelRun,
+    run: model_run.ModelRequest,
     source: upstreams.TokenStream,
     gap_limit_ms: int,
 ) -> streams.Stream:
@@ -87,7 +87,7 @@
 
 def make_raw_stream(
     exchange: base.Exchange,
-    run: model_run.ModelRun,
+    run: model_run.ModelRequest,
     source: upstreams.TokenStream,
     gap_limit_ms: int,
 ) -> streams.Stream:
@@ -98,9 +98,9 @@
     :param source: the engine's stream
     :param gap_limit_ms: the longest wait for a further event
     """
-    stream = passthrough_stream.RawStream(
+    stream = passthrough_stream.PassthroughStream(
         run,
-        passthrough_stream.RawWriter(exchange.head),
+        passthrough_stream.PassthroughWriter(exchange.head),
         source,
         exchange.connection,
         exchange.release,
--- a/mulberryway/filters/model_job.py
+++ b/mulberryway/filters/model_job.py
@@ -12,20 +12,20 @@
 from mulberryway.filters import route
 from mulberryway.policy import jobs
 
-__all__ = ["JobMaker"]
+__all__ = ["JobBuilder"]
 
 LOG = logging.getLogger(__name__)
 
 # How long callers wait for a stream's next event, and for its first: the
 # longest of a time, of the target for the first, and of that for pauses.
-LEAST_PATIENCE_MS = 2_000
-PATIENCE_TARGETS = 4
-PATIENCE_GAPS = 8
+MIN_CALLER_TIMEOUT_MS = 2_000
+CALLER_TIMEOUT_TARGETS = 4
+CALLER_TIMEOUT_GAPS = 8
 # Of it so much may go by in the queue and the prefill.
-WAIT_PART = 0.55
+QUEUE_TIME_FRACTION = 0.55
 
 
-class JobMaker:
+class JobBuilder:
     """Makes the jobs of one request.
 
     :param exchange: the request
@@ -73,7 +73,7 @@
             since_ms + exchange.route.target_ms
             if exchange.route.target_ms
             else 0,
-            route.is_repeatable(exchange)
+            route.is_idempotent(exchange)
             and number + 1 < exchange.route.most_attempts,
         )
 
@@ -90,11 +90,11 @@
         if not row.is_streaming or not row.target_ms:
             return limit
         patience_ms = max(
-            LEAST_PATIENCE_MS,
-            row.target_ms * PATIENCE_TARGETS,
-            row.target_gap_ms * PATIENCE_GAPS,
+            MIN_CALLER_TIMEOUT_MS,
+            row.target_ms * CALLER_TIMEOUT_TARGETS,
+            row.target_gap_ms * CALLER_TIMEOUT_GAPS,
         )
-        start_ms = since_ms + int(patience_ms * WAIT_PART)
+        start_ms = since_ms + int(patience_ms * QUEUE_TIME_FRACTION)
         return clock.Deadline(min(limit.at_ms, start_ms))
 
     def _choose_avoided(self, avoid: frozenset[str]) -> frozenset[str]:
@@ -143,13 +143,13 @@
         if decision.is_error():
             LOG.info(
                 "no engine was chosen",
-                extra=logs.describe(decision.error, **fields),
+                extra=logs.make_extra(decision.error, **fields),
             )
             return
         chosen = decision.ok
         LOG.info(
             "engines were chosen",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 prefill=chosen.prefill,
                 decode=chosen.decode,
                 **fields,
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -23,21 +23,21 @@
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import connections
 
-__all__ = ["ModelRun"]
+__all__ = ["ModelRequest"]
 
 LOG = logging.getLogger(__name__)
 
 # How long a stream that has lost its engine may seek another.
-RESUME_MS = 5_000
+RESUME_TIMEOUT_MS = 5_000
 # When a caller should come again whose request no engine took: by then a
 # stream or two has ended on each engine.
 RETRY_AFTER_MS = 1_000
 # An engine that makes no token for so many times the pause that is on time
 # has probably fallen silent; callers leave after eight of them or two
 # seconds, so there is time for another engine.
-GAPS_TO_LEAVE = 4
-LEAST_GAP_MS = 1_000
-MOVABLE = frozenset(
+STALL_TIMEOUT_GAPS = 4
+MIN_STALL_TIMEOUT_MS = 1_000
+RETRIABLE_CODES = frozenset(
     (
         errors.Code.UPSTREAM_UNREACHABLE,
         errors.Code.UPSTREAM_TIMEOUT,
@@ -46,7 +46,7 @@
     )
 )
 
-Source = model_dependencies.Source
+SourceResult = model_dependencies.SourceResult
 
 
 class _Replacement:
@@ -67,7 +67,7 @@
         self.fault = fault
 
 
-class ModelRun(streams.StreamOwner):
+class ModelRequest(streams.StreamOwner):
     """One model request from its admission to its end.
 
     :param exchange: the request
@@ -75,11 +75,13 @@
     """
 
     def __init__(
-        self, exchange: base.Exchange, parts: model_dependencies.Parts
+        self,
+        exchange: base.Exchange,
+        parts: model_dependencies.ModelDependencies,
     ) -> None:
         self._exchange = exchange
         self._parts = parts
-        self._tries = retry_state.Tries(exchange.arrived_ms)
+        self._tries = retry_state.RetryState(exchange.arrived_ms)
         self._avoid: frozenset[str] = frozenset()
         self._ticket: scheduling.Ticket | None = None
         self._attempt: attempts.Attempt | None = None
@@ -88,11 +90,11 @@
         self._replacement: _Replacement | None = None
         self._is_closed = False
         self._decode_span = traces.NO_SPAN
-        self._jobs = model_job.JobMaker(exchange, parts.clock)
-        self._engines = model_engines.EngineSteps(exchange, parts)
+        self._jobs = model_job.JobBuilder(exchange, parts.clock)
+        self._engines = model_engines.EngineCalls(exchange, parts)
         self._lock = threading.Lock()
 
-    def begin(self) -> Source:
+    def begin(self) -> SourceResult:
         """Find engines for the request and begin its decode.
 
         The caller is watched meanwhile.
@@ -137,7 +139,7 @@
         :param tokens: how many tokens have come in all
         """
         self.note_tokens(tokens)
-        self._end_attempt(jobs.JobEnd.DONE)
+        self._end_attempt(jobs.JobOutcome.DONE)
 
     def drop_source(self) -> None:
         """Let everything go, because the caller has gone or was cut off."""
@@ -147,7 +149,7 @@
             held = [one for one in (self._attempt, self._next) if one]
         if ticket is not None:
             self._parts.scheduling.give_up(
-                ticket, model_dependencies.make_gone()
+                ticket, model_dependencies.make_disconnect_fault()
             )
         for attempt in held:
             attempt.free()
@@ -162,12 +164,12 @@
         self._begin_search(stream.expected)
         if fault.has_died and self._attempt is not None:
             address = self._attempt.decode.address
-            fault.has_died = not connections.listens(address)
+            fault.has_died = not connections.is_accepting_connections(address)
         self._note_failure(fault)
         self._end_attempt(
-            model_dependencies.sort_end(fault), self._name_decode()
+            model_dependencies.classify_job_end(fault), self._name_decode()
         )
-        result: Source = expression.Error(fault)
+        result: SourceResult = expression.Error(fault)
         if self._may_move(fault):
             result = self._find_next_source(stream.expected)
         if result.is_ok():
@@ -205,7 +207,7 @@
         """Tell whether another engine can probably take the stream."""
         exchange = self._exchange
         return (
-            route.is_repeatable(exchange)
+            route.is_idempotent(exchange)
             and self._count_attempts() < exchange.route.most_attempts
             and not exchange.has_gone.is_set()
             and self._parts.scheduling.has_room(
@@ -220,9 +222,9 @@
         :param fault: why the answer is not whole; none if it is
         """
         self._is_closed = True
-        how = jobs.JobEnd.DONE
+        how = jobs.JobOutcome.DONE
         if fault is not None:
-            how = jobs.JobEnd.CANCELLED
+            how = jobs.JobOutcome.CANCELLED
         self._end_search()
         self._end_attempt(how)
         exchange = self._exchange
@@ -232,7 +234,7 @@
 
     def limit_first_ms(self) -> int:
         """Return how long the first token may take from now on."""
-        return model_engines.share_ms(
+        return model_engines.compute_attempt_timeout_ms(
             self._exchange.deadline, self._parts.clock.now_ms()
         )
 
@@ -245,9 +247,9 @@
         """
         exchange = self._exchange
         target_ms = exchange.route.target_gap_ms
-        if not target_ms or not route.is_repeatable(exchange):
+        if not target_ms or not route.is_idempotent(exchange):
             return self._parts.gap_ms
-        return max(target_ms * GAPS_TO_LEAVE, LEAST_GAP_MS)
+        return max(target_ms * STALL_TIMEOUT_GAPS, MIN_STALL_TIMEOUT_MS)
 
     def _leave_silent(self) -> bool:
         """Leave a silent engine right before its stream begins elsewhere.
@@ -272,14 +274,15 @@
             self._attempt, self._next = chosen, None
         self._note_failure(replacement.fault)
         before.end(
-            model_dependencies.sort_end(replacement.fault), before.decode_name
+            model_dependencies.classify_job_end(replacement.fault),
+            before.decode_name,
         )
         return True
 
     def _log_stay(self, fault: errors.Fault) -> None:
         LOG.info(
             "a silent engine is waited for",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 decode=self._name_decode(),
@@ -296,16 +299,16 @@
         if offset:
             self._tries.begin_search(self._parts.clock.now_ms())
 
-    def _find_next_source(self, offset: int) -> Source:
+    def _find_next_source(self, offset: int) -> SourceResult:
         """Find engines for the rest of a stream.
 
         :param offset: how much of it the caller has
         """
-        resume_ms = self._parts.clock.now_ms() + RESUME_MS
+        resume_ms = self._parts.clock.now_ms() + RESUME_TIMEOUT_MS
         limit = clock.Deadline(max(self._exchange.deadline.at_ms, resume_ms))
         return self._find_source(offset, limit)
 
-    def _find_source(self, offset: int, limit: clock.Deadline) -> Source:
+    def _find_source(self, offset: int, limit: clock.Deadline) -> SourceResult:
         while True:
             result = self._try_once(offset, limit)
             if self._exchange.has_gone.is_set():
@@ -318,7 +321,7 @@
             ):
                 return expression.Error(self._word_last(result.error))
 
-    def _try_once(self, offset: int, limit: clock.Deadline) -> Source:
+    def _try_once(self, offset: int, limit: clock.Deadline) -> SourceResult:
         return self._queue(limit).bind(
             lambda attempt: self._run_attempt(attempt, offset, limit)
         )
@@ -341,7 +344,7 @@
                 self._ticket = submitted.ok
             if self._exchange.has_gone.is_set():
                 parts.scheduling.give_up(
-                    submitted.ok, model_dependencies.make_gone()
+                    submitted.ok, model_dependencies.make_disconnect_fault()
                 )
             decision = parts.scheduling.wait(submitted.ok)
         waited_ms = parts.clock.now_ms() - began_ms
@@ -361,7 +364,7 @@
             for name in (assignment.prefill, assignment.decode)
         ]
         if held.is_error() or None in engines:
-            parts.scheduling.finish(job.job_id, jobs.JobEnd.CANCELLED)
+            parts.scheduling.finish(job.job_id, jobs.JobOutcome.CANCELLED)
             if held.is_error():
                 return expression.Error(held.error)
             return expression.Error(
@@ -373,7 +376,7 @@
                 )
             )
         attempt = attempts.Attempt(
-            upstreams.RunLabel(job.job_id, parts.vm, parts.incarnation),
+            upstreams.AttemptLabel(job.job_id, parts.vm, parts.incarnation),
             job.job_id,
             engines[0],
             engines[1],
@@ -399,7 +402,7 @@
             self._tries.search.has_begun and not self._parts.cuts_withdrawn
         )
         if not is_owed:
-            held = authentication.check_key(
+            held = authentication.revalidate_key(
                 self._parts.source, self._exchange, errors.Step.QUEUE
             )
         # What has begun was granted its tokens, and has used some of them.
@@ -409,10 +412,10 @@
 
     def _run_attempt(
         self, attempt: attempts.Attempt, offset: int, limit: clock.Deadline
-    ) -> Source:
+    ) -> SourceResult:
         if self._exchange.has_gone.is_set():
-            attempt.end(jobs.JobEnd.CANCELLED)
-            return expression.Error(model_dependencies.make_gone())
+            attempt.end(jobs.JobOutcome.CANCELLED)
+            return expression.Error(model_dependencies.make_disconnect_fault())
         result = self._engines.run(attempt, offset, limit, self._leave_silent)
         if result.is_error():
             fault = result.error
@@ -424,9 +427,9 @@
             is_cancelled = (
                 not self._is_wanted() or fault.code is errors.Code.CANCELLED
             )
-            end = jobs.JobEnd.CANCELLED
+            end = jobs.JobOutcome.CANCELLED
             if not is_cancelled:
-                end = model_dependencies.sort_end(fault)
+                end = model_dependencies.classify_job_end(fault)
                 self._avoid = self._avoid | {blame}
             attempt.end(end, blame)
         return result
@@ -436,14 +439,14 @@
 
         :param fault: what befell the last one
         """
-        if fault.code not in MOVABLE:
+        if fault.code not in RETRIABLE_CODES:
             return False
         obstacle = self._find_obstacle(fault)
         if not obstacle:
             return True
         LOG.info(
             "no other engine is tried",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 obstacle=obstacle,
@@ -463,7 +466,8 @@
         # Nothing of the request was sent, so nothing is repeated.
         is_unsent = fault.step is errors.Step.RESERVE
         if not (
-            fault.run is errors.Run.NOT_RUN or route.is_repeatable(exchange)
+            fault.run is errors.ExecutionStatus.NOT_RUN
+            or route.is_idempotent(exchange)
         ):
             return "the request may run once only"
         if self._count_attempts() >= exchange.route.most_attempts:
@@ -483,7 +487,7 @@
         return self._tries.count_attempts(len(self._engines.sent_to))
 
     def _note_failure(self, fault: errors.Fault) -> None:
-        if fault.run is not errors.Run.NOT_RUN:
+        if fault.run is not errors.ExecutionStatus.NOT_RUN:
             self._engines.has_run = True
         self._tries.note_failure(fault)
         self._parts.metrics.attempts.add(
@@ -496,7 +500,7 @@
         )
         LOG.info(
             "an attempt failed",
-            extra=logs.describe(fault, request_id=self._exchange.request_id),
+            extra=logs.make_extra(fault, request_id=self._exchange.request_id),
         )
 
     def _word_last(self, fault: errors.Fault) -> errors.Fault:
@@ -505,21 +509,27 @@
         The last attempt may have been refused before it ran, but an earlier
         one may have run.
         """
-        if self._engines.has_run and fault.run is errors.Run.NOT_RUN:
-            fault.run = errors.Run.MAY_HAVE_RUN
-        if fault.run is errors.Run.NOT_RUN and fault.retry_after_ms is None:
+        if (
+            self._engines.has_run
+            and fault.run is errors.ExecutionStatus.NOT_RUN
+        ):
+            fault.run = errors.ExecutionStatus.MAY_HAVE_RUN
+        if (
+            fault.run is errors.ExecutionStatus.NOT_RUN
+            and fault.retry_after_ms is None
+        ):
             fault.retry_after_ms = RETRY_AFTER_MS
         return fault
 
-    def _drop_result(self, result: Source) -> Source:
+    def _drop_result(self, result: SourceResult) -> SourceResult:
         if result.is_ok():
             result.ok.connection.close()
-        self._end_attempt(jobs.JobEnd.CANCELLED)
+        self._end_attempt(jobs.JobOutcome.CANCELLED)
         return expression.Error(
-            self._word_last(model_dependencies.make_gone())
+            self._word_last(model_dependencies.make_disconnect_fault())
         )
 
-    def _end_attempt(self, how: jobs.JobEnd, blame: str = "") -> None:
+    def _end_attempt(self, how: jobs.JobOutcome, blame: str = "") -> None:
         with self._lock:
             attempt = self._attempt
         if blame:
@@ -533,11 +543,11 @@
             ticket, attempt = self._ticket, self._next
         if self._replacement is None:
             return
-        gone = model_dependencies.make_gone()
+        gone = model_dependencies.make_disconnect_fault()
         if ticket is not None:
             self._parts.scheduling.give_up(ticket, gone)
         if attempt is not None:
-            attempt.end(jobs.JobEnd.CANCELLED)
+            attempt.end(jobs.JobOutcome.CANCELLED)
 
     def _name_decode(self) -> str:
         return "" if self._attempt is None else self._attempt.decode_name
--- a/mulberryway/filters/observe.py
+++ b/mulberryway/filters/observe.py
@@ -9,12 +9,12 @@
 from mulberryway import traces
 from mulberryway.filters import base
 
-__all__ = ["Observe"]
+__all__ = ["RequestTelemetry"]
 
 LOG = logging.getLogger(__name__)
 
 
-class Observe(base.Filter):
+class RequestTelemetry(base.Filter):
     """Begins a request's span and tells how the request ended.
 
     :param tracer: makes spans
@@ -33,7 +33,7 @@
         self._clock = clock_
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Begin the span; it ends with the request.
 
@@ -72,7 +72,7 @@
         found = getattr(exchange, "tables", None)
         LOG.info(
             "a request ended",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=exchange.request_id,
                 account=labels["account"],
--- a/mulberryway/filters/once.py
+++ b/mulberryway/filters/once.py
@@ -10,12 +10,12 @@
 from mulberryway.filters import route
 from mulberryway.policy import claim_records
 
-__all__ = ["RunOnce"]
+__all__ = ["IdempotencyGuard"]
 
 REPLAYED = ("Idempotency-Replayed", "true")
 
 
-class RunOnce(base.Filter):
+class IdempotencyGuard(base.Filter):
     """Claims a call that must not be repeated before it runs.
 
     A caller that lost the reply to a booking sends it again, perhaps to
@@ -30,7 +30,7 @@
         self._store = store
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Run a call, or answer from what it answered before.
 
@@ -38,7 +38,7 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers, a replay, or a fault
         """
-        if exchange.pool.kind is tables.PoolKind.MODEL or route.is_repeatable(
+        if exchange.pool.kind is tables.PoolKind.MODEL or route.is_idempotent(
             exchange
         ):
             return proceed(exchange)
@@ -52,15 +52,15 @@
             )
         began = self._store.begin(
             exchange.account.name,
-            exchange.find_header(route.ONCE_HEADER) or "",
-            claim_records.digest_call(
+            exchange.find_header(route.IDEMPOTENCY_KEY_HEADER) or "",
+            claim_records.fingerprint_call(
                 exchange.method, exchange.target, exchange.body
             ),
             exchange.deadline,
         )
         if began.is_error():
             return expression.Error(began.error)
-        if isinstance(began.ok, claim_records.KeptReply):
+        if isinstance(began.ok, claim_records.CachedReply):
             return expression.Ok(_replay(began.ok))
         return self._run(self._store, exchange, proceed, began.ok)
 
@@ -68,17 +68,17 @@
     def _run(
         store: claims.ClaimStore,
         exchange: base.Exchange,
-        proceed: base.Proceed,
+        proceed: base.NextHandler,
         grant: claims.Grant,
     ) -> base.Answer:
-        run = errors.Run.MAY_HAVE_RUN
+        run = errors.ExecutionStatus.MAY_HAVE_RUN
         kept = None
         try:
             answer = proceed(exchange)
             if answer.is_error():
                 run = answer.error.run
             elif isinstance(answer.ok, replies.Reply):
-                run = errors.Run.RAN
+                run = errors.ExecutionStatus.RAN
                 kept = _keep(answer.ok)
             return answer
         finally:
@@ -87,11 +87,11 @@
             store.end(grant, run, kept)
 
 
-def _keep(reply: replies.Reply) -> claim_records.KeptReply:
-    return claim_records.KeptReply(
+def _keep(reply: replies.Reply) -> claim_records.CachedReply:
+    return claim_records.CachedReply(
         reply.status, list(reply.headers), reply.body
     )
 
 
-def _replay(kept: claim_records.KeptReply) -> replies.Reply:
+def _replay(kept: claim_records.CachedReply) -> replies.Reply:
     return replies.Reply(kept.status, [*kept.headers, REPLAYED], kept.body)
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -7,10 +7,10 @@
 from mulberryway.filters import base
 from mulberryway.policy import retries
 
-__all__ = ["Budget", "CountRequests"]
+__all__ = ["SharedRetryBudget", "RetryBudgetDeposit"]
 
 
-class Budget:
+class SharedRetryBudget:
     """Holds the lock around a budget, which has none of its own.
 
     :param budget: what may be spent
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        budget: retries.FleetBudget,
+        budget: retries.FleetRetryBudget,
         clock_: clock.Clock,
         count_vms: collections.abc.Callable[[], int],
     ) -> None:
@@ -49,17 +49,17 @@
             return self._budget.spend(pool, self._clock.now_ms())
 
 
-class CountRequests(base.Filter):
+class RetryBudgetDeposit(base.Filter):
     """Counts each request for the pool that it goes to.
 
     :param budget: where it is counted
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: SharedRetryBudget) -> None:
         self._budget = budget
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Count a request and let it go on.
 
--- a/mulberryway/filters/retry_state.py
+++ b/mulberryway/filters/retry_state.py
@@ -2,20 +2,20 @@
 
 from mulberryway import errors
 
-__all__ = ["Search", "Tries"]
+__all__ = ["EngineSearch", "RetryState"]
 
 # Tries in all, also those that reached nobody: dead engines are ejected by
 # the first of them.
-MOST_TRIES = 4
+MAX_ATTEMPTS = 4
 # Tries that found no room; the queue leaves a refusing engine alone for a
 # while in between, so this many take longer than callers wait.
-MOST_UNRESERVED = 16
+MAX_RESERVATION_FAILURES = 16
 # With these nothing of the request was sent, so a try counts as no attempt.
 UNSENT = frozenset((errors.Code.UPSTREAM_UNREACHABLE, errors.Code.CANCELLED))
 UNSENT_STEPS = frozenset((errors.Step.QUEUE, errors.Step.RESERVE))
 
 
-class Search:
+class EngineSearch:
     """One search for engines: for a request, or for the rest of its stream.
 
     :param since_ms: since when the caller waits for the next event: the
@@ -42,12 +42,12 @@
     def is_over(self) -> bool:
         """Tell whether another try would most likely fail as well."""
         return (
-            self._tries - self._unreserved >= MOST_TRIES
-            or self._unreserved >= MOST_UNRESERVED
+            self._tries - self._unreserved >= MAX_ATTEMPTS
+            or self._unreserved >= MAX_RESERVATION_FAILURES
         )
 
 
-class Tries:
+class RetryState:
     """The tries of one request, over all its searches.
 
     ``number`` counts them, and ``search`` is the search that goes on.
@@ -59,7 +59,7 @@
 
     def __init__(self, arrived_ms: int) -> None:
         self.number = 0
-        self.search = Search(arrived_ms)
+        self.search = EngineSearch(arrived_ms)
         self._unsent = 0
 
     def begin_search(self, now_ms: int) -> None:
@@ -67,7 +67,7 @@
 
         :param now_ms: when the stream lost its engine
         """
-        self.search = Search(now_ms, has_begun=True)
+        self.search = EngineSearch(now_ms, has_begun=True)
 
     def note_try(self) -> None:
         """Count a try."""
--- a/mulberryway/filters/route.py
+++ b/mulberryway/filters/route.py
@@ -8,13 +8,13 @@
 from mulberryway import tables
 from mulberryway.filters import base
 
-__all__ = ["FindRoute", "is_repeatable"]
+__all__ = ["RouteMatcher", "is_idempotent"]
 
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-ONCE_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 
 
-class FindRoute(base.Filter):
+class RouteMatcher(base.Filter):
     """Joins a request with the tables by its path and its account.
 
     :param needs_id: whether calls that may run only once must bring an id
@@ -29,7 +29,7 @@
         self._random = random_ or random.Random()
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a request go on that some route serves.
 
@@ -50,8 +50,8 @@
         exchange.deadline.at_ms = exchange.arrived_ms + route.timeout_ms
         if (
             self._needs_id
-            and not is_repeatable(exchange)
-            and not exchange.find_header(ONCE_HEADER)
+            and not is_idempotent(exchange)
+            and not exchange.find_header(IDEMPOTENCY_KEY_HEADER)
         ):
             return _refuse(
                 errors.Code.REQUEST_ID_REQUIRED,
@@ -68,7 +68,7 @@
         )[0]
 
 
-def is_repeatable(exchange: base.Exchange) -> bool:
+def is_idempotent(exchange: base.Exchange) -> bool:
     """Tell whether a request may run more than once.
 
     :param exchange: the request, its route known
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -30,12 +30,12 @@
 RETRY_AFTER_MS = 1_000
 # Servers that are tried in all, also those that cannot be reached: of a
 # service with three or four, all.
-MOST_TRIES = 4
+MAX_ATTEMPTS = 4
 # A server that has fallen silent must leave an idempotent call time for
 # another one: it gets half of what is left, and at least so much, which is
 # several times what calls usually take.
-PART_OF_LEFT = 2
-LEAST_TRY_MS = 500
+REMAINING_TIME_DIVISOR = 2
+MIN_ATTEMPT_TIMEOUT_MS = 500
 
 
 class ServiceForward(base.Filter):
@@ -55,13 +55,13 @@
     def __init__(
         self,
         directory_: directory.UpstreamDirectory,
-        chooser: server_selection.ServerChooser,
+        chooser: server_selection.ServerSelector,
         tracer: traces.Tracer,
         clock_: clock.Clock,
         source: tables.TableSource,
-        callers: watch.CallerWatch | None = None,
+        callers: watch.DisconnectMonitor | None = None,
         may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
-        scheduling_: scheduling.Scheduling | None = None,
+        scheduling_: scheduling.SchedulingController | None = None,
     ) -> None:
         self._directory = directory_
         self._chooser = chooser
@@ -74,7 +74,7 @@
         self._lock = threading.Lock()
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Pass a call on, to a second server only where that is safe.
 
@@ -86,7 +86,7 @@
             exchange.digest = _digest(exchange)
             if self._scheduling.is_quarantined(exchange.digest):
                 return expression.Error(_keep_back(exchange))
-        interrupt = connections.Interrupt()
+        interrupt = connections.CallCanceller()
         if self._callers is None:
             return self._forward(exchange, interrupt)
 
@@ -101,13 +101,13 @@
             self._callers.end(watched)
 
     def _forward(
-        self, exchange: base.Exchange, interrupt: connections.Interrupt
+        self, exchange: base.Exchange, interrupt: connections.CallCanceller
     ) -> base.Answer:
         avoid: frozenset[str] = frozenset()
         has_run = False
         fault = _no_server(exchange)
         sent = 0
-        for number in range(MOST_TRIES):
+        for number in range(MAX_ATTEMPTS):
             if sent >= exchange.route.most_attempts:
                 break
             if number and not self._may_go_on(exchange, has_run, sent):
@@ -126,13 +126,21 @@
                 self._scheduling.note_death(
                     exchange.digest, f"{exchange.pool.name}/{upstream.name}"
                 )
-            has_run = has_run or fault.run is not errors.Run.NOT_RUN
+            has_run = (
+                has_run or fault.run is not errors.ExecutionStatus.NOT_RUN
+            )
             avoid = avoid | {upstream.name}
-        if fault.answer is not None and fault.run is errors.Run.RAN:
+        if (
+            fault.answer is not None
+            and fault.run is errors.ExecutionStatus.RAN
+        ):
             return expression.Ok(_make_reply(fault.answer))
-        if has_run and fault.run is errors.Run.NOT_RUN:
-            fault.run = errors.Run.MAY_HAVE_RUN
-        if fault.run is errors.Run.NOT_RUN and fault.retry_after_ms is None:
+        if has_run and fault.run is errors.ExecutionStatus.NOT_RUN:
+            fault.run = errors.ExecutionStatus.MAY_HAVE_RUN
+        if (
+            fault.run is errors.ExecutionStatus.NOT_RUN
+            and fault.retry_after_ms is None
+        ):
             fault.retry_after_ms = RETRY_AFTER_MS
         return expression.Error(fault)
 
@@ -145,7 +153,7 @@
         route says that this does no harm.
         """
         return (
-            (not has_run or route.is_repeatable(exchange))
+            (not has_run or route.is_idempotent(exchange))
             and not exchange.has_gone.is_set()
             and not exchange.deadline.has_passed(self._clock.now_ms())
             and (not sent or self._may_repeat(exchange.pool.name))
@@ -174,13 +182,13 @@
         exchange: base.Exchange,
         upstream: tables.Upstream,
         number: int,
-        interrupt: connections.Interrupt,
+        interrupt: connections.CallCanceller,
     ) -> expression.Result[upstreams.ServiceReply, errors.Fault]:
         service = self._directory.find_service(exchange.pool, upstream)
         step = errors.Step.SERVICE
         began_ms = self._clock.now_ms()
         with exchange.span.begin(self._tracer, step) as span:
-            headers = http_service.strip_hop_headers(exchange.headers)
+            headers = http_service.strip_hop_by_hop_headers(exchange.headers)
             headers.append(("traceparent", span.traceparent))
             result = service.call(
                 f"{exchange.request_id}-{number}",
@@ -189,7 +197,7 @@
                 headers,
                 exchange.body,
                 self._limit_ms(exchange, number, began_ms),
-                route.is_repeatable(exchange),
+                route.is_idempotent(exchange),
                 interrupt,
             )
             if result.is_error():
@@ -202,9 +210,12 @@
     ) -> int:
         left_ms = max(exchange.deadline.left_ms(now_ms), 1)
         is_last = number + 1 >= exchange.route.most_attempts
-        if is_last or not route.is_repeatable(exchange):
+        if is_last or not route.is_idempotent(exchange):
             return left_ms
-        return min(max(left_ms // PART_OF_LEFT, LEAST_TRY_MS), left_ms)
+        return min(
+            max(left_ms // REMAINING_TIME_DIVISOR, MIN_ATTEMPT_TIMEOUT_MS),
+            left_ms,
+        )
 
     def _note_end(
         self,
@@ -217,13 +228,13 @@
         fault = None if result.is_ok() else result.error
         if exchange.has_gone.is_set():
             # A call that was ended for its caller says nothing of the server.
-            end = server_selection.CallEnd.NO_VERDICT
+            end = server_selection.CallOutcome.NO_VERDICT
         elif fault is None:
-            end = server_selection.CallEnd.DONE
+            end = server_selection.CallOutcome.DONE
         elif fault.code is errors.Code.UPSTREAM_UNREACHABLE:
-            end = server_selection.CallEnd.UNREACHED
+            end = server_selection.CallOutcome.UNREACHED
         else:
-            end = server_selection.CallEnd.FAILED
+            end = server_selection.CallOutcome.FAILED
         with self._lock:
             self._chooser.finish(
                 exchange.pool, upstream, end, now_ms - began_ms, now_ms
@@ -231,7 +242,7 @@
         if fault is not None:
             LOG.info(
                 "a call to a server failed",
-                extra=logs.describe(
+                extra=logs.make_extra(
                     fault,
                     request_id=exchange.request_id,
                     upstream=upstream.name,
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -12,12 +12,12 @@
 from mulberryway.policy import endpoints
 
 __all__ = [
-    "Entry",
-    "Health",
+    "DiscoveryEndpoint",
+    "HealthEndpoint",
     "Lifecycle",
-    "RefuseLongWork",
-    "RefuseWhenStopping",
-    "ShowMetrics",
+    "LateStreamRejection",
+    "ShutdownRejection",
+    "MetricsEndpoint",
 ]
 
 JSON_HEADERS = [("Content-Type", replies.JSON_TYPE)]
@@ -50,7 +50,7 @@
         """Whether work that takes seconds could not end in time any more."""
 
 
-class Health(base.Filter):
+class HealthEndpoint(base.Filter):
     """Answers ``/healthz`` and ``/readyz``; needs no key.
 
     :param lifecycle: tells whether new callers should come
@@ -60,7 +60,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer checks, and let all else go on.
 
@@ -76,7 +76,7 @@
         return proceed(exchange)
 
 
-class ShowMetrics(base.Filter):
+class MetricsEndpoint(base.Filter):
     """Answers ``/metrics`` with counters and histograms as text.
 
     :param metrics_: the process's instruments
@@ -86,7 +86,7 @@
         self._metrics = metrics_
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer collectors, and let all else go on.
 
@@ -102,7 +102,7 @@
         )
 
 
-class RefuseWhenStopping(base.Filter):
+class ShutdownRejection(base.Filter):
     """Refuses new requests truthfully once callers have had time to go.
 
     :param lifecycle: tells how far a stop has come
@@ -112,7 +112,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Refuse or go on.
 
@@ -135,7 +135,7 @@
         )
 
 
-class RefuseLongWork(base.Filter):
+class LateStreamRejection(base.Filter):
     """Keeps a stopping VM's last seconds for work that ends within them.
 
     A stream that begins late in a stop would be cut, while another VM could
@@ -149,7 +149,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Refuse streams near the end of a stop, and let all else go on.
 
@@ -171,7 +171,7 @@
         )
 
 
-class Entry(base.Filter):
+class DiscoveryEndpoint(base.Filter):
     """Answers ``GET /v1/entry`` with the addresses to use; needs no key.
 
     :param directory: knows the VMs that take new callers
@@ -180,14 +180,14 @@
     """
 
     def __init__(
-        self, directory: endpoints.EntryDirectory, zone: str, ttl_ms: int
+        self, directory: endpoints.EndpointDirectory, zone: str, ttl_ms: int
     ) -> None:
         self._directory = directory
         self._zone = zone
         self._ttl_ms = ttl_ms
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer a question for addresses, and let all else go on.
 
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -64,7 +64,7 @@
 # of a pool has a target; at eight of these a caller leaves.
 TOKEN_GAP_MS = 300
 US_IN_MS = 1_000
-STYLE = replies.Style(
+FAULT_FORMAT = replies.FaultFormat(
     has_fractions=True,
     repeats_by_status=True,
     statuses={
@@ -75,18 +75,18 @@
 )
 
 
-class _AllEntries(endpoints.EntryDirectory):
+class _AllEntries(endpoints.EndpointDirectory):
     """Tells callers of all VMs that take callers."""
 
     def __init__(self, assembly: "HostedAssembly") -> None:
         self._assembly = assembly
 
-    def list_addresses(self, caller_zone: str) -> list[endpoints.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         """Return the addresses of all VMs that take callers.
 
         :param caller_zone: not looked at: callers choose by chance
         """
-        return endpoints.list_entries(
+        return endpoints.list_endpoints(
             self._assembly.members.list_members(),
             self._assembly.allowances.list_silent(),
         )
@@ -109,7 +109,7 @@
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
         self.incarnation = self.clock.wall_ms()
-        self.counts = call_metrics.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         self.store = store.PlatformStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -123,14 +123,14 @@
         self.source = mirrored_tables.MirroredTables(
             platform_tables.TablesReader()
         )
-        self.outages = store_reachability.Outages()
+        self.outages = store_reachability.StoreReachability()
         self.keepers = self._make_keepers()
-        self.exchange = mirror_exchange.MirrorExchange(
+        self.exchange = mirror_exchange.MirrorSyncController(
             self.keepers, self.client, self.clock, self._list_peers
         )
         self.directory = directory.PlatformDirectory(self.clock)
-        self.budget = repeats.Budget(
-            retries.FleetBudget(
+        self.budget = repeats.SharedRetryBudget(
+            retries.FleetRetryBudget(
                 settings_.retries_part,
                 settings_.retries_window_ms,
                 settings_.retries_slack,
@@ -138,7 +138,7 @@
             self.clock,
             self.members.count_members,
         )
-        self.book = usage.UsageBook(
+        self.book = usage.ReplicatedRateLimiter(
             settings_.vm_name,
             self.incarnation,
             usage.Margin(
@@ -158,7 +158,7 @@
         self.scheduler = self._make_scheduler()
         self._wire_router()
         self._wire_peers()
-        self.reloading = reloading.Reloading(
+        self.reloading = reloading.SettingsReloadController(
             file, self._change_settings, self.clock
         )
 
@@ -166,7 +166,7 @@
         """Begin to serve peers, then callers; returns at once."""
         LOG.info(
             "the entry VM starts",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 incarnation=self.incarnation,
                 address=self.settings.router_address,
                 peers=self.members.own.peer,
@@ -194,7 +194,7 @@
         """
         LOG.info(
             "the entry VM stops",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 running=self.router.running,
                 grace_ms=self.settings.router_grace_ms,
             ),
@@ -217,7 +217,7 @@
         self.peer_server.stop()
         LOG.info(
             "the entry VM has stopped",
-            extra=logs.describe(cut=self.router.running),
+            extra=logs.make_extra(cut=self.router.running),
         )
 
     def _make_members(self) -> membership.MembershipController:
@@ -242,22 +242,22 @@
             settings_.peers_period_ms,
         )
 
-    def _make_keepers(self) -> dict[str, mirrors.MirrorKeeper]:
+    def _make_keepers(self) -> dict[str, mirrors.MirrorController]:
         source = self.source
-        source.configuration = mirrors.MirrorKeeper(
-            platform_tables.CONFIGURATION,
+        source.configuration = mirrors.MirrorController(
+            platform_tables.CONFIGURATION_KIND,
             self.store,
             self.clock,
             source.refresh,
             is_watcher=self._must_watch,
         )
-        source.servers = mirrors.MirrorKeeper(
-            platform_tables.SERVERS,
+        source.servers = mirrors.MirrorController(
+            platform_tables.SERVERS_KIND,
             self.store,
             self.clock,
             source.refresh,
-            mass_expiry.LapseDetector(
-                mass_expiry.Limits(
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(
                     self.settings.upstreams_heartbeat_ms,
                     self.settings.upstreams_drain_ms,
                 ),
@@ -275,10 +275,10 @@
         return scheduler.FairScheduler(
             settings_.vm_name,
             self.incarnation,
-            fairness.find_weighing(settings_.policy_weighing),
+            fairness.find_fairness_mode(settings_.policy_weighing),
             seed=random.SystemRandom().getrandbits(32),
             token_gap_ms=TOKEN_GAP_MS,
-            budget=retries.NoBudget,
+            budget=retries.UnlimitedRetryBudget,
             prefill_rate=settings_.policy_prefill_us / US_IN_MS,
         )
 
@@ -296,7 +296,7 @@
             directory_=self.directory,
             on_ready=lambda: self.members.change_own(is_starting=False),
             interface_=interface.PlatformInterface(self.budget),
-            style=STYLE,
+            style=FAULT_FORMAT,
             # Here a key that was taken away binds the requests that come
             # after it; a stream that runs is owed to its caller.
             cuts_withdrawn=False,
@@ -311,7 +311,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = scheduler_gossip.NotesController(
+        self.notes = scheduler_gossip.SchedulerGossipController(
             self.router.scheduling,
             self.members,
             self.source,
@@ -343,7 +343,7 @@
             },
             self.clock,
         )
-        self.datagrams = datagrams.Datagrams(
+        self.datagrams = datagrams.DatagramTransport(
             settings_.vm_address,
             settings_.peers_port,
             settings_.peers_secret,
@@ -351,7 +351,7 @@
             self.clock,
         )
         self.dissemination.datagrams = self.datagrams
-        self.registration = registration.Registration(
+        self.registration = registration.RegistrationController(
             self.members.own,
             self.store,
             self.clock,
@@ -366,7 +366,7 @@
             dict,
             self._may_issue_orders,
             self.clock,
-            role_planner.ShapePlanner(),
+            role_planner.RolePlanner(),
         )
 
     def _list_peers(self) -> list[str]:
@@ -374,7 +374,7 @@
         alive = [
             one.peer
             for one in self.members.list_members()
-            if one.health is not member.Health.DEAD
+            if one.health is not member.MemberStatus.DEAD
             and one.name != self.settings.vm_name
         ]
         return alive or list(_list_seeds(self.settings))
@@ -394,7 +394,7 @@
     def _find_engine(
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
-        return directory_.find_by_name(
+        return directory_.find_engine_by_name(
             self.source.read_tables(), self.directory, pool, upstream
         )
 
--- a/mulberryway/load/caller.py
+++ b/mulberryway/load/caller.py
@@ -16,7 +16,7 @@
 ENTRY_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 # Without an answer the named addresses are used, and it is asked again only
 # after a while: asking before each call would take longer than the call.
-ASK_AGAIN_MS = 1_000
+RESOLVE_RETRY_MS = 1_000
 DONE = b"data: [DONE]"
 EVENT_END = b"\n\n"
 # What a caller may do again: the answer says that nothing ran.
@@ -29,7 +29,7 @@
     return time.monotonic() * 1000
 
 
-class Entry:
+class AddressResolver:
     """The addresses to use, kept for as long as the answer allows.
 
     :param addresses: VMs that are asked
@@ -76,10 +76,10 @@
                     return
             except (aiohttp.ClientError, TimeoutError, KeyError, ValueError):
                 continue
-        self._until_ms = read_ms() + ASK_AGAIN_MS
+        self._until_ms = read_ms() + RESOLVE_RETRY_MS
 
 
-class Caller:
+class LoadGenerator:
     """Makes the calls of a plan and notes what came back.
 
     :param plan_: the plan
@@ -87,7 +87,9 @@
 
     def __init__(self, plan_: plan.LoadPlan) -> None:
         self._plan = plan_
-        self._entry = Entry(plan_.addresses, random.Random(plan_.seed))
+        self._entry = AddressResolver(
+            plan_.addresses, random.Random(plan_.seed)
+        )
         self._session: aiohttp.ClientSession | None = None
 
     async def run(self) -> list[outcome.Outcome]:
@@ -245,7 +247,7 @@
     :returns: what callers got, and how long it took in milliseconds
     """
     began_ms = read_ms()
-    outcomes = asyncio.run(Caller(plan_).run())
+    outcomes = asyncio.run(LoadGenerator(plan_).run())
     return outcomes, read_ms() - began_ms
 
 
--- a/mulberryway/load/outcome.py
+++ b/mulberryway/load/outcome.py
@@ -4,14 +4,14 @@
 import math
 import typing
 
-__all__ = ["Outcome", "pick_percentile"]
+__all__ = ["Outcome", "compute_percentile"]
 
-FIRST_TOKEN_MS = 1_100
-TOKEN_GAP_MS = 63
-SHARE_IN_TIME = 0.95
+FIRST_TOKEN_TARGET_MS = 1_100
+TOKEN_GAP_TARGET_MS = 63
+GAP_PERCENTILE = 0.95
 
 
-def pick_percentile(values: list[float], share: float) -> float:
+def compute_percentile(values: list[float], share: float) -> float:
     """Return a percentile by nearest rank.
 
     :param values: the values in any order
@@ -81,8 +81,11 @@
         """Tell whether the call met both latency targets in full."""
         if not self.is_whole or self.kind != "stream":
             return False
-        gap_ms = pick_percentile(self.gaps_ms, SHARE_IN_TIME)
-        return self.first_ms <= FIRST_TOKEN_MS and gap_ms <= TOKEN_GAP_MS
+        gap_ms = compute_percentile(self.gaps_ms, GAP_PERCENTILE)
+        return (
+            self.first_ms <= FIRST_TOKEN_TARGET_MS
+            and gap_ms <= TOKEN_GAP_TARGET_MS
+        )
 
     def note_error(self, error: dict[str, typing.Any]) -> None:
         """Take over an error answer.
@@ -100,7 +103,7 @@
             for name in self.__slots__
             if name not in ("gaps_ms", "lags_ms", "text")
         }
-        record["gap_p95_ms"] = pick_percentile(self.gaps_ms, SHARE_IN_TIME)
+        record["gap_p95_ms"] = compute_percentile(self.gaps_ms, GAP_PERCENTILE)
         record["gap_max_ms"] = max(self.gaps_ms, default=0.0)
         record["text_sha256"] = hashlib.sha256(self.text.encode()).hexdigest()
         return record
--- a/mulberryway/load/plan.py
+++ b/mulberryway/load/plan.py
@@ -8,13 +8,19 @@
 
 from mulberryway import errors
 
-__all__ = ["CallerPlan", "LoadPlan", "PlannedCall", "plan_calls", "read_plan"]
+__all__ = [
+    "ClientProfile",
+    "LoadPlan",
+    "PlannedCall",
+    "plan_calls",
+    "read_plan",
+]
 
 BYTES_PER_TOKEN = 4
 WORDS = ("fix", "base", "drift", "net", "pen", "log", "crew", "dive")
 
 
-class CallerPlan:
+class ClientProfile:
     """One sort of call that a client account makes.
 
     :param account: the client account, for the report
@@ -106,7 +112,7 @@
     def __init__(
         self,
         addresses: tuple[str, ...],
-        callers: tuple[CallerPlan, ...],
+        callers: tuple[ClientProfile, ...],
         seed: int = 1,
         duration_ms: int = 10_000,
         repeats: int = 1,
@@ -136,7 +142,7 @@
         self,
         number: int,
         at_ms: float,
-        caller: CallerPlan,
+        caller: ClientProfile,
         prompt: str,
         max_tokens: int,
     ) -> None:
@@ -164,7 +170,7 @@
 
 
 def _plan_times(
-    caller: CallerPlan, duration_ms: int, random_: random.Random
+    caller: ClientProfile, duration_ms: int, random_: random.Random
 ) -> list[float]:
     times = [
         caller.burst_ms * index / caller.burst for index in range(caller.burst)
@@ -179,7 +185,7 @@
 
 
 def _plan_call(
-    number: int, at_ms: float, caller: CallerPlan, random_: random.Random
+    number: int, at_ms: float, caller: ClientProfile, random_: random.Random
 ) -> PlannedCall:
     if caller.kind == "plain":
         body = caller.body.replace("{number}", str(number))
@@ -201,7 +207,7 @@
 
 
 def _make_prompt(
-    number: int, caller: CallerPlan, tokens: int, random_: random.Random
+    number: int, caller: ClientProfile, tokens: int, random_: random.Random
 ) -> str:
     prefix = _make_words(
         caller.prefix_tokens * BYTES_PER_TOKEN, random.Random(caller.account)
@@ -229,7 +235,7 @@
             file, "file", f"a readable TOML file ({error})"
         ) from error
     callers = tuple(
-        _make(CallerPlan, file, f"caller[{index}]", row)
+        _make(ClientProfile, file, f"caller[{index}]", row)
         for index, row in enumerate(values.get("caller", []))
     )
     return _make(
--- a/mulberryway/load/report.py
+++ b/mulberryway/load/report.py
@@ -68,9 +68,9 @@
         "goodput_tokens_per_s": sum(item.tokens for item in good) / seconds,
         "tokens_per_s": sum(item.tokens for item in items) / seconds,
         "tokens": sum(item.tokens for item in items),
-        "first_p50_ms": outcome.pick_percentile(firsts, 0.5),
-        "first_p95_ms": outcome.pick_percentile(firsts, 0.95),
-        "gap_p95_ms": outcome.pick_percentile(gaps, 0.95),
+        "first_p50_ms": outcome.compute_percentile(firsts, 0.5),
+        "first_p95_ms": outcome.compute_percentile(firsts, 0.95),
+        "gap_p95_ms": outcome.compute_percentile(gaps, 0.95),
         "gap_max_ms": max(gaps, default=0.0),
     }
 
--- a/mulberryway/logs.py
+++ b/mulberryway/logs.py
@@ -10,18 +10,18 @@
 
 from mulberryway import errors
 
-__all__ = ["BoundedHandler", "JsonFormatter", "describe", "set_up"]
+__all__ = ["BoundedHandler", "JsonFormatter", "make_extra", "set_up"]
 
 FIELDS = "fields"
 # A write to a full pipe blocks, and lines cost processor time.  So a thread of
 # its own writes, lines per second are limited, and what does not fit is
 # dropped and counted.
-MOST_LINES_PER_S = 300
+MAX_LINES_PER_S = 300
 # Of it ordinary lines get this part, so that warnings still come through.
-ORDINARY_PART = 0.8
-MOST_QUEUED = 2_000
+BELOW_WARNING_FRACTION = 0.8
+MAX_QUEUED_RECORDS = 2_000
 FLUSH_S = 0.3
-TELL_S = 1.0
+DROP_REPORT_INTERVAL_S = 1.0
 
 
 class JsonFormatter(logging.Formatter):
@@ -61,12 +61,14 @@
     """
 
     def __init__(
-        self, stream: typing.TextIO, most_per_s: int = MOST_LINES_PER_S
+        self, stream: typing.TextIO, most_per_s: int = MAX_LINES_PER_S
     ) -> None:
         super().__init__()
         self._stream = stream
         self._most_per_s = most_per_s
-        self._queue: queue.Queue[logging.LogRecord] = queue.Queue(MOST_QUEUED)
+        self._queue: queue.Queue[logging.LogRecord] = queue.Queue(
+            MAX_QUEUED_RECORDS
+        )
         self._second = 0
         self._in_second = 0
         self._dropped = 0
@@ -92,7 +94,7 @@
             self._second, self._in_second = second, 0
         most: float = self._most_per_s
         if record.levelno < logging.WARNING:
-            most *= ORDINARY_PART
+            most *= BELOW_WARNING_FRACTION
         if self._in_second >= most:
             self._dropped += 1
             return
@@ -113,7 +115,7 @@
             record = self._queue.get()
             self._write(self.format(record))
             now_s = time.monotonic()
-            if self._dropped and now_s - told_s >= TELL_S:
+            if self._dropped and now_s - told_s >= DROP_REPORT_INTERVAL_S:
                 told_s = now_s
                 self._tell_dropped()
             if self._queue.empty():
@@ -141,7 +143,7 @@
             self._dropped += 1
 
 
-def describe(
+def make_extra(
     fault: errors.Fault | None = None, **fields: typing.Any
 ) -> dict[str, typing.Any]:
     """Return the ``extra`` argument that adds fields to a log line.
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -10,7 +10,7 @@
 from mulberryway import errors
 
 __all__ = [
-    "Changes",
+    "ChangeBatch",
     "EventType",
     "ListedVm",
     "Listing",
@@ -94,7 +94,7 @@
         self.revision = revision
 
 
-class Changes:
+class ChangeBatch:
     """What has changed in a kind since a revision.
 
     :param events: the changes in order
@@ -129,7 +129,7 @@
     @abc.abstractmethod
     def poll(
         self, kind: str, revision: int, wait_ms: int, purpose: str
-    ) -> expression.Result[Changes, errors.Fault]:
+    ) -> expression.Result[ChangeBatch, errors.Fault]:
         """Wait for changes of a kind after a revision.
 
         :param kind: the plural kind
--- a/mulberryway/objects/call_metrics.py
+++ b/mulberryway/objects/call_metrics.py
@@ -5,7 +5,7 @@
 
 from mulberryway import metrics
 
-__all__ = ["CallCounter", "CallCounts", "Count"]
+__all__ = ["CallCounter", "InMemoryCallCounter", "CallStats"]
 
 
 class CallCounter(abc.ABC):
@@ -28,7 +28,7 @@
         """
 
 
-class Count:
+class CallStats:
     """How often one purpose ended in one way.
 
     :param calls: the number of calls
@@ -46,12 +46,12 @@
         self.received = received
 
 
-class CallCounts(CallCounter):
+class InMemoryCallCounter(CallCounter):
     """Keeps the counts in memory."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._counts: dict[tuple[str, str], Count] = {}
+        self._counts: dict[tuple[str, str], CallStats] = {}
 
     def count_call(
         self, purpose: str, outcome: str, sent: int, received: int
@@ -64,19 +64,19 @@
         :param received: bytes of the reply's body
         """
         with self._lock:
-            count = self._counts.setdefault((purpose, outcome), Count())
+            count = self._counts.setdefault((purpose, outcome), CallStats())
             count.calls += 1
             count.sent += sent
             count.received += received
 
-    def read_counts(self) -> dict[tuple[str, str], Count]:
+    def read_counts(self) -> dict[tuple[str, str], CallStats]:
         """Return the counts so far.
 
         :returns: a copy, by purpose and outcome
         """
         with self._lock:
             return {
-                key: Count(count.calls, count.sent, count.received)
+                key: CallStats(count.calls, count.sent, count.received)
                 for key, count in self._counts.items()
             }
 
--- a/mulberryway/objects/codec.py
+++ b/mulberryway/objects/codec.py
@@ -5,10 +5,16 @@
 
 from mulberryway.objects import base
 
-__all__ = ["encode", "read_event", "read_list", "read_object", "read_vms"]
+__all__ = [
+    "encode_body",
+    "decode_event",
+    "decode_list",
+    "decode_object",
+    "decode_vms",
+]
 
 
-def encode(body: dict[str, typing.Any]) -> bytes:
+def encode_body(body: dict[str, typing.Any]) -> bytes:
     """Return a body as it is sent.
 
     :param body: plain values
@@ -16,7 +22,7 @@
     return json.dumps(body, separators=(",", ":")).encode()
 
 
-def read_object(kind: str, body: typing.Any) -> base.StoredObject:
+def decode_object(kind: str, body: typing.Any) -> base.StoredObject:
     """Read one object.
 
     :param kind: the plural kind
@@ -33,16 +39,16 @@
     )
 
 
-def read_list(kind: str, body: typing.Any) -> list[base.StoredObject]:
+def decode_list(kind: str, body: typing.Any) -> list[base.StoredObject]:
     """Read a list of objects.
 
     :param kind: the plural kind
     :param body: plain values
     """
-    return [read_object(kind, item) for item in body["items"]]
+    return [decode_object(kind, item) for item in body["items"]]
 
 
-def read_event(kind: str, line: bytes) -> base.WatchEvent:
+def decode_event(kind: str, line: bytes) -> base.WatchEvent:
     """Read one line of a watch.
 
     :param kind: the plural kind
@@ -50,11 +56,11 @@
     """
     body = json.loads(line)
     return base.WatchEvent(
-        base.EventType(body["type"]), read_object(kind, body["object"])
+        base.EventType(body["type"]), decode_object(kind, body["object"])
     )
 
 
-def read_vms(body: typing.Any) -> list[base.ListedVm]:
+def decode_vms(body: typing.Any) -> list[base.ListedVm]:
     """Read the list of VMs.
 
     :param body: plain values
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -77,7 +77,7 @@
         reply = self._exchange("GET", _path(kind, name), None, purpose)
         return reply.bind(
             lambda body: self._read(
-                "GET", lambda: codec.read_object(kind, body)
+                "GET", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -87,7 +87,9 @@
         """Return all objects of a kind; see the base class."""
         reply = self._exchange("GET", _path(kind), None, purpose)
         return reply.bind(
-            lambda body: self._read("GET", lambda: codec.read_list(kind, body))
+            lambda body: self._read(
+                "GET", lambda: codec.decode_list(kind, body)
+            )
         )
 
     def create(
@@ -98,7 +100,7 @@
         reply = self._exchange("POST", _path(kind), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "POST", lambda: codec.read_object(kind, body)
+                "POST", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -116,7 +118,7 @@
         reply = self._exchange("PUT", _path(kind, name), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "PUT", lambda: codec.read_object(kind, body)
+                "PUT", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -153,7 +155,7 @@
             for line in self._read_lines(response, silence_ms):
                 event = line.bind(
                     lambda text: self._read(
-                        "GET", lambda: codec.read_event(kind, text)
+                        "GET", lambda: codec.decode_event(kind, text)
                     )
                 )
                 yield event
@@ -170,7 +172,7 @@
         """Return the platform's list of VMs; see the base class."""
         reply = self._exchange("GET", NODES, None, purpose)
         return reply.bind(
-            lambda body: self._read("GET", lambda: codec.read_vms(body))
+            lambda body: self._read("GET", lambda: codec.decode_vms(body))
         )
 
     def _exchange(
@@ -183,7 +185,7 @@
         with TRACER.start_as_current_span("platform") as span:
             span.set_attribute("purpose", purpose)
             deadline = clock.Deadline(self._clock.now_ms() + self._timeout_ms)
-            data = None if body is None else codec.encode(body)
+            data = None if body is None else codec.encode_body(body)
             opened = self._send(verb, target, data, self._timeout_ms, purpose)
             reply = opened.bind(
                 lambda response: self._read_body(verb, response, deadline)
@@ -337,7 +339,9 @@
             errors.Code.PLATFORM_UNAVAILABLE,
             errors.Step.PLATFORM,
             self._peer,
-            errors.Run.MAY_HAVE_RUN if may_have_run else errors.Run.NOT_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN
+            if may_have_run
+            else errors.ExecutionStatus.NOT_RUN,
             message,
         )
 
--- a/mulberryway/objects/roots.py
+++ b/mulberryway/objects/roots.py
@@ -13,14 +13,14 @@
 from mulberryway.tables import root as roots
 from mulberryway.tables import segments
 
-__all__ = ["KIND", "NAME", "HeldRoot", "RootStore"]
+__all__ = ["KIND", "NAME", "VersionedRoot", "RootStore"]
 
 KIND = "roots"
 NAME = "root"
 PURPOSE = "configuration_edit"
 
 
-class HeldRoot:
+class VersionedRoot:
     """A root and the platform's version of it.
 
     :param version: the platform's version; 0 if there is none yet
@@ -52,17 +52,17 @@
         self._cache = segments.SegmentCache()
         self._history: segments.Segment | None = None
 
-    def read_root(self) -> expression.Result[HeldRoot, errors.Fault]:
+    def read_root(self) -> expression.Result[VersionedRoot, errors.Fault]:
         """Return the platform's root, or the empty one before the first."""
         found = self._store.read(KIND, NAME, PURPOSE)
         if found.is_ok():
             return _decode_root(found.ok)
         if found.error.code is errors.Code.NOT_FOUND:
-            return expression.Ok(HeldRoot(0, roots.Root.make_empty()))
+            return expression.Ok(VersionedRoot(0, roots.Root.make_empty()))
         return expression.Error(found.error)
 
     def write_root(
-        self, held: HeldRoot, root: roots.Root
+        self, held: VersionedRoot, root: roots.Root
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         """Put a root in the place of exactly the one that is held.
 
@@ -118,7 +118,7 @@
 
         :param root: the root whose history is wanted
         """
-        if root.history == roots.EMPTY:
+        if root.history == roots.EMPTY_DIGEST:
             return expression.Ok([])
         kept = self._history
         if kept is not None and kept.digest == root.history:
@@ -148,9 +148,9 @@
 
 def _decode_root(
     stored: base.StoredObject,
-) -> expression.Result[HeldRoot, errors.Fault]:
+) -> expression.Result[VersionedRoot, errors.Fault]:
     try:
         root = roots.Root.decode(stored.value)
     except errors.TablesError as error:
         return expression.Error(error.fault)
-    return expression.Ok(HeldRoot(stored.version, root))
+    return expression.Ok(VersionedRoot(stored.version, root))
--- a/mulberryway/objects/segments.py
+++ b/mulberryway/objects/segments.py
@@ -24,7 +24,7 @@
 LOG = logging.getLogger(__name__)
 
 KIND = "segments"
-MOST_TRIES = 8
+MAX_WRITE_ATTEMPTS = 8
 
 WRITE = "configuration_write"
 READ = "configuration_read"
@@ -59,7 +59,7 @@
         """
         value = {"rows": json.loads(segment.content), "base": revision}
         result: expression.Result[base.StoredObject, errors.Fault]
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             result = self._store.create(KIND, segment.digest, value, WRITE)
             if result.is_error() and _is(result, errors.Code.CONFLICT):
                 result = self._raise_base(segment.digest, value, revision)
--- a/mulberryway/options.py
+++ b/mulberryway/options.py
@@ -11,10 +11,10 @@
     "Option",
     "is_digest_table",
     "is_ip",
-    "is_one_of",
+    "make_choice_check",
     "is_optional_url",
-    "is_part",
-    "is_text",
+    "is_fraction",
+    "is_nonempty_string",
     "is_text_list",
     "is_url",
     "make_address",
@@ -58,7 +58,7 @@
         self.accepts = accepts
 
 
-def is_int(
+def make_int_check(
     low: int, high: int
 ) -> collections.abc.Callable[[typing.Any], bool]:
     """Return a check for whole numbers from one to another."""
@@ -69,24 +69,24 @@
     return accepts
 
 
-def is_amount(
+def make_number_check(
     low: float, high: float
 ) -> collections.abc.Callable[[typing.Any], bool]:
     """Return a check for numbers, with fractions or without."""
     return lambda value: type(value) in (int, float) and low <= value <= high
 
 
-def is_part(value: typing.Any) -> bool:
+def is_fraction(value: typing.Any) -> bool:
     """Tell whether a value is a number from 0 to 1."""
     return type(value) in (int, float) and 0 <= value <= 1
 
 
-def is_text(value: typing.Any) -> bool:
+def is_nonempty_string(value: typing.Any) -> bool:
     """Tell whether a value is a text that is not empty."""
     return isinstance(value, str) and bool(value)
 
 
-def is_any_text(value: typing.Any) -> bool:
+def is_string(value: typing.Any) -> bool:
     """Tell whether a value is a text."""
     return isinstance(value, str)
 
@@ -102,7 +102,7 @@
 
 def is_text_list(value: typing.Any) -> bool:
     """Tell whether a value is a list of texts."""
-    return isinstance(value, list) and all(map(is_text, value))
+    return isinstance(value, list) and all(map(is_nonempty_string, value))
 
 
 def is_digest_table(value: typing.Any) -> bool:
@@ -123,7 +123,9 @@
     return value == "" or is_url(value)
 
 
-def is_one_of(*choices: str) -> collections.abc.Callable[[typing.Any], bool]:
+def make_choice_check(
+    *choices: str,
+) -> collections.abc.Callable[[typing.Any], bool]:
     """Return a check for some values."""
     return lambda value: value in choices
 
@@ -131,7 +133,7 @@
 def make_port(key: str, attribute: str) -> Option:
     """Return an option that is a port."""
     return Option(
-        key, attribute, "a port from 1 to 65535", is_int(1, MOST_PORT)
+        key, attribute, "a port from 1 to 65535", make_int_check(1, MOST_PORT)
     )
 
 
@@ -159,7 +161,7 @@
         key,
         attribute,
         f"a whole number from {low} to {high}",
-        is_int(low, high),
+        make_int_check(low, high),
     )
 
 
@@ -169,7 +171,7 @@
         key,
         attribute,
         f"seconds from {low} to {high}",
-        is_amount(low, high),
+        make_number_check(low, high),
         lambda value: int(value * MS_IN_S),
     )
 
@@ -177,5 +179,9 @@
 def make_amount(key: str, attribute: str, high: float) -> Option:
     """Return an option whose value may have a fraction, rounded down."""
     return Option(
-        key, attribute, f"a number from 0 to {high}", is_amount(0, high), int
+        key,
+        attribute,
+        f"a number from 0 to {high}",
+        make_number_check(0, high),
+        int,
     )
--- a/mulberryway/peers/channel.py
+++ b/mulberryway/peers/channel.py
@@ -19,17 +19,17 @@
 __all__ = [
     "Channel",
     "ChannelError",
-    "HELLO_BYTES",
+    "HANDSHAKE_BYTES",
     "NONCE_BYTES",
     "OVERHEAD_BYTES",
-    "accept_hello",
+    "accept_handshake",
     "connect",
     "make_nonce",
 ]
 
 NONCE_BYTES = 16
 MAC_BYTES = 16
-HELLO_BYTES = NONCE_BYTES + MAC_BYTES
+HANDSHAKE_BYTES = NONCE_BYTES + MAC_BYTES
 LENGTH = struct.Struct(">I")
 COUNTER = struct.Struct(">Q")
 OVERHEAD_BYTES = LENGTH.size + MAC_BYTES
@@ -206,7 +206,7 @@
     return Channel(connection, key, False, clock_)
 
 
-def accept_hello(
+def accept_handshake(
     connection: socket.socket,
     secret: str,
     server_nonce: bytes,
--- a/mulberryway/peers/client.py
+++ b/mulberryway/peers/client.py
@@ -22,7 +22,7 @@
 MOST_CALLS_PER_PEER = 16
 # Shorter than the server's own limit, so that a connection is not reused in
 # the moment in which the server gives it up.
-MOST_IDLE_MS = 15_000
+IDLE_TIMEOUT_MS = 15_000
 
 
 class PeerClient:
@@ -161,7 +161,7 @@
             one.close()
 
     def _is_fresh(self, one: channel.Channel) -> bool:
-        return self._clock.now_ms() - one.used_ms < MOST_IDLE_MS
+        return self._clock.now_ms() - one.used_ms < IDLE_TIMEOUT_MS
 
     def _give_back(self, peer: str, one: channel.Channel) -> None:
         with self._lock:
@@ -219,7 +219,7 @@
         counts: traffic.Traffic,
     ) -> typing.Any:
         """Exchange request and answer on one connection."""
-        service = protocol.read_service_name(self.client_class)
+        service = protocol.get_service_name(self.client_class)
         kind = service + protocol.SEPARATOR + self.method
 
         def exchange(request: bytes) -> bytes:
@@ -230,14 +230,20 @@
             return reply
 
         transport = protocol.CallTransport(exchange)
-        client = self.client_class(protocol.PeerProtocol(transport, service))
+        client = self.client_class(
+            protocol.MultiplexedProtocol(transport, service)
+        )
         return getattr(client, self.method)(*self.arguments)
 
 
 def _fail(
     peer: str, message: str, was_sent: bool = False
 ) -> expression.Result[typing.Any, errors.Fault]:
-    run = errors.Run.MAY_HAVE_RUN if was_sent else errors.Run.NOT_RUN
+    run = (
+        errors.ExecutionStatus.MAY_HAVE_RUN
+        if was_sent
+        else errors.ExecutionStatus.NOT_RUN
+    )
     return expression.Error(
         errors.Fault(
             errors.Code.PEER_UNREACHABLE, errors.Step.PEER, peer, run, message
@@ -253,7 +259,7 @@
             errors.Code.PEER_REFUSED,
             errors.Step.PEER,
             peer,
-            errors.Run.MAY_HAVE_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN,
             message,
         )
     )
--- a/mulberryway/peers/datagrams.py
+++ b/mulberryway/peers/datagrams.py
@@ -17,7 +17,7 @@
 from mulberryway import clock
 from mulberryway.peers import traffic
 
-__all__ = ["Datagrams", "MOST_PAYLOAD_BYTES"]
+__all__ = ["DatagramTransport", "MOST_PAYLOAD_BYTES"]
 
 LOG = logging.getLogger(__name__)
 
@@ -29,12 +29,12 @@
 # Several notes may come while the one thread is at work on another.
 RECEIVE_BUFFER_BYTES = 1 << 20
 # Bounds what is read together, so that the thread looks whether to stop.
-MOST_TOGETHER = 256
+MAX_BATCH = 256
 CONTEXT = b"mulberryway datagrams 1"
 KIND = "Datagram"
 
 
-class Datagrams:
+class DatagramTransport:
     """Sends and receives signed datagrams on one port.
 
     :param host: the IP number to listen on
@@ -119,7 +119,7 @@
 
     def _receive_more(self) -> None:
         """Take what has come meanwhile, without waiting."""
-        for _ in range(MOST_TOGETHER):
+        for _ in range(MAX_BATCH):
             if not self._receive(socket.MSG_DONTWAIT):
                 return
 
--- a/mulberryway/peers/envelopes.py
+++ b/mulberryway/peers/envelopes.py
@@ -4,10 +4,10 @@
 from mulberryway.peers.gen.notes import ttypes
 from mulberryway.policy import dissemination
 
-__all__ = ["read_envelope", "write_envelope"]
+__all__ = ["decode_envelope", "encode_envelope"]
 
 
-def write_envelope(envelope: dissemination.Envelope) -> bytes:
+def encode_envelope(envelope: dissemination.Envelope) -> bytes:
     """Return the payload for an envelope.
 
     :param envelope: the envelope
@@ -21,7 +21,7 @@
     return codec.write(message)
 
 
-def read_envelope(payload: bytes) -> dissemination.Envelope:
+def decode_envelope(payload: bytes) -> dissemination.Envelope:
     """Return the envelope of a payload.
 
     :param payload: the payload
--- a/mulberryway/peers/gossip_messages.py
+++ b/mulberryway/peers/gossip_messages.py
@@ -10,14 +10,14 @@
 from mulberryway.upstreams import base as upstreams
 
 __all__ = [
-    "EngineNews",
-    "Received",
-    "read_datagram",
-    "read_death",
-    "write_death",
-    "write_news",
-    "write_note",
-    "write_usage",
+    "EngineReport",
+    "DecodedDatagram",
+    "decode_datagram",
+    "decode_death",
+    "encode_death",
+    "encode_report",
+    "encode_note",
+    "encode_usage",
 ]
 
 HASH_BYTES = 8
@@ -30,7 +30,7 @@
 MOST_AGE_MS = (1 << 31) - 1
 
 
-class EngineNews:
+class EngineReport:
     """What one router learnt from an engine for all that share it.
 
     :param pool: the pool's name
@@ -54,7 +54,7 @@
         self.events = events
 
 
-class Received:
+class DecodedDatagram:
     """What a datagram held.
 
     :param note: a router's hints, or none
@@ -67,7 +67,7 @@
     def __init__(
         self,
         note: hints.Note | None,
-        news: list[EngineNews],
+        news: list[EngineReport],
         usage: usages.Usage | None = None,
     ) -> None:
         self.note = note
@@ -75,7 +75,7 @@
         self.usage = usage
 
 
-def write_note(note: hints.Note) -> bytes:
+def encode_note(note: hints.Note) -> bytes:
     """Return the payload for a note.
 
     What is beyond the limits is left out; it comes again with the next
@@ -106,7 +106,7 @@
     return codec.write(ttypes.Datagram(note=message))
 
 
-def write_news(news: EngineNews) -> bytes:
+def encode_report(news: EngineReport) -> bytes:
     """Return the payload for an engine's news.
 
     :param news: the news
@@ -127,7 +127,7 @@
     return codec.write(ttypes.Datagram(reports=[message]))
 
 
-def read_datagram(payload: bytes) -> Received:
+def decode_datagram(payload: bytes) -> DecodedDatagram:
     """Return what a datagram holds.
 
     :param payload: the payload
@@ -136,12 +136,12 @@
     message = codec.read(ttypes.Datagram(), payload)
     note = None if message.note is None else _unpack_note(message.note)
     usage = None if message.usage is None else _unpack_usage(message.usage)
-    return Received(
+    return DecodedDatagram(
         note, [_unpack_report(one) for one in message.reports or ()], usage
     )
 
 
-def write_usage(usage: usages.Usage) -> bytes:
+def encode_usage(usage: usages.Usage) -> bytes:
     """Return the payload for a VM's counts.
 
     :param usage: the counts
@@ -182,7 +182,7 @@
     )
 
 
-def write_death(death: hints.Death) -> bytes:
+def encode_death(death: hints.Death) -> bytes:
     """Return the payload for a death that all VMs are told of.
 
     :param death: the death
@@ -191,7 +191,7 @@
     return codec.write(_pack_death(death))
 
 
-def read_death(payload: bytes) -> hints.Death:
+def decode_death(payload: bytes) -> hints.Death:
     """Return the death of a payload.
 
     :param payload: the payload
@@ -300,8 +300,8 @@
     )
 
 
-def _unpack_report(message: ttypes.EngineReport) -> EngineNews:
-    return EngineNews(
+def _unpack_report(message: ttypes.EngineReport) -> EngineReport:
+    return EngineReport(
         message.pool,
         message.upstream,
         upstreams.EngineLoad(
--- a/mulberryway/peers/membership_messages.py
+++ b/mulberryway/peers/membership_messages.py
@@ -45,7 +45,7 @@
         message.region,
         message.incarnation,
         message.version,
-        member.Health(message.health),
+        member.MemberStatus(message.health),
         message.is_stopping,
         message.holdings or b"",
         bool(message.is_starting),
--- a/mulberryway/peers/protocol.py
+++ b/mulberryway/peers/protocol.py
@@ -10,12 +10,12 @@
 from thrift.protocol import TCompactProtocol
 from thrift.transport import TTransport
 
-__all__ = ["CallTransport", "PeerProtocol", "read_service_name"]
+__all__ = ["CallTransport", "MultiplexedProtocol", "get_service_name"]
 
 SEPARATOR = ":"
 
 
-class PeerProtocol(TCompactProtocol.TCompactProtocolAccelerated):
+class MultiplexedProtocol(TCompactProtocol.TCompactProtocolAccelerated):
     """Reads and writes messages named ``Service:method``.
 
     :param transport: what to read from and write to
@@ -84,7 +84,7 @@
         super().__init__(reply)
 
 
-def read_service_name(client_class: type) -> str:
+def get_service_name(client_class: type) -> str:
     """Return the name of the service that a generated client calls.
 
     :param client_class: the generated ``Client``
--- a/mulberryway/peers/server.py
+++ b/mulberryway/peers/server.py
@@ -21,15 +21,15 @@
 
 LOG = logging.getLogger(__name__)
 
-THREADS = 8
+WORKER_THREADS = 8
 BACKLOG = 512
 # Each VM may hold a few connections to each other VM.
 MOST_CONNECTIONS = 2_048
 # Strangers hold one of these places for at most the hello's time.
-MOST_STRANGERS = 128
-HELLO_MS = 2_000
-FRAME_MS = 2_000
-IDLE_MS = 60_000
+MAX_UNAUTHENTICATED = 128
+HANDSHAKE_TIMEOUT_MS = 2_000
+FRAME_TIMEOUT_MS = 2_000
+IDLE_TIMEOUT_MS = 60_000
 SWEEP_MS = 500
 
 
@@ -78,7 +78,9 @@
         self._busy = 0
         self._strangers: set[_Stranger] = set()
         self._is_stopping = False
-        self._pool = concurrent.futures.ThreadPoolExecutor(THREADS, "peer")
+        self._pool = concurrent.futures.ThreadPoolExecutor(
+            WORKER_THREADS, "peer"
+        )
         self._thread = threading.Thread(
             target=self._run, name="peer-server", daemon=True
         )
@@ -99,7 +101,7 @@
         self._is_stopping = True
         self._wake()
         if self._thread.is_alive():
-            self._thread.join(FRAME_MS / 1000)
+            self._thread.join(FRAME_TIMEOUT_MS / 1000)
         self._pool.shutdown(cancel_futures=True)
         keys = list((self._selector.get_map() or {}).values())
         for key in keys:
@@ -149,7 +151,7 @@
         with contextlib.suppress(OSError):
             connection, _ = self._listener.accept()
             known = len(self._selector.get_map()) + self._busy
-            crowded = len(self._strangers) >= MOST_STRANGERS
+            crowded = len(self._strangers) >= MAX_UNAUTHENTICATED
             if crowded or known >= MOST_CONNECTIONS:
                 # Closing at once tells a peer to try again, where silence
                 # would cost it its whole timeout.
@@ -157,13 +159,15 @@
                 return
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            stranger = _Stranger(connection, self._clock.now_ms() + HELLO_MS)
+            stranger = _Stranger(
+                connection, self._clock.now_ms() + HANDSHAKE_TIMEOUT_MS
+            )
             self._strangers.add(stranger)
             self._selector.register(connection, selectors.EVENT_READ, stranger)
             connection.send(stranger.nonce)
 
     def _read_hello(self, stranger: _Stranger) -> None:
-        missing = channel.HELLO_BYTES - len(stranger.hello)
+        missing = channel.HANDSHAKE_BYTES - len(stranger.hello)
         try:
             part = stranger.connection.recv(missing)
         except BlockingIOError:
@@ -173,12 +177,12 @@
         stranger.hello += part
         if not part:
             self._forget(stranger)
-        elif len(stranger.hello) == channel.HELLO_BYTES:
+        elif len(stranger.hello) == channel.HANDSHAKE_BYTES:
             self._admit(stranger)
 
     def _admit(self, stranger: _Stranger) -> None:
         try:
-            one = channel.accept_hello(
+            one = channel.accept_handshake(
                 stranger.connection,
                 self._secret,
                 stranger.nonce,
@@ -217,7 +221,7 @@
             key.data
             for key in self._selector.get_map().values()
             if isinstance(key.data, channel.Channel)
-            and now_ms - key.data.used_ms >= IDLE_MS
+            and now_ms - key.data.used_ms >= IDLE_TIMEOUT_MS
         ]
         for one in idle:
             self._selector.unregister(one.connection)
@@ -240,14 +244,16 @@
 
     def _answer_frame(self, one: channel.Channel) -> None:
         request = one.receive(self._limit())
-        reader = protocol.PeerProtocol(TTransport.TMemoryBuffer(request))
+        reader = protocol.MultiplexedProtocol(
+            TTransport.TMemoryBuffer(request)
+        )
         buffer = TTransport.TMemoryBuffer()
         service = reader.peek_service()
         processor = self._processors.get(service)
         if processor is None:
             # Without an answer the caller would wait for its whole timeout.
             raise channel.ChannelError(f"no service {service!r}")
-        processor.process(reader, protocol.PeerProtocol(buffer))
+        processor.process(reader, protocol.MultiplexedProtocol(buffer))
         kind = service + protocol.SEPARATOR + reader.read_method()
         size = len(request) + channel.OVERHEAD_BYTES
         self.traffic.count(kind, False, size)
@@ -255,7 +261,7 @@
         self.traffic.count(kind, True, sent)
 
     def _limit(self) -> clock.Deadline:
-        return clock.Deadline(self._clock.now_ms() + FRAME_MS)
+        return clock.Deadline(self._clock.now_ms() + FRAME_TIMEOUT_MS)
 
 
 def _close(item: typing.Any) -> None:
--- a/mulberryway/platform/callers.py
+++ b/mulberryway/platform/callers.py
@@ -16,14 +16,14 @@
 from mulberryway.policy import poison
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["AnswerPlatform", "ReadRequest"]
+__all__ = ["PlatformEndpoints", "RequestParser"]
 
 MS_IN_S = 1_000
 # Of a longer id only its beginning is of use in logs.
-MOST_ID = 64
+MAX_ID_LENGTH = 64
 
 
-class AnswerPlatform(base.Filter):
+class PlatformEndpoints(base.Filter):
     """Answers whether callers may come here, and which VMs they may use.
 
     :param lifecycle: tells whether callers should come
@@ -34,7 +34,7 @@
     def __init__(
         self,
         lifecycle: status.Lifecycle,
-        entries: endpoints.EntryDirectory,
+        entries: endpoints.EndpointDirectory,
         ttl_ms: int,
     ) -> None:
         self._lifecycle = lifecycle
@@ -42,7 +42,7 @@
         self._ttl_ms = ttl_ms
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer the platform's questions, and let all else go on.
 
@@ -75,11 +75,11 @@
         )
 
 
-class ReadRequest(base.Filter):
+class RequestParser(base.Filter):
     """Reads what a caller's headers say of its request."""
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a well-formed request go on.
 
@@ -92,11 +92,11 @@
             return _refuse(f"{wire.ATTEMPT_ID}: expected an id")
         # Callers may give one id to two requests, so the own id stays in.
         own = exchange.request_id.rpartition("-")[2]
-        exchange.request_id = f"{attempt_id[:MOST_ID]}.{own}"
+        exchange.request_id = f"{attempt_id[:MAX_ID_LENGTH]}.{own}"
         exchange.headers = [
             (name, value)
             for name, value in exchange.headers
-            if name.lower() not in wire.OWN_HEADERS
+            if name.lower() not in wire.RESERVED_HEADERS
         ]
         if exchange.account.name:
             exchange.headers.append((wire.TENANT, exchange.account.name))
@@ -105,7 +105,7 @@
             self._read_tokens(exchange)
         except ValueError as error:
             return _refuse(str(error))
-        exchange.call = upstreams.RawCall(
+        exchange.call = upstreams.PassthroughRequest(
             exchange.method,
             exchange.target,
             exchange.headers,
@@ -128,14 +128,14 @@
 
     @staticmethod
     def _read_tokens(exchange: base.Exchange) -> None:
-        text = exchange.find_header(wire.TOKENS.lower())
+        text = exchange.find_header(wire.TOKEN_COUNTS.lower())
         exchange.model = exchange.find_header(wire.MODEL.lower()) or ""
         if text is None:
             exchange.max_tokens = exchange.account.plain_tokens
             return
         prompt, comma, most = text.partition(",")
         if not comma or not (prompt + most).isdecimal():
-            raise ValueError(f"{wire.TOKENS}: expected two numbers")
+            raise ValueError(f"{wire.TOKEN_COUNTS}: expected two numbers")
         exchange.estimate = int(prompt)
         exchange.max_tokens = int(most)
         hint = exchange.find_header(wire.LENGTH_HINT.lower()) or ""
--- a/mulberryway/platform/directory.py
+++ b/mulberryway/platform/directory.py
@@ -12,7 +12,7 @@
 
 __all__ = ["PlatformDirectory"]
 
-Found = engine.PlatformEngine | service.PlatformService
+PlatformUpstream = engine.PlatformEngine | service.PlatformService
 
 
 class PlatformDirectory(directory.UpstreamDirectory):
@@ -26,7 +26,7 @@
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self._lock = threading.Lock()
-        self._found: dict[tuple[str, str, type], Found] = {}
+        self._found: dict[tuple[str, str, type], PlatformUpstream] = {}
 
     def find_engine(
         self, pool: tables.Pool, upstream: tables.Upstream
@@ -43,7 +43,7 @@
 
     def find_service(
         self, pool: tables.Pool, upstream: tables.Upstream
-    ) -> base.PlainService:
+    ) -> base.UpstreamService:
         """Return the plain service that an upstream's row names.
 
         :param pool: the pool
@@ -51,7 +51,7 @@
         :returns: the service
         """
         return typing.cast(
-            base.PlainService, self._find(upstream, service.PlatformService)
+            base.UpstreamService, self._find(upstream, service.PlatformService)
         )
 
     def change_tables(self, changed: tables.Tables) -> None:
@@ -70,7 +70,9 @@
         for found in closing:
             found.close()
 
-    def _find(self, upstream: tables.Upstream, kind: type[Found]) -> Found:
+    def _find(
+        self, upstream: tables.Upstream, kind: type[PlatformUpstream]
+    ) -> PlatformUpstream:
         key = (upstream.name, upstream.address, kind)
         with self._lock:
             found = self._found.get(key)
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -22,10 +22,10 @@
 
 LOG = logging.getLogger(__name__)
 
-CONTROL_MS = 1_000
+CONTROL_TIMEOUT_MS = 1_000
 BLOCK_TOKENS = 16
 # Within a region the answer takes a few milliseconds, and the request waits.
-RESERVE_MS = 100
+RESERVE_TIMEOUT_MS = 100
 
 
 class _Hold:
@@ -75,15 +75,20 @@
         self.instance = instance
         self.address = address
         self._clock = clock_
-        self._caller = connections.Caller(address, clock_, wire.ATTEMPT_ID)
+        self._caller = connections.UpstreamClient(
+            address, clock_, wire.ATTEMPT_ID
+        )
         self._lock = threading.Lock()
-        self._calls: dict[str, connections.Interrupt] = {}
+        self._calls: dict[str, connections.CallCanceller] = {}
         self._handles: dict[str, _Handle] = {}
         self._made: dict[str, decode_call.DecodeConnection] = {}
         self._holds: dict[str, _Hold] = {}
 
     def prefill(
-        self, label: base.RunLabel, body: base.RawCall, timeout_ms: int
+        self,
+        label: base.AttemptLabel,
+        body: base.PassthroughRequest,
+        timeout_ms: int,
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
         """Read a prompt and keep its KV cache for another engine.
 
@@ -109,11 +114,13 @@
             self._end(label)
         if result.is_error():
             # Reading a prompt runs nothing, whatever became of the call.
-            result.error.run = errors.Run.NOT_RUN
+            result.error.run = errors.ExecutionStatus.NOT_RUN
         return result
 
     def prepare(
-        self, label: base.RunLabel, room: base.Room | None = None
+        self,
+        label: base.AttemptLabel,
+        room: base.ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
         """Make the connection for a decode that comes soon, and reserve.
 
@@ -129,7 +136,7 @@
             expression.Ok(None) if room is None else self._reserve(label, room)
         )
 
-    def release(self, label: base.RunLabel) -> None:
+    def release(self, label: base.AttemptLabel) -> None:
         """Close the connection that was made for a decode; idempotent.
 
         :param label: names the attempt
@@ -140,12 +147,14 @@
         hold = self._take_hold(label)
         if hold is not None:
             # Else the memory would stay reserved until the hold lapses.
-            self._control("DELETE", f"{wire.HOLD_DROP}/{hold.name}")
+            self._control(
+                "DELETE", f"{wire.CANCEL_RESERVATION_PATH}/{hold.name}"
+            )
 
     def decode(
         self,
-        label: base.RunLabel,
-        body: base.RawCall,
+        label: base.AttemptLabel,
+        body: base.PassthroughRequest,
         transfer: dict[str, typing.Any],
         offset: int,
         timeout_ms: int,
@@ -169,7 +178,7 @@
             headers[wire.LAST_EVENT] = str(offset)
         hold = self._take_hold(label)
         if hold is not None and self._clock.now_ms() < hold.until_ms:
-            headers[wire.HOLD] = hold.name
+            headers[wire.RESERVATION] = hold.name
         request = decode_call.DecodeRequest(
             body.method, body.target, headers, body.body, wire.ATTEMPT_ID
         )
@@ -191,7 +200,7 @@
         return result
 
     def cancel(
-        self, label: base.RunLabel
+        self, label: base.AttemptLabel
     ) -> expression.Result[bool, errors.Fault]:
         """Free what the engine holds for an attempt; idempotent.
 
@@ -209,13 +218,13 @@
             call.set()
         if handle is None:
             return expression.Ok(call is not None)
-        return self._control("DELETE", f"{wire.HANDLE}/{handle.name}").map(
-            lambda found: True
-        )
+        return self._control(
+            "DELETE", f"{wire.KV_HANDLE_PATH}/{handle.name}"
+        ).map(lambda found: True)
 
     def list_held(
         self,
-    ) -> expression.Result[list[base.HeldRequest], errors.Fault]:
+    ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
         """Return nothing: an engine drops a run with its connection."""
         return expression.Ok([])
 
@@ -254,51 +263,53 @@
         """Close the connections that are kept."""
         self._caller.close()
 
-    def _make_headers(self, call: base.RawCall) -> dict[str, str]:
+    def _make_headers(self, call: base.PassthroughRequest) -> dict[str, str]:
         left_ms = call.deadline.left_ms(self._clock.now_ms())
-        return responses.make_headers(
+        return responses.make_request_headers(
             call.headers, self.instance, max(left_ms, 1)
         )
 
-    def _begin(self, label: base.RunLabel) -> connections.Interrupt:
-        interrupt = connections.Interrupt()
+    def _begin(self, label: base.AttemptLabel) -> connections.CallCanceller:
+        interrupt = connections.CallCanceller()
         with self._lock:
             self._calls[label.request_id] = interrupt
         return interrupt
 
-    def _end(self, label: base.RunLabel) -> None:
+    def _end(self, label: base.AttemptLabel) -> None:
         with self._lock:
             self._calls.pop(label.request_id, None)
 
     def _keep(
-        self, label: base.RunLabel, made: decode_call.DecodeConnection
+        self, label: base.AttemptLabel, made: decode_call.DecodeConnection
     ) -> None:
         with self._lock:
             self._made[label.request_id] = made
 
     def _reserve(
-        self, label: base.RunLabel, room: base.Room
+        self, label: base.AttemptLabel, room: base.ReservationRequest
     ) -> expression.Result[None, errors.Fault]:
         sent_ms = self._clock.now_ms()
         body = {"tokens": room.tokens, "ttl_ms": room.hold_ms}
-        asked = self._control("POST", wire.HOLD_TAKE, body, RESERVE_MS)
+        asked = self._control(
+            "POST", wire.RESERVE_PATH, body, RESERVE_TIMEOUT_MS
+        )
         if asked.is_error():
             is_refused = asked.error.code is errors.Code.UPSTREAM_REFUSED
             if not is_refused and not room.is_required:
                 # Nothing is known of its room; the decode will show it.
                 LOG.info(
                     "a reservation was not answered",
-                    extra=logs.describe(
+                    extra=logs.make_extra(
                         asked.error, request_id=label.request_id
                     ),
                 )
                 return expression.Ok(None)
             self.release(label)
             asked.error.step = errors.Step.RESERVE
-            asked.error.run = errors.Run.NOT_RUN
+            asked.error.run = errors.ExecutionStatus.NOT_RUN
             return expression.Error(asked.error)
         try:
-            name = wire.read_text(json.loads(asked.ok.body)["hold"])
+            name = wire.parse_string(json.loads(asked.ok.body)["hold"])
         except (ValueError, KeyError, TypeError):
             LOG.warning("%s: a reservation is malformed", self.address)
             return expression.Ok(None)
@@ -306,25 +317,25 @@
             self._holds[label.request_id] = _Hold(name, sent_ms + room.hold_ms)
         return expression.Ok(None)
 
-    def _take_hold(self, label: base.RunLabel) -> "_Hold | None":
+    def _take_hold(self, label: base.AttemptLabel) -> "_Hold | None":
         with self._lock:
             return self._holds.pop(label.request_id, None)
 
     def _take_made(
-        self, label: base.RunLabel
+        self, label: base.AttemptLabel
     ) -> decode_call.DecodeConnection | None:
         with self._lock:
             return self._made.pop(label.request_id, None)
 
-    def _forget(self, label: base.RunLabel) -> None:
+    def _forget(self, label: base.AttemptLabel) -> None:
         with self._lock:
             self._handles.pop(label.request_id, None)
 
     def _read_prefill(
-        self, label: base.RunLabel, found: connections.Response
+        self, label: base.AttemptLabel, found: connections.Response
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
         if found.status != http.HTTPStatus.OK:
-            fault = responses.read_answer(
+            fault = responses.make_response_fault(
                 found.status,
                 found.headers,
                 found.body,
@@ -336,10 +347,10 @@
         try:
             value = json.loads(found.body)
             handle = _Handle(
-                wire.read_text(value["cache_handle"]),
+                wire.parse_string(value["cache_handle"]),
                 lambda: self._forget(label),
             )
-            tokens = wire.read_whole(value["tokens"])
+            tokens = wire.parse_integer(value["tokens"])
         except (ValueError, KeyError, TypeError):
             return expression.Error(
                 _fail(self.address, "the prefill's result is malformed")
@@ -354,7 +365,7 @@
         method: str,
         target: str,
         body: dict[str, typing.Any] | None = None,
-        timeout_ms: int = CONTROL_MS,
+        timeout_ms: int = CONTROL_TIMEOUT_MS,
     ) -> expression.Result[connections.Response, errors.Fault]:
         headers = {wire.EXPECTED_INSTANCE: self.instance}
         data = None
@@ -389,19 +400,19 @@
     ) -> expression.Result[base.EngineLoad, errors.Fault]:
         try:
             value = json.loads(found.body)
-            total = wire.read_whole(value["kv_total"]) // BLOCK_TOKENS
-            used = wire.read_whole(value["kv_used"]) // BLOCK_TOKENS
+            total = wire.parse_integer(value["kv_total"]) // BLOCK_TOKENS
+            used = wire.parse_integer(value["kv_used"]) // BLOCK_TOKENS
             load = base.EngineLoad(
-                wire.read_whole(value["running"]),
-                wire.read_whole(value["queued"]),
+                wire.parse_integer(value["running"]),
+                wire.parse_integer(value["queued"]),
                 0,
                 max(total - used, 0),
                 total,
                 tuple(one["name"] for one in value["models"]),
                 # Here a "sequence" counts the orders that were accepted.
-                wire.read_whole(value["sequence"]),
+                wire.parse_integer(value["sequence"]),
                 bool(value["busy"]),
-                wire.read_text(value["phase"]),
+                wire.parse_string(value["phase"]),
             )
         except (ValueError, KeyError, TypeError):
             return expression.Error(
@@ -413,7 +424,7 @@
 def _read_decode_refusal(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
-    return responses.read_answer(
+    return responses.make_response_fault(
         status, headers, body, address, errors.Step.DECODE
     )
 
@@ -423,6 +434,6 @@
         errors.Code.UPSTREAM_FAILED,
         errors.Step.PREFILL,
         address,
-        errors.Run.MAY_HAVE_RUN,
+        errors.ExecutionStatus.MAY_HAVE_RUN,
         message,
     )
--- a/mulberryway/platform/interface.py
+++ b/mulberryway/platform/interface.py
@@ -19,17 +19,17 @@
 __all__ = ["PlatformInterface"]
 
 
-class PlatformInterface(caller_api.Interface):
+class PlatformInterface(caller_api.CallerApi):
     """Requests that pass as they came, told apart by their headers.
 
     :param budget: counts requests, and repeats against them
     """
 
-    def __init__(self, budget: repeats.Budget) -> None:
+    def __init__(self, budget: repeats.SharedRetryBudget) -> None:
         self._budget = budget
 
     def make_filters(
-        self, context: caller_api.Context
+        self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
@@ -37,20 +37,20 @@
         """
         settings_, parts = context.settings, context.parts
         return [
-            observe.Observe(parts.tracer, parts.metrics, parts.clock),
-            status.RefuseWhenStopping(context.lifecycle),
-            authentication.Authenticate(
+            observe.RequestTelemetry(parts.tracer, parts.metrics, parts.clock),
+            status.ShutdownRejection(context.lifecycle),
+            authentication.Authentication(
                 context.source, wire.SCHEME, cleans_whole=False
             ),
-            route.FindRoute(needs_id=False),
-            callers.ReadRequest(),
-            repeats.CountRequests(self._budget),
-            status.RefuseLongWork(context.lifecycle),
+            route.RouteMatcher(needs_id=False),
+            callers.RequestParser(),
+            repeats.RetryBudgetDeposit(self._budget),
+            status.LateStreamRejection(context.lifecycle),
             admission.Admission(context.allowances, charges_whole=True),
             model_forward.ModelForward(parts, model_forward.make_raw_stream),
             service_forward.ServiceForward(
                 parts.directory,
-                server_selection.ServerChooser(settings_.vm_zone),
+                server_selection.ServerSelector(settings_.vm_zone),
                 parts.tracer,
                 parts.clock,
                 context.source,
@@ -61,14 +61,14 @@
         ]
 
     def make_side_filters(
-        self, context: caller_api.Context
+        self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what the platform and collectors ask.
 
         :param context: what they are made from
         """
         return [
-            callers.AnswerPlatform(
+            callers.PlatformEndpoints(
                 context.lifecycle,
                 context.entries,
                 context.settings.router_entry_ttl_ms,
--- a/mulberryway/platform/responses.py
+++ b/mulberryway/platform/responses.py
@@ -7,16 +7,16 @@
 from mulberryway.upstreams import base
 from mulberryway.upstreams import http_service
 
-__all__ = ["make_headers", "read_answer"]
+__all__ = ["make_request_headers", "make_response_fault"]
 
-REFUSALS = (
+REJECTION_STATUSES = (
     http.HTTPStatus.SERVICE_UNAVAILABLE,
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.BAD_REQUEST,
 )
 
 
-def make_headers(
+def make_request_headers(
     headers: list[tuple[str, str]], instance: str, left_ms: int
 ) -> dict[str, str]:
     """Return what goes to an upstream with a request.
@@ -28,7 +28,7 @@
     """
     passed = {
         name: value
-        for name, value in http_service.strip_hop_headers(headers)
+        for name, value in http_service.strip_hop_by_hop_headers(headers)
         if name.lower() not in ("content-length", "deadline-ms", "expect")
     }
     passed[wire.DEADLINE] = str(left_ms)
@@ -36,7 +36,7 @@
     return passed
 
 
-def read_answer(
+def make_response_fault(
     status: int,
     headers: list[tuple[str, str]],
     body: bytes,
@@ -54,14 +54,14 @@
     """
     names = {name.lower() for name, _ in headers}
     is_refusal = status == http.HTTPStatus.MISDIRECTED_REQUEST or (
-        status in REFUSALS and wire.NOT_EXECUTED.lower() in names
+        status in REJECTION_STATUSES and wire.NOT_EXECUTED.lower() in names
     )
     if is_refusal:
         return errors.Fault(
             errors.Code.UPSTREAM_REFUSED,
             step,
             address,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
             f"the upstream refused with status {status}",
         )
     if not headers:
@@ -69,16 +69,16 @@
             errors.Code.UPSTREAM_FAILED,
             step,
             address,
-            errors.Run.MAY_HAVE_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN,
             "the reply belongs to another request",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         step,
         address,
-        errors.Run.RAN,
+        errors.ExecutionStatus.RAN,
         f"the upstream answered with status {status}",
         answer=base.ServiceReply(
-            status, http_service.drop_framing(headers), body
+            status, http_service.strip_framing_headers(headers), body
         ),
     )
--- a/mulberryway/platform/service.py
+++ b/mulberryway/platform/service.py
@@ -14,10 +14,10 @@
 
 __all__ = ["PlatformService"]
 
-LEAST_ERROR = 300
+MIN_ERROR_STATUS = 300
 
 
-class PlatformService(base.PlainService):
+class PlatformService(base.UpstreamService):
     """One server at one address.
 
     :param instance: the incarnation that is expected there
@@ -30,7 +30,9 @@
     ) -> None:
         self.instance = instance
         self.address = address
-        self._caller = connections.Caller(address, clock_, wire.ATTEMPT_ID)
+        self._caller = connections.UpstreamClient(
+            address, clock_, wire.ATTEMPT_ID
+        )
 
     def call(
         self,
@@ -41,7 +43,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.Interrupt | None = None,
+        interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
         """Pass one call on, exactly once.
 
@@ -55,7 +57,9 @@
         :param interrupt: ends the call from another thread
         :returns: the reply, or a fault that says whether it ran
         """
-        sent = responses.make_headers(headers, self.instance, timeout_ms)
+        sent = responses.make_request_headers(
+            headers, self.instance, timeout_ms
+        )
         return self._caller.call(
             method,
             target,
@@ -82,7 +86,7 @@
                     errors.Code.UPSTREAM_FAILED,
                     errors.Step.SERVICE,
                     self.address,
-                    errors.Run.MAY_HAVE_RUN,
+                    errors.ExecutionStatus.MAY_HAVE_RUN,
                     "the reply has an encoding that nobody asked for",
                 )
             )
@@ -92,7 +96,7 @@
         )
         if is_failure or is_refusal:
             return expression.Error(
-                responses.read_answer(
+                responses.make_response_fault(
                     found.status,
                     found.headers,
                     found.body,
@@ -103,7 +107,7 @@
         return expression.Ok(
             base.ServiceReply(
                 found.status,
-                http_service.drop_framing(found.headers),
+                http_service.strip_framing_headers(found.headers),
                 found.body,
             )
         )
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -23,17 +23,17 @@
 WATCH_GRACE_MS = 500
 CONNECTIONS = 4
 VMS = "vms"
-CODES = {
+FAULT_CODES = {
     404: errors.Code.NOT_FOUND,
     409: errors.Code.CONFLICT,
     410: errors.Code.HISTORY_GONE,
 }
-NOT_SENT = (
+CONNECT_ERRORS = (
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.NewConnectionError,
 )
-FAILURES = (urllib3.exceptions.HTTPError, OSError)
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError)
+TRANSPORT_ERRORS = (urllib3.exceptions.HTTPError, OSError)
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 T = typing.TypeVar("T")
 
@@ -123,7 +123,7 @@
 
     def poll(
         self, kind: str, revision: int, wait_ms: int, purpose: str
-    ) -> expression.Result[base.Changes, errors.Fault]:
+    ) -> expression.Result[base.ChangeBatch, errors.Fault]:
         """Wait for changes of a kind after a revision.
 
         :param kind: the kind
@@ -272,7 +272,7 @@
                 retries=False,
                 redirect=False,
             )
-        except FAILURES as error:
+        except TRANSPORT_ERRORS as error:
             # What lost track of one connection may have lost the others.
             self._pool.close()
             self._pool = urllib3.HTTPConnectionPool(
@@ -281,7 +281,7 @@
                 maxsize=CONNECTIONS,
                 retries=False,
             )
-            was_sent = not isinstance(error, NOT_SENT)
+            was_sent = not isinstance(error, CONNECT_ERRORS)
             fault = self._fault(method, was_sent, type(error).__name__)
         else:
             if response.status < 300:
@@ -293,9 +293,9 @@
 
     def _refuse(self, method: str, status: int) -> errors.Fault:
         message = f"the store answered {status}"
-        if status in CODES:
+        if status in FAULT_CODES:
             return errors.Fault(
-                CODES[status],
+                FAULT_CODES[status],
                 errors.Step.PLATFORM,
                 self._peer,
                 message=message,
@@ -310,7 +310,9 @@
             errors.Code.PLATFORM_UNAVAILABLE,
             errors.Step.PLATFORM,
             self._peer,
-            errors.Run.MAY_HAVE_RUN if may_have_run else errors.Run.NOT_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN
+            if may_have_run
+            else errors.ExecutionStatus.NOT_RUN,
             message,
         )
 
@@ -319,7 +321,7 @@
     ) -> expression.Result[T, errors.Fault]:
         try:
             return expression.Ok(read())
-        except MALFORMED as error:
+        except PARSE_ERRORS as error:
             return expression.Error(
                 self._fault("PUT", True, f"a malformed answer: {error!r}")
             )
@@ -342,8 +344,8 @@
     content = value.get("spec")
     return base.StoredObject(
         kind,
-        wire.read_text(metadata["name"]),
-        wire.read_whole(metadata["revision"]),
+        wire.parse_string(metadata["name"]),
+        wire.parse_integer(metadata["revision"]),
         content if isinstance(content, dict) else {},
     )
 
@@ -353,13 +355,13 @@
 ) -> tuple[list[base.StoredObject], int, bool]:
     return (
         [_read_object(kind, item) for item in value["items"]],
-        wire.read_whole(value["store_revision"]),
+        wire.parse_integer(value["store_revision"]),
         bool(value.get("has_more")),
     )
 
 
-def _read_changes(kind: str, value: typing.Any) -> base.Changes:
-    return base.Changes(
+def _read_changes(kind: str, value: typing.Any) -> base.ChangeBatch:
+    return base.ChangeBatch(
         [
             base.WatchEvent(
                 base.EventType.DELETED
@@ -369,5 +371,5 @@
             )
             for event in value["events"]
         ],
-        wire.read_whole(value["store_revision"]),
+        wire.parse_integer(value["store_revision"]),
     )
--- a/mulberryway/platform/tables.py
+++ b/mulberryway/platform/tables.py
@@ -9,13 +9,13 @@
 from mulberryway.objects import base
 from mulberryway.platform import wire
 
-__all__ = ["CONFIGURATION", "SERVERS", "TablesReader"]
+__all__ = ["CONFIGURATION_KIND", "SERVERS_KIND", "TablesReader"]
 
 LOG = logging.getLogger(__name__)
 
-CONFIGURATION = "config"
-SERVERS = "servers"
-MAIN = "main"
+CONFIGURATION_KIND = "config"
+SERVERS_KIND = "servers"
+CONFIGURATION_NAME = "main"
 BLOCK_TOKENS = 16
 BITS_IN_MBIT = 1_000_000
 BITS_IN_BYTE = 8
@@ -23,12 +23,12 @@
 STREAMING = "streaming"
 IDEMPOTENT = "idempotent"
 READY_STATE = "ready"
-LEAVING_STATE = "draining"
+DRAINING_STATE = "draining"
 ROLES = {
     "prefill": tables.UpstreamRole.PREFILL,
     "decode": tables.UpstreamRole.DECODE,
 }
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError)
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 Value = dict[str, typing.Any]
 
@@ -61,7 +61,7 @@
         :returns: the tables, or none while there is no configuration
         :raises ValueError: if the configuration is malformed
         """
-        main = configuration.get(MAIN)
+        main = configuration.get(CONFIGURATION_NAME)
         if main is None:
             return None
         if main.version != self._version:
@@ -100,33 +100,34 @@
 
 
 def _read_route(row: Value, is_open: bool) -> tables.Route:
-    kind = wire.read_text(row["kind"])
+    kind = wire.parse_string(row["kind"])
     is_streaming = kind == STREAMING
     shares = tuple(
-        tables.PoolShare(
-            wire.read_text(part["service"]), wire.read_whole(part["weight"])
+        tables.WeightedPool(
+            wire.parse_string(part["service"]),
+            wire.parse_integer(part["weight"]),
         )
         for part in row.get("traffic_split") or ()
     )
     shares = tuple(share for share in shares if share.weight)
-    pool = shares[0].pool if shares else wire.read_text(row["service"])
+    pool = shares[0].pool if shares else wire.parse_string(row["service"])
     return tables.Route(
-        wire.read_text(row["name"]),
-        wire.read_text(row["path_prefix"]),
+        wire.parse_string(row["name"]),
+        wire.parse_string(row["path_prefix"]),
         pool,
         idempotent=(
             bool(row.get("resumable")) if is_streaming else kind == IDEMPOTENT
         ),
-        timeout_ms=wire.read_whole(row["timeout_ms"], 1),
-        host=wire.read_text(row["host"]).lower(),
+        timeout_ms=wire.parse_integer(row["timeout_ms"], 1),
+        host=wire.parse_string(row["host"]).lower(),
         shares=shares if len(shares) > 1 else (),
         trusts_methods=False,
         is_public=is_open or bool(row.get("public")),
         is_streaming=is_streaming,
-        most_attempts=wire.read_whole(row.get("max_attempts", 1), 1),
-        target_ms=wire.read_whole(row.get("target_latency_ms", 0)),
-        target_gap_ms=wire.read_whole(row.get("target_gap_ms") or 0),
-        rank=wire.read_whole(row.get("priority", 0)),
+        most_attempts=wire.parse_integer(row.get("max_attempts", 1), 1),
+        target_ms=wire.parse_integer(row.get("target_latency_ms", 0)),
+        target_gap_ms=wire.parse_integer(row.get("target_gap_ms") or 0),
+        rank=wire.parse_integer(row.get("priority", 0)),
     )
 
 
@@ -148,8 +149,8 @@
 
 
 def _read_pool(row: Value, pause_ms: int) -> tables.Pool:
-    name = wire.read_text(row["name"])
-    connections = wire.read_whole(row.get("max_conns", 0))
+    name = wire.parse_string(row["name"])
+    connections = wire.parse_integer(row.get("max_conns", 0))
     shape = row.get("engine")
     if not shape:
         return tables.Pool(
@@ -161,14 +162,14 @@
         name,
         tables.PoolKind.MODEL,
         (),
-        tuple(wire.read_text(model["name"]) for model in shape["models"]),
-        slots=wire.read_whole(shape["slots"], 1),
+        tuple(wire.parse_string(model["name"]) for model in shape["models"]),
+        slots=wire.parse_integer(shape["slots"], 1),
         block_tokens=BLOCK_TOKENS,
         link_bytes_per_s=int(
             float(shape["link_mbps"]) * BITS_IN_MBIT / BITS_IN_BYTE
         ),
-        kv_bytes_per_token=wire.read_whole(shape["kv_bytes"]),
-        engine_tokens=wire.read_whole(shape["kv_capacity"], 1),
+        kv_bytes_per_token=wire.parse_integer(shape["kv_bytes"]),
+        engine_tokens=wire.parse_integer(shape["kv_capacity"], 1),
         most_connections=connections,
         switch_ms=int(float(shape.get("swap_s", 0)) * MS_IN_S),
         self_reading=True,
@@ -180,11 +181,11 @@
 def _read_account(row: Value) -> tables.ClientAccount:
     # No rate, or a rate of 0, stands for no limit.
     return tables.ClientAccount(
-        wire.read_text(row["name"]),
+        wire.parse_string(row["name"]),
         tuple(map(tables.digest_key, row["api_keys"])),
-        wire.read_whole(row.get("rate_per_s") or 0),
-        wire.read_whole(row.get("burst") or 0),
-        plain_tokens=wire.read_whole(row.get("plain_tokens") or 0),
+        wire.parse_integer(row.get("rate_per_s") or 0),
+        wire.parse_integer(row.get("burst") or 0),
+        plain_tokens=wire.parse_integer(row.get("plain_tokens") or 0),
         rank=row.get("priority"),
     )
 
@@ -233,24 +234,24 @@
     """Read one entry; whoever wrote a malformed one, it names no server."""
     try:
         value = entry.value
-        pool = wire.read_text(value["service"])
-        address = wire.read_text(value["address"])
+        pool = wire.parse_string(value["service"])
+        address = wire.parse_string(value["address"])
         host, _, port = address.rpartition(":")
         if not host or not port.isdecimal():
             raise ValueError("expected host:port")
-        zone = wire.read_text(value["zone"])
-        state = wire.read_text(value["state"])
-        if state not in (READY_STATE, LEAVING_STATE):
+        zone = wire.parse_string(value["zone"])
+        state = wire.parse_string(value["state"])
+        if state not in (READY_STATE, DRAINING_STATE):
             raise ValueError("an unknown state")
         role = tables.UpstreamRole.SERVICE
         if kinds.get(pool) is tables.PoolKind.MODEL:
             role = ROLES[value["phase"]]
-        born_ms = wire.read_whole(value.get("born") or 0)
-    except MALFORMED as error:
+        born_ms = wire.parse_integer(value.get("born") or 0)
+    except PARSE_ERRORS as error:
         LOG.debug("entry %s names no server: %r", entry.name, error)
         return None
     row = tables.Upstream(
-        entry.name, address, zone, role, state == LEAVING_STATE
+        entry.name, address, zone, role, state == DRAINING_STATE
     )
     return _Server(pool, row, born_ms)
 
--- a/mulberryway/platform/wire.py
+++ b/mulberryway/platform/wire.py
@@ -7,38 +7,38 @@
     "DEADLINE",
     "EXPECTED_INSTANCE",
     "HANDLE_SOURCE",
-    "HOLD",
-    "HOLD_DROP",
-    "HOLD_TAKE",
+    "RESERVATION",
+    "CANCEL_RESERVATION_PATH",
+    "RESERVE_PATH",
     "LAST_EVENT",
     "LENGTH_HINT",
     "MODEL",
     "NOT_EXECUTED",
     "OBJECTS",
     "ORDER",
-    "OWN_HEADERS",
+    "RESERVED_HEADERS",
     "PHASE",
     "PREFIX",
     "READY",
     "REPORT",
     "RESOLVE",
-    "ROOT",
+    "PATH_PREFIX",
     "SCHEME",
     "TENANT",
-    "TOKENS",
-    "read_text",
-    "read_whole",
+    "TOKEN_COUNTS",
+    "parse_string",
+    "parse_integer",
 ]
 
-ROOT = "/mulberryway"
-READY = f"{ROOT}/ready"
-RESOLVE = f"{ROOT}/resolve"
-OBJECTS = f"{ROOT}/objects"
-REPORT = f"{ROOT}/report"
-ORDER = f"{ROOT}/order"
-HANDLE = f"{ROOT}/kv-handle"
-HOLD_TAKE = f"{ROOT}/hold-take"
-HOLD_DROP = f"{ROOT}/hold-drop"
+PATH_PREFIX = "/mulberryway"
+READY = f"{PATH_PREFIX}/ready"
+RESOLVE = f"{PATH_PREFIX}/resolve"
+OBJECTS = f"{PATH_PREFIX}/objects"
+REPORT = f"{PATH_PREFIX}/report"
+ORDER = f"{PATH_PREFIX}/order"
+KV_HANDLE_PATH = f"{PATH_PREFIX}/kv-handle"
+RESERVE_PATH = f"{PATH_PREFIX}/hold-take"
+CANCEL_RESERVATION_PATH = f"{PATH_PREFIX}/hold-drop"
 
 SCHEME = "token "
 
@@ -52,7 +52,7 @@
 TENANT = "Tenant"
 MODEL = "Model"
 # Prompt tokens and the most output tokens.
-TOKENS = "Token-Counts"
+TOKEN_COUNTS = "Token-Counts"
 # ``ID:TOKENS`` for each part of the prompt, in order.
 PREFIX = "Prompt-Prefix"
 # The caller's estimate of the output tokens.
@@ -63,13 +63,13 @@
 HANDLE_SOURCE = "Kv-Source"
 LAST_EVENT = "Last-Event-Id"
 # Names a reservation of a slot and memory, which can be used once.
-HOLD = "Kv-Hold"
+RESERVATION = "Kv-Hold"
 # On an answer: the upstream has not run the request and never will.
 NOT_EXECUTED = "Not-Executed"
 
 # What the system alone says to upstreams; a caller's own would let it speak
 # for another client account, or use another request's memory.
-OWN_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     (
         "tenant",
         "expect-instance",
@@ -85,7 +85,7 @@
 )
 
 
-def read_whole(value: typing.Any, least: int = 0) -> int:
+def parse_integer(value: typing.Any, least: int = 0) -> int:
     """Return a whole number.
 
     :param value: what was sent
@@ -100,7 +100,7 @@
     return value
 
 
-def read_text(value: typing.Any) -> str:
+def parse_string(value: typing.Any) -> str:
     """Return a text that is not empty.
 
     :param value: what was sent
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -13,7 +13,7 @@
 
 # A wait is a rough guess; who would be refused on it in vain would have been
 # served, so only a wait that is clearly too long counts.
-CLEARLY = 1.5
+WAIT_TOLERANCE = 1.5
 
 
 class Admission:
@@ -35,8 +35,8 @@
         self,
         fair: fair_queue.FairQueue,
         placer: job_placement.Placer,
-        peers: peer_accounts.Neighbours,
-        measured: pool_stats.Meters,
+        peers: peer_accounts.PeerAccounts,
+        measured: pool_stats.PoolStats,
     ) -> None:
         self._fair = fair
         self._placer = placer
@@ -51,7 +51,7 @@
         """
         if self._fair.has_room(job):
             return None
-        return make_refusal(
+        return make_rejection(
             errors.Code.OVERLOADED,
             job,
             "too much is waiting",
@@ -81,8 +81,8 @@
             best.prefill_ms
             + carry_ms
             + self._placer.slowness.read_step_ms()
-            + placements.HOPS_MS
-            + placements.SAFETY_MS
+            + placements.NETWORK_OVERHEAD_MS
+            + placements.DEADLINE_MARGIN_MS
         )
         return int(job.deadline.at_ms - needed_ms)
 
@@ -102,7 +102,7 @@
         :returns: the fault, or none
         """
         if now_ms > latest_ms:
-            return make_refusal(
+            return make_rejection(
                 errors.Code.DEADLINE_EXCEEDED,
                 job,
                 "the prompt takes longer than the deadline allows",
@@ -111,7 +111,7 @@
         wait_ms = max(queue_ms, self._estimate_slot_wait_ms(job, now_ms))
         if now_ms + wait_ms <= latest_ms:
             return None
-        fault = make_refusal(
+        fault = make_rejection(
             errors.Code.OVERLOADED,
             job,
             "the first token could not come in time",
@@ -139,10 +139,10 @@
             now_ms
         )
         speed = self._meters.read_tokens_per_ms(self._placer.count_slots())
-        return ahead * max(weights, state.weight) / speed / CLEARLY
+        return ahead * max(weights, state.weight) / speed / WAIT_TOLERANCE
 
 
-def estimate_lane_cost(lane: dict[str, fair_queue.Entry]) -> float:
+def estimate_lane_cost(lane: dict[str, fair_queue.QueueEntry]) -> float:
     """Return about what the jobs of a lane cost together.
 
     :param lane: the lane
@@ -153,7 +153,7 @@
     return first.cost * len(lane) if first is not None else 0.0
 
 
-def make_refusal(
+def make_rejection(
     code: errors.Code,
     job: jobs.Job,
     message: str,
@@ -171,7 +171,7 @@
         code,
         errors.Step.QUEUE,
         job.pool,
-        errors.Run.NOT_RUN,
+        errors.ExecutionStatus.NOT_RUN,
         message,
         retry_after_ms,
     )
--- a/mulberryway/policy/aggregated_serving.py
+++ b/mulberryway/policy/aggregated_serving.py
@@ -5,18 +5,18 @@
 from mulberryway.policy import jobs
 from mulberryway.policy import placements
 
-__all__ = ["choose_reader", "is_on_time", "saves_time"]
+__all__ = ["choose_aggregated", "meets_target", "prefers_aggregated"]
 
 # A decode engine that reads a prompt itself holds up the streams it runs, so
 # it does that only where it clearly saves a caller without a target time.
-MARGIN_MS = 150.0
+MIN_SAVING_MS = 150.0
 # Engines whose streams differ by fewer than so many are equal for a prompt
 # that they read themselves, so that VMs which choose at the same moment do
 # not all take the emptiest one.
-FEW = 4
+STREAM_COUNT_JITTER = 4
 
 
-def choose_reader(
+def choose_aggregated(
     options: list[placements.Placement],
     must_read: bool,
     stream_ms: float,
@@ -49,13 +49,14 @@
         fitting,
         key=lambda option: (
             option.prefill.reads.is_broken(stream_ms, now_ms),
-            option.prefill.count_running() + random_.random() * FEW,
+            option.prefill.count_running()
+            + random_.random() * STREAM_COUNT_JITTER,
         ),
         default=None,
     )
 
 
-def is_on_time(apart: placements.Placement, job: jobs.Job) -> bool:
+def meets_target(apart: placements.Placement, job: jobs.Job) -> bool:
     """Tell whether a prompt that a prefill engine reads comes on time.
 
     :param apart: where it is read
@@ -65,7 +66,7 @@
     return apart.first_token_ms <= _read_limit_ms(apart, job)
 
 
-def saves_time(
+def prefers_aggregated(
     alone: placements.Placement,
     apart: placements.Placement,
     job: jobs.Job,
@@ -81,13 +82,15 @@
     :param job: the job
     """
     if not job.target_at_ms:
-        return alone.first_token_ms + MARGIN_MS < apart.first_token_ms
+        return alone.first_token_ms + MIN_SAVING_MS < apart.first_token_ms
     return alone.first_token_ms <= _read_limit_ms(apart, job)
 
 
 def _read_limit_ms(apart: placements.Placement, job: jobs.Job) -> float:
     # A prompt that came to another VM at the same moment may go before.
-    return job.target_at_ms - max(apart.prefill_ms, placements.SAFETY_MS)
+    return job.target_at_ms - max(
+        apart.prefill_ms, placements.DEADLINE_MARGIN_MS
+    )
 
 
 def _list_least_harm(
--- a/mulberryway/policy/allowance_borrower.py
+++ b/mulberryway/policy/allowance_borrower.py
@@ -4,15 +4,15 @@
 
 from mulberryway.policy import allowance_times
 
-__all__ = ["Borrowed", "Borrower", "Closing"]
+__all__ = ["BorrowedLoan", "Borrower", "Closing"]
 
 # Unused tokens go back this long before their end, to arrive in time.
-CLOSE_AHEAD_MS = 150
+EARLY_RETURN_MS = 150
 # A lender takes no more back than it has lent.
-EVERYTHING = 1 << 40
+RETURN_ALL_TOKENS = 1 << 40
 
 
-class Borrowed:
+class BorrowedLoan:
     """One loan as its borrower sees it.
 
     :param number: names it, together with this process
@@ -87,8 +87,8 @@
         self._times = times
         self._numbers = itertools.count(1)
         self._asked: set[int] = set()
-        self._open: dict[str, list[Borrowed]] = {}
-        self._changed: dict[int, Borrowed] = {}
+        self._open: dict[str, list[BorrowedLoan]] = {}
+        self._changed: dict[int, BorrowedLoan] = {}
 
     def begin(self) -> int:
         """Return a number for a new loan; none is used twice."""
@@ -96,7 +96,7 @@
         self._asked.add(number)
         return number
 
-    def add(self, number: int, loan: Borrowed | None) -> None:
+    def add(self, number: int, loan: BorrowedLoan | None) -> None:
         """Take in what came of asking for a loan.
 
         An answer that comes twice counts once.
@@ -117,11 +117,11 @@
         :param peer: the lender's ``host:port``
         """
         self.add(number, None)
-        lost = Borrowed(number, peer, "", 0, 0, 0)
-        lost.returned = EVERYTHING
+        lost = BorrowedLoan(number, peer, "", 0, 0, 0)
+        lost.returned = RETURN_ALL_TOKENS
         self._changed[number] = lost
 
-    def list_usable(self, account: str, now_ms: int) -> list[Borrowed]:
+    def list_usable(self, account: str, now_ms: int) -> list[BorrowedLoan]:
         """Return the loans that an account may use now.
 
         :param account: the client account
@@ -132,7 +132,7 @@
         usable = [one for one in loans if one.left and one.is_usable(now_ms)]
         return sorted(usable, key=lambda one: one.end_ms)
 
-    def spend(self, loan: Borrowed, tokens: int, now_ms: int) -> None:
+    def spend(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
         """Use tokens of a usable loan.
 
         :param loan: the loan
@@ -142,7 +142,7 @@
         loan.left -= tokens
         loan.used_ms = now_ms
 
-    def put_back(self, loan: Borrowed, tokens: int, now_ms: int) -> None:
+    def put_back(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
         """Take back what a request did not use.
 
         While the loan runs the tokens can be used again here; afterwards
@@ -188,14 +188,14 @@
         """Return how many loans are open."""
         return sum(map(len, self._open.values()))
 
-    def _is_due(self, loan: Borrowed, now_ms: int) -> bool:
+    def _is_due(self, loan: BorrowedLoan, now_ms: int) -> bool:
         # A loan that is used up is told at once: the lender keeps room for
         # it in the bucket until then, and would let new tokens overflow.
-        is_ending = now_ms >= loan.end_ms - CLOSE_AHEAD_MS
+        is_ending = now_ms >= loan.end_ms - EARLY_RETURN_MS
         is_idle = now_ms - loan.used_ms >= self._times.idle_ms
         return is_ending or is_idle or loan.left == 0
 
-    def _close(self, loan: Borrowed) -> None:
+    def _close(self, loan: BorrowedLoan) -> None:
         loan.is_closed = True
         loan.returned += loan.left
         loan.left = 0
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -10,17 +10,17 @@
 from mulberryway.policy import slot_lease_manager
 from mulberryway.policy import token_bucket
 
-__all__ = ["Lender", "Loan", "Share"]
+__all__ = ["Lender", "Loan", "SlotBucket"]
 
 # A loan may take this part of what is there beyond the borrower's need, so
 # that one caller's VM does not empty a share before the others come.
-WISH_DIVISOR = 4
+SURPLUS_LOAN_DIVISOR = 4
 # An account whose burst lasts only a moment gets shorter loans, else its
 # tokens would be out on loan most of the time.
-SHORTEST_LOAN_MS = 200
+MIN_LOAN_MS = 200
 
 
-class Share:
+class SlotBucket:
     """One account's tokens in one slot, for as long as the slot is held.
 
     :param slot: the slot
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        share: Share | None,
+        share: SlotBucket | None,
         tokens: int,
         length_ms: int,
         lapse_ms: int,
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        keeper: slot_lease_manager.SlotKeeper,
+        keeper: slot_lease_manager.SlotLeaseManager,
         times: allowance_times.AllowanceTimes,
         groups: int,
         parts: int,
@@ -101,7 +101,7 @@
         self._accounts: dict[str, tables.ClientAccount] = {}
         self._since_ms: dict[str, int] = {}
         self._gone_ms: dict[str, int] = {}
-        self._shares: dict[tuple[str, int], Share] = {}
+        self._shares: dict[tuple[str, int], SlotBucket] = {}
         self._loans: dict[LoanId, Loan] = {}
         self._numbers = itertools.count(1)
         self._open: list[tuple[int, LoanId]] = []
@@ -147,7 +147,7 @@
         """
         return self._accounts.get(name)
 
-    def list_shares(self, account: str, now_ms: int) -> list[Share]:
+    def list_shares(self, account: str, now_ms: int) -> list[SlotBucket]:
         """Return the account's shares that may be used now.
 
         :param account: the client account
@@ -156,7 +156,9 @@
         """
         if account not in self._accounts:
             return []
-        first = allowance_slots.find_group(account, self._groups) * self._parts
+        first = (
+            allowance_slots.compute_group(account, self._groups) * self._parts
+        )
         holdings = (
             self._keeper.find(slot, now_ms)
             for slot in range(first, first + self._parts)
@@ -298,11 +300,18 @@
             loan.share.bucket.refund(returned, loan.stamp, now_ms)
 
     def _lend(
-        self, loan_id: LoanId, share: Share, need: int, wish: int, now_ms: int
+        self,
+        loan_id: LoanId,
+        share: SlotBucket,
+        need: int,
+        wish: int,
+        now_ms: int,
     ) -> Loan:
         bucket = share.bucket
         level = bucket.read_level(now_ms)
-        extra = min(max(wish - need, 0), max(level - need, 0) // WISH_DIVISOR)
+        extra = min(
+            max(wish - need, 0), max(level - need, 0) // SURPLUS_LOAN_DIVISOR
+        )
         tokens = min(need + extra, level)
         length_ms = self._choose_length(bucket)
         lapse_ms = now_ms + length_ms + self._times.loan_margin_ms
@@ -320,7 +329,7 @@
     def _choose_length(self, bucket: token_bucket.TokenBucket) -> int:
         half_ms = bucket.burst * 500 // max(bucket.rate, 1)
         longest_ms = self._times.loan_ms
-        return min(max(half_ms, min(SHORTEST_LOAN_MS, longest_ms)), longest_ms)
+        return min(max(half_ms, min(MIN_LOAN_MS, longest_ms)), longest_ms)
 
     def _end(self, loan: Loan, returned: int, now_ms: int) -> None:
         loan.share.bucket.end_loan(loan.tokens, returned, now_ms)
@@ -328,7 +337,7 @@
 
     def _find_share(
         self, account: str, holding: allowance_slots.Holding
-    ) -> Share:
+    ) -> SlotBucket:
         key = (account, holding.slot)
         share = self._shares.get(key)
         if share is None or share.holding is not holding:
@@ -337,11 +346,11 @@
             bucket = token_bucket.TokenBucket(
                 row.rate, row.burst, self._parts, start_ms
             )
-            share = Share(holding.slot, holding, bucket)
+            share = SlotBucket(holding.slot, holding, bucket)
             self._shares[key] = share
         return share
 
-    def _is_held(self, share: Share | None) -> bool:
+    def _is_held(self, share: SlotBucket | None) -> bool:
         if share is None:
             return False
         return self._keeper.holdings.get(share.slot) is share.holding
--- a/mulberryway/policy/allowance_slots.py
+++ b/mulberryway/policy/allowance_slots.py
@@ -14,7 +14,7 @@
     "Holding",
     "SlotRecord",
     "choose_holder",
-    "find_group",
+    "compute_group",
 ]
 
 WORD = (1 << 64) - 1
@@ -85,7 +85,7 @@
         self.start_ms = start_ms
 
 
-def find_group(account: str, groups: int) -> int:
+def compute_group(account: str, groups: int) -> int:
     """Return the group of a client account.
 
     :param account: its name
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -35,7 +35,7 @@
         """
 
     @abc.abstractmethod
-    def dispatch(self, now_ms: int) -> jobs.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.DispatchResult:
         """Decide which waiting jobs start now and which are given up.
 
         :param now_ms: the present
@@ -118,7 +118,7 @@
         """
         return True
 
-    def list_ejected(self, now_ms: int) -> list[probes.Ejected]:
+    def list_ejected(self, now_ms: int) -> list[probes.EjectedUpstream]:
         """Return the upstreams that get no requests for now.
 
         :param now_ms: the present
@@ -191,7 +191,7 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobEnd,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -84,7 +84,7 @@
         self._waiting[job.job_id] = job
         return expression.Ok(None)
 
-    def dispatch(self, now_ms: int) -> jobs.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.DispatchResult:
         """Start jobs from the queue's head while upstreams have room.
 
         :param now_ms: the present
@@ -106,7 +106,7 @@
                 assignments.append(assignment)
         self._queue = kept
         wake_ms = min((job.deadline.at_ms for job in kept), default=None)
-        return jobs.Dispatch(assignments, refusals, wake_ms)
+        return jobs.DispatchResult(assignments, refusals, wake_ms)
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
         """Forget a waiting job.
@@ -138,7 +138,7 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobEnd,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
--- a/mulberryway/policy/broadcast_queue.py
+++ b/mulberryway/policy/broadcast_queue.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-__all__ = ["Hint", "HintBoard"]
+__all__ = ["Hint", "BroadcastQueue"]
 
 # A board is bounded in number and size, so that no flood of notes eats a
 # VM's 15 KB/s or its memory: the oldest are forgotten first.
@@ -35,7 +35,7 @@
         self.sends = 0
 
 
-class HintBoard:
+class BroadcastQueue:
     """The notes that this VM knows, and how often it passed each on."""
 
     def __init__(self) -> None:
--- a/mulberryway/policy/chunked_prefill.py
+++ b/mulberryway/policy/chunked_prefill.py
@@ -1,13 +1,13 @@
 """How much a decode engine may read between the tokens of its streams."""
 
-__all__ = ["ReadingBudget", "fits_pause"]
+__all__ = ["ChunkedPrefillBudget", "fits_gap_limit"]
 
 # What a pause has besides an event's usual time and the reading: the way from
 # the engine through a VM to the caller varies by some milliseconds.
 SPARE_MS = 10.0
 
 
-def fits_pause(run_ms: float, limit_ms: float, event_ms: float) -> bool:
+def fits_gap_limit(run_ms: float, limit_ms: float, event_ms: float) -> bool:
     """Tell whether a run of reads keeps a stream's pause on time.
 
     :param run_ms: how long the reads take together
@@ -17,7 +17,7 @@
     return not limit_ms or run_ms + event_ms + SPARE_MS <= limit_ms
 
 
-class ReadingBudget:
+class ChunkedPrefillBudget:
     """The reads of one decode engine, all VMs together.
 
     A decode engine reads a prompt in pieces between two tokens of all its
@@ -57,7 +57,7 @@
         self._run_ms += read_ms
         self._ends_ms = max(self._ends_ms, float(now_ms)) + read_ms
         self._noted_ms = now_ms
-        if streams and not fits_pause(self._run_ms, limit_ms, event_ms):
+        if streams and not fits_gap_limit(self._run_ms, limit_ms, event_ms):
             self._broken_ms = self._ends_ms
 
     def shift(self, drift_ms: float) -> None:
@@ -80,7 +80,7 @@
         """
         has_rested = now_ms >= self._ends_ms + event_ms
         run_ms = 0.0 if has_rested else self._run_ms
-        return fits_pause(run_ms + read_ms, limit_ms, event_ms)
+        return fits_gap_limit(run_ms + read_ms, limit_ms, event_ms)
 
     def read_open_ms(self, event_ms: float, now_ms: int) -> float:
         """Return since when the next read may have begun.
--- a/mulberryway/policy/claim_coordinators.py
+++ b/mulberryway/policy/claim_coordinators.py
@@ -9,10 +9,10 @@
 
 from mulberryway.policy import member
 
-__all__ = ["choose_keeper"]
+__all__ = ["choose_coordinator"]
 
 
-def choose_keeper(
+def choose_coordinator(
     shard: int, members: collections.abc.Iterable[member.Member]
 ) -> member.Member | None:
     """Return the VM that writes a shard, by rendezvous hashing.
--- a/mulberryway/policy/claim_records.py
+++ b/mulberryway/policy/claim_records.py
@@ -9,11 +9,11 @@
 __all__ = [
     "ClaimId",
     "ClaimState",
-    "KeptReply",
+    "CachedReply",
     "Record",
-    "digest_call",
-    "make_key",
-    "read_id",
+    "fingerprint_call",
+    "make_uuid7",
+    "parse_claim_id",
 ]
 
 KEY_VERSION = 7
@@ -46,7 +46,7 @@
         self.time_ms = time_ms
 
 
-def read_id(account: str, key: str) -> ClaimId | None:
+def parse_claim_id(account: str, key: str) -> ClaimId | None:
     """Return the id that a caller's key names, or none if it is no UUIDv7.
 
     :param account: the client account
@@ -64,7 +64,7 @@
     return ClaimId(digest, parsed.int >> TIME_SHIFT)
 
 
-def make_key(time_ms: int, number: int) -> str:
+def make_uuid7(time_ms: int, number: int) -> str:
     """Return a UUIDv7.
 
     :param time_ms: milliseconds since 1970
@@ -76,7 +76,7 @@
     return str(uuid.UUID(int=value | 0b10 << 62 | low))
 
 
-def digest_call(method: str, target: str, body: bytes) -> str:
+def fingerprint_call(method: str, target: str, body: bytes) -> str:
     """Return a digest of what a call asks for.
 
     :param method: the HTTP method
@@ -87,7 +87,7 @@
     return hashlib.sha256(head + body).hexdigest()[:DIGEST_DIGITS]
 
 
-class KeptReply:
+class CachedReply:
     """A plain service's reply as it is kept for repeats.
 
     :param status: the HTTP status
@@ -115,10 +115,10 @@
         return [self.status, self.headers, body]
 
 
-def _decode_reply(value: list[typing.Any]) -> KeptReply:
+def _decode_reply(value: list[typing.Any]) -> CachedReply:
     status, headers, body = value
     pairs = [(name, text) for name, text in headers]
-    return KeptReply(status, pairs, base64.b64decode(body))
+    return CachedReply(status, pairs, base64.b64decode(body))
 
 
 class Record:
@@ -126,7 +126,7 @@
 
     :param digest: the call's id, see :class:`ClaimId`
     :param time_ms: the time in the id
-    :param call: see :func:`digest_call`
+    :param call: see :func:`fingerprint_call`
     :param owner: names the one attempt that may run the call
     :param state: how far it has come
     :param reply: what the service replied, if it is known and was kept
@@ -141,7 +141,7 @@
         call: str,
         owner: str,
         state: ClaimState,
-        reply: KeptReply | None = None,
+        reply: CachedReply | None = None,
     ) -> None:
         self.digest = digest
         self.time_ms = time_ms
@@ -150,7 +150,7 @@
         self.state = state
         self.reply = reply
 
-    def end(self, state: ClaimState, reply: KeptReply | None) -> "Record":
+    def end(self, state: ClaimState, reply: CachedReply | None) -> "Record":
         """Return the record that follows this claim.
 
         :param state: ``DONE`` or ``RELEASED``
--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -38,7 +38,7 @@
 
 # Fixed for a deployment's life: two VMs that disagreed would claim one call
 # in two shards.  16 shards of 256 slots hold some 80,000 calls in 16 MB.
-SHARDS = 16
+SHARD_COUNT = 16
 SLOTS = 256
 # An append sends the whole slot again, so small slots keep appends cheap.
 SLOT_BYTES = 4_096
@@ -47,7 +47,7 @@
 MOST_AHEAD_MS = 60_000
 
 
-def pick_shard(digest: str, shards: int = SHARDS) -> int:
+def pick_shard(digest: str, shards: int = SHARD_COUNT) -> int:
     """Return the shard that holds a call's claim.
 
     :param digest: see :class:`claim_records.ClaimId`
@@ -60,7 +60,7 @@
     """An attempt's wish to run a call.
 
     :param id_: the call's id
-    :param call: see :func:`claim_records.digest_call`
+    :param call: see :func:`claim_records.fingerprint_call`
     :param owner: names the attempt; no two attempts have the same
     """
 
--- a/mulberryway/policy/dissemination/__init__.py
+++ b/mulberryway/policy/dissemination/__init__.py
@@ -19,7 +19,7 @@
 Packet = messages.Packet
 Receiver = messages.Receiver
 RelayBatch = batch.RelayBatch
-RelayChooser = relays.RelayChooser
+RelaySelector = relays.RelaySelector
 ZoneOutbox = outbox.ZoneOutbox
 
 __all__ = [
@@ -29,6 +29,6 @@
     "Packet",
     "Receiver",
     "RelayBatch",
-    "RelayChooser",
+    "RelaySelector",
     "ZoneOutbox",
 ]
--- a/mulberryway/policy/dissemination/outbox.py
+++ b/mulberryway/policy/dissemination/outbox.py
@@ -5,7 +5,7 @@
 from mulberryway.policy.dissemination import messages
 from mulberryway.policy.dissemination import relays
 
-__all__ = ["Pending", "ZoneOutbox"]
+__all__ = ["UnackedItem", "ZoneOutbox"]
 
 # A relay acknowledges within a round trip and its own scheduling delay.
 ACKNOWLEDGE_MS = 150
@@ -16,7 +16,7 @@
 MOST_PENDING = 64
 
 
-class Pending:
+class UnackedItem:
     """An item that awaits its acknowledgement.
 
     :param item: the item
@@ -51,10 +51,10 @@
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
-        self._pending: collections.OrderedDict[int, Pending] = (
+        self._pending: collections.OrderedDict[int, UnackedItem] = (
             collections.OrderedDict()
         )
-        self.chooser = relays.RelayChooser(zone)
+        self.chooser = relays.RelaySelector(zone)
         # Counters for metrics.
         self.resent = 0
         self.given_up = 0
@@ -77,7 +77,7 @@
         :param tries: how many relays have got the item, this one included
         :param is_deferrable: whether the relay may keep it for a moment
         """
-        self._pending[number] = Pending(
+        self._pending[number] = UnackedItem(
             item, relay.name, now_ms, tries, is_deferrable
         )
         while len(self._pending) > MOST_PENDING:
@@ -98,7 +98,7 @@
         """
         return self._pending.pop(number, None) is not None
 
-    def take_overdue(self, now_ms: int) -> list[Pending]:
+    def take_overdue(self, now_ms: int) -> list[UnackedItem]:
         """Pass silent relays over, and return what has to be sent again.
 
         :param now_ms: the present
--- a/mulberryway/policy/dissemination/relays.py
+++ b/mulberryway/policy/dissemination/relays.py
@@ -4,13 +4,13 @@
 
 from mulberryway.policy.dissemination import messages
 
-__all__ = ["RelayChooser"]
+__all__ = ["RelaySelector"]
 
 # How long a relay that did not acknowledge is passed over.
 AVOID_MS = 3_000
 
 
-class RelayChooser:
+class RelaySelector:
     """Ranks the VMs of one zone as relays.
 
     All VMs of a fleet rank alike, so that their items meet at one relay and
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -6,14 +6,14 @@
 from mulberryway.policy import member
 
 __all__ = [
-    "EntryAddress",
-    "EntryDirectory",
-    "choose_addresses",
-    "list_entries",
+    "Endpoint",
+    "EndpointDirectory",
+    "choose_endpoints",
+    "list_endpoints",
 ]
 
 
-class EntryAddress:
+class Endpoint:
     """One address that a caller may use.
 
     :param address: ``host:port``
@@ -27,11 +27,11 @@
         self.zone = zone
 
 
-class EntryDirectory(abc.ABC):
+class EndpointDirectory(abc.ABC):
     """Knows which VMs take callers now."""
 
     @abc.abstractmethod
-    def list_addresses(self, caller_zone: str) -> list[EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[Endpoint]:
         """Return addresses in the order in which a caller should try them.
 
         :param caller_zone: the caller's zone; empty if not known
@@ -48,12 +48,12 @@
 MOST_ENTRIES = 64
 
 
-def choose_addresses(
+def choose_endpoints(
     members: list[member.Member],
     caller_zone: str,
     chance: random.Random,
     now_ms: int,
-) -> list[EntryAddress]:
+) -> list[Endpoint]:
     """Choose the addresses that a caller is told.
 
     The load that this is made for: thousands of callers keep an answer for
@@ -82,12 +82,12 @@
         chosen = chosen[: MOST_ADDRESSES - 1]
     missing = MOST_ADDRESSES - len(chosen)
     chosen += _pick(far, missing, chance, now_ms)
-    return [EntryAddress(one.entry, one.zone) for one in chosen]
+    return [Endpoint(one.entry, one.zone) for one in chosen]
 
 
-def list_entries(
+def list_endpoints(
     members: list[member.Member], silent: frozenset[str]
-) -> list[EntryAddress]:
+) -> list[Endpoint]:
     """Return all VMs that take callers, for callers that choose themselves.
 
     A VM that is dead or cut off costs each caller that chooses it the wait
@@ -106,7 +106,7 @@
     ]
     chosen = usable or [one for one in members if not one.is_stopping]
     return [
-        EntryAddress(one.entry, one.zone)
+        Endpoint(one.entry, one.zone)
         for one in (chosen or members)[:MOST_ENTRIES]
     ]
 
--- a/mulberryway/policy/failure_reports.py
+++ b/mulberryway/policy/failure_reports.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-__all__ = ["Trust"]
+__all__ = ["FailureReportFilter"]
 
 # What a VM says against upstreams is remembered for so long.
 BLAMED_MS = 30_000
@@ -12,7 +12,7 @@
 LEAST_BLAMED = 2
 
 
-class Trust:
+class FailureReportFilter:
     """Remembers which VM blamed which upstreams of late."""
 
     __slots__ = ("_blamed",)
--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -15,11 +15,11 @@
 from mulberryway.policy import jobs
 from mulberryway.policy import queue_entries
 
-__all__ = ["AccountState", "Entry", "FairQueue", "Lane"]
+__all__ = ["AccountState", "QueueEntry", "FairQueue", "Lane"]
 
 # An account that has nothing waiting and no debt needs no state.  The limit
 # is above twice the accounts of the target (2,200), so that a sweep is rare.
-MOST_IDLE_ACCOUNTS = 5_000
+MAX_IDLE_ACCOUNTS = 5_000
 # How far behind the present an account may start that was given little.  All
 # routers of a cell have to come to the same order, so the start is not moved
 # up to the very present when an account begins to wait, as textbooks do: only
@@ -28,11 +28,11 @@
 # harm of a claim is that an account which comes back after a pause goes first
 # until it has caught up: with fifteen ordinary requests, for two to three
 # seconds of a small pool.
-CLAIM_TOKENS = 6_000.0
+MAX_CREDIT_TOKENS = 6_000.0
 
 
 AccountState = queue_entries.AccountState
-Entry = queue_entries.Entry
+QueueEntry = queue_entries.QueueEntry
 Lane = queue_entries.Lane
 
 
@@ -49,7 +49,7 @@
         self.now_virtual = 0.0
         self.weight_waiting = 0
         self.bytes = 0
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, QueueEntry] = {}
         self._accounts: dict[str, AccountState] = {}
         self._order = sortedcontainers.SortedList()
         self._latest: list[tuple[int, int, str]] = []
@@ -125,7 +125,7 @@
             and (state.bytes + job.body_bytes) * 2 <= self.most_bytes
         )
 
-    def push(self, entry: Entry) -> None:
+    def push(self, entry: QueueEntry) -> None:
         """Let a job wait.
 
         :param entry: the job's entry
@@ -145,7 +145,7 @@
             self._latest, (entry.latest_ms, next(self._numbers), job.job_id)
         )
 
-    def remove(self, job_id: str) -> Entry | None:
+    def remove(self, job_id: str) -> QueueEntry | None:
         """Take a job out without charging for it.
 
         :param job_id: the job
@@ -177,7 +177,7 @@
         entry.lane = lane
         state.lanes[lane][job_id] = entry
 
-    def pop_late(self, now_ms: int) -> collections.abc.Iterator[Entry]:
+    def pop_late(self, now_ms: int) -> collections.abc.Iterator[QueueEntry]:
         """Take out the jobs that can no longer start in time.
 
         :param now_ms: the present
@@ -230,7 +230,7 @@
         self._move_start(state, max(start, self._read_least_start()))
 
     def _read_least_start(self) -> float:
-        return max(self.now_virtual - CLAIM_TOKENS, 0.0)
+        return max(self.now_virtual - MAX_CREDIT_TOKENS, 0.0)
 
     def _move_start(self, state: AccountState, start: float) -> None:
         if state.waiting:
@@ -242,10 +242,11 @@
         return max(state.start, self._read_least_start())
 
     def _forget_idle(self) -> None:
-        if len(self._accounts) < MOST_IDLE_ACCOUNTS:
+        if len(self._accounts) < MAX_IDLE_ACCOUNTS:
             return
         self._accounts = {
             name: state
             for name, state in self._accounts.items()
-            if state.waiting or state.start > self.now_virtual - CLAIM_TOKENS
+            if state.waiting
+            or state.start > self.now_virtual - MAX_CREDIT_TOKENS
         }
--- a/mulberryway/policy/fairness.py
+++ b/mulberryway/policy/fairness.py
@@ -2,10 +2,16 @@
 
 import typing
 
-__all__ = ["GOODPUT", "WEIGHINGS", "WORST_SERVED", "Weighing", "find_weighing"]
+__all__ = [
+    "GOODPUT",
+    "WEIGHINGS",
+    "WORST_SERVED",
+    "FairnessMode",
+    "find_fairness_mode",
+]
 
 
-class Weighing:
+class FairnessMode:
     """How the decisions differ by deployment.
 
     :param name: the value of the setting ``policy.weighing``
@@ -23,13 +29,13 @@
 
 # The strict order: the account that was given least goes next, over all
 # routers, even when its prompt is the dearest.
-WORST_SERVED: typing.Final = Weighing("worst_served", 0)
+WORST_SERVED: typing.Final = FairnessMode("worst_served", 0)
 # Cheaper prompts first within about twenty ordinary requests of 400 tokens.
-GOODPUT: typing.Final = Weighing("goodput", 3_000)
+GOODPUT: typing.Final = FairnessMode("goodput", 3_000)
 WEIGHINGS = (WORST_SERVED, GOODPUT)
 
 
-def find_weighing(name: str) -> Weighing:
+def find_fairness_mode(name: str) -> FairnessMode:
     """Return the weighing that a settings file names.
 
     :param name: ``worst_served`` or ``goodput``
--- a/mulberryway/policy/health.py
+++ b/mulberryway/policy/health.py
@@ -2,7 +2,7 @@
 
 import random
 
-__all__ = ["Average", "Floor", "Health", "Outcomes"]
+__all__ = ["Ewma", "LatencyFloor", "OutlierDetector", "Outcomes"]
 
 # An upstream that fails fast always has room and draws new work.  Failures
 # count in a row and over all VMs; a broken connection ejects at once, since
@@ -20,7 +20,7 @@
 PEER_PROBE_MS = 1_500
 
 
-class Average:
+class Ewma:
     """An exponentially weighted mean of what was observed.
 
     :param value: what is assumed before the first observation
@@ -45,7 +45,7 @@
         self.value += part * (observed - self.value)
 
 
-class Floor:
+class LatencyFloor:
     """An estimate of a time that others' work can only lengthen.
 
     A mean takes waits behind others for the engine's own time.  A shorter
@@ -121,7 +121,7 @@
         return bool(self.failed or self.unreached or self.probes_failed)
 
 
-class Health:
+class OutlierDetector:
     """Failures in a row over all VMs, ejection, and probes after it.
 
     An ejected upstream gets no requests until a time.  After it, or as soon
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -6,13 +6,13 @@
 from mulberryway.policy import running_jobs
 from mulberryway.policy import upstream_view
 
-__all__ = ["Endings"]
+__all__ = ["JobCompletion"]
 
 # The requests of a batch that died are reported within this time.
 SAME_BATCH_MS = 2_000
 
 
-class Endings:
+class JobCompletion:
     """Ends jobs of one pool.
 
     :param pool: the pool's scheduler
@@ -22,12 +22,14 @@
     __slots__ = ("_pool", "_register")
 
     def __init__(
-        self, pool: pool_scheduler.PoolScheduler, register: poison.Register
+        self,
+        pool: pool_scheduler.PoolScheduler,
+        register: poison.PoisonRegistry,
     ) -> None:
         self._pool = pool
         self._register = register
 
-    def note_start(self, job: running_jobs.Running, now_ms: int) -> None:
+    def note_start(self, job: running_jobs.RunningJob, now_ms: int) -> None:
         """Count a job on the upstreams where it starts.
 
         :param job: the started job
@@ -37,7 +39,9 @@
             view.health.note_start(now_ms)
             view.own_suspects += job.is_suspect()
 
-    def note_prefilled(self, job: running_jobs.Running, now_ms: int) -> None:
+    def note_prefilled(
+        self, job: running_jobs.RunningJob, now_ms: int
+    ) -> None:
         """Learn from a prefill that ended well.
 
         :param job: the job
@@ -60,7 +64,7 @@
         reader.health.note_success(job.started_ms)
 
     @staticmethod
-    def note_first_token(job: running_jobs.Running) -> bool:
+    def note_first_token(job: running_jobs.RunningJob) -> bool:
         """Learn that a decode engine works, before its stream ends.
 
         :param job: the job
@@ -71,7 +75,7 @@
             job.started_ms
         )
 
-    def note_unread(self, job: running_jobs.Running, now_ms: int) -> None:
+    def note_unread(self, job: running_jobs.RunningJob, now_ms: int) -> None:
         """Take in that a prefill failed and the decode engine reads instead.
 
         :param job: the job
@@ -90,8 +94,8 @@
 
     def finish(
         self,
-        job: running_jobs.Running,
-        end: jobs.JobEnd,
+        job: running_jobs.RunningJob,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> float:
@@ -115,48 +119,48 @@
 
     def _judge(
         self,
-        job: running_jobs.Running,
-        end: jobs.JobEnd,
+        job: running_jobs.RunningJob,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
         for view in self._list_views(job):
-            if end is jobs.JobEnd.DONE:
+            if end is jobs.JobOutcome.DONE:
                 view.health.note_success(job.started_ms)
             elif view.row.name != upstream:
                 view.health.note_no_verdict()
             else:
                 self._blame(job, view, end, now_ms)
-        if end is jobs.JobEnd.DONE:
+        if end is jobs.JobOutcome.DONE:
             self._register.note_success(job.entry.job.digest, now_ms)
 
     def _blame(
         self,
-        job: running_jobs.Running,
+        job: running_jobs.RunningJob,
         view: upstream_view.UpstreamView,
-        end: jobs.JobEnd,
+        end: jobs.JobOutcome,
         now_ms: int,
     ) -> None:
-        if end is jobs.JobEnd.REFUSED_BY_ENGINE:
+        if end is jobs.JobOutcome.REFUSED_BY_ENGINE:
             if self._refused_prefill(job, view):
                 view.note_refused_prefill(now_ms)
             else:
                 view.note_full(now_ms)
             view.health.note_no_verdict()
-        elif end is jobs.JobEnd.CANCELLED:
+        elif end is jobs.JobOutcome.CANCELLED:
             view.health.note_no_verdict()
         else:
-            died = end is jobs.JobEnd.DIED
+            died = end is jobs.JobOutcome.DIED
             # An engine that takes no connection will take none of the next
             # either, and each costs its caller the wait for one.
-            is_down = died or end is jobs.JobEnd.UNREACHED
+            is_down = died or end is jobs.JobOutcome.UNREACHED
             view.health.note_failure(is_down, now_ms)
             if died:
                 self._suspect(job, view, now_ms)
 
     @staticmethod
     def _refused_prefill(
-        job: running_jobs.Running, view: upstream_view.UpstreamView
+        job: running_jobs.RunningJob, view: upstream_view.UpstreamView
     ) -> bool:
         placement = job.placement
         return (
@@ -167,7 +171,7 @@
 
     def _suspect(
         self,
-        job: running_jobs.Running,
+        job: running_jobs.RunningJob,
         view: upstream_view.UpstreamView,
         now_ms: int,
     ) -> None:
@@ -190,14 +194,14 @@
             self._register.note_death(digest, name, False, now_ms)
 
     def _correct(
-        self, job: running_jobs.Running, end: jobs.JobEnd, now_ms: int
+        self, job: running_jobs.RunningJob, end: jobs.JobOutcome, now_ms: int
     ) -> float:
         measured = self._pool.meters
         step_ms = self._pool.placer.slowness.read_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
         cost = measured.sum_cost(prompt, tokens)
-        if end is jobs.JobEnd.DONE:
+        if end is jobs.JobOutcome.DONE:
             hold_ms = now_ms - job.started_ms
             measured.note_job(
                 job.entry.job.account, cost, tokens, max(hold_ms, 1)
@@ -206,7 +210,7 @@
 
     @staticmethod
     def _list_views(
-        job: running_jobs.Running,
+        job: running_jobs.RunningJob,
     ) -> list[upstream_view.UpstreamView]:
         prefill, decode = job.placement.prefill, job.placement.decode
         if decode is None or decode is prefill:
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -27,12 +27,12 @@
 LAST_CHANCE_MS = 100
 # Choices within this time are equal; chance decides, so that routers which
 # see the same do not all go to the same upstream.
-EQUAL_MS = 3.0
+READY_TIE_MS = 3.0
 # Streams that other VMs may have started at an engine unheard.
 UNSEEN_STREAMS = 2
 # How many are looked at when nothing is known of the others' choices since
 # the last report: with two, the best-looking one draws no crowd.
-BLIND_CHOICES = 2
+UNINFORMED_CHOICES = 2
 
 
 class Placer:
@@ -45,16 +45,18 @@
 
     def __init__(
         self,
-        members: pool_upstreams.Members,
+        members: pool_upstreams.PoolUpstreams,
         random_: random.Random,
         token_gap_ms: int,
     ) -> None:
         self._members = members
         self._random = random_
         self._gap_ms = token_gap_ms
-        self._links = transfers.Links()
-        self.slowness = slow_upstreams.Slowness(members, token_gap_ms)
-        self._usual_blocks = health.Average(0.0)
+        self._links = transfers.TransferLinks()
+        self.slowness = slow_upstreams.SlowUpstreamDetector(
+            members, token_gap_ms
+        )
+        self._usual_blocks = health.Ewma(0.0)
         # How long a stream usually holds its memory; set by the pool.
         self.stream_ms = 0.0
         self.is_blind = False
@@ -81,7 +83,7 @@
 
     def choose(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         pool: tables.Pool,
         now_ms: int,
         yield_ms: int = 0,
@@ -97,22 +99,24 @@
         """
         apart = self._choose_apart(entry, pool, now_ms)
         placement = apart
-        if apart is None or not aggregated_serving.is_on_time(
+        if apart is None or not aggregated_serving.meets_target(
             apart, entry.job
         ):
             alone = self._choose_alone(entry, pool, apart, now_ms, yield_ms)
             if alone is not None and (
                 apart is None
-                or aggregated_serving.saves_time(alone, apart, entry.job)
+                or aggregated_serving.prefers_aggregated(
+                    alone, apart, entry.job
+                )
             ):
                 placement = alone
         if placement is None:
             return None
         left_ms = entry.job.deadline.at_ms - placement.first_token_ms
-        return placement if left_ms >= placements.SAFETY_MS else None
+        return placement if left_ms >= placements.DEADLINE_MARGIN_MS else None
 
     def _choose_apart(
-        self, entry: fair_queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill, with a decode elsewhere."""
         options = self._list_prefills(entry, pool, now_ms)
@@ -123,7 +127,7 @@
             [
                 option
                 for option in options
-                if option.ready_ms <= best_ms + EQUAL_MS
+                if option.ready_ms <= best_ms + READY_TIE_MS
             ]
         )
         decode = self._choose_decode(entry, placement, pool, now_ms)
@@ -134,7 +138,7 @@
 
     def _choose_alone(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         pool: tables.Pool,
         apart: placements.Placement | None,
         now_ms: int,
@@ -143,12 +147,12 @@
         """Return a decode engine that reads the prompt itself."""
         if not pool.self_reading:
             return None
-        blocks = placements.count_blocks(entry.job, pool)
+        blocks = placements.estimate_kv_blocks(entry.job, pool)
         options = [
             self._plan_prefill(view, entry.job, pool, now_ms)
             for view in self._list_open(entry, blocks, now_ms)
         ]
-        placement = aggregated_serving.choose_reader(
+        placement = aggregated_serving.choose_aggregated(
             options,
             apart is None and not self._reads_apart(now_ms),
             self.stream_ms,
@@ -162,7 +166,7 @@
             placement.first_token_ms = (
                 placement.ready_ms
                 + placement.prefill.step.value
-                + placements.HOPS_MS
+                + placements.NETWORK_OVERHEAD_MS
             )
         return placement
 
@@ -202,15 +206,15 @@
         if placement.is_alone():
             return
         self._links.reserve(
-            placements.read_zones(placement.prefill, placement.decode),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, placement.decode),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
 
     def choose_other(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
@@ -272,7 +276,7 @@
         return other or works
 
     def _list_prefills(
-        self, entry: fair_queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> list[placements.Placement]:
         job = entry.job
         usable = self._list_usable(self._members.prefills, job, now_ms)
@@ -289,8 +293,8 @@
         elif entry.lane is fair_queue.Lane.LONG:
             if now_ms < entry.latest_ms - LAST_CHANCE_MS:
                 usable = self._leave_room_for_short(usable, now_ms)
-        if self.is_blind and len(usable) > BLIND_CHOICES:
-            usable = self._random.sample(usable, BLIND_CHOICES)
+        if self.is_blind and len(usable) > UNINFORMED_CHOICES:
+            usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return [self._plan_prefill(view, job, pool, now_ms) for view in usable]
 
     def _leave_room_for_short(
@@ -327,15 +331,15 @@
 
     def _choose_decode(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
     ) -> upstream_view.UpstreamView | None:
-        blocks = placements.count_blocks(entry.job, pool)
+        blocks = placements.estimate_kv_blocks(entry.job, pool)
         usable = self._list_open(entry, blocks, now_ms)
-        if self.is_blind and len(usable) > BLIND_CHOICES:
-            usable = self._random.sample(usable, BLIND_CHOICES)
+        if self.is_blind and len(usable) > UNINFORMED_CHOICES:
+            usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return max(
             usable,
             key=lambda view: self._rate_decode(
@@ -345,7 +349,7 @@
         )
 
     def _list_open(
-        self, entry: fair_queue.Entry, blocks: int, now_ms: int
+        self, entry: fair_queue.QueueEntry, blocks: int, now_ms: int
     ) -> list[upstream_view.UpstreamView]:
         """Return the decode upstreams that probably have room."""
         usable = [
@@ -368,8 +372,8 @@
         now_ms: int,
     ) -> float:
         transfer_ms = self._links.estimate_ms(
-            placements.read_zones(placement.prefill, view),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, view),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
@@ -386,10 +390,10 @@
         pool: tables.Pool,
     ) -> None:
         placement.decode = decode
-        placement.blocks = placements.count_blocks(job, pool)
+        placement.blocks = placements.estimate_kv_blocks(job, pool)
         placement.transfer_ms = self._links.estimate_ms(
-            placements.read_zones(placement.prefill, decode),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, decode),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
@@ -397,7 +401,7 @@
             placement.ready_ms
             + placement.transfer_ms
             + decode.step.value
-            + placements.HOPS_MS
+            + placements.NETWORK_OVERHEAD_MS
         )
 
 
--- a/mulberryway/policy/jobs.py
+++ b/mulberryway/policy/jobs.py
@@ -7,9 +7,9 @@
 
 __all__ = [
     "Assignment",
-    "Dispatch",
+    "DispatchResult",
     "Job",
-    "JobEnd",
+    "JobOutcome",
     "Refusal",
 ]
 
@@ -154,7 +154,7 @@
         self.fault = fault
 
 
-class Dispatch:
+class DispatchResult:
     """What has been decided for waiting jobs.
 
     :param assignments: jobs that start now
@@ -175,7 +175,7 @@
         self.wake_ms = wake_ms
 
 
-class JobEnd(enum.Enum):
+class JobOutcome(enum.Enum):
     """How a job that had started came to its end.
 
     ``DIED`` is for an upstream whose connection broke in the middle: the
--- a/mulberryway/policy/leader_lease.py
+++ b/mulberryway/policy/leader_lease.py
@@ -11,7 +11,7 @@
 
 from mulberryway import clock
 
-__all__ = ["IssuerLease", "LeaseAct", "LeaseRecord", "choose_candidates"]
+__all__ = ["LeaderLease", "LeaseAction", "LeaseRecord", "choose_candidates"]
 
 # A short lease lets issuers change whenever the platform is slow.  Orders are
 # rare, so a while without an issuer costs little.
@@ -20,12 +20,12 @@
 # Candidates look this often.  With three of them and the holder's renewals
 # the platform has under one call a second, however many VMs there are.
 LOOK_MS = 5_000
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 # The longest that an order can be under way: the engine client's timeout.  An
 # engine that ignores fencing tokens may take an old issuer's order after the
 # new issuer's.  So nothing is sent to it with less of the lease left, and a
 # new issuer waits as long before its first.
-FLIGHT_MS = 5_000
+MAX_IN_FLIGHT_MS = 5_000
 # Two clocks that count the same time may differ by so much; quartz is a
 # hundred times better.
 DRIFT_PART = 0.01
@@ -51,7 +51,7 @@
         self.renewal = renewal
 
 
-class LeaseAct(enum.Enum):
+class LeaseAction(enum.Enum):
     """What a VM should do about the lease now."""
 
     WAIT = "wait"
@@ -59,7 +59,7 @@
     WRITE = "write"
 
 
-class IssuerLease:
+class LeaderLease:
     """One VM's side of the lease.
 
     :param vm: this VM's name
@@ -87,7 +87,7 @@
         """The fencing number that goes with orders; 0 if none is held."""
         return self._seen.fencing if self._seen is not None else 0
 
-    def decide(self, is_candidate: bool, now_ms: int) -> LeaseAct:
+    def decide(self, is_candidate: bool, now_ms: int) -> LeaseAction:
         """Return what to do now.
 
         :param is_candidate: whether this VM may become the issuer
@@ -97,12 +97,18 @@
         if self._holds(now_ms):
             is_due = now_ms - self._renewed_ms >= RENEW_MS
             # A VM that is no candidate any more lets its lease end.
-            return LeaseAct.WRITE if is_due and is_candidate else LeaseAct.WAIT
+            return (
+                LeaseAction.WRITE
+                if is_due and is_candidate
+                else LeaseAction.WAIT
+            )
         if not is_candidate:
-            return LeaseAct.WAIT
+            return LeaseAction.WAIT
         if self._read_ms is None or now_ms - self._read_ms >= LOOK_MS:
-            return LeaseAct.READ
-        return LeaseAct.WRITE if self._has_lapsed(now_ms) else LeaseAct.WAIT
+            return LeaseAction.READ
+        return (
+            LeaseAction.WRITE if self._has_lapsed(now_ms) else LeaseAction.WAIT
+        )
 
     def note_read(
         self, record: LeaseRecord | None, version: int, now_ms: int
@@ -152,7 +158,7 @@
         if is_new and (
             self._seen is None or record.fencing != self._seen.fencing
         ):
-            self._quiet_until_ms = now_ms + FLIGHT_MS
+            self._quiet_until_ms = now_ms + MAX_IN_FLIGHT_MS
         self._seen, self._version = record, version
         self._changed_ms = now_ms
         self._renewed_ms = sent_ms
@@ -188,7 +194,7 @@
             return True
         assert self._held_until is not None
         left_ms = self._held_until.left_ms(now_ms)
-        return left_ms > FLIGHT_MS and now_ms >= self._quiet_until_ms
+        return left_ms > MAX_IN_FLIGHT_MS and now_ms >= self._quiet_until_ms
 
     def _holds(self, now_ms: int) -> bool:
         return self._held_until is not None and not (
@@ -217,7 +223,7 @@
     :param vms: all VMs that live
     :returns: at most three, the same for all who see the same list
     """
-    return sorted(vms, key=_hash)[:CANDIDATES]
+    return sorted(vms, key=_hash)[:CANDIDATE_COUNT]
 
 
 def _hash(vm: str) -> bytes:
--- a/mulberryway/policy/leased_rate_limiter.py
+++ b/mulberryway/policy/leased_rate_limiter.py
@@ -6,17 +6,22 @@
 from mulberryway.policy import allowance_borrower
 from mulberryway.policy import allowance_lender
 
-__all__ = ["Ask", "Piece", "ShareBook", "ShareReservation"]
+__all__ = [
+    "BorrowPlan",
+    "ReservationSource",
+    "LeasedRateLimiter",
+    "LeasedReservation",
+]
 
 # A refusal after all holders were asked stands for this long at most, so
 # that an account which sends several times its rate does not make several
 # messages out of each refused request.
-LONGEST_PAUSE_MS = 500
-SHORTEST_PAUSE_MS = 20
+MAX_BACKOFF_MS = 500
+MIN_BACKOFF_MS = 20
 DEMAND_WINDOW_MS = 1_000
 
 
-class Piece:
+class ReservationSource:
     """Tokens that a reservation took from one place.
 
     :param source: a share of this VM or a loan from another
@@ -27,25 +32,27 @@
 
     def __init__(
         self,
-        source: allowance_lender.Loan | allowance_borrower.Borrowed,
+        source: allowance_lender.Loan | allowance_borrower.BorrowedLoan,
         tokens: int,
     ) -> None:
         self.source = source
         self.tokens = tokens
 
 
-class ShareReservation(allowance.Reservation):
+class LeasedReservation(allowance.Reservation):
     """A reservation that remembers where its tokens came from."""
 
     __slots__ = ("pieces", "is_used")
 
-    def __init__(self, account: str, tokens: int, pieces: list[Piece]) -> None:
+    def __init__(
+        self, account: str, tokens: int, pieces: list[ReservationSource]
+    ) -> None:
         super().__init__(account, tokens)
         self.pieces = pieces
         self.is_used = False
 
 
-class Ask:
+class BorrowPlan:
     """What to ask other VMs for.
 
     :param need: the fewest tokens that help
@@ -77,7 +84,7 @@
         self.tokens += tokens
 
 
-class ShareBook:
+class LeasedRateLimiter:
     """One VM's part in all allowances; holds no lock and does no I/O.
 
     :param lender: the shares of this VM
@@ -97,7 +104,7 @@
 
     def reserve(
         self, account: str, tokens: int, now_ms: int
-    ) -> ShareReservation | None:
+    ) -> LeasedReservation | None:
         """Take tokens from what is at hand.
 
         Loans go first, those that end first before the others: what is left
@@ -114,11 +121,11 @@
         pieces = self._spend_loans(account, wanted, now_ms)
         missing = wanted - sum(piece.tokens for piece in pieces)
         pieces += [
-            Piece(loan, loan.tokens)
+            ReservationSource(loan, loan.tokens)
             for loan in self.lender.take(account, missing, now_ms)
         ]
         self._debts.pop(account, None)
-        return ShareReservation(account, tokens, pieces)
+        return LeasedReservation(account, tokens, pieces)
 
     def read_available(self, account: str, now_ms: int) -> int:
         """Return the tokens that are at hand.
@@ -133,7 +140,7 @@
             share.bucket.read_level(now_ms) for share in shares
         )
 
-    def is_usable(self, reservation: ShareReservation, now_ms: int) -> bool:
+    def is_usable(self, reservation: LeasedReservation, now_ms: int) -> bool:
         """Tell whether a reservation's tokens may be used, and count them.
 
         The process may have been paused since it read the clock, and the
@@ -158,7 +165,7 @@
         return True
 
     def settle(
-        self, reservation: ShareReservation, used: int, now_ms: int
+        self, reservation: LeasedReservation, used: int, now_ms: int
     ) -> None:
         """Give back what a request did not use.
 
@@ -180,7 +187,9 @@
             if part > 0:
                 self._put_back(piece, part, now_ms)
 
-    def plan(self, account: str, tokens: int, now_ms: int) -> Ask | None:
+    def plan(
+        self, account: str, tokens: int, now_ms: int
+    ) -> BorrowPlan | None:
         """Decide how many tokens to ask other VMs for.
 
         The load that this is made for: an account whose callers meet few
@@ -202,7 +211,7 @@
         need = wanted - self.read_available(account, now_ms)
         demand = self._demands.get(account)
         ahead = 0 if demand is None else max(demand.per_window, demand.tokens)
-        return Ask(max(need, 1), max(need, 1) + ahead)
+        return BorrowPlan(max(need, 1), max(need, 1) + ahead)
 
     def note_demand(self, account: str, tokens: int, now_ms: int) -> None:
         """Count what an account wants here.
@@ -228,11 +237,11 @@
         rate = 0 if row is None else row.rate
         missing = tokens - self.read_available(account, now_ms)
         wait_ms = max(missing, 1) * 1_000 // max(rate, 1)
-        pause_ms = min(max(wait_ms, SHORTEST_PAUSE_MS), LONGEST_PAUSE_MS)
+        pause_ms = min(max(wait_ms, MIN_BACKOFF_MS), MAX_BACKOFF_MS)
         until_ms, refused = self._pauses.get(account, (0, 0))
         if now_ms >= until_ms or tokens < refused:
             self._pauses[account] = (now_ms + pause_ms, tokens)
-        return max(wait_ms, SHORTEST_PAUSE_MS)
+        return max(wait_ms, MIN_BACKOFF_MS)
 
     def forget_accounts(self) -> None:
         """Forget what is remembered of accounts that are gone."""
@@ -241,28 +250,30 @@
 
     def _spend_loans(
         self, account: str, tokens: int, now_ms: int
-    ) -> list[Piece]:
+    ) -> list[ReservationSource]:
         pieces = []
         for loan in self.borrower.list_usable(account, now_ms):
             part = min(loan.left, tokens)
             if part > 0:
                 self.borrower.spend(loan, part, now_ms)
-                pieces.append(Piece(loan, part))
+                pieces.append(ReservationSource(loan, part))
                 tokens -= part
         return pieces
 
     def _is_usable(
         self,
-        source: allowance_lender.Loan | allowance_borrower.Borrowed,
+        source: allowance_lender.Loan | allowance_borrower.BorrowedLoan,
         now_ms: int,
     ) -> bool:
-        if isinstance(source, allowance_borrower.Borrowed):
+        if isinstance(source, allowance_borrower.BorrowedLoan):
             return now_ms < source.end_ms
         return self.lender.is_usable(source, now_ms)
 
-    def _put_back(self, piece: Piece, tokens: int, now_ms: int) -> None:
+    def _put_back(
+        self, piece: ReservationSource, tokens: int, now_ms: int
+    ) -> None:
         source = piece.source
-        if isinstance(source, allowance_borrower.Borrowed):
+        if isinstance(source, allowance_borrower.BorrowedLoan):
             self.borrower.put_back(source, tokens, now_ms)
         else:
             self.lender.settle(source, tokens, now_ms)
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -7,12 +7,12 @@
 
 from mulberryway.policy import store_reachability
 
-__all__ = ["Absence", "LapseDetector", "Limits"]
+__all__ = ["UnreachablePeriod", "MassExpiryDetector", "RegistrationLimits"]
 
 # An entry lapses when it was not renewed for so many heartbeats.
 LAPSE_BEATS = 3
 # After an outage servers that live renew their entries within so long.
-RETURN_MS = 2_100
+REREGISTRATION_MS = 2_100
 # In an outage that is long enough for one entry to lapse, most do; servers
 # that leave do so a few at a time.
 LAPSE_PART = 0.5
@@ -23,7 +23,7 @@
 DRAIN_PART = 0.75
 
 
-class Limits:
+class RegistrationLimits:
     """What the operators promise of servers' entries.
 
     :param heartbeat_ms: how often a server renews its entry
@@ -49,7 +49,7 @@
         return int(self.drain_ms * DRAIN_PART)
 
 
-class Absence:
+class UnreachablePeriod:
     """A span in which the store did not answer this VM.
 
     It says nothing of the reason: the store may be down, refuse this VM, or
@@ -80,10 +80,12 @@
 
         :param now_ms: the present
         """
-        return self.ended_ms is None or now_ms - self.ended_ms < RETURN_MS
+        return (
+            self.ended_ms is None or now_ms - self.ended_ms < REREGISTRATION_MS
+        )
 
 
-class LapseDetector:
+class MassExpiryDetector:
     """Decides whether removed entries still count, and for how long.
 
     A VM that took its own trouble for an outage (refusals, a cut watch) would
@@ -98,11 +100,13 @@
     __slots__ = ("_limits", "_outages", "_absence", "_removed")
 
     def __init__(
-        self, limits: Limits, outages_: store_reachability.Outages
+        self,
+        limits: RegistrationLimits,
+        outages_: store_reachability.StoreReachability,
     ) -> None:
         self._limits = limits
         self._outages = outages_
-        self._absence: Absence | None = None
+        self._absence: UnreachablePeriod | None = None
         # Names that were removed since the absence began, also those that
         # have come back.
         self._removed: set[str] = set()
@@ -115,7 +119,7 @@
         :param reason: how the call failed
         """
         if self._absence is None or self._absence.ended_ms is not None:
-            self._absence = Absence(began_ms, reason)
+            self._absence = UnreachablePeriod(began_ms, reason)
             self._removed.clear()
 
     def note_answer(self, now_ms: int) -> None:
@@ -129,7 +133,7 @@
         absence.ended_ms = now_ms
         absence.is_shared = self._outages.is_shared(absence.began_ms, now_ms)
 
-    def find_absence(self, now_ms: int) -> Absence | None:
+    def find_absence(self, now_ms: int) -> UnreachablePeriod | None:
         """Return the absence by which removals are judged now, or none.
 
         :param now_ms: the present
@@ -168,9 +172,11 @@
         if len(self._removed) < len(self._removed | left) * LAPSE_PART:
             return None
         ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
-        return ended_ms + RETURN_MS
+        return ended_ms + REREGISTRATION_MS
 
-    def describe_peers(self, absence: Absence, now_ms: int) -> dict[str, int]:
+    def describe_peers(
+        self, absence: UnreachablePeriod, now_ms: int
+    ) -> dict[str, int]:
         """Return what other VMs tell of an absence, for logs.
 
         :param absence: the absence
@@ -178,7 +184,9 @@
         """
         return self._outages.describe(absence.began_ms, now_ms)
 
-    def _may_have_lapsed(self, absence: Absence, now_ms: int) -> bool:
+    def _may_have_lapsed(
+        self, absence: UnreachablePeriod, now_ms: int
+    ) -> bool:
         if absence.read_length_ms(now_ms) < self._limits.least_absence_ms:
             return False
         if absence.ended_ms is not None:
--- a/mulberryway/policy/member.py
+++ b/mulberryway/policy/member.py
@@ -3,10 +3,10 @@
 import enum
 import hashlib
 
-__all__ = ["Health", "Member"]
+__all__ = ["MemberStatus", "Member"]
 
 
-class Health(enum.IntEnum):
+class MemberStatus(enum.IntEnum):
     """What other VMs think of a VM; later values win over earlier ones."""
 
     ALIVE = 0
@@ -64,7 +64,7 @@
         region: str,
         incarnation: int,
         version: int = 0,
-        health: Health = Health.ALIVE,
+        health: MemberStatus = MemberStatus.ALIVE,
         is_stopping: bool = False,
         holdings: bytes = b"",
         is_starting: bool = False,
@@ -102,7 +102,7 @@
     @property
     def takes_callers(self) -> bool:
         """Whether it is thought to be alive and not about to stop."""
-        return self.health is Health.ALIVE and not self.is_stopping
+        return self.health is MemberStatus.ALIVE and not self.is_stopping
 
     def copy(self) -> "Member":
         """Return a copy that may be changed."""
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -82,7 +82,7 @@
         known = self._members.get(news.name)
         if known is not None and not news.is_newer_than(known):
             return False
-        if known is None and news.health is member.Health.DEAD:
+        if known is None and news.health is member.MemberStatus.DEAD:
             # Nobody needs to learn of a VM by its death; and tombstones
             # which go round for ever would never be forgotten.
             return False
@@ -115,9 +115,9 @@
         """
         known = self._members.get(name)
         is_same = known is not None and known.incarnation == incarnation
-        if not is_same or known.health is not member.Health.ALIVE:
+        if not is_same or known.health is not member.MemberStatus.ALIVE:
             return False
-        self._set_health(known, member.Health.SUSPECT, now_ms)
+        self._set_health(known, member.MemberStatus.SUSPECT, now_ms)
         return True
 
     def expire(self, now_ms: int) -> list[member.Member]:
@@ -132,9 +132,9 @@
         for known in list(self._members.values()):
             if now_ms < self._find_expiry_ms(known):
                 continue
-            if known.health is member.Health.SUSPECT:
+            if known.health is member.MemberStatus.SUSPECT:
                 died.append(
-                    self._set_health(known, member.Health.DEAD, now_ms)
+                    self._set_health(known, member.MemberStatus.DEAD, now_ms)
                 )
             else:
                 self._forget(known)
@@ -146,11 +146,11 @@
     def _find_expiry_ms(self, known: member.Member) -> float:
         """Return when a VM's health changes by time alone."""
         since_ms = self._since_ms.get(known.name, 0)
-        if known.health is member.Health.SUSPECT:
+        if known.health is member.MemberStatus.SUSPECT:
             size = len(self._members)
             periods = SUSPECT_PERIODS + math.ceil(math.log2(size + 1))
             return since_ms + self._period_ms * periods
-        if known.health is member.Health.DEAD:
+        if known.health is member.MemberStatus.DEAD:
             return since_ms + DEAD_MS
         return math.inf
 
@@ -167,13 +167,16 @@
                 self._round = [
                     one.name
                     for one in self._list_others()
-                    if one.health is not member.Health.DEAD
+                    if one.health is not member.MemberStatus.DEAD
                 ]
                 self._random.shuffle(self._round)
                 if not self._round:
                     return None
             known = self._members.get(self._round.pop())
-            if known is not None and known.health is not member.Health.DEAD:
+            if (
+                known is not None
+                and known.health is not member.MemberStatus.DEAD
+            ):
                 return known
 
     def choose_some(
@@ -188,7 +191,7 @@
         alive = [
             one
             for one in self._list_others()
-            if one.health is member.Health.ALIVE and one.name != besides
+            if one.health is member.MemberStatus.ALIVE and one.name != besides
         ]
         return self._random.sample(alive, min(count, len(alive)))
 
@@ -199,7 +202,9 @@
         other's VMs for dead, and nobody would ever probe them again.
         """
         everybody = self._list_others()
-        dead = [one for one in everybody if one.health is member.Health.DEAD]
+        dead = [
+            one for one in everybody if one.health is member.MemberStatus.DEAD
+        ]
         return self._random.choice(dead) if dead else None
 
     def take_news(self) -> list[member.Member]:
@@ -271,7 +276,7 @@
             self._speak_up(0)
             return True
         is_old = news.incarnation < self.own.incarnation
-        if is_old or news.health is member.Health.ALIVE:
+        if is_old or news.health is member.MemberStatus.ALIVE:
             return False
         self._speak_up(max(news.version, self.own.version) + 1)
         return True
@@ -308,7 +313,7 @@
         return news
 
     def _set_health(
-        self, known: member.Member, health: member.Health, now_ms: int
+        self, known: member.Member, health: member.MemberStatus, now_ms: int
     ) -> member.Member:
         changed = known.copy()
         changed.health = health
@@ -328,4 +333,4 @@
 
 def _weigh(known: member.Member) -> int:
     # Dead VMs are forgotten at different times; that is no difference.
-    return 0 if known.health is member.Health.DEAD else known.digest()
+    return 0 if known.health is member.MemberStatus.DEAD else known.digest()
