--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -9,10 +9,10 @@
 from mulberryway.objects import base
 from mulberryway.policy import mass_expiry
 
-__all__ = ["KeptObject", "Mirror"]
+__all__ = ["RetainedObject", "Mirror"]
 
 
-class KeptObject:
+class RetainedObject:
     """An object that counts although the store has removed it.
 
     :param object_: the object
@@ -31,7 +31,7 @@
         revision: int,
         noticed_ms: int,
         until_ms: int,
-        absence: mass_expiry.Absence | None = None,
+        absence: mass_expiry.UnreachablePeriod | None = None,
     ) -> None:
         self.object = object_
         self.revision = revision
@@ -68,7 +68,7 @@
     )
 
     def __init__(
-        self, kind: str, detector: mass_expiry.LapseDetector | None = None
+        self, kind: str, detector: mass_expiry.MassExpiryDetector | None = None
     ) -> None:
         self.kind = kind
         self.objects: dict[str, base.StoredObject] = {}
@@ -79,9 +79,9 @@
         # Objects that were removed in or after one absence; that they lapsed
         # may show only when more of them go.
         self._removed: dict[str, base.StoredObject] = {}
-        self._removed_after: mass_expiry.Absence | None = None
-        self._kept: dict[str, KeptObject] = {}
-        self._unreported: list[KeptObject] = []
+        self._removed_after: mass_expiry.UnreachablePeriod | None = None
+        self._kept: dict[str, RetainedObject] = {}
+        self._unreported: list[RetainedObject] = []
 
     def note_failure(self, began_ms: int, reason: str = "") -> None:
         """Tell that the store could not be asked.
@@ -134,7 +134,7 @@
         objects: collections.abc.Iterable[base.StoredObject],
         changed: int,
         now_ms: int,
-        kept: collections.abc.Iterable[KeptObject] = (),
+        kept: collections.abc.Iterable[RetainedObject] = (),
     ) -> bool:
         """Take over another VM's copy.
 
@@ -193,7 +193,7 @@
         self._judge(removed, gone, True, now_ms)
         return has_changed
 
-    def expire(self, now_ms: int) -> list[KeptObject]:
+    def expire(self, now_ms: int) -> list[RetainedObject]:
         """Give up kept objects whose time is over.
 
         :param now_ms: the present
@@ -213,7 +213,7 @@
         kept = (one.object for one in self._kept.values())
         return [*self.objects.values(), *kept]
 
-    def list_kept(self) -> list[KeptObject]:
+    def list_kept(self) -> list[RetainedObject]:
         """Return the objects that count although they were removed."""
         return list(self._kept.values())
 
@@ -221,7 +221,7 @@
         """Return when the next kept object's time is over, or none."""
         return min((one.until_ms for one in self._kept.values()), default=None)
 
-    def take_newly_kept(self) -> list[KeptObject]:
+    def take_newly_kept(self) -> list[RetainedObject]:
         """Return the objects that are kept since the last call."""
         found, self._unreported = self._unreported, []
         return found
@@ -265,11 +265,11 @@
             return
         for one in self._removed.values():
             self._keep(
-                KeptObject(one, self.revision, now_ms, until_ms, absence)
+                RetainedObject(one, self.revision, now_ms, until_ms, absence)
             )
         self._removed.clear()
 
-    def _adopt_kept(self, kept: KeptObject) -> None:
+    def _adopt_kept(self, kept: RetainedObject) -> None:
         """Keep what another VM keeps, and no longer than it does."""
         name = kept.object.name
         if name in self.objects:
@@ -280,7 +280,7 @@
         else:
             own.until_ms = min(own.until_ms, kept.until_ms)
 
-    def _keep(self, kept: KeptObject) -> None:
+    def _keep(self, kept: RetainedObject) -> None:
         if kept.object.name in self._kept:
             return
         self._kept[kept.object.name] = kept
--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -7,7 +7,7 @@
 from mulberryway.policy import poison
 from mulberryway.policy import pool_scheduler
 
-__all__ = ["Hearer"]
+__all__ = ["NoteReceiver"]
 
 # A router that died holds no slots; one whose notes are lost for a moment
 # still does.  Three missed heartbeats tell the two apart well enough, since
@@ -46,18 +46,18 @@
         return True
 
 
-class Hearer:
+class NoteReceiver:
     """Takes in notes, and forgets peers that fall silent.
 
     :param vm: this VM's name; its own notes are passed over
     :param register: requests that may be poison
     """
 
-    def __init__(self, vm: str, register: poison.Register) -> None:
+    def __init__(self, vm: str, register: poison.PoisonRegistry) -> None:
         self._vm = vm
         self._register = register
         self._heard: dict[str, _Heard] = {}
-        self._trust = failure_reports.Trust()
+        self._trust = failure_reports.FailureReportFilter()
         self._swept_ms = 0
         self._pruned_ms = 0
 
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -7,7 +7,7 @@
 from mulberryway.policy import poison
 from mulberryway.policy import pool_scheduler
 
-__all__ = ["Teller"]
+__all__ = ["NoteSender"]
 
 # A note for each change would cost a busy router (22 requests a second, each
 # with three changes) more than its 15 KB a second; within this time changes
@@ -15,7 +15,7 @@
 LEAST_PAUSE_MS = 5
 # A change that nobody waits for goes along with the next note, and by itself
 # after this time.
-LATER_MS = 250
+MAX_DEFER_MS = 250
 # An empty note tells that the router lives; what it holds counts until it
 # has been silent for three of these.
 HEARTBEAT_MS = 1_000
@@ -38,7 +38,7 @@
 MOST_HOLDINGS = 64
 
 
-class Teller:
+class NoteSender:
     """Collects changes into notes.
 
     :param vm: this VM's name
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, vm: str, incarnation: int, register: poison.Register
+        self, vm: str, incarnation: int, register: poison.PoisonRegistry
     ) -> None:
         self._vm = vm
         self._incarnation = incarnation
@@ -120,7 +120,7 @@
         is_beating = pause_ms is None or self._has_to_beat(pause_ms, pools_)
         has_waited = self._has_to_tell_waiting(waiting, pause_ms)
         deaths = self._register.take_news(now_ms)
-        if self._later and now_ms - self._later_since_ms >= LATER_MS:
+        if self._later and now_ms - self._later_since_ms >= MAX_DEFER_MS:
             self._views |= self._later
         changed = self._views or self._accounts or deaths
         if not (changed or has_waited or is_beating):
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -3,7 +3,7 @@
 from mulberryway.policy import fair_queue
 from mulberryway.policy import hints
 
-__all__ = ["Neighbours"]
+__all__ = ["PeerAccounts"]
 
 # A peer tells again of what waits each 100 ms, so after three times that a
 # waiting job counts as gone.
@@ -20,7 +20,7 @@
         self.told_ms = told_ms
 
 
-class Neighbours:
+class PeerAccounts:
     """The accounts of one pool as the other routers of the cell see them.
 
     :param fair: the pool's own queue, which orders the accounts
@@ -64,7 +64,7 @@
     def count_ahead(
         self,
         state: fair_queue.AccountState,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         slack_tokens: int,
         now_ms: int,
     ) -> int:
@@ -93,7 +93,7 @@
         account: str,
         waiting: _Waiting,
         state: fair_queue.AccountState,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         slack_tokens: int,
     ) -> int:
         lead = state.start - self._fair.read_start(account)
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -5,25 +5,25 @@
 from mulberryway.policy import upstream_view
 
 __all__ = [
-    "HOPS_MS",
-    "SAFETY_MS",
+    "NETWORK_OVERHEAD_MS",
+    "DEADLINE_MARGIN_MS",
     "Placement",
-    "count_blocks",
-    "count_bytes",
-    "read_zones",
+    "estimate_kv_blocks",
+    "compute_kv_bytes",
+    "get_zone_pair",
 ]
 
 # What the hops of a request cost.
-HOPS_MS = 8.0
+NETWORK_OVERHEAD_MS = 8.0
 # Estimates are off by some tens of milliseconds when other routers' work
 # comes in between; a start that has less to spare mostly comes too late.
-SAFETY_MS = 30.0
+DEADLINE_MARGIN_MS = 30.0
 
 # Answers that began together in a burst grow together, so nearly all of their
 # length is in memory at the same time.  Measured over two calm and two heavy
 # days: with 0.5 of it, 4 to 5 in 100 of all worth were lost by prompts read
 # in vain, with 0.7 2 to 3, with 0.9 under 1; what waits longer costs less.
-GROWN_PART = 0.9
+EXPECTED_LENGTH_FRACTION = 0.9
 
 
 class Placement:
@@ -90,7 +90,7 @@
         return self.decode is self.prefill
 
 
-def count_bytes(job: jobs.Job, pool: tables.Pool) -> int:
+def compute_kv_bytes(job: jobs.Job, pool: tables.Pool) -> int:
     """Return the size of a job's KV cache.
 
     :param job: the job
@@ -100,7 +100,7 @@
     return job.prompt_tokens * pool.kv_bytes_per_token
 
 
-def count_blocks(job: jobs.Job, pool: tables.Pool) -> int:
+def estimate_kv_blocks(job: jobs.Job, pool: tables.Pool) -> int:
     """Return how much of a decode engine's memory a job may take.
 
     :param job: the job
@@ -109,12 +109,14 @@
     """
     expected = job.max_tokens
     if job.expected_tokens:
-        expected = min(expected, int(job.expected_tokens * GROWN_PART))
+        expected = min(
+            expected, int(job.expected_tokens * EXPECTED_LENGTH_FRACTION)
+        )
     tokens = job.prompt_tokens + expected
     return -(-tokens // max(pool.block_tokens, 1))
 
 
-def read_zones(
+def get_zone_pair(
     prefill: upstream_view.UpstreamView, decode: upstream_view.UpstreamView
 ) -> tuple[str, str]:
     """Return the zones between which a KV cache travels.
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -11,20 +11,25 @@
 
 from mulberryway.policy import hints
 
-__all__ = ["KEPT_MS", "Register", "Standing", "digest_request"]
+__all__ = [
+    "QUARANTINE_MS",
+    "PoisonRegistry",
+    "QuarantineState",
+    "digest_request",
+]
 
 # Every request of an upstream that dies is a suspect; the loss of a zone, or a
 # caller that makes up bodies, must not fill the VM's memory.
-MOST_DIGESTS = 4_096
+MAX_DIGESTS = 4_096
 # A caller repeats within seconds to minutes.  Each refused repeat renews the
 # quarantine, so a request which keeps coming stays out, and a model that was
 # mended serves it again ten minutes after the last try.
-KEPT_MS = 600_000
+QUARANTINE_MS = 600_000
 # A request that was in two batches which died, without having run as the only
 # suspect there, may be an innocent that many callers send.  It stays out for
 # long enough that the caller's quick repeats cost no third upstream, and then
 # runs again, as the only suspect on its upstream.
-PAROLE_MS = 60_000
+UNPROVEN_QUARANTINE_MS = 60_000
 DEATHS_TO_QUARANTINE = 2
 # Several requests with one digest may die with the same upstream, and each
 # router tells of its own; all that within this time is one death.  It is less
@@ -49,7 +54,7 @@
     return digest.hexdigest()[:32]
 
 
-class Standing(enum.Enum):
+class QuarantineState(enum.Enum):
     """How a request is regarded."""
 
     CLEAR = "clear"
@@ -74,16 +79,19 @@
         self.is_proven = False
         self.touched_ms = now_ms
 
-    def read_standing(self, now_ms: int) -> Standing:
+    def read_standing(self, now_ms: int) -> QuarantineState:
         if len(self.deaths) < DEATHS_TO_QUARANTINE:
-            return Standing.SUSPECT
+            return QuarantineState.SUSPECT
         is_doubtful = not self.is_proven
-        if is_doubtful and now_ms - self.deaths[-1].at_ms >= PAROLE_MS:
-            return Standing.SUSPECT
-        return Standing.QUARANTINED
+        if (
+            is_doubtful
+            and now_ms - self.deaths[-1].at_ms >= UNPROVEN_QUARANTINE_MS
+        ):
+            return QuarantineState.SUSPECT
+        return QuarantineState.QUARANTINED
 
 
-class Register:
+class PoisonRegistry:
     """The digests under which upstreams died, here and at other VMs."""
 
     def __init__(self) -> None:
@@ -95,7 +103,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def read_standing(self, digest: str, now_ms: int) -> Standing:
+    def read_standing(self, digest: str, now_ms: int) -> QuarantineState:
         """Tell how a request is regarded.
 
         :param digest: see :func:`digest_request`; empty is always clear
@@ -104,10 +112,10 @@
         """
         record = self._records.get(digest)
         if record is None:
-            return Standing.CLEAR
-        if now_ms - record.touched_ms >= KEPT_MS:
+            return QuarantineState.CLEAR
+        if now_ms - record.touched_ms >= QUARANTINE_MS:
             del self._records[digest]
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         return record.read_standing(now_ms)
 
     def note_repeat(self, digest: str, now_ms: int) -> None:
@@ -146,7 +154,7 @@
         """
         record = self._records.get(digest)
         if record is None or (
-            record.read_standing(now_ms) is Standing.QUARANTINED
+            record.read_standing(now_ms) is QuarantineState.QUARANTINED
         ):
             return
         del self._records[digest]
@@ -187,19 +195,19 @@
         for death in deaths:
             if not death.upstream:
                 self._clear_by_peer(death.digest, now_ms)
-            elif 0 <= death.age_ms < KEPT_MS:
+            elif 0 <= death.age_ms < QUARANTINE_MS:
                 seen = _SeenDeath(
                     death.upstream, now_ms - death.age_ms, death.proven
                 )
                 self._count(death.digest, seen, now_ms)
 
     def _clear_by_peer(self, digest: str, now_ms: int) -> None:
-        if self.read_standing(digest, now_ms) is Standing.SUSPECT:
+        if self.read_standing(digest, now_ms) is QuarantineState.SUSPECT:
             del self._records[digest]
 
     def _count(self, digest: str, seen: _SeenDeath, now_ms: int) -> bool:
         record = self._records.get(digest)
-        if record is not None and now_ms - record.touched_ms >= KEPT_MS:
+        if record is not None and now_ms - record.touched_ms >= QUARANTINE_MS:
             record = None
         if record is None:
             record = self._records[digest] = _Record(now_ms)
@@ -219,9 +227,9 @@
     def _touch(self, digest: str, record: _Record, now_ms: int) -> None:
         record.touched_ms = now_ms
         self._records.move_to_end(digest)
-        while len(self._records) > MOST_DIGESTS:
+        while len(self._records) > MAX_DIGESTS:
             self._records.popitem(last=False)
 
     def _tell(self, death: hints.Death, now_ms: int) -> None:
         self._news.append((death, now_ms))
-        del self._news[:-MOST_DIGESTS]
+        del self._news[:-MAX_DIGESTS]
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -30,8 +30,8 @@
 # note takes some milliseconds.  Who has more before it waits longer, so that
 # routers do not all take the same slot when nobody comes for it; and a slot
 # that nobody takes is wasted, hence the limit.
-YIELD_EACH_MS = 12
-MOST_YIELD_MS = 90
+YIELD_PER_JOB_MS = 12
+MAX_YIELD_MS = 90
 RETRY_PAUSE_MS = 10
 # Room that nobody has counted yet.
 UNKNOWN = -1
@@ -56,9 +56,9 @@
     def __init__(
         self,
         row: tables.Pool,
-        members: pool_upstreams.Members,
-        register: poison.Register,
-        weighed: fairness.Weighing,
+        members: pool_upstreams.PoolUpstreams,
+        register: poison.PoisonRegistry,
+        weighed: fairness.FairnessMode,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
@@ -69,8 +69,8 @@
         self.members = members
         self.fair = fair_queue.FairQueue(most_entries, most_bytes)
         self.placer = job_placement.Placer(members, random_, token_gap_ms)
-        self.neighbours = peer_accounts.Neighbours(self.fair)
-        self.meters = pool_stats.Meters()
+        self.neighbours = peer_accounts.PeerAccounts(self.fair)
+        self.meters = pool_stats.PoolStats()
         self.budget = budget or retries.RetryBudget()
         self._admission = admission.Admission(
             self.fair, self.placer, self.neighbours, self.meters
@@ -96,7 +96,7 @@
             return fault
         best = self.placer.estimate(job, self.row, now_ms)
         if best is None or not self.members.decodes:
-            return admission.make_refusal(
+            return admission.make_rejection(
                 errors.Code.NO_UPSTREAM,
                 job,
                 "no upstream takes this work now",
@@ -112,7 +112,7 @@
             # Nobody has looked while nothing waited.
             self._free = UNKNOWN
         self.fair.push(
-            fair_queue.Entry(job, lane, cost, latest_ms, best.prefill_ms)
+            fair_queue.QueueEntry(job, lane, cost, latest_ms, best.prefill_ms)
         )
         return None
 
@@ -126,7 +126,7 @@
         return [
             jobs.Refusal(
                 entry.job.job_id,
-                admission.make_refusal(
+                admission.make_rejection(
                     errors.Code.DEADLINE_EXCEEDED,
                     entry.job,
                     "no slot came free in time",
@@ -138,7 +138,7 @@
 
     def start_next(
         self, now_ms: int, refusals: list[jobs.Refusal]
-    ) -> running_jobs.Running | None:
+    ) -> running_jobs.RunningJob | None:
         """Start the job whose turn it is, if it can start.
 
         :param now_ms: the present
@@ -182,10 +182,10 @@
         self, job: jobs.Job, now_ms: int
     ) -> errors.Fault | None:
         standing = self._register.read_standing(job.digest, now_ms)
-        if standing is not poison.Standing.QUARANTINED:
+        if standing is not poison.QuarantineState.QUARANTINED:
             return None
         self._register.note_repeat(job.digest, now_ms)
-        return admission.make_refusal(
+        return admission.make_rejection(
             errors.Code.QUARANTINED,
             job,
             "upstreams died while they ran this request",
@@ -197,7 +197,7 @@
             return None
         if self.budget.spend():
             return None
-        return admission.make_refusal(
+        return admission.make_rejection(
             errors.Code.OVERLOADED,
             job,
             "too many repeats at once",
@@ -208,7 +208,7 @@
         self, job: jobs.Job, prefill_ms: float, now_ms: int
     ) -> fair_queue.Lane:
         standing = self._register.read_standing(job.digest, now_ms)
-        if standing is poison.Standing.SUSPECT:
+        if standing is poison.QuarantineState.SUSPECT:
             return fair_queue.Lane.SUSPECT
         is_long = prefill_ms > LONG_PREFILL_MS
         return fair_queue.Lane.LONG if is_long else fair_queue.Lane.SHORT
@@ -220,7 +220,7 @@
 
     def _list_candidates(
         self, now_ms: int, refusals: list[jobs.Refusal]
-    ) -> list[fair_queue.Entry]:
+    ) -> list[fair_queue.QueueEntry]:
         states = self.fair.list_next(ACCOUNTS_TRIED)
         limit = states[0].start + self._weighed.slack_tokens
         entries = [
@@ -246,7 +246,7 @@
 
     def _may_still_run(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         now_ms: int,
         refusals: list[jobs.Refusal],
     ) -> bool:
@@ -257,13 +257,13 @@
             return False
         standing = self._register.read_standing(entry.job.digest, now_ms)
         if (
-            standing is poison.Standing.SUSPECT
+            standing is poison.QuarantineState.SUSPECT
             and entry.lane is not fair_queue.Lane.SUSPECT
         ):
             self.fair.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
         return True
 
-    def _count_ahead(self, entry: fair_queue.Entry, now_ms: int) -> int:
+    def _count_ahead(self, entry: fair_queue.QueueEntry, now_ms: int) -> int:
         """Return how many of the peers' jobs should go before one of ours."""
         job = entry.job
         state = self.fair.find_account(job.account, job.weight)
@@ -278,7 +278,7 @@
 
     def move_decode(
         self,
-        job: running_jobs.Running,
+        job: running_jobs.RunningJob,
         refused: str,
         now_ms: int,
         is_unreached: bool = False,
@@ -313,18 +313,18 @@
 
     def _start(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         now_ms: int,
-    ) -> running_jobs.Running:
+    ) -> running_jobs.RunningJob:
         job = entry.job
         self.fair.remove(job.job_id)
         entry.cost = self.meters.estimate_cost(job, placement.tokens)
         self.fair.charge(job.account, job.weight, entry.cost)
         self.placer.commit(placement, job, self.row, now_ms)
-        return running_jobs.Running(entry, placement, now_ms)
+        return running_jobs.RunningJob(entry, placement, now_ms)
 
 
 def _limit_yield(ahead: int) -> int:
     """Return how long room is left to jobs that should go before, in ms."""
-    return min(ahead * YIELD_EACH_MS, MOST_YIELD_MS)
+    return min(ahead * YIELD_PER_JOB_MS, MAX_YIELD_MS)
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -32,8 +32,8 @@
     def __init__(
         self,
         vm: str,
-        weighed: fairness.Weighing,
-        register: poison.Register,
+        weighed: fairness.FairnessMode,
+        register: poison.PoisonRegistry,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
@@ -52,7 +52,7 @@
         self._budget = budget
         self._prefill_rate = prefill_rate
         self._vms: tuple[str, ...] = (vm,)
-        self._endings: dict[str, job_completion.Endings] = {}
+        self._endings: dict[str, job_completion.JobCompletion] = {}
         self._retired: dict[str, pool_scheduler.PoolScheduler] = {}
 
     def find_any(self, name: str) -> pool_scheduler.PoolScheduler:
@@ -65,7 +65,7 @@
         """
         return self.pools.get(name) or self._retired[name]
 
-    def find_endings(self, name: str) -> job_completion.Endings:
+    def find_endings(self, name: str) -> job_completion.JobCompletion:
         """Return what ends the jobs of a pool, also of one that is gone.
 
         :param name: the pool's name, which must have been known
@@ -112,13 +112,17 @@
         pool = self._retired.pop(name, None)
         if pool is None:
             pool = self._make(row)
-            self._endings[name] = job_completion.Endings(pool, self._register)
+            self._endings[name] = job_completion.JobCompletion(
+                pool, self._register
+            )
         self.pools[name] = pool
 
     def _make(self, row: tables.Pool) -> pool_scheduler.PoolScheduler:
         return pool_scheduler.PoolScheduler(
             row,
-            pool_upstreams.Members(self._vm, self._random, self._prefill_rate),
+            pool_upstreams.PoolUpstreams(
+                self._vm, self._random, self._prefill_rate
+            ),
             self._register,
             self._weighed,
             self._random,
--- a/mulberryway/policy/pool_stats.py
+++ b/mulberryway/policy/pool_stats.py
@@ -3,28 +3,28 @@
 from mulberryway.policy import health
 from mulberryway.policy import jobs
 
-__all__ = ["Meters", "PREFILL_TOKEN_COST"]
+__all__ = ["PoolStats", "PREFILL_TOKEN_COST"]
 
 # A prompt token takes a prefill engine about a twentieth of the time which
 # an output token takes a decode engine with twenty slots.
 PREFILL_TOKEN_COST = 0.05
 # Assumed until answers have been seen.
 OUTPUT_TOKENS = 300.0
-HOLD_MS = 11_000.0
-MOST_ACCOUNTS = 5_000
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 10_000
+INITIAL_SLOT_TIME_MS = 11_000.0
+MAX_ACCOUNTS = 5_000
+MIN_RETRY_MS = 200
+MAX_RETRY_MS = 10_000
 
 
-class Meters:
+class PoolStats:
     """Means over the jobs of one pool."""
 
     __slots__ = ("hold_ms", "cost", "_outputs")
 
     def __init__(self) -> None:
-        self.hold_ms = health.Average(HOLD_MS, 0.05)
-        self.cost = health.Average(OUTPUT_TOKENS, 0.05)
-        self._outputs: dict[str, health.Average] = {}
+        self.hold_ms = health.Ewma(INITIAL_SLOT_TIME_MS, 0.05)
+        self.cost = health.Ewma(OUTPUT_TOKENS, 0.05)
+        self._outputs: dict[str, health.Ewma] = {}
 
     def estimate_cost(self, job: jobs.Job, prompt_tokens: float) -> float:
         """Return what a job will probably cost, in tokens.
@@ -64,9 +64,9 @@
         self.hold_ms.note(hold_ms)
         output = self._outputs.get(account)
         if output is None:
-            if len(self._outputs) >= MOST_ACCOUNTS:
+            if len(self._outputs) >= MAX_ACCOUNTS:
                 self._outputs.clear()
-            output = self._outputs[account] = health.Average(OUTPUT_TOKENS)
+            output = self._outputs[account] = health.Ewma(OUTPUT_TOKENS)
         output.note(tokens)
 
     def read_tokens_per_ms(self, slots: int) -> float:
@@ -83,4 +83,4 @@
         :param wait_ms: how long it would have waited now
         :returns: milliseconds within sensible limits
         """
-        return int(min(max(wait_ms, LEAST_RETRY_MS), MOST_RETRY_MS))
+        return int(min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS))
--- a/mulberryway/policy/pool_subsets.py
+++ b/mulberryway/policy/pool_subsets.py
@@ -12,13 +12,13 @@
 from mulberryway import tables
 from mulberryway.policy import subsetting
 
-__all__ = ["Share", "choose_reporter", "divide_pool"]
+__all__ = ["PoolSubset", "choose_load_poller", "find_pool_subset"]
 
 # Pairs of an upstream and a VM whose hashes are kept, about a megabyte.
 MOST_WEIGHTS = 8_192
 
 
-class Share:
+class PoolSubset:
     """What one router has to do with one pool.
 
     :param pool: the pool's name
@@ -36,9 +36,9 @@
         self.peers = peers
 
 
-def divide_pool(
+def find_pool_subset(
     pool: tables.Pool, vm: str, vms: collections.abc.Iterable[str]
-) -> Share:
+) -> PoolSubset:
     """Return one router's share of a pool.
 
     :param pool: the pool's row
@@ -47,15 +47,17 @@
     :returns: its share; by the same rule as the scheduler's
     """
     names = [upstream.name for upstream in pool.upstreams]
-    division = subsetting.Cells(
-        round(len(names) / subsetting.CELL_ENGINES), vms
+    division = subsetting.Subsets(
+        round(len(names) / subsetting.SUBSET_SIZE), vms
     )
-    return Share(
+    return PoolSubset(
         pool.name, division.choose(vm, names), division.list_peers(vm)
     )
 
 
-def choose_reporter(upstream: str, vms: collections.abc.Iterable[str]) -> str:
+def choose_load_poller(
+    upstream: str, vms: collections.abc.Iterable[str]
+) -> str:
     """Return the VM that asks an engine for its load and tells the others.
 
     By rendezvous hashing, so that a VM's going moves only its own engines.
--- a/mulberryway/policy/pool_upstreams.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -8,15 +8,15 @@
 from mulberryway.policy import subsetting
 from mulberryway.policy import upstream_view
 
-__all__ = ["Members"]
+__all__ = ["PoolUpstreams"]
 
 # A decode upstream that reads a prompt itself does so at half the speed.
-SELF_READING_COST = 2.0
+CHUNKED_PREFILL_SLOWDOWN = 2.0
 PREFILL_ROLES = (tables.UpstreamRole.PREFILL, tables.UpstreamRole.BOTH)
 DECODE_ROLES = (tables.UpstreamRole.DECODE, tables.UpstreamRole.BOTH)
 
 
-class Members:
+class PoolUpstreams:
     """The upstreams of one pool that this router considers, by role.
 
     :param vm: this VM's name
@@ -43,11 +43,11 @@
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self._vm = vm
-        self._usual_rate = health.Floor(prefill_rate)
+        self._usual_rate = health.LatencyFloor(prefill_rate)
         self._random = random_
         self._views: dict[str, upstream_view.UpstreamView] = {}
         self._retired: dict[str, upstream_view.UpstreamView] = {}
-        self._divisions: dict[int, subsetting.Cells] = {}
+        self._divisions: dict[int, subsetting.Subsets] = {}
         self.prefills: list[upstream_view.UpstreamView] = []
         self.decodes: list[upstream_view.UpstreamView] = []
 
@@ -109,10 +109,10 @@
         self, pool: tables.Pool, vms: tuple[str, ...]
     ) -> list[tables.Upstream]:
         by_name = {row.name: row for row in pool.upstreams}
-        count = round(len(by_name) / subsetting.CELL_ENGINES)
+        count = round(len(by_name) / subsetting.SUBSET_SIZE)
         division = self._divisions.get(count)
         if division is None:
-            division = subsetting.Cells(count, vms)
+            division = subsetting.Subsets(count, vms)
             self._divisions = {count: division}
         return [
             by_name[name] for name in division.choose(self._vm, list(by_name))
@@ -136,8 +136,8 @@
             )
         if is_new:
             reads_beside = row.role is tables.UpstreamRole.DECODE
-            cost = SELF_READING_COST if reads_beside else 1.0
-            view.speed = prefill_speed.ReadSpeed(self._usual_rate, cost)
+            cost = CHUNKED_PREFILL_SLOWDOWN if reads_beside else 1.0
+            view.speed = prefill_speed.PrefillSpeed(self._usual_rate, cost)
         if row.role not in PREFILL_ROLES:
             view.prefixes.clear()
         view.row = row
--- a/mulberryway/policy/prefill_speed.py
+++ b/mulberryway/policy/prefill_speed.py
@@ -2,21 +2,21 @@
 
 from mulberryway.policy import health
 
-__all__ = ["ReadSpeed"]
+__all__ = ["PrefillSpeed"]
 
 # What a read costs however short it is; beside streams the first step of its
 # own decode is part of what is measured.
-APART_BASE_MS = 5.0
-BESIDE_BASE_MS = 15.0
+PREFILL_ENGINE_BASE_MS = 5.0
+CHUNKED_PREFILL_BASE_MS = 15.0
 # A single observation may be off by what others did to the same engine.
-MOST_DEVIATION = 8.0
-LEAST_TOKENS_TO_LEARN = 200
+MAX_DEVIATION = 8.0
+MIN_SAMPLE_TOKENS = 200
 # An engine is judged by its own reads from so many on; until then by those of
 # its siblings, which tells an empty VM the pool's speed after its first few.
-OWN_READS = 3
+MIN_OWN_SAMPLES = 3
 
 
-class ReadSpeed:
+class PrefillSpeed:
     """The speed at which one engine reads prompts.
 
     How long prompts take at a prefill engine tells also how long its queue is
@@ -32,12 +32,12 @@
 
     __slots__ = ("_usual", "_cost", "_own")
 
-    def __init__(self, usual: health.Floor, cost: float) -> None:
+    def __init__(self, usual: health.LatencyFloor, cost: float) -> None:
         self._usual = usual
         self._cost = cost
         rate = usual.value * cost
-        self._own: health.Average | health.Floor = (
-            health.Floor(rate) if cost > 1.0 else health.Average(rate)
+        self._own: health.Ewma | health.LatencyFloor = (
+            health.LatencyFloor(rate) if cost > 1.0 else health.Ewma(rate)
         )
 
     def estimate_ms(self, tokens: float) -> float:
@@ -46,7 +46,7 @@
         :param tokens: its tokens that are not in the cache
         """
         rate = self._usual.value * self._cost
-        if self._own.count >= OWN_READS:
+        if self._own.count >= MIN_OWN_SAMPLES:
             rate = self._own.value
         return self._read_base_ms() + tokens * rate
 
@@ -64,14 +64,18 @@
         :param estimate_ms: how long it was thought to take by itself
         :param tokens: its tokens that were not in the cache
         """
-        if tokens < LEAST_TOKENS_TO_LEARN:
+        if tokens < MIN_SAMPLE_TOKENS:
             return
         read_ms = took_ms - self._read_base_ms()
         self._usual.note(max(read_ms, 1.0) / tokens / self._cost)
         if self._cost == 1.0:
-            read_ms = max(read_ms - waited_ms, estimate_ms / MOST_DEVIATION)
-            read_ms = min(read_ms, estimate_ms * MOST_DEVIATION)
+            read_ms = max(read_ms - waited_ms, estimate_ms / MAX_DEVIATION)
+            read_ms = min(read_ms, estimate_ms * MAX_DEVIATION)
         self._own.note(max(read_ms, 1.0) / tokens)
 
     def _read_base_ms(self) -> float:
-        return BESIDE_BASE_MS if self._cost > 1.0 else APART_BASE_MS
+        return (
+            CHUNKED_PREFILL_BASE_MS
+            if self._cost > 1.0
+            else PREFILL_ENGINE_BASE_MS
+        )
--- a/mulberryway/policy/prefix_index.py
+++ b/mulberryway/policy/prefix_index.py
@@ -8,11 +8,11 @@
 
 # Bounds the memory of the indexes, one for each engine: about 150 bytes an
 # entry.
-MOST_BLOCKS = 2_048
+MAX_BLOCKS = 2_048
 # After a gap some blocks that look stored were removed unseen.  Trusting
 # them wholly starts prefills that take far longer than planned; dropping
 # them sends a conversation away from the engine which has its prefix.
-DOUBTFUL_PART = 0.5
+STALE_HIT_WEIGHT = 0.5
 
 
 class PrefixIndex:
@@ -69,7 +69,7 @@
             if generation is None:
                 break
             fresh = generation == self._generation
-            hits += 1.0 if fresh else DOUBTFUL_PART
+            hits += 1.0 if fresh else STALE_HIT_WEIGHT
         return hits
 
     def clear(self) -> None:
@@ -86,5 +86,5 @@
     def _store(self, block: str) -> None:
         self._blocks[block] = self._generation
         self._blocks.move_to_end(block)
-        if len(self._blocks) > MOST_BLOCKS:
+        if len(self._blocks) > MAX_BLOCKS:
             self._blocks.popitem(last=False)
--- a/mulberryway/policy/probes.py
+++ b/mulberryway/policy/probes.py
@@ -1,9 +1,9 @@
 """Which ejected upstreams are to be probed."""
 
-__all__ = ["Ejected"]
+__all__ = ["EjectedUpstream"]
 
 
-class Ejected:
+class EjectedUpstream:
     """An ejected upstream.
 
     :param pool: the pool's name
--- a/mulberryway/policy/queue_entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -6,12 +6,12 @@
 
 from mulberryway.policy import jobs
 
-__all__ = ["AccountState", "Entry", "Lane"]
+__all__ = ["AccountState", "QueueEntry", "Lane"]
 
 
 # Entries of a lane that are looked at for one that is on time: in one second,
 # which is more than targets are, an account brings no more to one router.
-MOST_LOOKS = 64
+MAX_LANE_SCAN = 64
 
 
 class Lane(enum.IntEnum):
@@ -27,7 +27,7 @@
     SUSPECT = 2
 
 
-class Entry:
+class QueueEntry:
     """A waiting job.
 
     :param job: the job
@@ -72,13 +72,13 @@
         self.name = name
         self.weight = max(weight, 1)
         self.start = start
-        self.lanes: tuple[collections.OrderedDict[str, Entry], ...] = tuple(
-            collections.OrderedDict() for _ in Lane
+        self.lanes: tuple[collections.OrderedDict[str, QueueEntry], ...] = (
+            tuple(collections.OrderedDict() for _ in Lane)
         )
         self.waiting = 0
         self.bytes = 0
 
-    def list_heads(self, now_ms: int | None = None) -> list[Entry]:
+    def list_heads(self, now_ms: int | None = None) -> list[QueueEntry]:
         """Return the entry of each lane whose turn is next, oldest first.
 
         By age alone every answer of a burst would come late.  So the oldest
@@ -92,7 +92,7 @@
             next(
                 (
                     entry
-                    for entry in itertools.islice(lane.values(), MOST_LOOKS)
+                    for entry in itertools.islice(lane.values(), MAX_LANE_SCAN)
                     if now_ms is not None and not entry.is_late(now_ms)
                 ),
                 next(iter(lane.values())),
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -2,13 +2,13 @@
 
 import collections
 
-__all__ = ["FleetBudget", "NoBudget", "RetryBudget"]
+__all__ = ["FleetRetryBudget", "UnlimitedRetryBudget", "RetryBudget"]
 
 # Each repeat costs another prefill just when there is least room.  One for ten
 # first attempts keeps the added load under a tenth; the most that may be saved
 # up is what two dying engines of twenty slots set free at once.
 REPEATS_PER_FIRST = 0.1
-MOST_SAVED = 40.0
+MAX_BALANCE = 40.0
 
 
 class RetryBudget:
@@ -17,11 +17,11 @@
     __slots__ = ("_saved",)
 
     def __init__(self) -> None:
-        self._saved = MOST_SAVED
+        self._saved = MAX_BALANCE
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self._saved = min(self._saved + REPEATS_PER_FIRST, MOST_SAVED)
+        self._saved = min(self._saved + REPEATS_PER_FIRST, MAX_BALANCE)
 
     def spend(self) -> bool:
         """Take one repeat out.
@@ -34,7 +34,7 @@
         return True
 
 
-class NoBudget(RetryBudget):
+class UnlimitedRetryBudget(RetryBudget):
     """Lets every repeat through, where another budget counts them."""
 
     __slots__ = ()
@@ -44,7 +44,7 @@
         return True
 
 
-class FleetBudget:
+class FleetRetryBudget:
     """One VM's part of a budget that all VMs share, by pool.
 
     Operators allow, in any window, a part of the pool's requests and a
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -6,7 +6,7 @@
 from mulberryway.policy import orders
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["ShapePlanner"]
+__all__ = ["RolePlanner"]
 
 # Reading a prompt takes a fraction of a second and making its answer takes
 # seconds of an engine's memory, so decode engines fill up while prefill
@@ -18,12 +18,12 @@
 # What was ordered shows in the pool only when the engine has emptied itself
 # and is back, which takes several seconds; and an order whose answer was
 # lost may be carried out up to twelve seconds later.
-AGAIN_MS = 20_000
+ORDER_COOLDOWN_MS = 20_000
 # Engines that change their role serve nothing meanwhile, so not all at once.
-MOST_AT_ONCE = 2
+MAX_CONCURRENT_CHANGES = 2
 
 
-class ShapePlanner(orders.Planner):
+class RolePlanner(orders.Planner):
     """Turns surplus prefill engines into decode engines."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self._ordered_ms = {
             key: at_ms
             for key, at_ms in self._ordered_ms.items()
-            if now_ms - at_ms < AGAIN_MS
+            if now_ms - at_ms < ORDER_COOLDOWN_MS
         }
         return [
             order
@@ -92,7 +92,7 @@
         )
         wanted = max(round(len(live) / ENGINES_PER_PREFILL), 1)
         surplus = len(prefills) - wanted
-        room = max(MOST_AT_ONCE - changing, 0)
+        room = max(MAX_CONCURRENT_CHANGES - changing, 0)
         return [
             orders.PlannedOrder(
                 name, row, "role", tables.UpstreamRole.DECODE.value
--- a/mulberryway/policy/running_jobs.py
+++ b/mulberryway/policy/running_jobs.py
@@ -3,13 +3,13 @@
 from mulberryway.policy import fair_queue
 from mulberryway.policy import placements
 
-__all__ = ["Running"]
+__all__ = ["RunningJob"]
 
 # A mean over fewer tokens says more about the network than the engine.
 LEAST_TOKENS = 8
 
 
-class Running:
+class RunningJob:
     """A started job.
 
     :param entry: its entry while it waited
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         now_ms: int,
     ) -> None:
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -24,14 +24,14 @@
 __all__ = ["FairScheduler"]
 
 # Bounds the memory of bodies that wait.
-MOST_ENTRIES = 2_048
-MOST_BYTES = 64 << 20
+MAX_ENTRIES = 2_048
+MAX_BYTES = 64 << 20
 TOKEN_GAP_MS = 63
 # Peers hear soon of a larger change in an upstream's pace; the rest goes
 # along with the next note about it.
-NEWS_PART = 0.2
+STEP_CHANGE_FRACTION = 0.2
 # Starts in one call, so that a call's time has a limit.
-MOST_STARTS = 64
+MAX_STARTS = 64
 
 
 class FairScheduler(base.Scheduler):
@@ -53,16 +53,16 @@
         self,
         vm: str,
         incarnation: int = 0,
-        weighed: fairness.Weighing = fairness.WORST_SERVED,
-        register: poison.Register | None = None,
+        weighed: fairness.FairnessMode = fairness.WORST_SERVED,
+        register: poison.PoisonRegistry | None = None,
         seed: int = 0,
         token_gap_ms: int = TOKEN_GAP_MS,
-        most_entries: int = MOST_ENTRIES,
-        most_bytes: int = MOST_BYTES,
+        most_entries: int = MAX_ENTRIES,
+        most_bytes: int = MAX_BYTES,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
-        self.register = register or poison.Register()
+        self.register = register or poison.PoisonRegistry()
         self._set = pool_set.PoolSet(
             vm,
             weighed,
@@ -76,10 +76,10 @@
         )
         self._pools = self._set.pools
         self._waiting: dict[str, str] = {}
-        self._running: dict[str, running_jobs.Running] = {}
+        self._running: dict[str, running_jobs.RunningJob] = {}
         self._dropped: list[jobs.Refusal] = []
-        self._teller = note_sender.Teller(vm, incarnation, self.register)
-        self._hearer = note_receiver.Hearer(vm, self.register)
+        self._teller = note_sender.NoteSender(vm, incarnation, self.register)
+        self._hearer = note_receiver.NoteReceiver(vm, self.register)
 
     def submit(
         self, job: jobs.Job, now_ms: int
@@ -92,7 +92,7 @@
         """
         pool = self._pools.get(job.pool)
         if pool is None:
-            fault = admission.make_refusal(
+            fault = admission.make_rejection(
                 errors.Code.NO_UPSTREAM, job, "no such pool of models"
             )
             return expression.Error(fault)
@@ -102,7 +102,7 @@
         self._waiting[job.job_id] = job.pool
         return expression.Ok(None)
 
-    def dispatch(self, now_ms: int) -> jobs.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.DispatchResult:
         """Start the jobs whose turn it is, and give up the late ones.
 
         :param now_ms: the present
@@ -114,14 +114,16 @@
         assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
             refusals += pool.give_up_late(now_ms)
-            for _ in range(MOST_STARTS):
+            for _ in range(MAX_STARTS):
                 started = pool.start_next(now_ms, refusals)
                 if started is None:
                     break
                 assignments.append(self._note_start(name, started, now_ms))
         for refusal in refusals:
             self._waiting.pop(refusal.job_id, None)
-        return jobs.Dispatch(assignments, refusals, self._read_wake_ms(now_ms))
+        return jobs.DispatchResult(
+            assignments, refusals, self._read_wake_ms(now_ms)
+        )
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
         """Forget a waiting job whose caller has gone.
@@ -189,7 +191,7 @@
             if decode is not None:
                 before_ms = decode.step.value
                 decode.note_step(gap_ms, now_ms)
-                if abs(gap_ms - before_ms) > NEWS_PART * before_ms:
+                if abs(gap_ms - before_ms) > STEP_CHANGE_FRACTION * before_ms:
                     self._teller.note_later(
                         job.entry.job.pool, decode.row.name, now_ms
                     )
@@ -224,7 +226,7 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobEnd,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
@@ -300,13 +302,13 @@
             for view in known.members.decodes
         )
 
-    def list_ejected(self, now_ms: int) -> list[probes.Ejected]:
+    def list_ejected(self, now_ms: int) -> list[probes.EjectedUpstream]:
         """Return the upstreams that get no requests for now.
 
         :param now_ms: the present
         """
         return [
-            probes.Ejected(
+            probes.EjectedUpstream(
                 name, view.row.name, view.health.needs_probe(now_ms)
             )
             for name, pool in self._pools.items()
@@ -362,7 +364,7 @@
         :returns: whether upstreams died while they ran it
         """
         standing = self.register.read_standing(digest, now_ms)
-        if standing is not poison.Standing.QUARANTINED:
+        if standing is not poison.QuarantineState.QUARANTINED:
             return False
         self.register.note_repeat(digest, now_ms)
         return True
@@ -403,13 +405,13 @@
         for job_id in [i for i, p in self._waiting.items() if p == name]:
             entry = pool.fair.remove(job_id)
             if entry is not None:
-                fault = admission.make_refusal(
+                fault = admission.make_rejection(
                     errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
                 )
                 self._dropped.append(jobs.Refusal(job_id, fault))
 
     def _note_start(
-        self, pool: str, started: running_jobs.Running, now_ms: int
+        self, pool: str, started: running_jobs.RunningJob, now_ms: int
     ) -> jobs.Assignment:
         job = started.entry.job
         del self._waiting[job.job_id]
@@ -434,7 +436,7 @@
         }
         return assignment
 
-    def _read_room(self, pool: str, started: running_jobs.Running) -> int:
+    def _read_room(self, pool: str, started: running_jobs.RunningJob) -> int:
         """Return the tokens to reserve for a decode; 0 for none.
 
         An engine admits a request that has room for its prompt; more than
@@ -445,7 +447,7 @@
         is_tight = self._pools[pool].placer.is_tight(decode)
         return started.entry.job.prompt_tokens if is_tight else 0
 
-    def _tell_views(self, pool: str, started: running_jobs.Running) -> None:
+    def _tell_views(self, pool: str, started: running_jobs.RunningJob) -> None:
         for view in (started.placement.prefill, started.placement.decode):
             if view is not None:
                 self._teller.note_view(pool, view.row.name)
--- a/mulberryway/policy/server_selection.py
+++ b/mulberryway/policy/server_selection.py
@@ -6,13 +6,13 @@
 from mulberryway import tables
 from mulberryway.policy import health
 
-__all__ = ["CallEnd", "ServerChooser"]
+__all__ = ["CallOutcome", "ServerSelector"]
 
 # The load this is made for: some hundred short calls a second to three to
 # seven servers.  A server that refused a connection is passed over for so
 # long: without it every call would pay the failed connection first, and a
 # longer time would leave a restarted server idle.
-PASS_OVER_MS = 2_000
+UNREACHED_BACKOFF_MS = 2_000
 # A call to another zone takes about two milliseconds more there and back.
 OTHER_ZONE_MS = 2.0
 # What a call is thought to take before any has ended.
@@ -22,13 +22,13 @@
 # the margin is what chance alone does to the mean of some ten calls.
 FAILURE_MARGIN = 0.15
 FAILURE_MS = 1_000.0
-FAILURE_PART = 0.1
+FAILURE_SMOOTHING = 0.1
 # A server that was passed by gets better by itself, so that a mended one is
 # tried again after some seconds.
-FORGIVE_MS = 10_000
+FAILURE_DECAY_MS = 10_000
 
 
-class CallEnd(enum.Enum):
+class CallOutcome(enum.Enum):
     """How a call to a server ended."""
 
     DONE = "done"
@@ -50,17 +50,17 @@
 
     def __init__(self) -> None:
         self.under_way = 0
-        self.took = health.Average(CALL_MS)
-        self.failures = health.Average(0.0, FAILURE_PART)
+        self.took = health.Ewma(CALL_MS)
+        self.failures = health.Ewma(0.0, FAILURE_SMOOTHING)
         self.judged_ms = 0
         self.avoid_until_ms = 0
 
     def read_failures(self, now_ms: int) -> float:
         age_ms = max(now_ms - self.judged_ms, 0)
-        return self.failures.value * max(1.0 - age_ms / FORGIVE_MS, 0.0)
+        return self.failures.value * max(1.0 - age_ms / FAILURE_DECAY_MS, 0.0)
 
 
-class ServerChooser:
+class ServerSelector:
     """Chooses the server that will probably answer first.
 
     It has no lock of its own.
@@ -107,7 +107,7 @@
         self,
         pool: tables.Pool,
         upstream: tables.Upstream,
-        end: CallEnd,
+        end: CallOutcome,
         took_ms: int,
         now_ms: int,
     ) -> None:
@@ -121,15 +121,15 @@
         """
         server = self._find(pool, upstream)
         server.under_way = max(server.under_way - 1, 0)
-        if end is CallEnd.NO_VERDICT:
+        if end is CallOutcome.NO_VERDICT:
             return
-        if end is CallEnd.UNREACHED:
-            server.avoid_until_ms = now_ms + PASS_OVER_MS
+        if end is CallOutcome.UNREACHED:
+            server.avoid_until_ms = now_ms + UNREACHED_BACKOFF_MS
             return
         server.avoid_until_ms = 0
         server.judged_ms = now_ms
-        server.failures.note(1.0 if end is CallEnd.FAILED else 0.0)
-        if end is CallEnd.DONE:
+        server.failures.note(1.0 if end is CallOutcome.FAILED else 0.0)
+        if end is CallOutcome.DONE:
             server.took.note(took_ms)
 
     def _find(self, pool: tables.Pool, upstream: tables.Upstream) -> _Server:
--- a/mulberryway/policy/slot_lease_manager.py
+++ b/mulberryway/policy/slot_lease_manager.py
@@ -5,12 +5,12 @@
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import allowance_times
 
-__all__ = ["Decision", "SlotKeeper"]
+__all__ = ["LeaseAction", "SlotLeaseManager"]
 
 FIRST_TERM = 1
 
 
-class Decision(enum.Enum):
+class LeaseAction(enum.Enum):
     """What to do about a slot."""
 
     NONE = "none"
@@ -19,7 +19,7 @@
     RELEASE = "release"
 
 
-class SlotKeeper:
+class SlotLeaseManager:
     """Decides which slots this process takes, renews and gives up.
 
     A slot passes on only when its holder has given it up, when a newer
@@ -105,7 +105,7 @@
         record: allowance_slots.SlotRecord | None,
         is_wanted: bool,
         now_ms: int,
-    ) -> Decision:
+    ) -> LeaseAction:
         """Decide about a slot, as the platform records it now.
 
         :param slot: the slot
@@ -121,21 +121,21 @@
             holding = None
         if holding is not None:
             if not is_wanted:
-                return Decision.RELEASE
+                return LeaseAction.RELEASE
             is_due = holding.until_ms - now_ms <= self._times.renew_ms
-            return Decision.RENEW if is_due else Decision.NONE
+            return LeaseAction.RENEW if is_due else LeaseAction.NONE
         if is_wanted:
             is_free = self._may_take(slot, record, now_ms)
-            return Decision.TAKE if is_free else Decision.NONE
+            return LeaseAction.TAKE if is_free else LeaseAction.NONE
         # A lost release, or what this VM's last process held: nobody else
         # could take it while the platform lists this VM.
         is_left = record is not None and not record.is_released
         if is_left and self._is_here(record):
-            return Decision.RELEASE
-        return Decision.NONE
+            return LeaseAction.RELEASE
+        return LeaseAction.NONE
 
     def make_record(
-        self, decision: Decision, record: allowance_slots.SlotRecord | None
+        self, decision: LeaseAction, record: allowance_slots.SlotRecord | None
     ) -> allowance_slots.SlotRecord:
         """Return the record that a decision writes.
 
@@ -145,9 +145,9 @@
         """
         term = 0 if record is None else record.term
         renewals = 0 if record is None else record.renewals
-        if decision is Decision.TAKE:
+        if decision is LeaseAction.TAKE:
             term, renewals = term + 1, 0
-        elif decision is Decision.RENEW:
+        elif decision is LeaseAction.RENEW:
             renewals += 1
         return allowance_slots.SlotRecord(
             self.vm,
@@ -156,13 +156,13 @@
             term,
             renewals,
             self.is_listed,
-            decision is Decision.RELEASE,
+            decision is LeaseAction.RELEASE,
         )
 
     def note_written(
         self,
         slot: int,
-        decision: Decision,
+        decision: LeaseAction,
         record: allowance_slots.SlotRecord,
         sent_ms: int,
         now_ms: int,
@@ -182,13 +182,13 @@
         :param now_ms: the present
         """
         until_ms = sent_ms + self._times.lease_ms
-        if decision is Decision.TAKE:
+        if decision is LeaseAction.TAKE:
             is_first = record.term == FIRST_TERM
             wait_ms = 0 if is_first else self._times.lapse_ms
             self.holdings[slot] = allowance_slots.Holding(
                 slot, record.term, until_ms, now_ms + wait_ms
             )
-        elif decision is Decision.RENEW and slot in self.holdings:
+        elif decision is LeaseAction.RENEW and slot in self.holdings:
             self.holdings[slot].until_ms = until_ms
 
     def give_up(self, slot: int) -> None:
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -6,17 +6,17 @@
 from mulberryway.policy import pool_upstreams
 from mulberryway.policy import upstream_view
 
-__all__ = ["Slowness"]
+__all__ = ["SlowUpstreamDetector"]
 
-AGAINST_SIBLINGS = 1.25
+MEDIAN_RATIO = 1.25
 # An upstream that is just under the target misses it with the next stream.
-NEAR_TARGET = 0.95
+TARGET_RATIO = 0.95
 PROBE_MS = 30_000
 MEDIAN_PERIOD_MS = 500
 LAST_CHANCE_MS = 60
 
 
-class Slowness:
+class SlowUpstreamDetector:
     """Compares upstreams with their siblings.
 
     A slow upstream reports free slots like the others, and every stream on it
@@ -31,7 +31,7 @@
     __slots__ = ("_members", "_token_gap_ms", "_median_ms", "_median_at_ms")
 
     def __init__(
-        self, members: pool_upstreams.Members, token_gap_ms: int
+        self, members: pool_upstreams.PoolUpstreams, token_gap_ms: int
     ) -> None:
         self._members = members
         self._token_gap_ms = token_gap_ms
@@ -51,14 +51,14 @@
         """
         self._refresh_median(now_ms)
         return view.step.value > max(
-            (view.pause_ms or self._token_gap_ms) * NEAR_TARGET,
-            self._median_ms * AGAINST_SIBLINGS,
+            (view.pause_ms or self._token_gap_ms) * TARGET_RATIO,
+            self._median_ms * MEDIAN_RATIO,
         )
 
     def set_apart(
         self,
         usable: list[upstream_view.UpstreamView],
-        entry: fair_queue.Entry,
+        entry: fair_queue.QueueEntry,
         now_ms: int,
     ) -> list[upstream_view.UpstreamView]:
         """Leave out the slow ones, but for a probe and as a last resort.
--- a/mulberryway/policy/static_allowances.py
+++ b/mulberryway/policy/static_allowances.py
@@ -14,7 +14,7 @@
 from mulberryway.policy import allowance
 from mulberryway.policy import token_bucket
 
-__all__ = ["SplitAllowances"]
+__all__ = ["StaticAllowances"]
 
 
 class _SplitReservation(allowance.Reservation):
@@ -34,7 +34,7 @@
         self.stamp = stamp
 
 
-class SplitAllowances(allowance.Allowances):
+class StaticAllowances(allowance.Allowances):
     """Divides each account's rate and burst evenly over a number of VMs.
 
     Buckets begin empty, so that a VM which restarts brings no second burst.
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -3,15 +3,15 @@
 import collections.abc
 import hashlib
 
-__all__ = ["WATCHERS", "Outages", "choose_watchers"]
+__all__ = ["WATCHER_COUNT", "StoreReachability", "choose_watchers"]
 
 # A VM that has told nothing for so long is not asked for its opinion; it is
 # two heartbeats of a fleet of ninety.
-HEARD_MS = 5_000
+PEER_REPORT_TTL_MS = 5_000
 # The store counts each waiting watch as a call, and its rates grow more slowly
 # than the fleet.  So many VMs watch, and tell the others of changes at once;
 # each other one asks the store only while it hears no VM that it answers.
-WATCHERS = 9
+WATCHER_COUNT = 9
 
 
 class _Peer:
@@ -23,7 +23,7 @@
         self.away_ms: int | None = None
 
 
-class Outages:
+class StoreReachability:
     """What VMs tell of the store.
 
     A store may turn some VMs away while it serves the others.  A VM that took
@@ -98,9 +98,13 @@
         # Other threads take in what VMs tell meanwhile.
         known = list(self._peers.items())
         for vm, peer in known:
-            if now_ms - peer.heard_ms >= HEARD_MS:
+            if now_ms - peer.heard_ms >= PEER_REPORT_TTL_MS:
                 self._peers.pop(vm, None)
-        return [peer for _, peer in known if now_ms - peer.heard_ms < HEARD_MS]
+        return [
+            peer
+            for _, peer in known
+            if now_ms - peer.heard_ms < PEER_REPORT_TTL_MS
+        ]
 
 
 def choose_watchers(vms: collections.abc.Iterable[str]) -> list[str]:
@@ -109,9 +113,9 @@
     By a hash of their names, so that a VM's going moves one watch only.
 
     :param vms: all VMs that are thought to live
-    :returns: at most :data:`WATCHERS`
+    :returns: at most :data:`WATCHER_COUNT`
     """
-    return sorted(vms, key=_hash)[:WATCHERS]
+    return sorted(vms, key=_hash)[:WATCHER_COUNT]
 
 
 def _was_away(peer: _Peer, since_ms: int) -> bool:
--- a/mulberryway/policy/subsetting.py
+++ b/mulberryway/policy/subsetting.py
@@ -9,12 +9,12 @@
 import collections.abc
 import hashlib
 
-__all__ = ["CELL_ENGINES", "Cells"]
+__all__ = ["SUBSET_SIZE", "Subsets"]
 
-CELL_ENGINES = 64
+SUBSET_SIZE = 64
 
 
-class Cells:
+class Subsets:
     """A division of engines and routers that changes little with either.
 
     :param cells: how many
@@ -62,7 +62,7 @@
         chosen = [
             name for name in upstreams if _hash(name) % self.cells == cell
         ]
-        return chosen or list(upstreams[:CELL_ENGINES])
+        return chosen or list(upstreams[:SUBSET_SIZE])
 
 
 def _hash(text: str) -> int:
--- a/mulberryway/policy/token_bucket.py
+++ b/mulberryway/policy/token_bucket.py
@@ -10,9 +10,9 @@
 # thousandth slower than its rate, so that by no clock an account gets more.
 DRIFT_PER_MILLE = 1
 REFILL_PER_MILLE = 1_000 - DRIFT_PER_MILLE
-PER_TOKEN = MS_IN_S * 1_000
+UNITS_PER_TOKEN = MS_IN_S * 1_000
 # Bounds the memory of one bucket; fewer marks only make refunds smaller.
-MOST_MARKS = 256
+MAX_MARKS = 256
 
 
 class _Mark:
@@ -65,8 +65,8 @@
         self.rate = rate
         self.burst = burst
         self.parts = parts
-        self._scale = PER_TOKEN * parts
-        self._level = burst * PER_TOKEN if is_full else 0
+        self._scale = UNITS_PER_TOKEN * parts
+        self._level = burst * UNITS_PER_TOKEN if is_full else 0
         self._on_loan = 0
         self._updated_ms = now_ms
         # Ordered by stamp, with strictly falling ``highest``.
@@ -106,7 +106,7 @@
         held = self._level + self._on_loan
         if not self._marks or self._marks[-1].highest > held:
             self._marks.append(_Mark(self._last_stamp, held))
-        if len(self._marks) > MOST_MARKS:
+        if len(self._marks) > MAX_MARKS:
             self._marks = self._marks[::2]
         return self._last_stamp
 
@@ -189,7 +189,7 @@
         return -(-lacking // self._count_refill()) if self.rate else None
 
     def _capacity(self) -> int:
-        return self.burst * PER_TOKEN
+        return self.burst * UNITS_PER_TOKEN
 
     def _count_refill(self) -> int:
         """Return the units that come in one millisecond."""
--- a/mulberryway/policy/transfers.py
+++ b/mulberryway/policy/transfers.py
@@ -1,11 +1,11 @@
 """How long a KV cache takes over links that transfers share; a hint."""
 
-__all__ = ["Links"]
+__all__ = ["TransferLinks"]
 
 MS_IN_S = 1_000
 
 
-class Links:
+class TransferLinks:
     """Links between zones, each with the work that we have put on it.
 
     A prefill's result lives under a second, and is lost if it waits for a
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -24,14 +24,14 @@
 # After an engine's own refusal it gets nothing until a slot is known to have
 # come free, or this time has gone: at 20 slots of about 11 s one comes free
 # in about half a second.
-FULL_MS = 250
+FULL_BACKOFF_MS = 250
 # A prefill engine that changes its role, or sheds what it is sent, is idle and
 # looks best.  It rests for FULL_MS after a refusal, and for twice as long
 # after each further one in a row.
-MOST_RESTS = 7
+MAX_BACKOFF_DOUBLINGS = 7
 PREFILL_MS_PER_TOKEN = 0.1
 STEP_MS = 40.0
-STEP_PART = 0.3
+STEP_SMOOTHING = 0.3
 
 
 class UpstreamView:
@@ -109,19 +109,19 @@
         self.full_until_ms = 0
         self.resting_until_ms = 0
         self.rests = 0
-        self.speed = prefill_speed.ReadSpeed(
-            health.Floor(PREFILL_MS_PER_TOKEN), 1.0
+        self.speed = prefill_speed.PrefillSpeed(
+            health.LatencyFloor(PREFILL_MS_PER_TOKEN), 1.0
         )
-        self.step = health.Average(STEP_MS, STEP_PART)
+        self.step = health.Ewma(STEP_MS, STEP_SMOOTHING)
         # The same where the engine reads nothing between its tokens.
-        self.event = health.Floor(STEP_MS)
+        self.event = health.LatencyFloor(STEP_MS)
         self.step_seen_ms = 0
         self._own_step_ms = 0.0
-        self.health = health.Health(random_)
+        self.health = health.OutlierDetector(random_)
         self.prefixes = prefix_index.PrefixIndex()
         # The longest pause of a stream that is on time; 0 for no target.
         self.pause_ms = 0
-        self.reads = chunked_prefill.ReadingBudget()
+        self.reads = chunked_prefill.ChunkedPrefillBudget()
         self._by_peer: dict[str, hints.Holding] = {}
         self._high = 0
         self._high_before = 0
@@ -310,7 +310,7 @@
 
         :param now_ms: the present
         """
-        self.full_until_ms = now_ms + FULL_MS
+        self.full_until_ms = now_ms + FULL_BACKOFF_MS
 
     def note_refused_prefill(self, now_ms: int) -> None:
         """Take in that the engine refused to read a prompt.
@@ -320,8 +320,8 @@
         if now_ms < self.resting_until_ms:
             # Prompts that were sent before the first refusal came.
             return
-        self.resting_until_ms = now_ms + (FULL_MS << self.rests)
-        self.rests = min(self.rests + 1, MOST_RESTS)
+        self.resting_until_ms = now_ms + (FULL_BACKOFF_MS << self.rests)
+        self.rests = min(self.rests + 1, MAX_BACKOFF_DOUBLINGS)
 
     def is_resting(self, now_ms: int) -> bool:
         """Tell whether the engine refused to read a prompt just now.
@@ -404,7 +404,7 @@
 
         :param read_ms: how long the read takes by itself
         """
-        return chunked_prefill.fits_pause(
+        return chunked_prefill.fits_gap_limit(
             read_ms, self.pause_ms, self.event.value
         )
 
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -14,55 +14,56 @@
 from mulberryway.policy import usage_bucket
 from mulberryway.policy import usage_messages
 
-__all__ = ["AccountUsage", "Margin", "Usage", "UsageBook"]
+__all__ = ["AccountUsage", "Margin", "Usage", "ReplicatedRateLimiter"]
 
 MS_IN_S = 1_000
-# A VM tells its counts at least this often; see ``SILENT_MS``.  In a fleet
-# of more than so many VMs it does so more seldom, in proportion, so that the
-# messages that a VM gets stay the same in number.
+# A VM tells its counts at least this often; see ``HEARTBEAT_TIMEOUT_MS``.  In
+# a fleet of more than so many VMs it does so more seldom, in proportion, so
+# that the messages that a VM gets stay the same in number.
 HEARTBEAT_MS = 300
-HEARTBEAT_VMS = 40
+HEARTBEAT_SCALING_VMS = 40
 # A VM that is cut off may still have callers, and both sides would give the
 # whole rate.  After missing three heartbeats the silent VM's part of rate and
 # burst is left to it.
-SILENT_MS = 950
+HEARTBEAT_TIMEOUT_MS = 950
 # A VM that was silent for so long has probably gone for good, and its part
 # would be missed by all.  Only VMs that hear most of the others take it over:
 # one that is cut off alone hears nobody either, and keeps to its own part.
-GONE_MS = 12_000
+EVICTION_TIMEOUT_MS = 12_000
 # VMs whose last counts are remembered in case they come back.
-MOST_GONE = 256
+MAX_EVICTED_PEERS = 256
 # Part of the operators' margin that is given away in advance, so that delays
 # and rounding refuse nobody within the rate; the rest covers what has not
 # been heard yet.  At the peak a hot account asks for some 300,000 tokens a
 # second, so one delay of 100 ms is worth 30,000.
-FREE_PART = 0.1
+UPFRONT_MARGIN_FRACTION = 0.1
 # Part of an account's due in one window by which VMs that are killed, cut off
 # or told too late may overrun at worst, over the 500 schedules of the tests:
 # with 0.2 of it 2 of 300 schedules gave too much, with 0.3 none did.  What
 # the margin holds beyond that comes in along with the rate.  It matters for
 # accounts whose margin is large beside their rate: one of 30,000 tokens a
 # second that asks for several times that gets 14 in 100 more.
-RESERVE_PART = 0.3
+OVERRUN_RESERVE_FRACTION = 0.3
 # VMs that all begin at once know of nothing.  With empty buckets accounts
 # would be refused within their rate; with full ones an account might get its
 # burst twice in a window.  So they begin with a part of the margin, and each
 # VM gives its part of that until it has heard of the others.
-START_PART = 0.25
+INITIAL_MARGIN_FRACTION = 0.25
 # A VM that has heard nobody since it began, though there are others, is cut
 # off or the first of all; it does not know how many there are.
-LONE_PART = 0.25
+ISOLATED_FRACTION = 0.25
 # The life of a VM that is known by name only.
 UNKNOWN = -1
 # A VM that has counted for so long knows what was given before.
-SETTLED_MS = 3_000
+WARM_UP_MS = 3_000
 # All accounts are told with each so many heartbeats; while a VM has counted
-# for less than ``WHOLE_FOR_MS``, with each one, or with each second one in a
-# fleet of more than ``HEARTBEAT_VMS``.  The others repeat only what was told
-# since the heartbeat before the last, in case a message was lost.
-WHOLE_HEARTBEATS = 5
-WHOLE_TO_NEW = 2
-WHOLE_FOR_MS = 4_000
+# for less than ``STARTUP_FULL_SYNC_MS``, with each one, or with each second
+# one in a fleet of more than ``HEARTBEAT_SCALING_VMS``.  The others repeat
+# only what was told since the heartbeat before the last, in case a message was
+# lost.
+FULL_SYNC_INTERVAL = 5
+STARTUP_FULL_SYNC_INTERVAL = 2
+STARTUP_FULL_SYNC_MS = 4_000
 
 
 AccountUsage = usage_messages.AccountUsage
@@ -84,7 +85,7 @@
         self.silent_ms: int | None = None
 
 
-class UsageBook:
+class ReplicatedRateLimiter:
     """One VM's view of what all have given.
 
     :param vm: this VM's name
@@ -110,7 +111,7 @@
         self._told_ms: int | None = None
         self._numbers = itertools.count(1)
         self._heartbeats = 0
-        self._whole_until_ms = now_ms + WHOLE_FOR_MS
+        self._whole_until_ms = now_ms + STARTUP_FULL_SYNC_MS
         # Accounts told since the last heartbeat, and before that.
         self._recent: set[str] = set()
         self._earlier: set[str] = set()
@@ -158,7 +159,9 @@
             is_new = not bucket.burst
             self._set_limits(bucket, account)
             if is_new:
-                bucket.level += self._margin.read_tokens(account) * START_PART
+                bucket.level += (
+                    self._margin.read_tokens(account) * INITIAL_MARGIN_FRACTION
+                )
             bucket.level = min(bucket.level, bucket.burst)
             bucket.ceiling = max(bucket.level, bucket.ceiling)
 
@@ -172,11 +175,11 @@
             bucket.rate = bucket.burst = 0.0
             return
         free = 1 + margin.over_part / 2
-        extra = margin.over_tokens * FREE_PART
+        extra = margin.over_tokens * UPFRONT_MARGIN_FRACTION
         due = margin.read_due(account)
         spread = (
             margin.read_tokens(account)
-            - due * (margin.over_part / 2 + RESERVE_PART)
+            - due * (margin.over_part / 2 + OVERRUN_RESERVE_FRACTION)
             - extra
         )
         bucket.rate = account.rate * free + (
@@ -301,7 +304,9 @@
         more.
         """
         vms = len(self._peers) + 1
-        return vms > HEARTBEAT_VMS and self._buckets[name].may_wait(vms)
+        return vms > HEARTBEAT_SCALING_VMS and self._buckets[name].may_wait(
+            vms
+        )
 
     def find_due_ms(self) -> int:
         """Return when the next heartbeat is due, whatever has changed."""
@@ -310,9 +315,9 @@
         return int(self._told_ms + HEARTBEAT_MS * self._read_scale())
 
     def _must_tell_all(self, now_ms: int) -> bool:
-        every = WHOLE_HEARTBEATS
+        every = FULL_SYNC_INTERVAL
         if now_ms < self._whole_until_ms:
-            every = WHOLE_TO_NEW if self._read_scale() > 1 else 1
+            every = STARTUP_FULL_SYNC_INTERVAL if self._read_scale() > 1 else 1
         return self._heartbeats % every == 0
 
     def note_usage(self, usage: Usage, now_ms: int) -> None:
@@ -341,9 +346,10 @@
         peer.heard_ms = now_ms
         if was_silent or is_new:
             self._part_until_ms = 0
-        if usage.age_ms < WHOLE_FOR_MS:
+        if usage.age_ms < STARTUP_FULL_SYNC_MS:
             self._whole_until_ms = max(
-                self._whole_until_ms, now_ms + WHOLE_FOR_MS - usage.age_ms
+                self._whole_until_ms,
+                now_ms + STARTUP_FULL_SYNC_MS - usage.age_ms,
             )
         self._adopt(usage, now_ms)
         for told in usage.accounts:
@@ -354,11 +360,11 @@
         # one that counted on does.
         if (
             self._has_adopted
-            or usage.age_ms < SETTLED_MS
+            or usage.age_ms < WARM_UP_MS
             or not usage.is_whole
         ):
             return
-        if now_ms - self._began_ms > SETTLED_MS:
+        if now_ms - self._began_ms > WARM_UP_MS:
             self._has_adopted = True
             return
         self._has_adopted = bool(usage.accounts)
@@ -369,7 +375,7 @@
     def _subtract(self, peer: _Peer, told: AccountUsage, now_ms: int) -> None:
         # What a VM gave before this one began is in what was adopted; what a
         # VM tells first of its life it has given just now.
-        has_begun = now_ms - self._began_ms < SETTLED_MS
+        has_begun = now_ms - self._began_ms < WARM_UP_MS
         first = told.spent if has_begun else 0
         before = peer.spent.get(told.account, first)
         peer.spent[told.account] = told.spent
@@ -383,7 +389,7 @@
         """Count the refill that was left to a VM while it was silent."""
         if peer is None or peer.silent_ms is None:
             return
-        passed_ms = min(now_ms - peer.silent_ms, GONE_MS)
+        passed_ms = min(now_ms - peer.silent_ms, EVICTION_TIMEOUT_MS)
         part = 1.0 / (len(self._peers) + 1)
         # Until now it was silent, which counts for what has come in.
         before = self._read_part(now_ms)
@@ -410,9 +416,10 @@
 
     def _find_change_ms(self, now_ms: int) -> int:
         """Return when a VM falls silent or is gone at the earliest."""
-        silent_ms = int(SILENT_MS * self._read_scale())
+        silent_ms = int(HEARTBEAT_TIMEOUT_MS * self._read_scale())
         changes = (
-            peer.heard_ms + (silent_ms if peer.silent_ms is None else GONE_MS)
+            peer.heard_ms
+            + (silent_ms if peer.silent_ms is None else EVICTION_TIMEOUT_MS)
             for peer in self._peers.values()
         )
         return min(
@@ -429,32 +436,36 @@
         if len(silent) * 2 < len(self._peers) + 1:
             self._forget_gone(now_ms)
             silent = [
-                peer for peer in silent if now_ms - peer.heard_ms < GONE_MS
+                peer
+                for peer in silent
+                if now_ms - peer.heard_ms < EVICTION_TIMEOUT_MS
             ]
         for peer in silent:
             if peer.silent_ms is None:
                 peer.silent_ms = now_ms
         if not self._peers and not self._gone and self._has_others:
-            return LONE_PART
+            return ISOLATED_FRACTION
         return 1.0 - len(silent) / (len(self._peers) + 1)
 
     def _is_silent(self, peer: _Peer, now_ms: int) -> bool:
         if peer.incarnation == UNKNOWN:
             return True
-        return now_ms - peer.heard_ms >= SILENT_MS * self._read_scale()
+        return (
+            now_ms - peer.heard_ms >= HEARTBEAT_TIMEOUT_MS * self._read_scale()
+        )
 
     def _read_scale(self) -> float:
-        return max((len(self._peers) + 1) / HEARTBEAT_VMS, 1.0)
+        return max((len(self._peers) + 1) / HEARTBEAT_SCALING_VMS, 1.0)
 
     def _forget_gone(self, now_ms: int) -> None:
         gone = [
             name
             for name, peer in self._peers.items()
-            if now_ms - peer.heard_ms >= GONE_MS
+            if now_ms - peer.heard_ms >= EVICTION_TIMEOUT_MS
         ]
         for name in gone:
             self._gone[name] = self._peers.pop(name)
-        while len(self._gone) > MOST_GONE:
+        while len(self._gone) > MAX_EVICTED_PEERS:
             self._gone.popitem(last=False)
 
     def _find(self, account: str, now_ms: int) -> usage_bucket.UsageBucket:
--- a/mulberryway/policy/usage_bucket.py
+++ b/mulberryway/policy/usage_bucket.py
@@ -5,7 +5,7 @@
 MS_IN_S = 1_000
 # Part of an account's margin that all VMs together may leave untold for a
 # while.
-UNTOLD_PART = 0.1
+UNANNOUNCED_MARGIN_FRACTION = 0.1
 
 
 class UsageBucket:
@@ -52,7 +52,7 @@
 
         :param vms: how many VMs there are
         """
-        least = self.margin * UNTOLD_PART / vms
+        least = self.margin * UNANNOUNCED_MARGIN_FRACTION / vms
         return abs(self.untold) <= least and self.level * 2 >= self.burst
 
     def refill(self, part: float, now_ms: int) -> None:
--- a/mulberryway/relay/__init__.py
+++ b/mulberryway/relay/__init__.py
@@ -7,7 +7,7 @@
 from mulberryway.relay import writers
 
 __all__ = [
-    "CallerWatch",
+    "DisconnectMonitor",
     "CompletionWriter",
     "EventLoop",
     "EventWriter",
@@ -15,11 +15,11 @@
     "ReplyHead",
     "Stream",
     "StreamOwner",
-    "Watch",
+    "DisconnectWatch",
     "Writer",
 ]
 
-CallerWatch = watch.CallerWatch
+DisconnectMonitor = watch.DisconnectMonitor
 CompletionWriter = writers.CompletionWriter
 EventLoop = loop.EventLoop
 EventWriter = writers.EventWriter
@@ -27,5 +27,5 @@
 ReplyHead = writers.ReplyHead
 Stream = stream.Stream
 StreamOwner = stream.StreamOwner
-Watch = watch.Watch
+DisconnectWatch = watch.DisconnectWatch
 Writer = writers.Writer
--- a/mulberryway/relay/events.py
+++ b/mulberryway/relay/events.py
@@ -4,21 +4,23 @@
 import re
 import typing
 
-__all__ = ["BrokenStream", "ChunkDecoder", "EventSplitter", "TokenEvent"]
+__all__ = ["InvalidStream", "ChunkDecoder", "EventSplitter", "TokenEvent"]
 
 CRLF = b"\r\n"
 EVENT_END = b"\n\n"
-MOST_SIZE_LINE = 1_024
-MOST_EVENT_BYTES = 1_048_576
+MAX_CHUNK_SIZE_LINE_BYTES = 1_024
+MAX_EVENT_BYTES = 1_048_576
 
 # The form in which engines write an event's beginning.  Quotes within JSON
 # strings are escaped, so a match can only be the event's own two members.
-FAST_FORM = re.compile(rb'data: ?\{"id": ?"([^"\\]*)", ?"index": ?(\d+)[,}]')
-DATA = b"data:"
+TOKEN_EVENT_PATTERN = re.compile(
+    rb'data: ?\{"id": ?"([^"\\]*)", ?"index": ?(\d+)[,}]'
+)
+DATA_PREFIX = b"data:"
 ERROR_MEMBER = b'"error"'
 
 
-class BrokenStream(Exception):
+class InvalidStream(Exception):
     """Bytes from an engine that are not a stream of events."""
 
 
@@ -42,7 +44,7 @@
 
         :param data: what was received
         :returns: payload, possibly empty
-        :raises BrokenStream: if the coding is wrong
+        :raises InvalidStream: if the coding is wrong
         """
         buffer = self._buffer + data if self._buffer else data
         pieces: list[bytes] = []
@@ -68,20 +70,20 @@
             if len(buffer) - at < len(CRLF):
                 return None
             if not buffer.startswith(CRLF, at):
-                raise BrokenStream("a chunk does not end with CRLF")
+                raise InvalidStream("a chunk does not end with CRLF")
             at += len(CRLF)
         end = buffer.find(CRLF, at)
         if end < 0:
-            if len(buffer) - at > MOST_SIZE_LINE:
-                raise BrokenStream("a chunk's size line is too long")
+            if len(buffer) - at > MAX_CHUNK_SIZE_LINE_BYTES:
+                raise InvalidStream("a chunk's size line is too long")
             return None
         self._needs_end = False
         try:
             self._left = int(buffer[at:end].partition(b";")[0], 16)
         except ValueError as error:
-            raise BrokenStream("a chunk's size is not a number") from error
+            raise InvalidStream("a chunk's size is not a number") from error
         if self._left < 0:
-            raise BrokenStream("a chunk's size is negative")
+            raise InvalidStream("a chunk's size is negative")
         self.ended = not self._left
         return end + len(CRLF)
 
@@ -99,13 +101,13 @@
 
         :param payload: bytes without transfer coding
         :returns: events in order
-        :raises BrokenStream: if an event grows without end
+        :raises InvalidStream: if an event grows without end
         """
         buffer = self._buffer + payload if self._buffer else payload
         events = buffer.split(EVENT_END)
         self._buffer = events.pop()
-        if len(self._buffer) > MOST_EVENT_BYTES:
-            raise BrokenStream("an event is too long")
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise InvalidStream("an event is too long")
         return events
 
 
@@ -128,31 +130,31 @@
 
         :param event: one whole event
         :returns: what it holds
-        :raises BrokenStream: if it is no JSON object, or an error
+        :raises InvalidStream: if it is no JSON object, or an error
         """
-        match = FAST_FORM.match(event)
+        match = TOKEN_EVENT_PATTERN.match(event)
         if match is not None:
             return cls(match[1], int(match[2]))
-        value = read_object(event)
+        value = parse_json_event(event)
         if "error" in value:
-            raise BrokenStream("the engine sent an error event")
+            raise InvalidStream("the engine sent an error event")
         index = value.get("index")
         if index is not None and type(index) is not int:
-            raise BrokenStream("an event's index is not a number")
+            raise InvalidStream("an event's index is not a number")
         return cls(str(value.get("id", "")).encode(), index)
 
 
-def read_object(event: bytes) -> dict[str, typing.Any]:
+def parse_json_event(event: bytes) -> dict[str, typing.Any]:
     """Return the JSON object that an event carries.
 
     :param event: one whole event
     :returns: the object
-    :raises BrokenStream: if it carries none
+    :raises InvalidStream: if it carries none
     """
     try:
-        value = json.loads(event.removeprefix(DATA))
+        value = json.loads(event.removeprefix(DATA_PREFIX))
     except ValueError as error:
-        raise BrokenStream("an event is not JSON") from error
+        raise InvalidStream("an event is not JSON") from error
     if not isinstance(value, dict):
-        raise BrokenStream("an event is not a JSON object")
+        raise InvalidStream("an event is not a JSON object")
     return value
--- a/mulberryway/relay/loop.py
+++ b/mulberryway/relay/loop.py
@@ -15,11 +15,11 @@
 
 TICK_MS = 50
 # How long the loop sleeps where nothing needs a tick.
-IDLE_MS = 5_000
+IDLE_POLL_TIMEOUT_MS = 5_000
 MS_IN_S = 1_000
 
 Handler = collections.abc.Callable[[int], None]
-Act = collections.abc.Callable[[], None]
+Callback = collections.abc.Callable[[], None]
 Condition = collections.abc.Callable[[], bool]
 
 
@@ -42,8 +42,8 @@
         self.now_ms = clock_.now_ms()
         self._epoll = select.epoll()
         self._handlers: dict[int, Handler] = {}
-        self._posted: collections.deque[Act] = collections.deque()
-        self._ticks: list[tuple[Act, Condition]] = []
+        self._posted: collections.deque[Callback] = collections.deque()
+        self._ticks: list[tuple[Callback, Condition]] = []
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._is_woken = False
         self._is_stopping = False
@@ -66,7 +66,7 @@
         self._epoll.close()
         os.close(self._wake_fd)
 
-    def post(self, act: Act) -> None:
+    def post(self, act: Callback) -> None:
         """Let the loop's thread do something soon; from any thread.
 
         :param act: what to do; must not block
@@ -76,7 +76,7 @@
             self._is_woken = True
             os.eventfd_write(self._wake_fd, 1)
 
-    def add_tick(self, act: Act, is_needed: Condition) -> None:
+    def add_tick(self, act: Callback, is_needed: Condition) -> None:
         """Do something about every ``TICK_MS``; before the start only.
 
         :param act: what to do; must not block
@@ -142,7 +142,7 @@
 
     def _read_pause_ms(self) -> int:
         is_needed = any(is_needed() for _, is_needed in self._ticks)
-        return TICK_MS if is_needed else IDLE_MS
+        return TICK_MS if is_needed else IDLE_POLL_TIMEOUT_MS
 
     def _call(
         self, act: collections.abc.Callable[..., None], *arguments: int
--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -8,19 +8,19 @@
 from mulberryway.relay import writers
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["RawStream", "RawWriter"]
+__all__ = ["PassthroughStream", "PassthroughWriter"]
 
 # The line that numbers an event; the number grows along the answer.
-ID_LINE = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
+EVENT_ID_PATTERN = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 EVENT_END = b"\n\n"
 LAST_CHUNK = b"0\r\n\r\n"
 # These speak of the engine's own connection and transfer coding.
-HOP_HEADERS = frozenset(
+FRAMING_HEADERS = frozenset(
     ("connection", "keep-alive", "transfer-encoding", "content-length")
 )
 
 
-class RawWriter(writers.Writer):
+class PassthroughWriter(writers.Writer):
     """Passes an engine's head and payload on, in a coding of its own.
 
     :param head: writes the reply's head
@@ -41,7 +41,7 @@
         self._headers = [
             (name, value)
             for name, value in source.headers
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in FRAMING_HEADERS
         ]
         # Where the engine's own answer ends only with its connection, its
         # end is told in chunks all the same: a caller can then tell a whole
@@ -87,7 +87,7 @@
         return self.head.write(200, headers)
 
 
-class RawStream(stream.Stream):
+class PassthroughStream(stream.Stream):
     """One answer whose events pass unread but for their numbers.
 
     ``expected`` is the number of the last event that went to the caller;
@@ -154,11 +154,11 @@
         return payload
 
     def _note_numbers(self, whole: bytes) -> None:
-        numbers = [int(found) for found in ID_LINE.findall(whole)]
+        numbers = [int(found) for found in EVENT_ID_PATTERN.findall(whole)]
         if not numbers:
             # An answer without numbers still moves on.
             self.expected += whole.count(EVENT_END)
             return
         if numbers[0] <= self.expected and self.writer.begun:
-            raise events.BrokenStream("an event comes a second time")
+            raise events.InvalidStream("an event comes a second time")
         self.expected = numbers[-1]
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -19,25 +19,25 @@
 RECEIVE_BYTES = 65_536
 # What one slow caller may keep in memory: about five thousand tokens.  Above
 # it the engine is not read from, so that it notices and slows down.
-MOST_PENDING_BYTES = 262_144
+MAX_WRITE_BUFFER_BYTES = 262_144
 # A caller that takes nothing for so long has gone without a word, or holds
 # a decode slot that others wait for.
-CALLER_STALL_MS = 20_000
+CALLER_WRITE_TIMEOUT_MS = 20_000
 # An engine's last chunk usually comes with its last event; the connection is
 # not kept longer than this for it.
-FAREWELL_MS = 1_000
-RECOVERERS = 16
+LAST_CHUNK_TIMEOUT_MS = 1_000
+RECOVERY_THREADS = 16
 # The loop is never busy for so long; a search must not wait for ever for one
 # that was stopped.
-LEAVE_S = 1.0
-TELL_MS = 1_000
+SOURCE_CLOSE_TIMEOUT_S = 1.0
+TOKEN_REPORT_INTERVAL_MS = 1_000
 
-GONE = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+HANGUP_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 READ = select.EPOLLIN
 WRITE = select.EPOLLOUT
 
 Stream = streams.Stream
-Search = collections.abc.Callable[[Stream, errors.Fault], None]
+RecoveryFunction = collections.abc.Callable[[Stream, errors.Fault], None]
 
 
 class Relay:
@@ -55,7 +55,7 @@
         self._farewells: dict[socket.socket, int] = {}
         self._told_ms = loop_.now_ms
         self._recoverers = concurrent.futures.ThreadPoolExecutor(
-            RECOVERERS, "recover"
+            RECOVERY_THREADS, "recover"
         )
         loop_.add_tick(
             self._check_limits,
@@ -107,7 +107,7 @@
         left: concurrent.futures.Future[bool] = concurrent.futures.Future()
         self._loop.post(lambda: self._leave_source(stream, offset, left))
         try:
-            return left.result(LEAVE_S)
+            return left.result(SOURCE_CLOSE_TIMEOUT_S)
         except concurrent.futures.TimeoutError:
             # If the loop has taken it up, its result is what counts.
             return not left.cancel() and left.result()
@@ -137,7 +137,7 @@
         stream.caller.setblocking(False)
         self._loop.register(
             stream.caller.fileno(),
-            GONE,
+            HANGUP_EVENTS,
             lambda events_: self._on_caller(stream, events_),
         )
         self._read_from(stream)
@@ -181,7 +181,7 @@
         before = stream.expected
         try:
             out = stream.take(data)
-        except events.BrokenStream as error:
+        except events.InvalidStream as error:
             self._lose_source(stream, str(error))
             return
         if stream.expected > before:
@@ -221,14 +221,14 @@
                 return
             stream.pending += out[sent:]
             stream.stalled_at_ms = self._loop.now_ms
-            self._loop.modify(stream.caller.fileno(), GONE | WRITE)
-        if len(stream.pending) > MOST_PENDING_BYTES:
+            self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS | WRITE)
+        if len(stream.pending) > MAX_WRITE_BUFFER_BYTES:
             self._pause(stream)
 
     def _on_caller(self, stream: Stream, events_: int) -> None:
         if stream.is_closed:
             return
-        if events_ & GONE:
+        if events_ & HANGUP_EVENTS:
             self._lose_caller(stream)
         elif stream.pending:
             self._flush(stream)
@@ -248,7 +248,7 @@
         if stream.is_ended:
             self._close(stream, None)
             return
-        self._loop.modify(stream.caller.fileno(), GONE)
+        self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS)
         if stream.is_paused:
             self._unpause(stream)
 
@@ -265,7 +265,7 @@
 
     def _check_limits(self) -> None:
         now_ms = self._loop.now_ms
-        stall_ms = now_ms - CALLER_STALL_MS
+        stall_ms = now_ms - CALLER_WRITE_TIMEOUT_MS
         for stream in [
             stream
             for stream in self._streams
@@ -332,7 +332,7 @@
             self._end_with(stream, fault)
 
     def _tell_tokens(self) -> None:
-        if self._loop.now_ms - self._told_ms < TELL_MS:
+        if self._loop.now_ms - self._told_ms < TOKEN_REPORT_INTERVAL_MS:
             return
         self._told_ms = self._loop.now_ms
         for stream in self._streams:
@@ -352,14 +352,16 @@
             self._submit(stream.owner.recover, stream, fault)
 
     def _submit(
-        self, seek: Search, stream: Stream, fault: errors.Fault
+        self, seek: RecoveryFunction, stream: Stream, fault: errors.Fault
     ) -> None:
         try:
             self._recoverers.submit(self._seek, seek, stream, fault)
         except RuntimeError:
             self._stay(stream, fault)
 
-    def _seek(self, seek: Search, stream: Stream, fault: errors.Fault) -> None:
+    def _seek(
+        self, seek: RecoveryFunction, stream: Stream, fault: errors.Fault
+    ) -> None:
         """Seek another engine; a failure of the search must show.
 
         An exception would be kept by the pool of threads and seen by nobody,
@@ -386,7 +388,7 @@
             errors.Fault(
                 errors.Code.CANCELLED,
                 errors.Step.CALLER,
-                run=errors.Run.MAY_HAVE_RUN,
+                run=errors.ExecutionStatus.MAY_HAVE_RUN,
                 message="the caller has gone",
             ),
         )
@@ -446,7 +448,7 @@
         stream.source = None
         connection = source.connection
         self._loop.unregister(connection.fileno())
-        self._farewells[connection] = self._loop.now_ms + FAREWELL_MS
+        self._farewells[connection] = self._loop.now_ms + LAST_CHUNK_TIMEOUT_MS
         self._loop.register(
             connection.fileno(),
             READ,
@@ -467,7 +469,7 @@
     return errors.Fault(
         code,
         errors.Step.DECODE,
-        run=errors.Run.MAY_HAVE_RUN,
+        run=errors.ExecutionStatus.MAY_HAVE_RUN,
         message=message,
         has_died=has_died,
     )
@@ -477,6 +479,6 @@
     return errors.Fault(
         errors.Code.DEADLINE_EXCEEDED,
         errors.Step.DECODE,
-        run=errors.Run.MAY_HAVE_RUN,
+        run=errors.ExecutionStatus.MAY_HAVE_RUN,
         message="the answer took longer than its route allows",
     )
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -230,11 +230,11 @@
         elif token.id != self._source_id:
             # An event of somebody else's answer: an engine that crosses
             # two streams shows itself here, before a foreign byte goes on.
-            raise events.BrokenStream("an event of another answer")
+            raise events.InvalidStream("an event of another answer")
         if token.index is None:
             return True
         if token.index > self.expected:
-            raise events.BrokenStream("a token is missing")
+            raise events.InvalidStream("a token is missing")
         if token.index < self.expected:
             return False
         self.expected += 1
@@ -250,4 +250,4 @@
         # An engine that gives a run up may close its stream in good form;
         # only a reason to finish shows that the answer is whole.
         if not self._has_finish:
-            raise events.BrokenStream("the answer ends without a reason")
+            raise events.InvalidStream("the answer ends without a reason")
--- a/mulberryway/relay/watch.py
+++ b/mulberryway/relay/watch.py
@@ -6,12 +6,12 @@
 
 from mulberryway.relay import loop
 
-__all__ = ["CallerWatch", "Watch"]
+__all__ = ["DisconnectMonitor", "DisconnectWatch"]
 
-GONE = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+HANGUP_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 
-class Watch:
+class DisconnectWatch:
     """One caller's socket under watch.
 
     :param connection: the socket
@@ -31,7 +31,7 @@
         self.is_over = False
 
 
-class CallerWatch:
+class DisconnectMonitor:
     """Watches callers' sockets for the worker threads.
 
     A worker that waits for a queue or an engine reads nothing from its
@@ -49,18 +49,18 @@
         self,
         connection: socket.socket,
         on_gone: collections.abc.Callable[[], None],
-    ) -> Watch:
+    ) -> DisconnectWatch:
         """Begin to watch a socket.
 
         :param connection: the caller's socket
         :param on_gone: called once when it goes; must not block
         :returns: the watch, for ``end``
         """
-        watch = Watch(connection, on_gone)
+        watch = DisconnectWatch(connection, on_gone)
         self._loop.post(lambda: self._register(watch))
         return watch
 
-    def end(self, watch: Watch) -> None:
+    def end(self, watch: DisconnectWatch) -> None:
         """Stop to watch; the socket may be closed or lent afterwards.
 
         :param watch: what ``begin`` returned
@@ -68,20 +68,20 @@
         watch.is_over = True
         self._loop.post(lambda: self._unregister(watch))
 
-    def _register(self, watch: Watch) -> None:
+    def _register(self, watch: DisconnectWatch) -> None:
         if watch.is_over or watch.connection.fileno() != watch.fd:
             return
         self._loop.register(
-            watch.fd, GONE, lambda events: self._on_event(watch)
+            watch.fd, HANGUP_EVENTS, lambda events: self._on_event(watch)
         )
 
-    def _unregister(self, watch: Watch) -> None:
+    def _unregister(self, watch: DisconnectWatch) -> None:
         # A descriptor that was closed has left epoll by itself, and may be
         # somebody else's by now; posted acts keep their order, so what is
         # registered under the number is still this watch or nothing.
         self._loop.unregister(watch.fd)
 
-    def _on_event(self, watch: Watch) -> None:
+    def _on_event(self, watch: DisconnectWatch) -> None:
         self._loop.unregister(watch.fd)
         if not watch.is_over:
             watch.is_over = True
--- a/mulberryway/relay/writers.py
+++ b/mulberryway/relay/writers.py
@@ -14,7 +14,7 @@
 EVENT_END = b"\n\n"
 DONE = b"data: [DONE]\n\n"
 LAST_CHUNK = b"0\r\n\r\n"
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -51,7 +51,7 @@
         http_11: bool,
         keep: bool,
         headers: list[tuple[str, str]],
-        style: replies.Style = replies.OWN_STYLE,
+        style: replies.FaultFormat = replies.NATIVE_FORMAT,
     ) -> None:
         self.http_11 = http_11
         self.keep = keep
@@ -65,7 +65,7 @@
         :param headers: pairs of this reply
         :returns: the bytes up to the body
         """
-        lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"]
+        lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
         lines += [f"{k}: {v}" for k, v in headers + self.headers]
         if not self.keep:
             lines.append("Connection: close")
@@ -126,7 +126,7 @@
             ``begun`` was true
         """
         return self.head.write_whole(
-            replies.reply_fault(fault, style=self.head.style)
+            replies.make_fault_reply(fault, style=self.head.style)
         )
 
 
@@ -206,7 +206,7 @@
 
     def end(self) -> bytes:
         """Return the whole reply."""
-        values = [events.read_object(event) for event in self._events]
+        values = [events.parse_json_event(event) for event in self._events]
         self.begun = True
         reply = replies.Reply(
             200,
--- a/mulberryway/replies.py
+++ b/mulberryway/replies.py
@@ -5,13 +5,13 @@
 from mulberryway import errors
 
 __all__ = [
-    "OWN_STYLE",
+    "NATIVE_FORMAT",
     "Reply",
     "STATUS",
-    "Style",
+    "FaultFormat",
     "choose_status",
     "describe_fault",
-    "reply_fault",
+    "make_fault_reply",
 ]
 
 JSON_TYPE = "application/json"
@@ -52,13 +52,13 @@
 
 # By these a caller knows that its request has not run and never will, and
 # so repeats even a booking.
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 MAY_HAVE_RUN_STATUS = 502
-PROMISES_NOTHING = frozenset((502, 504))
+AMBIGUOUS_STATUSES = frozenset((502, 504))
 NOT_RUN_STATUS = 503
 
 
-class Style:
+class FaultFormat:
     """How faults are told to callers.
 
     :param has_fractions: whether callers read fractions of a second in
@@ -81,7 +81,7 @@
         self.statuses = STATUS | (statuses or {})
 
 
-OWN_STYLE = Style()
+NATIVE_FORMAT = FaultFormat()
 
 
 class Reply:
@@ -108,7 +108,9 @@
         self.close = close
 
 
-def choose_status(fault: errors.Fault, style: Style = OWN_STYLE) -> int:
+def choose_status(
+    fault: errors.Fault, style: FaultFormat = NATIVE_FORMAT
+) -> int:
     """Return the status that a fault is told by.
 
     An upstream may refuse the last of several attempts after an earlier one
@@ -123,10 +125,13 @@
     :returns: the HTTP status
     """
     status = style.statuses[fault.code]
-    if fault.run is not errors.Run.NOT_RUN and status in PROMISES_NOT_RUN:
+    if (
+        fault.run is not errors.ExecutionStatus.NOT_RUN
+        and status in NOT_RUN_STATUSES
+    ):
         return MAY_HAVE_RUN_STATUS
-    is_unrun = fault.run is errors.Run.NOT_RUN
-    if style.repeats_by_status and is_unrun and status in PROMISES_NOTHING:
+    is_unrun = fault.run is errors.ExecutionStatus.NOT_RUN
+    if style.repeats_by_status and is_unrun and status in AMBIGUOUS_STATUSES:
         return NOT_RUN_STATUS
     return status
 
@@ -151,8 +156,10 @@
     ).encode()
 
 
-def reply_fault(
-    fault: errors.Fault, close: bool = False, style: Style = OWN_STYLE
+def make_fault_reply(
+    fault: errors.Fault,
+    close: bool = False,
+    style: FaultFormat = NATIVE_FORMAT,
 ) -> Reply:
     """Return a fault as a whole answer.
 
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -39,33 +39,33 @@
 # Python lets a thread compute for this long before another one may.  With
 # the default of 5 ms, one worker that reads a long prompt holds the relay's
 # loop up for 5 ms, which is all that a stream's pause may grow by.
-SWITCH_S = 0.000_5
+THREAD_SWITCH_INTERVAL_S = 0.000_5
 # Requests make many short-lived objects and few cycles, and a collection
 # holds up every stream; so collections are made rarer, and what lives as
 # long as the process is left out of them.
-COLLECT_AFTER = (20_000, 20, 50)
+GC_THRESHOLDS = (20_000, 20, 50)
 # Entry answers are a little older than their lifetime says when they come
 # over a peer or a slow caller.
 ENTRY_MARGIN_MS = 1_000
 # So long before the end of a stop the last new calls are taken; it is more
 # than a plain call usually takes.
-LAST_CALLS_END_MS = 1_000
+ACCEPT_CUTOFF_MS = 1_000
 POLL_MS = 20
 READY_POLL_MS = 100
 # What a stopping VM keeps of its time for what already runs: most streams
 # end within it.
-LONG_WORK_MS = 5_000
+STREAM_CUTOFF_MS = 5_000
 # The end of a stop is not reached to the last moment, because what is not
 # over then is killed in the middle of a write.
-LAST_MS = 400
+SHUTDOWN_MARGIN_MS = 400
 # Questions from the platform and for addresses are few and quick.
 SIDE_THREADS = 2
 # What was sent to this VM before the refusals began is on its way at most
 # for so long.
-LAST_CALLS_MS = 200
+IN_FLIGHT_ARRIVAL_MS = 200
 # A chosen upstream is used without another look at the tables for this part
 # of the time for which one that leaves serves on.
-CHOICE_PART = 2
+CHOICE_TTL_DIVISOR = 2
 
 
 class Router(status.Lifecycle):
@@ -101,15 +101,15 @@
         source: tables.TableSource,
         scheduler: policy.Scheduler,
         allowances: allowance.Allowances,
-        entries: endpoints.EntryDirectory,
+        entries: endpoints.EndpointDirectory,
         may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
         on_withdraw: collections.abc.Callable[[], None] = lambda: None,
         directory_: directory.UpstreamDirectory | None = None,
         claim_store: claims.ClaimStore | None = None,
         has_settled: collections.abc.Callable[[], bool] = lambda: True,
         on_ready: collections.abc.Callable[[], None] = lambda: None,
-        interface_: caller_api.Interface | None = None,
-        style: replies.Style = replies.OWN_STYLE,
+        interface_: caller_api.CallerApi | None = None,
+        style: replies.FaultFormat = replies.NATIVE_FORMAT,
         cuts_withdrawn: bool = True,
     ) -> None:
         self.settings = settings_
@@ -125,8 +125,8 @@
         )
         self.loop = loop.EventLoop("relay", clock_)
         self.relay = pump.Relay(self.loop)
-        self.scheduling = scheduling.Scheduling(scheduler, clock_)
-        self.cancelling = cancelling.Cancelling(clock_, self.metrics)
+        self.scheduling = scheduling.SchedulingController(scheduler, clock_)
+        self.cancelling = cancelling.CancelController(clock_, self.metrics)
         self.directory = directory_ or directory.HttpDirectory(clock_)
         self._source = source
         self._allowances = allowances
@@ -138,7 +138,7 @@
         self._has_settled = has_settled
         self._was_settled = False
         self._on_ready = on_ready
-        self._interface = interface_ or caller_api.OwnInterface()
+        self._interface = interface_ or caller_api.NativeApi()
         self._cuts_withdrawn = cuts_withdrawn
         self._stop_at_ms: int | None = None
         self._has_begun = False
@@ -204,7 +204,7 @@
     def is_ending(self) -> bool:
         """Whether work that takes seconds could not end in time any more."""
         end = self._stop_at_ms
-        return end is not None and end - self.clock.now_ms() < LONG_WORK_MS
+        return end is not None and end - self.clock.now_ms() < STREAM_CUTOFF_MS
 
     @property
     def running(self) -> int:
@@ -218,10 +218,10 @@
 
     def start(self) -> None:
         """Begin to serve; returns at once."""
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         gc.collect()
         gc.freeze()
-        gc.set_threshold(*COLLECT_AFTER)
+        gc.set_threshold(*GC_THRESHOLDS)
         self._source.subscribe(self._change_tables)
         found = self._source.read_tables()
         if found is not None:
@@ -265,7 +265,7 @@
     def _log_readiness(self, began_ms: int, missing: list[str]) -> None:
         LOG.info(
             "the VM is not ready" if missing else "the VM is ready",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 missing=missing, waited_ms=self.clock.now_ms() - began_ms
             ),
         )
@@ -289,7 +289,7 @@
                 settings_ = self.settings
                 now_ms = self.clock.now_ms()
                 end = clock.Deadline(
-                    now_ms + settings_.router_grace_ms - LAST_MS
+                    now_ms + settings_.router_grace_ms - SHUTDOWN_MARGIN_MS
                 )
                 self._stop_at_ms = end.at_ms
                 self.withdraw()
@@ -298,7 +298,7 @@
                         settings_.router_entry_ttl_ms
                         * settings_.router_entry_lives
                         + ENTRY_MARGIN_MS,
-                        max(settings_.router_grace_ms - LAST_CALLS_END_MS, 0),
+                        max(settings_.router_grace_ms - ACCEPT_CUTOFF_MS, 0),
                     )
                 )
                 self._is_refusing = True
@@ -312,7 +312,7 @@
         while not end.has_passed(self.clock.now_ms()):
             while self.running and not end.has_passed(self.clock.now_ms()):
                 self.clock.sleep_ms(POLL_MS)
-            self.clock.sleep_ms(LAST_CALLS_MS)
+            self.clock.sleep_ms(IN_FLIGHT_ARRIVAL_MS)
             if not self.running:
                 break
         while (
@@ -342,14 +342,14 @@
             errors.Fault(
                 errors.Code.UNAUTHENTICATED,
                 errors.Step.DECODE,
-                run=errors.Run.RAN,
+                run=errors.ExecutionStatus.RAN,
                 message="the key was withdrawn",
             ),
         )
 
-    def _make_context(self) -> caller_api.Context:
+    def _make_context(self) -> caller_api.FilterDependencies:
         settings_ = self.settings
-        parts = model_dependencies.Parts(
+        parts = model_dependencies.ModelDependencies(
             settings_.vm_name,
             self._incarnation,
             settings_.router_token_gap_ms,
@@ -359,14 +359,14 @@
             self.cancelling,
             self.directory,
             self.relay,
-            watch.CallerWatch(self.loop),
+            watch.DisconnectMonitor(self.loop),
             self.tracer,
             self.metrics,
             self._may_repeat,
-            settings_.upstreams_drain_ms // CHOICE_PART,
+            settings_.upstreams_drain_ms // CHOICE_TTL_DIVISOR,
             self._cuts_withdrawn,
         )
-        return caller_api.Context(
+        return caller_api.FilterDependencies(
             settings_,
             self,
             self._source,
--- a/mulberryway/server/gateway.py
+++ b/mulberryway/server/gateway.py
@@ -35,7 +35,7 @@
         chain_: chain.Chain,
         clock_: clock.Clock,
         owner: str,
-        style: replies.Style = replies.OWN_STYLE,
+        style: replies.FaultFormat = replies.NATIVE_FORMAT,
     ) -> None:
         self.chain = chain_
         self.clock = clock_
@@ -110,13 +110,13 @@
     def _refuse(self, code: errors.Code, message: str) -> None:
         fault = errors.Fault(code, errors.Step.CALLER, message=message)
         self._request.conn.has_unread = True
-        self._write(replies.reply_fault(fault, close=True))
+        self._write(replies.make_fault_reply(fault, close=True))
 
     def _answer(self, exchange: base.Exchange) -> None:
         self._factory.note_begin()
         exchange.add_finisher(lambda outcome: self._factory.note_end())
         answer = self._factory.chain.handle(exchange)
-        if answer.is_ok() and isinstance(answer.ok, base.Lent):
+        if answer.is_ok() and isinstance(answer.ok, base.StreamedAnswer):
             self._request.conn.lent_stream = answer.ok.stream
             self._request.close_connection = False
             return
@@ -126,7 +126,7 @@
                 self._write(answer.ok)
             else:
                 self._write(
-                    replies.reply_fault(fault, style=self._factory.style)
+                    replies.make_fault_reply(fault, style=self._factory.style)
                 )
         finally:
             exchange.finish(base.Outcome(fault, exchange.prompt_used, 0))
--- a/mulberryway/server/http_server.py
+++ b/mulberryway/server/http_server.py
@@ -21,13 +21,13 @@
 MS_IN_S = 1_000
 # Linux ends a connection whose peer confirms nothing for so long; without
 # it a caller whose host has vanished looks alive for fifteen minutes.
-UNCONFIRMED_MS = 20_000
+USER_TIMEOUT_MS = 20_000
 # How often idle connections are looked at.
-EXPIRY_S = 1.0
+IDLE_CHECK_INTERVAL_S = 1.0
 # A queue for a worker thread that is longer than this many per thread only
 # makes callers wait for an answer that comes too late.
 QUEUE_PER_THREAD = 4
-REFUSE_BYTES = 262_144
+REJECT_READ_BYTES = 262_144
 
 
 class HttpServer(server.HTTPServer):
@@ -41,7 +41,7 @@
     """
 
     ConnectionClass = request.Connection
-    expiration_interval = EXPIRY_S
+    expiration_interval = IDLE_CHECK_INTERVAL_S
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         bound: socket.socket = super().bind(family, type, proto)
         # Accepted connections inherit it.
         bound.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
         return bound
 
@@ -135,7 +135,7 @@
         """
         conn.socket.setblocking(False)
         try:
-            conn.socket.recv(REFUSE_BYTES)
+            conn.socket.recv(REJECT_READ_BYTES)
         except OSError:
             LOG.debug("a refused connection had nothing to read")
         request.Request(self, conn).simple_response("503 Service Unavailable")
--- a/mulberryway/server/request.py
+++ b/mulberryway/server/request.py
@@ -18,17 +18,17 @@
 __all__ = ["Connection", "HeaderReader", "Request"]
 
 READ_BYTES = 65_536
-DISCARD_S = 0.5
+LINGER_TIMEOUT_S = 0.5
 CONTENT_LENGTH = b"Content-Length"
 TRANSFER_ENCODING = b"Transfer-Encoding"
 FOLDING = (b" ", b"\t")
-STATUS_CODES = {
+ERROR_CODE_BY_STATUS = {
     413: errors.Code.BODY_TOO_LARGE,
     414: errors.Code.BODY_TOO_LARGE,
     500: errors.Code.INTERNAL,
     503: errors.Code.OVERLOADED,
 }
-OVERLOAD_RETRY_MS = 1_000
+OVERLOAD_RETRY_AFTER_MS = 1_000
 
 
 class _LimitedReader(socket.SocketIO):
@@ -206,12 +206,12 @@
         self.conn.has_unread = True
         self.sent_headers = True
         fault = errors.Fault(
-            STATUS_CODES.get(number, errors.Code.BAD_REQUEST),
+            ERROR_CODE_BY_STATUS.get(number, errors.Code.BAD_REQUEST),
             errors.Step.CALLER,
             message=msg or http.HTTPStatus(number).phrase,
-            retry_after_ms=OVERLOAD_RETRY_MS if number == 503 else None,
+            retry_after_ms=OVERLOAD_RETRY_AFTER_MS if number == 503 else None,
         )
-        reply = replies.reply_fault(fault, close=True)
+        reply = replies.make_fault_reply(fault, close=True)
         reply.status = number
         head = writers.ReplyHead(True, False, [])
         try:
@@ -263,7 +263,7 @@
         super().close()
 
     def _discard_rest(self) -> None:
-        until_s = time.monotonic() + DISCARD_S
+        until_s = time.monotonic() + LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
             while (left_s := until_s - time.monotonic()) > 0:
--- a/mulberryway/server/workers.py
+++ b/mulberryway/server/workers.py
@@ -13,9 +13,9 @@
 LOG = logging.getLogger(__name__)
 
 # How long a worker waits for its next connection before it ends.
-IDLE_S = 2.0
+IDLE_TIMEOUT_S = 2.0
 # The longest wait for a worker whose connection was closed under it.
-CLOSE_S = 1.0
+JOIN_TIMEOUT_S = 1.0
 
 
 class WorkerPool:
@@ -190,11 +190,11 @@
                 connection.socket.shutdown(socket.SHUT_RD)
             except OSError as error:
                 LOG.debug("a connection was closed already: %r", error)
-            self.join(CLOSE_S)
+            self.join(JOIN_TIMEOUT_S)
 
     def _wait(self) -> bool:
         """Wait for a connection; tell whether there is one."""
-        while not self._handed.wait(IDLE_S):
+        while not self._handed.wait(IDLE_TIMEOUT_S):
             if self._pool.leave(self):
                 return False
         return self._connection is not None
--- a/mulberryway/settings.py
+++ b/mulberryway/settings.py
@@ -126,12 +126,17 @@
 GIB = 1 << 30
 
 OPTIONS = (
-    options.Option("vm.name", "vm_name", "a name", options.is_text),
+    options.Option("vm.name", "vm_name", "a name", options.is_nonempty_string),
     options.Option("vm.address", "vm_address", "an IP number", options.is_ip),
     options.Option(
-        "vm.zone", "vm_zone", "an availability zone", options.is_text
+        "vm.zone",
+        "vm_zone",
+        "an availability zone",
+        options.is_nonempty_string,
+    ),
+    options.Option(
+        "vm.region", "vm_region", "a region", options.is_nonempty_string
     ),
-    options.Option("vm.region", "vm_region", "a region", options.is_text),
     options.make_amount("vm.link_mbps", "vm_link_mbps", 1_000_000),
     options.make_port("router.port", "router_port"),
     options.make_number("router.threads", "router_threads", 4, 1024),
@@ -161,7 +166,10 @@
         "peers.seeds_port", "peers_seeds_port", 0, options.MOST_PORT
     ),
     options.Option(
-        "peers.secret", "peers_secret", "a secret text", options.is_text
+        "peers.secret",
+        "peers_secret",
+        "a secret text",
+        options.is_nonempty_string,
     ),
     options.Option(
         "peers.seeds",
@@ -193,13 +201,16 @@
         "allowances.over_part",
         "allowances_over_part",
         "a number from 0 to 1",
-        options.is_part,
+        options.is_fraction,
     ),
     options.make_amount(
         "allowances.over_tokens", "allowances_over_tokens", GIB
     ),
     options.Option(
-        "retries.part", "retries_part", "a number from 0 to 1", options.is_part
+        "retries.part",
+        "retries_part",
+        "a number from 0 to 1",
+        options.is_fraction,
     ),
     options.make_seconds("retries.window_s", "retries_window_ms", 0.1, HOUR_S),
     options.make_amount("retries.slack", "retries_slack", 1_000_000),
@@ -226,7 +237,7 @@
         "telemetry.log_level",
         "telemetry_log_level",
         "DEBUG, INFO, WARNING or ERROR",
-        options.is_one_of("DEBUG", "INFO", "WARNING", "ERROR"),
+        options.make_choice_check("DEBUG", "INFO", "WARNING", "ERROR"),
     ),
     options.Option(
         "telemetry.debug",
@@ -251,7 +262,7 @@
         "policy.weighing",
         "policy_weighing",
         "worst_served or goodput",
-        options.is_one_of("worst_served", "goodput"),
+        options.make_choice_check("worst_served", "goodput"),
     ),
 )
 
--- a/mulberryway/tables/__init__.py
+++ b/mulberryway/tables/__init__.py
@@ -4,11 +4,11 @@
 from mulberryway.tables import source
 
 __all__ = [
-    "ANYBODY",
+    "ANONYMOUS_ACCOUNT",
     "ClientAccount",
     "Pool",
     "PoolKind",
-    "PoolShare",
+    "WeightedPool",
     "Route",
     "TableSource",
     "Tables",
@@ -17,11 +17,11 @@
     "digest_key",
 ]
 
-ANYBODY = model.ANYBODY
+ANONYMOUS_ACCOUNT = model.ANONYMOUS_ACCOUNT
 ClientAccount = model.ClientAccount
 Pool = model.Pool
 PoolKind = model.PoolKind
-PoolShare = model.PoolShare
+WeightedPool = model.WeightedPool
 Route = model.Route
 TableSource = source.TableSource
 Tables = model.Tables
--- a/mulberryway/tables/changes.py
+++ b/mulberryway/tables/changes.py
@@ -12,13 +12,13 @@
 
 __all__ = [
     "ABSENT",
-    "KEPT",
+    "REDACTED_CREDENTIAL",
     "Change",
     "DeleteRow",
-    "GiveKey",
+    "AddKey",
     "PutRow",
     "ReplaceAll",
-    "WithdrawKey",
+    "RevokeKey",
     "digest_row",
     "hide_credentials",
     "refuse",
@@ -28,7 +28,7 @@
 ABSENT = "absent"
 # Stands for a pool's credential wherever tables are shown; in a row that is
 # put it means the credential that the pool has.
-KEPT = "(kept)"
+REDACTED_CREDENTIAL = "(kept)"
 
 
 def digest_row(row: dict[str, typing.Any] | None) -> str:
@@ -42,13 +42,15 @@
     return roots.digest_content(roots.encode_content(row))
 
 
-def hide_credentials(rows: parse.PlainTables) -> parse.PlainTables:
+def hide_credentials(rows: parse.EncodedTables) -> parse.EncodedTables:
     """Return rows as they may be shown and put back again.
 
     :param rows: plain rows by table and name
     """
     pools = {
-        name: {**row, "credential": KEPT} if row.get("credential") else row
+        name: {**row, "credential": REDACTED_CREDENTIAL}
+        if row.get("credential")
+        else row
         for name, row in rows["pools"].items()
     }
     return {**rows, "pools": pools}
@@ -57,7 +59,10 @@
 def _keep_credential(
     row: dict[str, typing.Any], old: dict[str, typing.Any] | None
 ) -> dict[str, typing.Any]:
-    if not isinstance(row, dict) or row.get("credential") != KEPT:
+    if (
+        not isinstance(row, dict)
+        or row.get("credential") != REDACTED_CREDENTIAL
+    ):
         return row
     return {**row, "credential": (old or {}).get("credential", "")}
 
@@ -71,7 +76,7 @@
 
     @abc.abstractmethod
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Make the change.
 
@@ -108,7 +113,7 @@
         return f"put {self.table}.{self.name}"
 
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Add or replace the row; see the base class."""
         checked = _check_row(rows, self.table, self.name, self.expected)
@@ -140,7 +145,7 @@
         return f"delete {self.table}.{self.name}"
 
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Delete the row; see the base class."""
         checked = _check_row(rows, self.table, self.name, self.expected)
@@ -163,7 +168,7 @@
 
     __slots__ = ("rows",)
 
-    def __init__(self, rows: parse.PlainTables) -> None:
+    def __init__(self, rows: parse.EncodedTables) -> None:
         self.rows = rows
 
     def describe(self) -> str:
@@ -171,7 +176,7 @@
         return "replace all tables"
 
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Replace all rows; see the base class."""
         for table, old in rows.items():
@@ -182,7 +187,7 @@
         return expression.Ok(None)
 
 
-class GiveKey(Change):
+class AddKey(Change):
     """Adds a key to a client account.
 
     :param account: the client account's name
@@ -200,7 +205,7 @@
         return f"give key {self.digest[:8]} to accounts.{self.account}"
 
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Add the digest; see the base class."""
         row = rows["accounts"].get(self.account)
@@ -211,7 +216,7 @@
         return expression.Ok(None)
 
 
-class WithdrawKey(Change):
+class RevokeKey(Change):
     """Takes a key from a client account.
 
     :param account: the client account's name
@@ -229,7 +234,7 @@
         return f"withdraw key {self.prefix[:8]} of accounts.{self.account}"
 
     def apply(
-        self, rows: parse.PlainTables
+        self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Take the digest out; see the base class."""
         row = rows["accounts"].get(self.account)
@@ -252,12 +257,12 @@
 
 
 def _check_row(
-    rows: parse.PlainTables, table: str, name: str, expected: str | None
+    rows: parse.EncodedTables, table: str, name: str, expected: str | None
 ) -> expression.Result[None, errors.Fault]:
     if table not in rows:
-        known = ", ".join(parse.ROW_TYPES)
+        known = ", ".join(parse.ROW_SCHEMAS)
         return expression.Error(
-            columns.make_fault(table, "", "", f"one of {known}").fault
+            columns.make_error(table, "", "", f"one of {known}").fault
         )
     actual = digest_row(rows[table].get(name))
     if expected is not None and actual != expected:
--- a/mulberryway/tables/columns.py
+++ b/mulberryway/tables/columns.py
@@ -15,9 +15,9 @@
     "ROUTE",
     "UPSTREAM",
     "Column",
-    "RowType",
+    "RowSchema",
     "is_name",
-    "make_fault",
+    "make_error",
 ]
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
@@ -29,7 +29,7 @@
 EXPECTED_NAME = "a name of letters, digits, '.', '_' and '-', at most 63"
 
 
-def make_fault(
+def make_error(
     table: str, row: str, key: str, expected: str
 ) -> errors.TablesError:
     """Return the error for one value that cannot be accepted.
@@ -93,7 +93,7 @@
         self.required = required
 
 
-class RowType:
+class RowSchema:
     """How rows of one class are read and written.
 
     :param make: the row's class
@@ -121,9 +121,9 @@
         :raises TablesError: with table, row, key and what was expected
         """
         if not is_name(name):
-            raise make_fault(table, str(name), "", EXPECTED_NAME)
+            raise make_error(table, str(name), "", EXPECTED_NAME)
         if not isinstance(values, dict):
-            raise make_fault(table, name, "", "a row, [table.name]")
+            raise make_error(table, name, "", "a row, [table.name]")
         self._check_keys(table, name, values)
         decoded = {
             key: self._decode_value(table, name, self._by_key[key], value)
@@ -148,10 +148,10 @@
         for key in values:
             if key not in self._by_key:
                 known = ", ".join(self._by_key)
-                raise make_fault(table, name, key, f"one of {known}")
+                raise make_error(table, name, key, f"one of {known}")
         for column in self.columns:
             if column.required and column.key not in values:
-                raise make_fault(
+                raise make_error(
                     table, name, column.key, f"{column.expected}; missing"
                 )
 
@@ -159,7 +159,7 @@
         self, table: str, name: str, column: Column, value: typing.Any
     ) -> typing.Any:
         if not column.accepts(value):
-            raise make_fault(table, name, column.key, column.expected)
+            raise make_error(table, name, column.key, column.expected)
         return column.decode(value)
 
 
@@ -237,7 +237,7 @@
     )
 
 
-UPSTREAM = RowType(
+UPSTREAM = RowSchema(
     model.Upstream,
     (
         Column("address", "host:port", _is_address, required=True),
@@ -263,7 +263,7 @@
     return {row.name: UPSTREAM.encode(row) for row in upstreams}
 
 
-POOL = RowType(
+POOL = RowSchema(
     model.Pool,
     (
         _choice("kind", model.PoolKind),
@@ -284,7 +284,7 @@
     ),
 )
 
-ROUTE = RowType(
+ROUTE = RowSchema(
     model.Route,
     (
         Column("path_prefix", "a path from /", _is_path, required=True),
@@ -296,7 +296,7 @@
     ),
 )
 
-ACCOUNT = RowType(
+ACCOUNT = RowSchema(
     model.ClientAccount,
     (
         Column(
--- a/mulberryway/tables/edits.py
+++ b/mulberryway/tables/edits.py
@@ -12,9 +12,9 @@
 
 __all__ = ["Edit", "diff_tables"]
 
-MOST_SUMMARY = 300
+MAX_SUMMARY_CHARS = 300
 # An edit without changes brings an old platform forward.
-RESTORED = "restore what is in force"
+RESTORE_SUMMARY = "restore what is in force"
 
 
 class Edit:
@@ -43,7 +43,7 @@
     def describe(self) -> str:
         """Return what it does, for the history and the log."""
         text = "; ".join(change.describe() for change in self.changes)
-        return (text or RESTORED)[:MOST_SUMMARY]
+        return (text or RESTORE_SUMMARY)[:MAX_SUMMARY_CHARS]
 
     def apply(
         self, tables: model.Tables
@@ -81,7 +81,7 @@
     before, after = parse.encode_tables(old), parse.encode_tables(new)
     return [
         line
-        for table in parse.ROW_TYPES
+        for table in parse.ROW_SCHEMAS
         for name in sorted(before[table].keys() | after[table].keys())
         for line in _diff_row(
             f"{table}.{name}",
--- a/mulberryway/tables/freshness.py
+++ b/mulberryway/tables/freshness.py
@@ -2,7 +2,12 @@
 
 import enum
 
-__all__ = ["Confirmation", "Freshness", "count_needed", "judge_freshness"]
+__all__ = [
+    "Confirmation",
+    "Freshness",
+    "count_quorum_peers",
+    "evaluate_freshness",
+]
 
 
 class Freshness(enum.Enum):
@@ -10,7 +15,7 @@
 
     CONFIRMED = "confirmed"
     OUTAGE = "outage"
-    CUT_OFF = "cut_off"
+    PARTITIONED = "cut_off"
 
 
 class Confirmation:
@@ -31,7 +36,7 @@
         self.fleet_size = fleet_size
 
 
-def count_needed(fleet_size: int) -> int:
+def count_quorum_peers(fleet_size: int) -> int:
     """Return how many other VMs make most of a fleet with this one.
 
     Exactly half is not most: both halves of a cut would go on.
@@ -41,7 +46,7 @@
     return fleet_size // 2
 
 
-def judge_freshness(
+def evaluate_freshness(
     confirmation: Confirmation,
     quorum_ms: int | None,
     now_ms: int,
@@ -76,4 +81,4 @@
     has_quorum = quorum_ms is not None and now_ms - quorum_ms <= fresh_ms
     if has_quorum and age_ms <= outage_ms:
         return Freshness.OUTAGE
-    return Freshness.CUT_OFF
+    return Freshness.PARTITIONED
--- a/mulberryway/tables/model.py
+++ b/mulberryway/tables/model.py
@@ -5,11 +5,11 @@
 import hashlib
 
 __all__ = [
-    "ANYBODY",
+    "ANONYMOUS_ACCOUNT",
     "ClientAccount",
     "Pool",
     "PoolKind",
-    "PoolShare",
+    "WeightedPool",
     "Route",
     "Tables",
     "Upstream",
@@ -31,7 +31,7 @@
 
 
 # To how many upstreams one request may go where its route does not say.
-MOST_ATTEMPTS = 4
+DEFAULT_MAX_ATTEMPTS = 4
 
 
 class PoolKind(enum.Enum):
@@ -166,7 +166,7 @@
         self.pause_ms = pause_ms
 
 
-class PoolShare:
+class WeightedPool:
     """One of the pools among which a route's requests are divided.
 
     :param pool: the pool's name
@@ -237,11 +237,11 @@
         timeout_ms: int = 10_000,
         accounts: tuple[str, ...] = (),
         host: str = "",
-        shares: tuple[PoolShare, ...] = (),
+        shares: tuple[WeightedPool, ...] = (),
         trusts_methods: bool = True,
         is_public: bool = False,
         is_streaming: bool = False,
-        most_attempts: int = MOST_ATTEMPTS,
+        most_attempts: int = DEFAULT_MAX_ATTEMPTS,
         target_ms: int = 0,
         target_gap_ms: int = 0,
         rank: int = 0,
@@ -306,7 +306,7 @@
 
 
 # For callers of public routes: no key, and nothing is charged.
-ANYBODY = ClientAccount("", (), 0, 0)
+ANONYMOUS_ACCOUNT = ClientAccount("", (), 0, 0)
 
 
 class Tables:
--- a/mulberryway/tables/parse.py
+++ b/mulberryway/tables/parse.py
@@ -11,21 +11,21 @@
 from mulberryway.tables import model
 
 __all__ = [
-    "ROW_TYPES",
+    "ROW_SCHEMAS",
     "decode_tables",
     "encode_tables",
     "format_rows",
     "parse_tables",
-    "read_rows",
+    "parse_rows",
 ]
 
-ROW_TYPES: dict[str, columns.RowType] = {
+ROW_SCHEMAS: dict[str, columns.RowSchema] = {
     "routes": columns.ROUTE,
     "pools": columns.POOL,
     "accounts": columns.ACCOUNT,
 }
 
-PlainTables = dict[str, dict[str, dict[str, typing.Any]]]
+EncodedTables = dict[str, dict[str, dict[str, typing.Any]]]
 
 
 def parse_tables(
@@ -42,7 +42,7 @@
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return expression.Error(
-            columns.make_fault("text", "", "", f"valid TOML ({error})").fault
+            columns.make_error("text", "", "", f"valid TOML ({error})").fault
         )
     return decode_tables(values, revision)
 
@@ -63,14 +63,14 @@
                 row_type.decode(table, name, row)
                 for name, row in values.get(table, {}).items()
             )
-            for table, row_type in ROW_TYPES.items()
+            for table, row_type in ROW_SCHEMAS.items()
         }
     except errors.TablesError as error:
         return expression.Error(error.fault)
     return expression.Ok(model.Tables(revision, **rows))
 
 
-def encode_tables(tables: model.Tables) -> PlainTables:
+def encode_tables(tables: model.Tables) -> EncodedTables:
     """Return all rows as plain values, sorted by name.
 
     :param tables: the tables
@@ -83,15 +83,15 @@
     }
     return {
         table: {
-            name: ROW_TYPES[table].encode(row)
+            name: ROW_SCHEMAS[table].encode(row)
             for name, row in sorted(rows.items())
         }
         for table, rows in rows_by_table.items()
     }
 
 
-def format_rows(rows: PlainTables) -> str:
-    """Return plain rows as TOML text that ``read_rows`` reads back.
+def format_rows(rows: EncodedTables) -> str:
+    """Return plain rows as TOML text that ``parse_rows`` reads back.
 
     :param rows: plain rows by table and name
     :returns: the text
@@ -99,7 +99,7 @@
     return tomli_w.dumps(rows)
 
 
-def read_rows(text: str) -> expression.Result[PlainTables, errors.Fault]:
+def parse_rows(text: str) -> expression.Result[EncodedTables, errors.Fault]:
     """Read plain rows from TOML text and check each; not their join.
 
     :param text: see :func:`parse_tables`
@@ -110,8 +110,8 @@
 
 def _check_tables(values: dict[str, typing.Any]) -> None:
     for table, rows in values.items():
-        if table not in ROW_TYPES:
-            known = ", ".join(ROW_TYPES)
-            raise columns.make_fault(table, "", "", f"one of {known}")
+        if table not in ROW_SCHEMAS:
+            known = ", ".join(ROW_SCHEMAS)
+            raise columns.make_error(table, "", "", f"one of {known}")
         if not isinstance(rows, dict):
-            raise columns.make_fault(table, "", "", "rows, [table.name]")
+            raise columns.make_error(table, "", "", "rows, [table.name]")
--- a/mulberryway/tables/root.py
+++ b/mulberryway/tables/root.py
@@ -8,10 +8,10 @@
 from mulberryway import errors
 
 __all__ = [
-    "DIGEST_DIGITS",
-    "EMPTY",
-    "SHARDS",
-    "EditMark",
+    "DIGEST_HEX_LENGTH",
+    "EMPTY_DIGEST",
+    "SHARD_COUNTS",
+    "EditRecord",
     "Root",
     "digest_content",
     "encode_content",
@@ -19,15 +19,15 @@
 
 # 128 bits of SHA-256: two segments of one digest will not be met, and the
 # root, which every VM receives with every edit, stays near four kilobytes.
-DIGEST_DIGITS = 32
+DIGEST_HEX_LENGTH = 32
 # An edit moves the root and one shard.  With 2,200 client accounts a shard
 # of accounts holds about 35; more shards would make the root the larger
 # part, fewer would make it the smaller one.
-SHARDS = {"routes": 4, "pools": 16, "accounts": 64}
+SHARD_COUNTS = {"routes": 4, "pools": 16, "accounts": 64}
 # The root keeps the ids of the last edits, so that a lost reply can be
 # settled with one read.
-MOST_MARKS = 16
-EMPTY = ""
+MAX_EDIT_RECORDS = 16
+EMPTY_DIGEST = ""
 
 
 def encode_content(value: typing.Any) -> bytes:
@@ -47,10 +47,10 @@
     :param content: the bytes
     :returns: hexadecimal digits
     """
-    return hashlib.sha256(content).hexdigest()[:DIGEST_DIGITS]
+    return hashlib.sha256(content).hexdigest()[:DIGEST_HEX_LENGTH]
 
 
-class EditMark:
+class EditRecord:
     """Says that an edit was accepted, and as which revision.
 
     :param revision: the revision that it made
@@ -68,7 +68,7 @@
     """One accepted state of the tables, by the digests of its segments.
 
     :param revision: grows by one with each accepted edit
-    :param shards: digests by table; ``EMPTY`` for a shard without rows
+    :param shards: digests by table; ``EMPTY_DIGEST`` for a shard without rows
     :param history: the digest of the segment with past edits
     :param marks: the last edits, the newest last
     """
@@ -80,7 +80,7 @@
         revision: int,
         shards: dict[str, tuple[str, ...]],
         history: str,
-        marks: tuple[EditMark, ...],
+        marks: tuple[EditRecord, ...],
     ) -> None:
         self.revision = revision
         self.shards = shards
@@ -105,13 +105,13 @@
     def list_rows(self) -> set[str]:
         """Return the digests of all segments that hold rows."""
         names = itertools.chain.from_iterable(self.shards.values())
-        return set(names) - {EMPTY}
+        return set(names) - {EMPTY_DIGEST}
 
     def list_segments(self) -> set[str]:
         """Return the digests of all segments, the history included."""
-        return (self.list_rows() | {self.history}) - {EMPTY}
+        return (self.list_rows() | {self.history}) - {EMPTY_DIGEST}
 
-    def find_edit(self, edit_id: str) -> EditMark | None:
+    def find_edit(self, edit_id: str) -> EditRecord | None:
         """Return the mark of an edit, if it is one of the last.
 
         :param edit_id: the edit's own id
@@ -120,13 +120,13 @@
             (mark for mark in self.marks if mark.edit_id == edit_id), None
         )
 
-    def add_mark(self, edit_id: str) -> tuple[EditMark, ...]:
+    def add_mark(self, edit_id: str) -> tuple[EditRecord, ...]:
         """Return the marks of the root that an edit makes from this one.
 
         :param edit_id: the edit's own id
         """
-        mark = EditMark(self.revision + 1, edit_id)
-        return (*self.marks, mark)[-MOST_MARKS:]
+        mark = EditRecord(self.revision + 1, edit_id)
+        return (*self.marks, mark)[-MAX_EDIT_RECORDS:]
 
     @classmethod
     def decode(cls, value: typing.Any) -> "Root":
@@ -138,10 +138,10 @@
         try:
             shards = {
                 table: tuple(map(_check_digest, value["shards"][table]))
-                for table in SHARDS
+                for table in SHARD_COUNTS
             }
             marks = tuple(
-                EditMark(int(revision), str(edit_id))
+                EditRecord(int(revision), str(edit_id))
                 for revision, edit_id in value["marks"]
             )
             return cls(
@@ -163,11 +163,14 @@
     @classmethod
     def make_empty(cls) -> "Root":
         """Return the root before the first edit, of revision 0."""
-        shards = {table: (EMPTY,) * count for table, count in SHARDS.items()}
-        return cls(0, shards, EMPTY, ())
+        shards = {
+            table: (EMPTY_DIGEST,) * count
+            for table, count in SHARD_COUNTS.items()
+        }
+        return cls(0, shards, EMPTY_DIGEST, ())
 
 
 def _check_digest(name: typing.Any) -> str:
-    if not isinstance(name, str) or len(name) not in (0, DIGEST_DIGITS):
+    if not isinstance(name, str) or len(name) not in (0, DIGEST_HEX_LENGTH):
         raise ValueError("not a digest")
     return name
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -12,7 +12,7 @@
 from mulberryway.tables import root as roots
 
 __all__ = [
-    "MOST_SEGMENT_BYTES",
+    "MAX_SEGMENT_BYTES",
     "Segment",
     "SegmentCache",
     "make_segment",
@@ -20,7 +20,7 @@
 ]
 
 # The platform holds values up to a megabyte, its own envelope included.
-MOST_SEGMENT_BYTES = 1_000_000
+MAX_SEGMENT_BYTES = 1_000_000
 
 
 class Segment:
@@ -86,12 +86,12 @@
     rows: dict[str, dict[str, typing.Any]],
     segments: dict[str, Segment],
 ) -> tuple[str, ...]:
-    count = roots.SHARDS[table]
+    count = roots.SHARD_COUNTS[table]
     parts: list[dict[str, typing.Any]] = [{} for _ in range(count)]
     for name, row in rows.items():
         parts[_choose_shard(name, count)][name] = row
     return tuple(
-        _add_segment(table, part, segments) if part else roots.EMPTY
+        _add_segment(table, part, segments) if part else roots.EMPTY_DIGEST
         for part in parts
     )
 
--- a/mulberryway/tables/validate.py
+++ b/mulberryway/tables/validate.py
@@ -40,7 +40,7 @@
     for route in tables.routes.values():
         pool = tables.pools.get(route.pool)
         if pool is None:
-            yield columns.make_fault(
+            yield columns.make_error(
                 "routes",
                 route.name,
                 "pool",
@@ -49,7 +49,7 @@
             continue
         yield from _check_models(route, pool)
         yield from (
-            columns.make_fault(
+            columns.make_error(
                 "routes",
                 route.name,
                 "accounts",
@@ -62,7 +62,7 @@
 
 def _check_models(route: model.Route, pool: model.Pool) -> Problems:
     yield from (
-        columns.make_fault(
+        columns.make_error(
             "routes",
             route.name,
             "models",
@@ -80,7 +80,7 @@
         prefix = route.path_prefix.rstrip("/")
         owner = owners.setdefault(prefix, route.name)
         if owner != route.name:
-            yield columns.make_fault(
+            yield columns.make_error(
                 "routes",
                 route.name,
                 "path_prefix",
@@ -100,11 +100,11 @@
 def _check_model_pool(pool: model.Pool) -> Problems:
     roles = {upstream.role for upstream in pool.upstreams}
     if not pool.models:
-        yield columns.make_fault(
+        yield columns.make_error(
             "pools", pool.name, "models", "at least one model"
         )
     if model.UpstreamRole.SERVICE in roles:
-        yield columns.make_fault(
+        yield columns.make_error(
             "pools",
             pool.name,
             "upstreams",
@@ -112,7 +112,7 @@
         )
     for role in (model.UpstreamRole.PREFILL, model.UpstreamRole.DECODE):
         if not roles & {role, model.UpstreamRole.BOTH}:
-            yield columns.make_fault(
+            yield columns.make_error(
                 "pools",
                 pool.name,
                 "upstreams",
@@ -123,14 +123,14 @@
 def _check_plain_pool(pool: model.Pool) -> Problems:
     roles = {upstream.role for upstream in pool.upstreams}
     if roles != {model.UpstreamRole.SERVICE}:
-        yield columns.make_fault(
+        yield columns.make_error(
             "pools",
             pool.name,
             "upstreams",
             "at least one upstream, all with role service, in a plain pool",
         )
     if pool.models:
-        yield columns.make_fault(
+        yield columns.make_error(
             "pools", pool.name, "models", "no models in a plain pool"
         )
 
@@ -141,7 +141,7 @@
     for upstream in pool.upstreams:
         owner = seen.setdefault(upstream.address, upstream.name)
         if owner != upstream.name:
-            yield columns.make_fault(
+            yield columns.make_error(
                 "pools",
                 pool.name,
                 f"upstreams.{upstream.name}.address",
@@ -156,7 +156,7 @@
         for digest in account.key_digests:
             owner = owners.setdefault(digest, account.name)
             if owner != account.name:
-                yield columns.make_fault(
+                yield columns.make_error(
                     "accounts",
                     account.name,
                     "key_digests",
--- a/mulberryway/threads.py
+++ b/mulberryway/threads.py
@@ -7,7 +7,7 @@
 
 from mulberryway import metrics
 
-__all__ = ["list_thread_ms", "report"]
+__all__ = ["read_thread_cpu_ms", "report"]
 
 LOG = logging.getLogger(__name__)
 
@@ -17,7 +17,7 @@
 NUMBER = re.compile(r"[-_ ]*\(?[-_0-9]+\)?$")
 
 
-def list_thread_ms(tasks: pathlib.Path = TASKS) -> dict[str, int]:
+def read_thread_cpu_ms(tasks: pathlib.Path = TASKS) -> dict[str, int]:
     """Return the processor time of the threads that live now.
 
     :param tasks: where the kernel tells of this process's threads
@@ -47,6 +47,6 @@
         "processor time of living threads, in milliseconds, by name",
         lambda: [
             ({"thread": name}, spent_ms)
-            for name, spent_ms in list_thread_ms().items()
+            for name, spent_ms in read_thread_cpu_ms().items()
         ],
     )
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -15,18 +15,18 @@
     "CacheEvent",
     "Engine",
     "EngineLoad",
-    "HeldRequest",
+    "InFlightRequest",
     "Order",
-    "PlainService",
+    "UpstreamService",
     "PrefillResult",
-    "RawCall",
-    "RunLabel",
+    "PassthroughRequest",
+    "AttemptLabel",
     "ServiceReply",
     "TokenStream",
 ]
 
 
-class RunLabel:
+class AttemptLabel:
     """Names one attempt, so that whoever holds its memory can be found.
 
     :param request_id: unique for each attempt; the engine echoes it
@@ -50,7 +50,7 @@
         self.traceparent = traceparent
 
 
-class RawCall:
+class PassthroughRequest:
     """A caller's request that goes to upstreams as it came.
 
     :param method: the HTTP method
@@ -221,7 +221,7 @@
         self.removed = removed
 
 
-class HeldRequest:
+class InFlightRequest:
     """A request for which an engine holds memory.
 
     :param label: who started it
@@ -231,7 +231,7 @@
 
     __slots__ = ("label", "phase", "blocks")
 
-    def __init__(self, label: RunLabel, phase: str, blocks: int) -> None:
+    def __init__(self, label: AttemptLabel, phase: str, blocks: int) -> None:
         self.label = label
         self.phase = phase
         self.blocks = blocks
@@ -266,7 +266,7 @@
         self.expected = expected
 
 
-class Room:
+class ReservationRequest:
     """What a decode needs at its engine.
 
     :param tokens: tokens of KV cache, for the prompt and the answer
@@ -298,19 +298,20 @@
 
     @abc.abstractmethod
     def prefill(
-        self, label: RunLabel, body: typing.Any, timeout_ms: int
+        self, label: AttemptLabel, body: typing.Any, timeout_ms: int
     ) -> expression.Result[PrefillResult, errors.Fault]:
         """Compute a prompt's KV cache and keep it for export.
 
         :param label: names the attempt
         :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`RawCall` where engines take requests as they came
+            or a :class:`PassthroughRequest` where engines take requests as
+            they came
         :param timeout_ms: the longest wait for the result
         :returns: the result, or a fault that says whether it ran
         """
 
     def prepare(
-        self, label: RunLabel, room: Room | None = None
+        self, label: AttemptLabel, room: ReservationRequest | None = None
     ) -> expression.Result[None, errors.Fault]:
         """Make sure that a decode which comes soon finds the engine there.
 
@@ -323,7 +324,7 @@
         """
         return expression.Ok(None)
 
-    def release(self, label: RunLabel) -> None:
+    def release(self, label: AttemptLabel) -> None:
         """Let go of what was prepared for a decode that does not come.
 
         :param label: names the attempt
@@ -333,7 +334,7 @@
     @abc.abstractmethod
     def decode(
         self,
-        label: RunLabel,
+        label: AttemptLabel,
         body: typing.Any,
         transfer: dict[str, typing.Any],
         offset: int,
@@ -343,7 +344,8 @@
 
         :param label: names the attempt
         :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`RawCall` where engines take requests as they came
+            or a :class:`PassthroughRequest` where engines take requests as
+            they came
         :param transfer: what the prefill returned
         :param offset: how many tokens the caller has already; 0 at first
         :param timeout_ms: the longest wait for the reply's head
@@ -351,7 +353,9 @@
         """
 
     @abc.abstractmethod
-    def cancel(self, label: RunLabel) -> expression.Result[bool, errors.Fault]:
+    def cancel(
+        self, label: AttemptLabel
+    ) -> expression.Result[bool, errors.Fault]:
         """Free what the engine holds for an attempt; idempotent.
 
         :param label: names the attempt
@@ -359,7 +363,9 @@
         """
 
     @abc.abstractmethod
-    def list_held(self) -> expression.Result[list[HeldRequest], errors.Fault]:
+    def list_held(
+        self,
+    ) -> expression.Result[list[InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
 
     @abc.abstractmethod
@@ -405,7 +411,7 @@
         self.body = body
 
 
-class PlainService(abc.ABC):
+class UpstreamService(abc.ABC):
     """One server of a plain service that stands beside the engines."""
 
     @abc.abstractmethod
@@ -418,7 +424,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.Interrupt | None = None,
+        interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[ServiceReply, errors.Fault]:
         """Pass one call on, exactly once.
 
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -19,30 +19,36 @@
 from mulberryway import clock
 from mulberryway import errors
 
-__all__ = ["Caller", "Interrupt", "Response", "listens", "sort_failure"]
+__all__ = [
+    "UpstreamClient",
+    "CallCanceller",
+    "Response",
+    "is_accepting_connections",
+    "classify_failure",
+]
 
 LOG = logging.getLogger(__name__)
 
 MS_IN_S = 1_000
-CONNECT_MS = 1_000
+CONNECT_TIMEOUT_MS = 1_000
 # Within a region a connection is made in a few milliseconds.
-LISTEN_S = 0.3
-LISTEN_PAUSES_S = (0.0, 0.05)
+PROBE_TIMEOUT_S = 0.3
+PROBE_DELAYS_S = (0.0, 0.05)
 # Something between the two ends may lose track of a connection; the longer
 # it lives the likelier that is, and a fresh one costs a millisecond.
-MOST_AGE_MS = 60_000
-KEPT_CONNECTIONS = 32
+MAX_POOL_AGE_MS = 60_000
+MAX_IDLE_CONNECTIONS = 32
 READ_BYTES = 65_536
-MOST_REPLY_BYTES = 16_777_216
-REQUEST_ID = "X-Request-Id"
+MAX_REPLY_BYTES = 16_777_216
+REQUEST_ID_HEADER = "X-Request-Id"
 
-NOT_CONNECTED = (
+CONNECT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
     ConnectionRefusedError,
 )
-TIMED_OUT = (urllib3.exceptions.TimeoutError, TimeoutError)
-FAILURES = (
+TIMEOUT_ERRORS = (urllib3.exceptions.TimeoutError, TimeoutError)
+CLIENT_ERRORS = (
     urllib3.exceptions.HTTPError,
     http.client.HTTPException,
     OSError,
@@ -67,7 +73,7 @@
         self.body = body
 
 
-def sort_failure(
+def classify_failure(
     error: Exception, step: errors.Step, peer: str, was_sent: bool = True
 ) -> errors.Fault:
     """Tell whether a request may have run, by where its call failed.
@@ -82,24 +88,27 @@
     :param was_sent: false if the failure came before anything was written
     :returns: the fault
     """
-    if not was_sent or isinstance(error, NOT_CONNECTED):
+    if not was_sent or isinstance(error, CONNECT_ERRORS):
         return errors.Fault(
-            errors.Code.UPSTREAM_UNREACHABLE, step, peer, errors.Run.NOT_RUN
+            errors.Code.UPSTREAM_UNREACHABLE,
+            step,
+            peer,
+            errors.ExecutionStatus.NOT_RUN,
         )
     code = errors.Code.UPSTREAM_FAILED
-    if isinstance(error, TIMED_OUT):
+    if isinstance(error, TIMEOUT_ERRORS):
         code = errors.Code.UPSTREAM_TIMEOUT
     return errors.Fault(
         code,
         step,
         peer,
-        errors.Run.MAY_HAVE_RUN,
+        errors.ExecutionStatus.MAY_HAVE_RUN,
         f"the call failed: {type(error).__name__}",
         has_died=code is errors.Code.UPSTREAM_FAILED,
     )
 
 
-def listens(address: str) -> bool:
+def is_accepting_connections(address: str) -> bool:
     """Tell whether anybody takes connections at an address.
 
     A connection breaks in the middle because the other end died or because
@@ -112,16 +121,18 @@
     :returns: whether connections can be made, now and a moment later
     """
     host, _, port = address.rpartition(":")
-    for pause_s in LISTEN_PAUSES_S:
+    for pause_s in PROBE_DELAYS_S:
         time.sleep(pause_s)
         try:
-            socket.create_connection((host, int(port)), LISTEN_S).close()
+            socket.create_connection(
+                (host, int(port)), PROBE_TIMEOUT_S
+            ).close()
         except OSError:
             return False
     return True
 
 
-class Interrupt:
+class CallCanceller:
     """Ends a call that runs on another thread.
 
     Without it an upstream would go on working for a caller that has gone,
@@ -166,7 +177,7 @@
 class _Current(threading.local):
     """The interrupt of the call that runs on this thread."""
 
-    interrupt: Interrupt | None = None
+    interrupt: CallCanceller | None = None
 
 
 _CURRENT = _Current()
@@ -184,7 +195,7 @@
         super().request(*arguments, **named)
 
 
-class Caller:
+class UpstreamClient:
     """Calls one upstream.
 
     All connections that are kept for it belong to one generation.  A
@@ -201,7 +212,7 @@
         self,
         address: str,
         clock_: clock.Clock,
-        echo_header: str = REQUEST_ID,
+        echo_header: str = REQUEST_ID_HEADER,
     ) -> None:
         self.address = address
         self._clock = clock_
@@ -219,7 +230,7 @@
         timeout_ms: int,
         step: errors.Step,
         is_fresh: bool = False,
-        interrupt: "Interrupt | None" = None,
+        interrupt: "CallCanceller | None" = None,
     ) -> expression.Result[Response, errors.Fault]:
         """Make one call, exactly once.
 
@@ -253,7 +264,7 @@
                 timeout=_make_timeout(timeout_ms),
             )
             whole = _read_whole(response, deadline_s)
-        except FAILURES as error:
+        except CLIENT_ERRORS as error:
             self._abandon(response)
             return expression.Error(self._note_failure(error, step))
         finally:
@@ -299,7 +310,7 @@
                 errors.Code.UPSTREAM_FAILED,
                 step,
                 self.address,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
                 "the reply belongs to another request",
             )
         )
@@ -307,8 +318,10 @@
     def _note_failure(
         self, error: Exception, step: errors.Step
     ) -> errors.Fault:
-        fault = sort_failure(error, step, self.address)
-        fault.has_died = fault.has_died and not listens(self.address)
+        fault = classify_failure(error, step, self.address)
+        fault.has_died = fault.has_died and not is_accepting_connections(
+            self.address
+        )
         if fault.code is errors.Code.UPSTREAM_TIMEOUT:
             self.retire()
         return fault
@@ -321,14 +334,14 @@
             response.close()
 
     def _find_pool(self) -> urllib3.HTTPConnectionPool:
-        if self._clock.now_ms() - self._made_ms > MOST_AGE_MS:
+        if self._clock.now_ms() - self._made_ms > MAX_POOL_AGE_MS:
             self.retire()
         return self._pool
 
     def _make_pool(self) -> urllib3.HTTPConnectionPool:
         host, _, port = self.address.rpartition(":")
         pool = urllib3.HTTPConnectionPool(
-            host, int(port), maxsize=KEPT_CONNECTIONS, retries=False
+            host, int(port), maxsize=MAX_IDLE_CONNECTIONS, retries=False
         )
         pool.ConnectionCls = _Connection
         return pool
@@ -336,7 +349,7 @@
 
 def _make_timeout(timeout_ms: int) -> urllib3.Timeout:
     return urllib3.Timeout(
-        connect=min(CONNECT_MS, timeout_ms) / MS_IN_S,
+        connect=min(CONNECT_TIMEOUT_MS, timeout_ms) / MS_IN_S,
         read=timeout_ms / MS_IN_S,
     )
 
@@ -349,7 +362,7 @@
     for piece in response.stream(READ_BYTES, decode_content=False):
         pieces.append(piece)
         total += len(piece)
-        if total > MOST_REPLY_BYTES:
+        if total > MAX_REPLY_BYTES:
             raise urllib3.exceptions.ProtocolError("the reply is too large")
         if time.monotonic() > deadline_s:
             raise urllib3.exceptions.ReadTimeoutError(
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -17,19 +17,19 @@
     "DecodeRequest",
     "begin_decode",
     "connect",
-    "read_refusal",
+    "parse_rejection",
 ]
 
 LOG = logging.getLogger(__name__)
 
 MS_IN_S = 1_000
-MOST_ERROR_BYTES = 65_536
+MAX_ERROR_BYTES = 65_536
 # Within a region a connection takes a few milliseconds, so after so long the
 # engine is not there, or its link is cut.
-CONNECT_MS = 300
+CONNECT_TIMEOUT_MS = 300
 # An upstream may drop an idle connection, and resets what comes next on it;
 # then nobody knows whether it ran.  A younger one is still there.
-FRESH_MS = 500
+MAX_UNUSED_AGE_MS = 500
 
 
 class DecodeRequest:
@@ -50,7 +50,7 @@
         target: str,
         headers: dict[str, str],
         body: bytes,
-        echo_header: str = connections.REQUEST_ID,
+        echo_header: str = connections.REQUEST_ID_HEADER,
     ) -> None:
         self.method = method
         self.target = target
@@ -67,7 +67,7 @@
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        super().__init__(host, int(port), timeout=CONNECT_MS / MS_IN_S)
+        super().__init__(host, int(port), timeout=CONNECT_TIMEOUT_MS / MS_IN_S)
         self.made_s = 0.0
 
     def connect(self) -> None:
@@ -77,7 +77,7 @@
 
     def is_fresh(self) -> bool:
         """Tell whether the engine has surely not dropped it as idle."""
-        return time.monotonic() - self.made_s < FRESH_MS / MS_IN_S
+        return time.monotonic() - self.made_s < MAX_UNUSED_AGE_MS / MS_IN_S
 
     def is_closed(self) -> bool:
         """Tell whether the engine has closed it, or sent what nobody asked.
@@ -98,7 +98,7 @@
 
 # Turns a reply whose status is not 200 into a fault: gets the status, the
 # headers, the body and the engine's address.
-RefusalReader = collections.abc.Callable[
+RejectionParser = collections.abc.Callable[
     [int, list[tuple[str, str]], bytes, str], errors.Fault
 ]
 
@@ -118,7 +118,7 @@
         connection.close()
         LOG.debug("no connection to %s: %r", address, failure)
         return expression.Error(
-            connections.sort_failure(
+            connections.classify_failure(
                 ConnectionRefusedError(), errors.Step.DECODE, address
             )
         )
@@ -129,8 +129,8 @@
     address: str,
     request: DecodeRequest,
     timeout_ms: int,
-    read_refusal: RefusalReader,
-    interrupt: connections.Interrupt | None = None,
+    read_refusal: RejectionParser,
+    interrupt: connections.CallCanceller | None = None,
     made: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     """Send a decode call and return its stream once the head has come.
@@ -161,7 +161,7 @@
     elif made.is_closed():
         made.close()
         return expression.Error(
-            connections.sort_failure(
+            connections.classify_failure(
                 ConnectionResetError(), errors.Step.DECODE, address, False
             )
         )
@@ -170,8 +170,13 @@
         return _exchange(made, address, request, read_refusal, interrupt)
     except (OSError, http.client.HTTPException) as failure:
         made.close()
-        fault = connections.sort_failure(failure, errors.Step.DECODE, address)
-        fault.has_died = fault.has_died and not connections.listens(address)
+        fault = connections.classify_failure(
+            failure, errors.Step.DECODE, address
+        )
+        fault.has_died = (
+            fault.has_died
+            and not connections.is_accepting_connections(address)
+        )
         return expression.Error(fault)
     finally:
         if interrupt is not None:
@@ -182,8 +187,8 @@
     connection: DecodeConnection,
     address: str,
     request: DecodeRequest,
-    read_refusal: RefusalReader,
-    interrupt: connections.Interrupt | None,
+    read_refusal: RejectionParser,
+    interrupt: connections.CallCanceller | None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     raw = connection.sock
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -196,7 +201,7 @@
     echoed = response.getheader(request.echo_header, "")
     is_own = echoed == request.headers[request.echo_header]
     if response.status != http.client.OK:
-        body = response.read(MOST_ERROR_BYTES)
+        body = response.read(MAX_ERROR_BYTES)
         connection.close()
         headers = response.getheaders() if is_own else []
         return expression.Error(
@@ -210,7 +215,7 @@
                 errors.Code.UPSTREAM_FAILED,
                 errors.Step.DECODE,
                 address,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
                 "the reply belongs to another request",
             )
         )
@@ -234,7 +239,7 @@
     return base.TokenStream(taken, buffered, chunked, echoed, length, headers)
 
 
-def read_refusal(
+def parse_rejection(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
     """Return what a decode engine's status means.
@@ -250,7 +255,7 @@
             errors.Code.UPSTREAM_REFUSED,
             errors.Step.TRANSFER,
             address,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
             "the prefill's result has expired",
         )
     if status in (
@@ -261,13 +266,13 @@
             errors.Code.UPSTREAM_REFUSED,
             errors.Step.DECODE,
             address,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
             f"the engine refused with status {status}",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         errors.Step.DECODE,
         address,
-        errors.Run.MAY_HAVE_RUN,
+        errors.ExecutionStatus.MAY_HAVE_RUN,
         f"the engine answered with status {status}",
     )
--- a/mulberryway/upstreams/directory.py
+++ b/mulberryway/upstreams/directory.py
@@ -10,9 +10,9 @@
 from mulberryway.upstreams import http_engine
 from mulberryway.upstreams import http_service
 
-__all__ = ["HttpDirectory", "UpstreamDirectory", "find_by_name"]
+__all__ = ["HttpDirectory", "UpstreamDirectory", "find_engine_by_name"]
 
-Found = http_engine.HttpEngine | http_service.HttpService
+HttpUpstream = http_engine.HttpEngine | http_service.HttpService
 
 
 class UpstreamDirectory(abc.ABC):
@@ -32,7 +32,7 @@
     @abc.abstractmethod
     def find_service(
         self, pool: tables.Pool, upstream: tables.Upstream
-    ) -> base.PlainService:
+    ) -> base.UpstreamService:
         """Return the plain service at an upstream's address.
 
         :param pool: the pool, whose credential is used
@@ -48,7 +48,7 @@
         """
 
 
-def find_by_name(
+def find_engine_by_name(
     found: tables.Tables | None,
     directory: UpstreamDirectory,
     pool: str,
@@ -82,7 +82,7 @@
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self._lock = threading.Lock()
-        self._found: dict[tuple[str, str, type], Found] = {}
+        self._found: dict[tuple[str, str, type], HttpUpstream] = {}
 
     def find_engine(
         self, pool: tables.Pool, upstream: tables.Upstream
@@ -99,7 +99,7 @@
 
     def find_service(
         self, pool: tables.Pool, upstream: tables.Upstream
-    ) -> base.PlainService:
+    ) -> base.UpstreamService:
         """Return the plain service at an upstream's address.
 
         :param pool: the pool, whose credential is used
@@ -107,7 +107,7 @@
         :returns: the service
         """
         return typing.cast(
-            base.PlainService,
+            base.UpstreamService,
             self._find(pool, upstream, http_service.HttpService),
         )
 
@@ -128,8 +128,11 @@
             found.close()
 
     def _find(
-        self, pool: tables.Pool, upstream: tables.Upstream, kind: type[Found]
-    ) -> Found:
+        self,
+        pool: tables.Pool,
+        upstream: tables.Upstream,
+        kind: type[HttpUpstream],
+    ) -> HttpUpstream:
         key = (upstream.address, pool.credential, kind)
         with self._lock:
             found = self._found.get(key)
--- a/mulberryway/upstreams/http_engine.py
+++ b/mulberryway/upstreams/http_engine.py
@@ -15,14 +15,14 @@
 
 __all__ = ["HttpEngine"]
 
-CONTROL_MS = 1_000
-NOT_RUN = (
+CONTROL_TIMEOUT_MS = 1_000
+NOT_RUN_STATUSES = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
 )
 # Members of a body that the router sets itself; a caller's own would let it
 # import another account's KV cache.
-OWN_MEMBERS = ("kv_transfer_params", "resume_offset", "stream")
+ROUTER_FIELDS = ("kv_transfer_params", "resume_offset", "stream")
 
 Body = dict[str, typing.Any]
 
@@ -40,11 +40,11 @@
     ) -> None:
         self.address = address
         self._credential = credential
-        self._caller = connections.Caller(address, clock_)
+        self._caller = connections.UpstreamClient(address, clock_)
 
     def prefill(
         self,
-        label: base.RunLabel,
+        label: base.AttemptLabel,
         body: Body,
         timeout_ms: int,
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
@@ -71,7 +71,7 @@
 
     def decode(
         self,
-        label: base.RunLabel,
+        label: base.AttemptLabel,
         body: Body,
         transfer: Body,
         offset: int,
@@ -99,11 +99,11 @@
             json.dumps(call).encode(),
         )
         return decode_call.begin_decode(
-            self.address, request, timeout_ms, decode_call.read_refusal
+            self.address, request, timeout_ms, decode_call.parse_rejection
         )
 
     def cancel(
-        self, label: base.RunLabel
+        self, label: base.AttemptLabel
     ) -> expression.Result[bool, errors.Fault]:
         """Free what the engine holds for an attempt; idempotent.
 
@@ -119,7 +119,7 @@
 
     def list_held(
         self,
-    ) -> expression.Result[list[base.HeldRequest], errors.Fault]:
+    ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
         return self._control("GET", "/v1/requests").bind(
             lambda value: self._read(value, _read_held, errors.Step.DECODE)
@@ -170,7 +170,7 @@
             target,
             self._make_headers(),
             body,
-            CONTROL_MS,
+            CONTROL_TIMEOUT_MS,
             errors.Step.DECODE,
         )
 
@@ -199,9 +199,15 @@
             return expression.Error(self._malformed(step))
 
     def _sort_status(self, status: int, step: errors.Step) -> errors.Fault:
-        code, run = errors.Code.UPSTREAM_FAILED, errors.Run.MAY_HAVE_RUN
-        if status in NOT_RUN or status == http.HTTPStatus.CONFLICT:
-            code, run = errors.Code.UPSTREAM_REFUSED, errors.Run.NOT_RUN
+        code, run = (
+            errors.Code.UPSTREAM_FAILED,
+            errors.ExecutionStatus.MAY_HAVE_RUN,
+        )
+        if status in NOT_RUN_STATUSES or status == http.HTTPStatus.CONFLICT:
+            code, run = (
+                errors.Code.UPSTREAM_REFUSED,
+                errors.ExecutionStatus.NOT_RUN,
+            )
         return errors.Fault(
             code,
             step,
@@ -226,16 +232,16 @@
             errors.Code.UPSTREAM_FAILED,
             step,
             self.address,
-            errors.Run.RAN,
+            errors.ExecutionStatus.RAN,
             "the engine's reply cannot be read",
         )
 
     def _make_headers(
-        self, label: base.RunLabel | None = None
+        self, label: base.AttemptLabel | None = None
     ) -> dict[str, str]:
         headers = {"Content-Type": "application/json"}
         if label is not None:
-            headers[connections.REQUEST_ID] = label.request_id
+            headers[connections.REQUEST_ID_HEADER] = label.request_id
             headers["X-Request-Owner"] = f"{label.vm}/{label.incarnation}"
             if label.traceparent:
                 headers["traceparent"] = label.traceparent
@@ -245,7 +251,7 @@
 
 
 def _strip(body: Body) -> Body:
-    return {k: v for k, v in body.items() if k not in OWN_MEMBERS}
+    return {k: v for k, v in body.items() if k not in ROUTER_FIELDS}
 
 
 def _read_prefill(value: Body) -> base.PrefillResult:
@@ -257,21 +263,21 @@
     )
 
 
-def _read_held(value: Body) -> list[base.HeldRequest]:
+def _read_held(value: Body) -> list[base.InFlightRequest]:
     return [
-        base.HeldRequest(
+        base.InFlightRequest(
             _read_label(held), str(held["phase"]), int(held["blocks"])
         )
         for held in value["requests"]
     ]
 
 
-def _read_label(held: Body) -> base.RunLabel:
+def _read_label(held: Body) -> base.AttemptLabel:
     vm, _, incarnation = str(held["owner"]).rpartition("/")
     # An owner in another form is not one of ours; no incarnation is below
     # zero, so nothing here ever claims to know it.
     number = int(incarnation) if vm and incarnation.isdigit() else -1
-    return base.RunLabel(str(held["id"]), vm, number)
+    return base.AttemptLabel(str(held["id"]), vm, number)
 
 
 def _read_load(value: Body) -> base.EngineLoad:
--- a/mulberryway/upstreams/http_service.py
+++ b/mulberryway/upstreams/http_service.py
@@ -7,10 +7,10 @@
 from mulberryway.upstreams import base
 from mulberryway.upstreams import connections
 
-__all__ = ["HttpService", "drop_framing", "strip_hop_headers"]
+__all__ = ["HttpService", "strip_framing_headers", "strip_hop_by_hop_headers"]
 
 # Headers that speak of one connection only (RFC 9110, 7.6.1).
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -23,10 +23,12 @@
         "upgrade",
     )
 )
-OWN_HEADERS = frozenset(("content-length", "host", "x-request-id", "expect"))
+ROUTER_HEADERS = frozenset(
+    ("content-length", "host", "x-request-id", "expect")
+)
 
 
-def strip_hop_headers(
+def strip_hop_by_hop_headers(
     headers: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
     """Return headers without those that speak of one connection only.
@@ -43,11 +45,11 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_HEADERS | named
+        if name.lower() not in HOP_BY_HOP_HEADERS | named
     ]
 
 
-def drop_framing(
+def strip_framing_headers(
     headers: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
     """Return a reply's headers without those that tell its body's length.
@@ -59,12 +61,12 @@
     """
     return [
         (name, value)
-        for name, value in strip_hop_headers(headers)
+        for name, value in strip_hop_by_hop_headers(headers)
         if name.lower() != "content-length"
     ]
 
 
-class HttpService(base.PlainService):
+class HttpService(base.UpstreamService):
     """One server at one address.
 
     :param address: ``host:port``
@@ -77,7 +79,7 @@
     ) -> None:
         self.address = address
         self._credential = credential
-        self._caller = connections.Caller(address, clock_)
+        self._caller = connections.UpstreamClient(address, clock_)
 
     def call(
         self,
@@ -88,7 +90,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.Interrupt | None = None,
+        interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
         """Pass one call on, exactly once.
 
@@ -105,9 +107,9 @@
         sent = {
             name: value
             for name, value in headers
-            if name.lower() not in OWN_HEADERS
+            if name.lower() not in ROUTER_HEADERS
         }
-        sent[connections.REQUEST_ID] = request_id
+        sent[connections.REQUEST_ID_HEADER] = request_id
         if self._credential:
             sent["Authorization"] = f"Bearer {self._credential}"
         # The default would name the library to the service.
@@ -130,7 +132,7 @@
 def _make_reply(response: connections.Response) -> base.ServiceReply:
     headers = [
         (name, value)
-        for name, value in strip_hop_headers(response.headers)
-        if name.lower() not in OWN_HEADERS
+        for name, value in strip_hop_by_hop_headers(response.headers)
+        if name.lower() not in ROUTER_HEADERS
     ]
     return base.ServiceReply(response.status, headers, response.body)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -26,13 +26,13 @@
 
     :param arguments: what is left of the command line
     """
-    shape = plan.Shape(
+    shape = plan.SoakConfig(
         vms=FLAGS.vms, chains=FLAGS.chains, length_ms=FLAGS.length_ms
     )
     keep = pathlib.Path(FLAGS.keep) if FLAGS.keep else None
     failed = 0
     for seed in range(FLAGS.seed, FLAGS.seed + FLAGS.seeds):
-        outcome = run.play(seed, shape, keep)
+        outcome = run.run_seed(seed, shape, keep)
         print(outcome.describe(), flush=True)
         for sentence in outcome.broken:
             print(f"  {sentence}", flush=True)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -14,20 +14,20 @@
 
 CALLERS = 10
 PAUSE_S = 0.12
-CALL_S = 8.0
+CALL_TIMEOUT_S = 8.0
 # How often a caller keeps its connection, and how often it leaves early.
-KEEP_PART = 0.8
-LEAVE_PART = 0.05
-SMALL_PART = 0.4
-CHANGING_PART = 0.15
+KEEP_ALIVE_PROBABILITY = 0.8
+DISCONNECT_PROBABILITY = 0.05
+SMALL_ACCOUNT_PROBABILITY = 0.4
+ROTATED_KEY_PROBABILITY = 0.15
 KINDS = (
-    history.Kind.PLAIN,
-    history.Kind.PLAIN,
-    history.Kind.BOOK,
-    history.Kind.BOOK,
-    history.Kind.TALK,
-    history.Kind.DIGEST,
-    history.Kind.LATE,
+    history.RequestKind.PLAIN,
+    history.RequestKind.PLAIN,
+    history.RequestKind.NON_IDEMPOTENT,
+    history.RequestKind.NON_IDEMPOTENT,
+    history.RequestKind.SINGLE_RUN_STREAM,
+    history.RequestKind.RESUMABLE_STREAM,
+    history.RequestKind.ADDED_ROUTE,
 )
 
 
@@ -44,7 +44,7 @@
         self,
         number: int,
         seed: int,
-        world_: cluster.World,
+        world_: cluster.SoakCluster,
         ending: threading.Event,
     ) -> None:
         super().__init__(daemon=True)
@@ -72,14 +72,14 @@
         attempt = history.Attempt(name, kind, key, self._vm, cluster.now_ms())
         attempt.path = f"/{kind.value}/{name}"
         attempt.sent = name.encode() * self._chance.randint(1, 40)
-        attempt.has_left = self._chance.random() < LEAVE_PART
+        attempt.has_left = self._chance.random() < DISCONNECT_PROBABILITY
         return attempt
 
     def _choose_key(self) -> str:
         drawn = self._chance.random()
-        if drawn < SMALL_PART:
+        if drawn < SMALL_ACCOUNT_PROBABILITY:
             return "k-small"
-        if drawn > 1 - CHANGING_PART:
+        if drawn > 1 - ROTATED_KEY_PROBABILITY:
             return self._chance.choice(list(self._world.seen.keys))
         return "k-large"
 
@@ -88,7 +88,7 @@
             self._connection = http.client.HTTPConnection(
                 hosted_fleet.HOST,
                 self._world.callers_ports[self._vm],
-                timeout=CALL_S,
+                timeout=CALL_TIMEOUT_S,
             )
         headers = {
             "Host": hosted_fleet.SITE,
@@ -125,7 +125,11 @@
         except http.client.IncompleteRead as cut:
             attempt.body = cut.partial
             attempt.is_cut = True
-        if closes or attempt.is_cut or self._chance.random() > KEEP_PART:
+        if (
+            closes
+            or attempt.is_cut
+            or self._chance.random() > KEEP_ALIVE_PROBABILITY
+        ):
             self._move()
 
     def _move(self) -> None:
@@ -157,7 +161,7 @@
     """
 
     def __init__(
-        self, seed: int, world_: cluster.World, count: int = CALLERS
+        self, seed: int, world_: cluster.SoakCluster, count: int = CALLERS
     ) -> None:
         self._ending = threading.Event()
         self._callers = [
@@ -174,5 +178,5 @@
         """End all, and return what they sent and got."""
         self._ending.set()
         for one in self._callers:
-            one.join(CALL_S * 2)
+            one.join(CALL_TIMEOUT_S * 2)
         return [attempt for one in self._callers for attempt in one.attempts]
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -9,28 +9,28 @@
 
 from soak import history
 
-__all__ = ["CHECKS", "check"]
+__all__ = ["CHECKS", "find_violations"]
 
-Found = collections.abc.Iterator[str]
+Violations = collections.abc.Iterator[str]
 
 # What a fault does to a VM may show for so long after it.
-SETTLED_MS = 3_000
+SETTLE_MS = 3_000
 # How soon an edit has to be in force, and how soon an upstream that leaves
 # gets nothing new; both are what the entry VMs' settings promise.
-IN_FORCE_MS = 2_000
-LEFT_MS = 2_000
+EDIT_PROPAGATION_MS = 2_000
+DRAIN_PROPAGATION_MS = 2_000
 # A VM that has shown a route may not lose it again; requests that were
 # already on their way when it came may be answered by the tables before.
 REGRESS_MS = 250
 # An answer that comes so long after the deadline was forgotten, not late:
 # the machine itself is busy during a soak.
-LATE_MS = 1_500
+DEADLINE_SLACK_MS = 1_500
 DEADLINE_MS = 4_000
 WINDOW_MS = 8_000
 EVENTS = 20
 REFUSALS = (408, 421, 429, 503)
 # Of the requests of the calm at the end so many have to be served.
-SERVED_PART = 0.95
+MIN_SERVED_FRACTION = 0.95
 
 
 class Quota:
@@ -65,7 +65,7 @@
         return due * (1 + self.over_part) + self.over_tokens
 
 
-def check_runs(seen: history.History) -> Found:
+def check_runs(seen: history.History) -> Violations:
     """No attempt runs more often, elsewhere or for another than it may."""
     sent = {one.name: one for one in seen.attempts}
     for name, runs in _group_runs(seen).items():
@@ -82,14 +82,14 @@
                 yield f"{name} ran at {run.instance}, where it must not"
 
 
-def check_keys(seen: history.History) -> Found:
+def check_keys(seen: history.History) -> Violations:
     """No upstream sees a caller's key."""
     for run in seen.runs:
         if any(key in run.text for key in seen.keys):
             yield f"{run.attempt} showed its key to {run.instance}"
 
 
-def check_refusals(seen: history.History) -> Found:
+def check_refusals(seen: history.History) -> Violations:
     """A refusal tells the truth, and when to come again."""
     ran = _group_runs(seen)
     for one in seen.attempts:
@@ -101,7 +101,7 @@
             yield f"{one.name} was refused without a time to come again"
 
 
-def check_answers(seen: history.History) -> Found:
+def check_answers(seen: history.History) -> Violations:
     """A success is its own upstream's whole answer; a cut one looks cut."""
     seals = collections.defaultdict(set)
     for run in seen.runs:
@@ -117,16 +117,16 @@
             yield f"{one.name} got {one.body[:60]!r}"
 
 
-def check_edits(seen: history.History) -> Found:
+def check_edit_propagation(seen: history.History) -> Violations:
     """An edit is in force on every sound VM in time, and stays so."""
     for edit in seen.edits:
-        due_ms = edit.at_ms + IN_FORCE_MS
+        due_ms = edit.at_ms + EDIT_PROPAGATION_MS
         again = _find_opposite(seen, edit)
         for one in seen.attempts:
             if one.began_ms < due_ms or one.ended_ms >= again:
                 continue
             if not seen.is_sound(
-                one.vm, one.began_ms - SETTLED_MS, one.ended_ms
+                one.vm, one.began_ms - SETTLE_MS, one.ended_ms
             ):
                 continue
             if edit.what == "withdraw" and one.key == edit.name:
@@ -135,15 +135,22 @@
             if edit.what == "give" and one.key == edit.name:
                 if one.status == 401:
                     yield f"{one.name} was denied with a key that holds"
-            if edit.what == "add" and one.kind is history.Kind.LATE:
+            if (
+                edit.what == "add"
+                and one.kind is history.RequestKind.ADDED_ROUTE
+            ):
                 if one.status == 404:
                     yield f"{one.name} found no route after it was added"
 
 
-def check_regress(seen: history.History) -> Found:
+def check_route_regression(seen: history.History) -> Violations:
     """A VM that has shown a route goes on to have it."""
     first: dict[int, int] = {}
-    late = [one for one in seen.attempts if one.kind is history.Kind.LATE]
+    late = [
+        one
+        for one in seen.attempts
+        if one.kind is history.RequestKind.ADDED_ROUTE
+    ]
     for one in sorted(late, key=lambda one: one.ended_ms):
         shown_ms = first.get(one.vm)
         if one.status == 200 and shown_ms is None:
@@ -156,7 +163,7 @@
                 yield f"{one.name} found no route that vm-{one.vm} had shown"
 
 
-def check_leaving(seen: history.History) -> Found:
+def check_draining(seen: history.History) -> Violations:
     """An upstream that leaves gets no new work from sound VMs."""
     sent = {one.name: one for one in seen.attempts}
     left = {one.name: one.at_ms for one in seen.edits if one.what == "leave"}
@@ -164,20 +171,23 @@
         attempt, left_ms = sent.get(run.attempt), left.get(run.instance)
         if attempt is None or left_ms is None:
             continue
-        if run.at_ms <= left_ms + LEFT_MS or attempt.began_ms < left_ms:
+        if (
+            run.at_ms <= left_ms + DRAIN_PROPAGATION_MS
+            or attempt.began_ms < left_ms
+        ):
             continue
-        if seen.is_sound(attempt.vm, left_ms - SETTLED_MS, run.at_ms):
+        if seen.is_sound(attempt.vm, left_ms - SETTLE_MS, run.at_ms):
             yield f"{run.attempt} ran at {run.instance}, which had left"
 
 
-def check_stops(seen: history.History) -> Found:
+def check_graceful_shutdown(seen: history.History) -> Violations:
     """A planned stop of a VM cuts nothing that an upstream had begun."""
     ran = _group_runs(seen)
     for one in seen.attempts:
         is_lost = one.status == 0 or one.is_cut
         if not is_lost or one.has_left or one.name not in ran:
             continue
-        span = (one.began_ms - SETTLED_MS, one.ended_ms)
+        span = (one.began_ms - SETTLE_MS, one.ended_ms)
         if not seen.are_upstreams_sound(*span):
             continue
         kinds = {
@@ -190,17 +200,17 @@
             yield f"{one.name} lost its answer, faults: {sorted(kinds)}"
 
 
-def check_deadlines(seen: history.History) -> Found:
+def check_deadlines(seen: history.History) -> Violations:
     """Nobody waits long after the deadline for a final answer."""
     for one in seen.attempts:
         took_ms = one.ended_ms - one.began_ms
-        if one.has_left or took_ms <= DEADLINE_MS + LATE_MS:
+        if one.has_left or took_ms <= DEADLINE_MS + DEADLINE_SLACK_MS:
             continue
-        if seen.is_sound(one.vm, one.began_ms - SETTLED_MS, one.ended_ms):
+        if seen.is_sound(one.vm, one.began_ms - SETTLE_MS, one.ended_ms):
             yield f"{one.name} was answered after {took_ms} ms"
 
 
-def check_end(seen: history.History) -> Found:
+def check_recovery(seen: history.History) -> Violations:
     """Nothing ends by itself, nothing is held, and all is well again."""
     for vm in seen.exits:
         yield f"{vm} ended by itself"
@@ -214,11 +224,11 @@
         and _is_owed(seen, one)
     ]
     served = sum(one.status == 200 and not one.is_cut for one in calm)
-    if served < len(calm) * SERVED_PART:
+    if served < len(calm) * MIN_SERVED_FRACTION:
         yield f"after all faults {served} of {len(calm)} were served"
 
 
-def check_quota(seen: history.History, quota: Quota) -> Found:
+def check_quota(seen: history.History, quota: Quota) -> Violations:
     """An account gets no more than its rate and burst from all VMs."""
     sent = {one.name: one for one in seen.attempts}
     starts = sorted(
@@ -242,16 +252,16 @@
     check_keys,
     check_refusals,
     check_answers,
-    check_edits,
-    check_regress,
-    check_leaving,
-    check_stops,
+    check_edit_propagation,
+    check_route_regression,
+    check_draining,
+    check_graceful_shutdown,
     check_deadlines,
-    check_end,
+    check_recovery,
 )
 
 
-def check(seen: history.History, quota: Quota) -> list[str]:
+def find_violations(seen: history.History, quota: Quota) -> list[str]:
     """Hold a history against all promises.
 
     :param seen: the history
@@ -272,7 +282,7 @@
     return [int(event.split(b"\n")[0].partition(b":")[2]) for event in events]
 
 
-def _check_stream(one: history.Attempt) -> Found:
+def _check_stream(one: history.Attempt) -> Violations:
     numbers = list_events(one.body)
     if numbers != list(range(1, len(numbers) + 1)):
         yield f"{one.name} got events {numbers}"
@@ -318,7 +328,7 @@
 
 def _is_owed(seen: history.History, one: history.Attempt) -> bool:
     """Tell whether a caller may expect to be served in the calm."""
-    if one.status == 429 or one.kind is history.Kind.LATE:
+    if one.status == 429 or one.kind is history.RequestKind.ADDED_ROUTE:
         return False
     withdrawn = [
         edit.at_ms
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -11,7 +11,7 @@
 from tests import hosted_fleet
 from tests import processes
 
-__all__ = ["OVER_PART", "OVER_TOKENS", "RATE", "World", "now_ms"]
+__all__ = ["OVER_PART", "OVER_TOKENS", "RATE", "SoakCluster", "now_ms"]
 
 HANDLE_MS = 500
 RATE = 2_000
@@ -21,7 +21,7 @@
 READY_S = 15.0
 DOWN_S = 0.2
 # Entries of upstreams that died lapse after about three heartbeats.
-LAPSE_S = 2.5
+ENTRY_EXPIRY_S = 2.5
 # The platform kills a VM that goes on after its grace.
 GRACE_S = 5.0
 WATCH_S = 0.1
@@ -32,7 +32,7 @@
     return time.monotonic_ns() // 1_000_000
 
 
-class World(hosted_fleet.Fleet):
+class SoakCluster(hosted_fleet.Fleet):
     """Everything that runs, with a proxy at each edge.
 
     :param shape: the size
@@ -41,7 +41,7 @@
     an upstream by ``up-NAME``; what VMs tell one another is not disturbed.
     """
 
-    def __init__(self, shape: plan.Shape) -> None:
+    def __init__(self, shape: plan.SoakConfig) -> None:
         super().__init__(shape.vms, rate=RATE)
         self.shape = shape
         self.keys = {"k-large": "large", "k-small": "small", "k-0": "large"}
@@ -61,7 +61,7 @@
         self._watcher = threading.Thread(target=self._watch, daemon=True)
         self._start_proxy()
 
-    def __enter__(self) -> "World":
+    def __enter__(self) -> "SoakCluster":
         for name in self.shape.list_upstreams():
             self.start_life(name)
         self.start_vms()
@@ -116,7 +116,7 @@
     def _start_life(self, name: str) -> None:
         number = self.lives[name] = self.lives.get(name, 0) + 1
         instance = f"{name}-life{number}"
-        service, phase = describe(name)
+        service, phase = parse_upstream_name(name)
         self.seen.services[instance] = service
         port = self.up_ports[name]
         process = self.group.start(
@@ -262,7 +262,7 @@
                     self.seen.exits.append(f"vm-{number} (status {code})")
 
 
-def describe(name: str) -> tuple[str, str]:
+def parse_upstream_name(name: str) -> tuple[str, str]:
     """Return an upstream's service and phase.
 
     :param name: its name, whose first letter tells
--- a/soak/history.py
+++ b/soak/history.py
@@ -6,27 +6,35 @@
 
 import enum
 
-__all__ = ["Attempt", "Edit", "History", "Kind", "Run", "Window"]
+__all__ = ["Attempt", "Edit", "History", "RequestKind", "Run", "FaultWindow"]
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """The kinds of request, with the prefix of their routes."""
 
     PLAIN = "plain"
-    BOOK = "book"
-    TALK = "talk"
-    DIGEST = "digest"
-    LATE = "late"
+    NON_IDEMPOTENT = "book"
+    SINGLE_RUN_STREAM = "talk"
+    RESUMABLE_STREAM = "digest"
+    ADDED_ROUTE = "late"
 
     @property
     def is_stream(self) -> bool:
         """Whether the answer is a stream of events."""
-        return self in (Kind.TALK, Kind.DIGEST)
+        return self in (
+            RequestKind.SINGLE_RUN_STREAM,
+            RequestKind.RESUMABLE_STREAM,
+        )
 
     @property
     def most_runs(self) -> int:
         """How often one attempt may run."""
-        return 1 if self in (Kind.BOOK, Kind.TALK) else 2
+        return (
+            1
+            if self
+            in (RequestKind.NON_IDEMPOTENT, RequestKind.SINGLE_RUN_STREAM)
+            else 2
+        )
 
     @property
     def service(self) -> str:
@@ -66,7 +74,7 @@
     )
 
     def __init__(
-        self, name: str, kind: Kind, key: str, vm: int, began_ms: int
+        self, name: str, kind: RequestKind, key: str, vm: int, began_ms: int
     ) -> None:
         self.name = name
         self.kind = kind
@@ -115,7 +123,7 @@
         self.text = text
 
 
-class Window:
+class FaultWindow:
     """A time in which a fault befell something.
 
     :param kind: the fault
@@ -187,7 +195,7 @@
         self.services: dict[str, str] = {}
         self.attempts: list[Attempt] = []
         self.runs: list[Run] = []
-        self.windows: list[Window] = []
+        self.windows: list[FaultWindow] = []
         self.edits: list[Edit] = []
         # VMs that ended though nobody had told them to.
         self.exits: list[str] = []
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -51,11 +51,13 @@
     :param steps: the plan
     """
 
-    def __init__(self, world_: cluster.World, steps: list[plan.Step]) -> None:
+    def __init__(
+        self, world_: cluster.SoakCluster, steps: list[plan.ScheduledFault]
+    ) -> None:
         self._world = world_
         self._steps = steps
         self._actions: dict[
-            str, collections.abc.Callable[[plan.Step], None]
+            str, collections.abc.Callable[[plan.ScheduledFault], None]
         ] = {
             "vm_kill": lambda step: world_.kill_vm(int(step.target)),
             "vm_term": lambda step: world_.end_vm(int(step.target)),
@@ -83,11 +85,11 @@
             for one in running:
                 one.result()
 
-    def _play_step(self, step: plan.Step, began_ms: int) -> None:
+    def _play_step(self, step: plan.ScheduledFault, began_ms: int) -> None:
         wait_ms = began_ms + step.at_ms - cluster.now_ms()
         time.sleep(max(wait_ms, 0) / MS_IN_S)
-        window = history.Window(
-            step.kind, name_target(step), cluster.now_ms(), 1 << 62
+        window = history.FaultWindow(
+            step.kind, get_target_name(step), cluster.now_ms(), 1 << 62
         )
         self._world.seen.windows.append(window)
         try:
@@ -96,8 +98,8 @@
             window.to_ms = cluster.now_ms()
 
     def _find_action(
-        self, step: plan.Step
-    ) -> collections.abc.Callable[[plan.Step], None]:
+        self, step: plan.ScheduledFault
+    ) -> collections.abc.Callable[[plan.ScheduledFault], None]:
         if step.kind in self._actions:
             return self._actions[step.kind]
         if step.kind in STORE_SWITCHES:
@@ -106,7 +108,7 @@
             return self._switch_upstream
         return self._switch_pair
 
-    def _switch_pair(self, step: plan.Step) -> None:
+    def _switch_pair(self, step: plan.ScheduledFault) -> None:
         place, _, how = step.kind.partition("_")
         on, off = PAIR_SWITCHES[how]
         name = f"{place}-{step.target}"
@@ -115,50 +117,50 @@
         if off:
             self._world.change_pair(name, **off)
 
-    def _switch_store(self, step: plan.Step) -> None:
+    def _switch_store(self, step: plan.ScheduledFault) -> None:
         self._world.set_store_fault(STORE_SWITCHES[step.kind])
         _rest(step)
         self._world.set_store_fault("")
 
-    def _switch_upstream(self, step: plan.Step) -> None:
+    def _switch_upstream(self, step: plan.ScheduledFault) -> None:
         fault, value = UPSTREAM_SWITCHES[step.kind]
         self._world.set_upstream_fault(step.target, **{fault: value})
         _rest(step)
         self._world.set_upstream_fault(step.target, **{fault: 0})
 
-    def _pause_vm(self, step: plan.Step) -> None:
+    def _pause_vm(self, step: plan.ScheduledFault) -> None:
         vm = self._world.vms[int(step.target)]
         vm.send_signal(signal.SIGSTOP)
         _rest(step)
         vm.send_signal(signal.SIGCONT)
 
-    def _reload_vm(self, step: plan.Step) -> None:
+    def _reload_vm(self, step: plan.ScheduledFault) -> None:
         number = int(step.target)
         self._world.write_settings(number, self._world.ties[number])
         self._world.vms[number].send_signal(signal.SIGHUP)
 
-    def _kill_all(self, step: plan.Step) -> None:
+    def _kill_all(self, step: plan.ScheduledFault) -> None:
         numbers = range(len(self._world.vms))
         with concurrent.futures.ThreadPoolExecutor() as pool:
             list(pool.map(self._world.kill_vm, numbers))
 
-    def _compact(self, step: plan.Step) -> None:
+    def _compact(self, step: plan.ScheduledFault) -> None:
         self._world.compact()
 
-    def _kill_upstream(self, step: plan.Step) -> None:
+    def _kill_upstream(self, step: plan.ScheduledFault) -> None:
         ended = self._world.end_life(step.target)
         _rest(step)
         self._world.start_life(step.target)
-        time.sleep(cluster.LAPSE_S)
+        time.sleep(cluster.ENTRY_EXPIRY_S)
         self._world.drop("servers", ended)
 
-    def _pause_upstream(self, step: plan.Step) -> None:
+    def _pause_upstream(self, step: plan.ScheduledFault) -> None:
         process = self._world.find_process(step.target)
         process.send_signal(signal.SIGSTOP)
         _rest(step)
         process.send_signal(signal.SIGCONT)
 
-    def _leave(self, step: plan.Step) -> None:
+    def _leave(self, step: plan.ScheduledFault) -> None:
         name = step.target
         instance = self._world.instances[name]
         self._world.register(instance, "draining")
@@ -171,7 +173,7 @@
         self._world.drop("servers", instance)
         self._world.start_life(name)
 
-    def _add_route(self, step: plan.Step) -> None:
+    def _add_route(self, step: plan.ScheduledFault) -> None:
         with self._world.lock:
             if self._world.routes:
                 return
@@ -183,7 +185,7 @@
             self._world.configure()
         self._note("add", "/late/")
 
-    def _change_key(self, step: plan.Step) -> None:
+    def _change_key(self, step: plan.ScheduledFault) -> None:
         """Take the changing key away and give another one."""
         with self._world.lock:
             before = next(
@@ -197,7 +199,7 @@
             self._note("withdraw", before)
             self._note("give", after)
 
-    def _change_rate(self, step: plan.Step) -> None:
+    def _change_rate(self, step: plan.ScheduledFault) -> None:
         with self._world.lock:
             self._world.rate = cluster.RATE // 2
             self._world.configure()
@@ -206,12 +208,12 @@
             self._world.rate = cluster.RATE
             self._world.configure()
 
-    def _poison(self, step: plan.Step) -> None:
+    def _poison(self, step: plan.ScheduledFault) -> None:
         """Send a request of which each server dies that runs it."""
         number = int(step.target)
         attempt = history.Attempt(
             f"poison-{step.at_ms}",
-            history.Kind.PLAIN,
+            history.RequestKind.PLAIN,
             "k-large",
             number,
             cluster.now_ms(),
@@ -239,7 +241,7 @@
         )
 
 
-def name_target(step: plan.Step) -> str:
+def get_target_name(step: plan.ScheduledFault) -> str:
     """Return what a step befalls, as windows name it.
 
     :param step: the step
@@ -255,5 +257,5 @@
     return f"{place}-{step.target}"
 
 
-def _rest(step: plan.Step) -> None:
+def _rest(step: plan.ScheduledFault) -> None:
     time.sleep(step.for_ms / MS_IN_S)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -3,13 +3,18 @@
 import collections.abc
 import random
 
-__all__ = ["CALM_MS", "Shape", "Step", "make_plan"]
+__all__ = [
+    "COOLDOWN_MS",
+    "SoakConfig",
+    "ScheduledFault",
+    "make_fault_schedule",
+]
 
 # Faults end this long before the plan does, so that what comes after shows
 # whether everything has recovered.
-CALM_MS = 7_000
+COOLDOWN_MS = 7_000
 # Of that, what recovery may take.
-RECOVER_MS = 4_000
+RECOVERY_MS = 4_000
 LEAST_FOR_MS = 200
 # Silences and pauses are drawn up to this; it is longer than the time after
 # which a VM is taken for silent and shorter than that for which it is
@@ -48,7 +53,7 @@
 EDITS = ("edit_route", "edit_key", "edit_rate")
 FLEET_FAULTS = ("all_kill", "poison")
 # How often each sort is drawn.
-SORTS = (
+WEIGHTED_FAULT_GROUPS = (
     (VM_FAULTS, 5),
     (STORE_FAULTS, 2),
     (UPSTREAM_FAULTS, 6),
@@ -57,7 +62,7 @@
 )
 
 
-class Shape:
+class SoakConfig:
     """The size of a soak.
 
     :param vms: entry VMs
@@ -102,7 +107,7 @@
         ]
 
 
-class Step:
+class ScheduledFault:
     """One fault.
 
     :param at_ms: when it comes, from the plan's beginning
@@ -122,7 +127,7 @@
         self.for_ms = for_ms
 
 
-def make_plan(seed: int, shape: Shape) -> list[Step]:
+def make_fault_schedule(seed: int, shape: SoakConfig) -> list[ScheduledFault]:
     """Return a plan; the same one for the same seed and shape.
 
     :param seed: decides everything
@@ -139,12 +144,13 @@
 
 
 def _make_chain(
-    chance: random.Random, shape: Shape
-) -> collections.abc.Iterator[Step]:
+    chance: random.Random, shape: SoakConfig
+) -> collections.abc.Iterator[ScheduledFault]:
     """Yield faults of one sort at one place, one soon after the other."""
     at_ms = chance.randrange(500, shape.length_ms // 2)
     (kinds,) = chance.choices(
-        [kinds for kinds, _ in SORTS], [often for _, often in SORTS]
+        [kinds for kinds, _ in WEIGHTED_FAULT_GROUPS],
+        [often for _, often in WEIGHTED_FAULT_GROUPS],
     )
     target = _choose_target(chance, shape, kinds)
     for _ in range(chance.randint(1, MOST_STEPS)):
@@ -152,7 +158,7 @@
         for_ms = min(for_ms, shape.length_ms - at_ms)
         if for_ms < LEAST_FOR_MS:
             return
-        yield Step(at_ms, chance.choice(kinds), target, for_ms)
+        yield ScheduledFault(at_ms, chance.choice(kinds), target, for_ms)
         # A chain may go on before its last fault has ended.
         at_ms += chance.randint(100, MOST_GAP_MS) + (
             for_ms if chance.random() < 0.5 else 0
@@ -160,7 +166,7 @@
 
 
 def _choose_target(
-    chance: random.Random, shape: Shape, kinds: tuple[str, ...]
+    chance: random.Random, shape: SoakConfig, kinds: tuple[str, ...]
 ) -> str:
     if kinds is UPSTREAM_FAULTS:
         return chance.choice(shape.list_upstreams())
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,11 +11,11 @@
 from soak import injector
 from soak import plan
 
-__all__ = ["Outcome", "play"]
+__all__ = ["SeedResult", "run_seed"]
 
 MS_IN_S = 1_000
 # What runs when the last caller has gone has to end within this time.
-FREED_S = 1.5
+RELEASE_TIMEOUT_S = 1.5
 QUOTA = checks.Quota(
     "small",
     cluster.RATE,
@@ -25,7 +25,7 @@
 )
 
 
-class Outcome:
+class SeedResult:
     """What came of a seed.
 
     :param seed: the seed
@@ -39,7 +39,7 @@
     def __init__(
         self,
         seed: int,
-        steps: list[plan.Step],
+        steps: list[plan.ScheduledFault],
         seen: history.History,
         broken: list[str],
     ) -> None:
@@ -61,9 +61,9 @@
         )
 
 
-def play(
-    seed: int, shape: plan.Shape, keep: pathlib.Path | None = None
-) -> Outcome:
+def run_seed(
+    seed: int, shape: plan.SoakConfig, keep: pathlib.Path | None = None
+) -> SeedResult:
     """Play one seed.
 
     :param seed: decides the plan and the callers
@@ -71,27 +71,27 @@
     :param keep: a folder that the logs of a failed seed are copied to
     :returns: what came of it
     """
-    steps = plan.make_plan(seed, shape)
-    with cluster.World(shape) as world_:
+    steps = plan.make_fault_schedule(seed, shape)
+    with cluster.SoakCluster(shape) as world_:
         crowd = callers.Callers(seed, world_)
         began_ms = cluster.now_ms()
         crowd.start()
         injector.Injector(world_, steps).play()
         ended_ms = max(cluster.now_ms(), began_ms + shape.length_ms)
-        world_.seen.calm_ms = ended_ms + plan.RECOVER_MS
-        left_ms = ended_ms + plan.CALM_MS - cluster.now_ms()
+        world_.seen.calm_ms = ended_ms + plan.RECOVERY_MS
+        left_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
         time.sleep(left_ms / MS_IN_S)
         world_.seen.attempts += crowd.stop()
-        time.sleep(FREED_S)
+        time.sleep(RELEASE_TIMEOUT_S)
         world_.seen.held = world_.count_held()
         seen = world_.read_history()
-        broken = checks.check(seen, QUOTA)
+        broken = checks.find_violations(seen, QUOTA)
         if broken and keep is not None:
             _keep_logs(world_, keep / f"seed-{seed}")
-    return Outcome(seed, steps, seen, broken)
+    return SeedResult(seed, steps, seen, broken)
 
 
-def _keep_logs(world_: cluster.World, folder: pathlib.Path) -> None:
+def _keep_logs(world_: cluster.SoakCluster, folder: pathlib.Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     for file in pathlib.Path(world_.folder.name).iterdir():
         if file.suffix in (".log", ".jsonl"):
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -38,13 +38,13 @@
     float: flags.DEFINE_float,
 }
 
-for _name, _value in vars(engine_types.Shape()).items():
+for _name, _value in vars(engine_types.EngineParameters()).items():
     DEFINE[type(_value)](_name, _value, "see standins/engine_types.py")
 
 
-def make_shape() -> engine_types.Shape:
+def make_parameters() -> engine_types.EngineParameters:
     """Return the figures from the command line."""
-    shape = engine_types.Shape()
+    shape = engine_types.EngineParameters()
     for name in vars(shape):
         setattr(shape, name, getattr(FLAGS, name))
     return shape
@@ -58,7 +58,7 @@
     servers = {
         port: engine_server.EngineServer(
             f"{FLAGS.host}:{port}",
-            make_shape(),
+            make_parameters(),
             role,
             tuple(FLAGS.models),
             FLAGS.seed + number,
--- a/standins/engine_completion.py
+++ b/standins/engine_completion.py
@@ -10,7 +10,11 @@
 from standins import answers
 from standins import engine_types
 
-__all__ = ["Call", "Exchange", "read_call"]
+__all__ = [
+    "CompletionRequest",
+    "CompletionResponder",
+    "parse_completion_request",
+]
 
 DEFAULT_TOKENS = 16
 DONE = b"data: [DONE]\n\n"
@@ -18,7 +22,7 @@
 MOST_UNSENT_BYTES = 4 << 20
 
 
-class Call:
+class CompletionRequest:
     """A completion call's body, read.
 
     :param body: the JSON object
@@ -36,7 +40,7 @@
         self.params = body.get("kv_transfer_params") or {}
 
 
-def read_call(body: dict[str, typing.Any]) -> Call:
+def parse_completion_request(body: dict[str, typing.Any]) -> CompletionRequest:
     """Return the call.
 
     :param body: the JSON object
@@ -44,12 +48,12 @@
     :raises web.HTTPBadRequest: if a value is of the wrong type
     """
     try:
-        return Call(body)
+        return CompletionRequest(body)
     except (TypeError, ValueError) as error:
         raise web.HTTPBadRequest(text=str(error)) from error
 
 
-class Exchange:
+class CompletionResponder:
     """Sends a run's tokens as they come.
 
     Events go to the transport directly: a task switch and an awaited write
@@ -79,8 +83,8 @@
 
     def __init__(
         self,
-        call: Call,
-        run: engine_types.Run,
+        call: CompletionRequest,
+        run: engine_types.EngineRequest,
         record: dict[str, typing.Any],
         stamps: bool = False,
     ) -> None:
--- a/standins/engine_kv_transfer.py
+++ b/standins/engine_kv_transfer.py
@@ -10,13 +10,13 @@
 from standins import engine_model
 from standins import serving
 
-__all__ = ["EngineHandles"]
+__all__ = ["KvTransfer"]
 
 TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 OK = 200
 
 
-class EngineHandles:
+class KvTransfer:
     """Both ends: gives out this engine's handles, claims other engines'.
 
     :param model: the engine
@@ -84,7 +84,7 @@
             request.match_info["handle"], self._pump()
         )
         if run is None:
-            return serving.answer_error(410, "expired")
+            return serving.make_error_response(410, "expired")
         self._pump()
         return serving.answer({"prompt_tokens": run.prompt_tokens})
 
