--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -20,9 +20,9 @@
 
 EventKind = engine_types.EventKind
 ModelEvent = engine_types.ModelEvent
-Phase = engine_types.Phase
-Refused = engine_types.Refused
-Run = engine_types.Run
+RequestPhase = engine_types.RequestPhase
+RejectReason = engine_types.RejectReason
+EngineRequest = engine_types.EngineRequest
 
 NEVER = math.inf
 # How long an importing engine may keep another's handle without release.
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        shape: engine_types.Shape,
+        shape: engine_types.EngineParameters,
         role: str,
         models: tuple[str, ...],
         seed: int = 0,
@@ -58,21 +58,21 @@
             random.Random(seed),
         )
         self.fencing = 0
-        self.held: dict[Run, None] = {}
+        self.held: dict[EngineRequest, None] = {}
         self.free_blocks = shape.total_blocks
         self._numbers = itertools.count(1)
         self._prefills = prefill_queue.PrefillQueue(shape, self.cache)
-        self._link = shared_link.Link(shape)
-        self._batch: list[Run] = []
+        self._link = shared_link.SharedLink(shape)
+        self._batch: list[EngineRequest] = []
         self._reserved = 0
         self._step_ms = NEVER
-        self._handles: dict[str, Run] = {}
+        self._handles: dict[str, EngineRequest] = {}
         self._loading: list[tuple[float, str]] = []
         self._history = load_history.LoadHistory(shape.total_blocks)
 
     def submit_prefill(
-        self, run: Run, now_ms: float, decodes: bool = False
-    ) -> Refused | None:
+        self, run: EngineRequest, now_ms: float, decodes: bool = False
+    ) -> RejectReason | None:
         """Queue a prefill.
 
         :param run: the run
@@ -81,19 +81,21 @@
         :returns: why it was refused, or none
         """
         if self.role == "decode" or (decodes and self.role != "both"):
-            return Refused.WRONG_ROLE
+            return RejectReason.WRONG_ROLE
         if run.model not in self.models:
-            return Refused.NOT_READY
+            return RejectReason.NOT_READY
         if self._prefills.is_full():
-            return Refused.FULL
+            return RejectReason.FULL
         if not self._take(run, decodes):
-            return Refused.FULL
+            return RejectReason.FULL
         run.decodes = decodes
         self._prefills.add(run, now_ms)
         self._snapshot(now_ms)
         return None
 
-    def submit_decode(self, run: Run, now_ms: float) -> Refused | None:
+    def submit_decode(
+        self, run: EngineRequest, now_ms: float
+    ) -> RejectReason | None:
         """Begin to import a KV cache and then to generate.
 
         :param run: the run
@@ -101,18 +103,18 @@
         :returns: why it was refused, or none
         """
         if self.role == "prefill":
-            return Refused.WRONG_ROLE
+            return RejectReason.WRONG_ROLE
         if run.model not in self.models:
-            return Refused.NOT_READY
+            return RejectReason.NOT_READY
         if not self._take(run, True):
-            return Refused.FULL
+            return RejectReason.FULL
         run.decodes = True
-        run.phase = Phase.TRANSFER
+        run.phase = RequestPhase.TRANSFER
         self._link.add(run, now_ms)
         self._snapshot(now_ms)
         return None
 
-    def cancel(self, run: Run, now_ms: float) -> bool:
+    def cancel(self, run: EngineRequest, now_ms: float) -> bool:
         """Free what a run holds; idempotent.
 
         :param run: the run
@@ -130,7 +132,7 @@
         self._let_go(run, now_ms)
         return True
 
-    def claim_handle(self, handle: str, now_ms: float) -> Run | None:
+    def claim_handle(self, handle: str, now_ms: float) -> EngineRequest | None:
         """Pin a prefill's result for an import; none once it has expired.
 
         :param handle: the handle's name
@@ -220,7 +222,7 @@
             self._expire_handles(at_ms, found)
         return found
 
-    def _take(self, run: Run, decodes: bool) -> bool:
+    def _take(self, run: EngineRequest, decodes: bool) -> bool:
         tokens = run.prompt_tokens + (run.output_tokens if decodes else 0)
         blocks = math.ceil(tokens / self.shape.block_tokens)
         has_slot = not decodes or self._reserved < self.shape.slots
@@ -232,13 +234,13 @@
         self.held[run] = None
         return True
 
-    def _let_go(self, run: Run, now_ms: float) -> None:
+    def _let_go(self, run: EngineRequest, now_ms: float) -> None:
         del self.held[run]
         self._handles.pop(run.handle, None)
         self.free_blocks += run.blocks
         self._reserved -= run.decodes
         run.blocks = 0
-        run.phase = Phase.DONE
+        run.phase = RequestPhase.DONE
         self._snapshot(now_ms)
 
     def _snapshot(self, now_ms: float) -> None:
@@ -258,7 +260,7 @@
         if run.decodes:
             self._join_batch(run, at_ms)
         else:
-            run.phase = Phase.TRANSFER
+            run.phase = RequestPhase.TRANSFER
             run.handle = f"{run.request_id}-{next(self._numbers)}"
             run.ends_ms = at_ms + self.shape.handle_ms
             self._handles[run.handle] = run
@@ -270,8 +272,8 @@
             self._join_batch(run, at_ms)
             found.append(ModelEvent(EventKind.IMPORTED, run, at_ms))
 
-    def _join_batch(self, run: Run, at_ms: float) -> None:
-        run.phase = Phase.DECODE
+    def _join_batch(self, run: EngineRequest, at_ms: float) -> None:
+        run.phase = RequestPhase.DECODE
         self._batch.append(run)
         if self._step_ms == NEVER:
             self._step_ms = at_ms + self._step_length_ms()
@@ -311,5 +313,5 @@
         self._loading = [entry for entry in self._loading if entry[0] > at_ms]
 
 
-def _is_whole(run: Run) -> bool:
+def _is_whole(run: EngineRequest) -> bool:
     return run.generated >= run.output_tokens
--- a/standins/engine_server.py
+++ b/standins/engine_server.py
@@ -22,7 +22,7 @@
 
 CRASH_AFTER_S = 0.02
 CRASH_STATUS = 70
-Exchange = engine_completion.Exchange
+CompletionResponder = engine_completion.CompletionResponder
 EventKind = engine_types.EventKind
 
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         address: str,
-        shape: engine_types.Shape,
+        shape: engine_types.EngineParameters,
         role: str,
         models: tuple[str, ...],
         seed: int,
@@ -59,9 +59,7 @@
         self._refuse_status = 0
         self._numbers = itertools.count(1)
         self._timer: asyncio.TimerHandle | None = None
-        self._handles = engine_kv_transfer.EngineHandles(
-            self.model, self._pump
-        )
+        self._handles = engine_kv_transfer.KvTransfer(self.model, self._pump)
 
     def make_app(self) -> web.Application:
         """Return the application to serve."""
@@ -69,7 +67,7 @@
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_delete("/v1/requests/{id}", self._cancel)
         app.router.add_post("/standin/faults", self._set_faults)
-        engine_status_api.EngineReports(
+        engine_status_api.EngineStatusApi(
             self.model, self.recorder, self._pump
         ).add_routes(app)
         self.recorder.add_routes(app)
@@ -83,7 +81,7 @@
         """Let the model catch up, tell what happened, and wait for more."""
         now_ms = self._now_ms()
         for event in self.model.advance(now_ms):
-            if isinstance(event.run.context, Exchange):
+            if isinstance(event.run.context, CompletionResponder):
                 self._tell(event, event.run.context)
         if self._timer is not None:
             self._timer.cancel()
@@ -95,7 +93,7 @@
         return now_ms
 
     def _tell(
-        self, event: engine_types.ModelEvent, exchange: Exchange
+        self, event: engine_types.ModelEvent, exchange: CompletionResponder
     ) -> None:
         if event.kind is EventKind.TOKEN:
             exchange.send_token(event.index)
@@ -112,16 +110,18 @@
 
     def _check(self, request: web.Request) -> web.Response | None:
         if self._refuse_status:
-            return serving.answer_error(self._refuse_status, "switched")
+            return serving.make_error_response(self._refuse_status, "switched")
         wanted = f"Bearer {self._credential}"
         if self._credential and request.headers.get("Authorization") != wanted:
-            return serving.answer_error(401, "wrong credential")
+            return serving.make_error_response(401, "wrong credential")
         return None
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         raw = await request.read()
         self.recorder.note(request, raw)
-        call = engine_completion.read_call(await serving.read_json(request))
+        call = engine_completion.parse_completion_request(
+            await serving.read_json(request)
+        )
         refused = self._check(request)
         if refused is not None:
             return refused
@@ -138,13 +138,13 @@
         return await self._run_whole(request, call, exchange)
 
     def _make_exchange(
-        self, request: web.Request, call: engine_completion.Call
-    ) -> Exchange:
+        self, request: web.Request, call: engine_completion.CompletionRequest
+    ) -> CompletionResponder:
         request_id = request.headers.get(
             "X-Request-Id", f"{self.address}-{next(self._numbers)}"
         )
         answer = answers.Answer(call.model, call.prompt, call.max_tokens)
-        run = engine_types.Run(
+        run = engine_types.EngineRequest(
             request_id,
             request.headers.get("X-Request-Owner", ""),
             call.model,
@@ -167,11 +167,11 @@
             "tokens": 0,
         }
         self.recorder.runs.append(record)
-        run.context = Exchange(call, run, record, self._stamps)
+        run.context = CompletionResponder(call, run, record, self._stamps)
         return run.context
 
     def _refuse(
-        self, exchange: Exchange, refused: engine_types.Refused
+        self, exchange: CompletionResponder, refused: engine_types.RejectReason
     ) -> web.Response:
         exchange.record["outcome"] = "refused"
         return self._answer(
@@ -180,7 +180,7 @@
 
     def _answer(
         self,
-        exchange: Exchange,
+        exchange: CompletionResponder,
         body: dict[str, typing.Any],
         status: int = 200,
     ) -> web.Response:
@@ -188,7 +188,7 @@
         response.headers["X-Request-Id"] = exchange.run.request_id
         return response
 
-    async def _prefill(self, exchange: Exchange) -> web.Response:
+    async def _prefill(self, exchange: CompletionResponder) -> web.Response:
         run = exchange.run
         refused = self.model.submit_prefill(run, self._now_ms())
         if refused is not None:
@@ -219,8 +219,8 @@
     async def _decode(
         self,
         request: web.Request,
-        call: engine_completion.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         refused = self.model.submit_decode(exchange.run, self._now_ms())
         if refused is not None:
@@ -229,7 +229,7 @@
             if not await self._handles.claim(call.params):
                 self._drop(exchange)
                 return self._refuse(
-                    exchange, engine_types.Refused.HANDLE_EXPIRED
+                    exchange, engine_types.RejectReason.HANDLE_EXPIRED
                 )
             exchange.imported.add_done_callback(
                 lambda _: self._handles.release_later(call.params)
@@ -242,8 +242,8 @@
     async def _run_whole(
         self,
         request: web.Request,
-        call: engine_completion.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         refused = self.model.submit_prefill(
             exchange.run, self._now_ms(), decodes=True
@@ -259,8 +259,8 @@
     async def _reply(
         self,
         request: web.Request,
-        call: engine_completion.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         if not call.stream:
             if await exchange.finished:
@@ -282,7 +282,7 @@
             request.transport.close()
         return response
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _drop(self, exchange: CompletionResponder) -> None:
         if self.model.cancel(exchange.run, self._now_ms()):
             exchange.record["outcome"] = "cancelled"
             exchange.abandon()
--- a/standins/engine_status_api.py
+++ b/standins/engine_status_api.py
@@ -8,10 +8,10 @@
 from standins import recorder
 from standins import serving
 
-__all__ = ["EngineReports"]
+__all__ = ["EngineStatusApi"]
 
 
-class EngineReports:
+class EngineStatusApi:
     """The calls around the completions.
 
     :param model: the engine
@@ -91,6 +91,6 @@
             now_ms,
         )
         if not taken:
-            return serving.answer_error(409, "an old fencing number")
+            return serving.make_error_response(409, "an old fencing number")
         self._pump()
         return serving.answer({})
--- a/standins/engine_types.py
+++ b/standins/engine_types.py
@@ -2,10 +2,17 @@
 
 import enum
 
-__all__ = ["EventKind", "ModelEvent", "Phase", "Refused", "Run", "Shape"]
+__all__ = [
+    "EventKind",
+    "ModelEvent",
+    "RequestPhase",
+    "RejectReason",
+    "EngineRequest",
+    "EngineParameters",
+]
 
 
-class Shape:
+class EngineParameters:
     """The figures of one engine; times in ms, sizes in bytes or tokens.
 
     ``token_ms`` holds for a full batch; an empty one is faster by the share
@@ -33,7 +40,7 @@
         self.slow_factor = 1.0
 
 
-class Refused(enum.Enum):
+class RejectReason(enum.Enum):
     """Why an engine did not take a run; the value is the HTTP status."""
 
     FULL = 429
@@ -42,7 +49,7 @@
     WRONG_ROLE = 400
 
 
-class Phase(enum.Enum):
+class RequestPhase(enum.Enum):
     """Where a run stands; the four first hold memory."""
 
     QUEUED = "queued"
@@ -52,7 +59,7 @@
     DONE = "done"
 
 
-class Run:
+class EngineRequest:
     """One attempt that an engine works on.
 
     :param request_id: the attempt's name
@@ -104,7 +111,7 @@
         self.priority = priority
         self.generated = offset
         self.cached_tokens = 0
-        self.phase = Phase.QUEUED
+        self.phase = RequestPhase.QUEUED
         self.blocks = 0
         self.decodes = False
         self.handle = ""
@@ -136,7 +143,7 @@
     __slots__ = ("kind", "run", "at_ms", "index")
 
     def __init__(
-        self, kind: EventKind, run: Run, at_ms: float, index: int = 0
+        self, kind: EventKind, run: EngineRequest, at_ms: float, index: int = 0
     ) -> None:
         self.kind = kind
         self.run = run
--- a/standins/faultproxy.py
+++ b/standins/faultproxy.py
@@ -31,7 +31,7 @@
     :param pairs: the pairs by name
     """
 
-    def __init__(self, pairs: dict[str, proxy_pair.Pair]) -> None:
+    def __init__(self, pairs: dict[str, proxy_pair.Proxy]) -> None:
         self._pairs = pairs
 
     def make_app(self) -> web.Application:
@@ -49,11 +49,11 @@
     async def _change(self, request: web.Request) -> web.Response:
         pair = self._pairs.get(request.match_info["name"])
         if pair is None:
-            return serving.answer_error(404, "no such pair")
+            return serving.make_error_response(404, "no such pair")
         try:
             await pair.change(await serving.read_json(request))
         except ValueError as error:
-            return serving.answer_error(400, str(error))
+            return serving.make_error_response(400, str(error))
         return serving.answer(pair.show())
 
 
@@ -71,7 +71,7 @@
     pairs = {}
     for number, text in enumerate(FLAGS.pair):
         name, listen, target = text.split("=")
-        pair = proxy_pair.Pair(
+        pair = proxy_pair.Proxy(
             name, split_address(target), FLAGS.seed + number
         )
         pairs[name] = pair
--- a/standins/hosted_store.py
+++ b/standins/hosted_store.py
@@ -69,7 +69,7 @@
         self.calls += 1
         fault = self._fault
         if fault == "refuse":
-            return serving.answer_error(503, "turned away")
+            return serving.make_error_response(503, "turned away")
         if fault == "silent":
             await asyncio.sleep(SILENT_S)
         response = await handler(request)
@@ -97,7 +97,7 @@
         since = int(request.query["watch"])
         wait_s = int(request.query.get("wait_ms", 0)) / MS_IN_S
         if since < self._oldest:
-            return serving.answer_error(410, "that history is gone")
+            return serving.make_error_response(410, "that history is gone")
 
         def list_events() -> list[dict[str, typing.Any]]:
             return [
@@ -129,14 +129,14 @@
     async def _read(self, request: web.Request) -> web.Response:
         found = self._find(request)
         if found is None:
-            return serving.answer_error(404, "no such object")
+            return serving.make_error_response(404, "no such object")
         return serving.answer(found)
 
     async def _replace(self, request: web.Request) -> web.Response:
         kind, name = request.match_info["kind"], request.match_info["name"]
         found = self._find(request)
         if found is None:
-            return serving.answer_error(404, "no such object")
+            return serving.make_error_response(404, "no such object")
         body = await serving.read_json(request)
         wanted = body.get("metadata", {}).get("revision")
         if wanted is not None and wanted != found["metadata"]["revision"]:
@@ -146,7 +146,7 @@
     async def _delete(self, request: web.Request) -> web.Response:
         found = self._find(request)
         if found is None:
-            return serving.answer_error(404, "no such object")
+            return serving.make_error_response(404, "no such object")
         wanted = request.query.get("revision")
         if wanted and int(wanted) != found["metadata"]["revision"]:
             return serving.answer(found, 409)
--- a/standins/hosted_upstreams.py
+++ b/standins/hosted_upstreams.py
@@ -206,7 +206,7 @@
     async def _take(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         if name not in self.handles:
-            return serving.answer_error(404, "no such handle")
+            return serving.make_error_response(404, "no such handle")
         self.handles.discard(name)
         return serving.answer({})
 
@@ -246,7 +246,7 @@
     async def _order(self, request: web.Request) -> web.Response:
         body = await serving.read_json(request)
         if body.get("expect", self.orders) != self.orders:
-            return serving.answer_error(409, "another state")
+            return serving.make_error_response(409, "another state")
         self.orders += 1
         self.phase = body["phase"]
         return serving.answer({}, 202)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -67,9 +67,9 @@
         self.store = store.Store(most_changes)
         self.faults = platform_faults.Faults(seed)
         self.watches = watches.Watches(self.store, self.faults)
-        self.calls = rate_limits.Calls()
-        self._writes = rate_limits.Rate(writes_per_s)
-        self._reads = rate_limits.Rate(reads_per_s)
+        self.calls = rate_limits.CallCounter()
+        self._writes = rate_limits.TokenBucket(writes_per_s)
+        self._reads = rate_limits.TokenBucket(reads_per_s)
         self._nodes: list[typing.Any] = []
         self._nodes_lag_ms = nodes_lag_ms
         self._latency_ms = latency_ms
@@ -109,9 +109,9 @@
             slow_ms = self.faults.slow_ms if faulty else 0
             await asyncio.sleep((self._latency_ms + slow_ms) / 1000)
             if faulty and self.faults.outage:
-                return serving.answer_error(503, "an outage")
+                return serving.make_error_response(503, "an outage")
             if not self._take(verb):
-                return serving.answer_error(429, "over the rate")
+                return serving.make_error_response(429, "over the rate")
             response = await self._run(handler, request)
             loses = verb in WRITES and faulty and self.faults.loses_reply()
             if loses and request.transport is not None:
@@ -132,7 +132,7 @@
         try:
             return await handler(request)
         except tuple(STATUSES) as error:
-            return serving.answer_error(
+            return serving.make_error_response(
                 STATUSES[type(error)], f"{type(error).__name__}: {error}"
             )
 
@@ -187,7 +187,7 @@
             try:
                 self.faults.change(values)
             except ValueError as error:
-                return serving.answer_error(400, str(error))
+                return serving.make_error_response(400, str(error))
             if "stale" in values:
                 self.store.freeze(self.faults.stale)
             if self.faults.silent_watches:
--- a/standins/prefill_queue.py
+++ b/standins/prefill_queue.py
@@ -18,13 +18,15 @@
     """
 
     def __init__(
-        self, shape: engine_types.Shape, cache: prefix_cache.PrefixCache
+        self,
+        shape: engine_types.EngineParameters,
+        cache: prefix_cache.PrefixCache,
     ) -> None:
         self._shape = shape
         self._cache = cache
         self._numbers = itertools.count(1)
-        self._waiting: list[tuple[int, int, engine_types.Run]] = []
-        self._current: engine_types.Run | None = None
+        self._waiting: list[tuple[int, int, engine_types.EngineRequest]] = []
+        self._current: engine_types.EngineRequest | None = None
 
     def __len__(self) -> int:
         return len(self._waiting) + (self._current is not None)
@@ -33,7 +35,7 @@
         """Tell whether no further prefill may wait."""
         return len(self._waiting) >= self._shape.most_prefills
 
-    def add(self, run: engine_types.Run, now_ms: float) -> None:
+    def add(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Queue a prefill.
 
         :param run: the run
@@ -43,7 +45,7 @@
         heapq.heappush(self._waiting, (run.priority, number, run))
         self._start(now_ms)
 
-    def remove(self, run: engine_types.Run, now_ms: float) -> None:
+    def remove(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Give a run's prefill up, if it waits or is under way.
 
         :param run: the run
@@ -61,7 +63,7 @@
         """Return when the current prefill ends; infinite if there is none."""
         return self._current.ends_ms if self._current else math.inf
 
-    def end(self, at_ms: float) -> engine_types.Run | None:
+    def end(self, at_ms: float) -> engine_types.EngineRequest | None:
         """Take out the prefill that has ended, and start the next.
 
         :param at_ms: the present
@@ -81,7 +83,7 @@
         run = heapq.heappop(self._waiting)[2]
         hits = self._cache.count_hits(run.hashes)
         run.cached_tokens = hits * self._shape.block_tokens
-        run.phase = engine_types.Phase.PREFILL
+        run.phase = engine_types.RequestPhase.PREFILL
         uncached = max(run.prompt_tokens - run.cached_tokens, 1)
         work_ms = uncached * self._shape.prefill_token_ms
         work_ms += self._shape.prefill_base_ms
--- a/standins/proxy_faults.py
+++ b/standins/proxy_faults.py
@@ -3,10 +3,10 @@
 import random
 import typing
 
-__all__ = ["PairFaults"]
+__all__ = ["ProxyFaults"]
 
 
-class PairFaults:
+class ProxyFaults:
     """What goes wrong between one listening port and its target.
 
     Directions are ``up``, towards the target, and ``down``, towards whoever
--- a/standins/proxy_pair.py
+++ b/standins/proxy_pair.py
@@ -5,14 +5,14 @@
 
 from standins import proxy_faults
 
-__all__ = ["Pair"]
+__all__ = ["Proxy"]
 
 READ_BYTES = 65_536
 UP = "up"
 DOWN = "down"
 
 
-class Link:
+class ProxiedConnection:
     """One connection through a pair, and the half it goes on from there.
 
     :param client: whoever connected
@@ -44,7 +44,7 @@
         self.target.transport.abort()
 
 
-class Pair:
+class Proxy:
     """Passes connections on, with faults.
 
     :param name: what the control port calls it
@@ -55,9 +55,9 @@
     def __init__(self, name: str, target: tuple[str, int], seed: int) -> None:
         self.name = name
         self.target = target
-        self.faults = proxy_faults.PairFaults(seed)
+        self.faults = proxy_faults.ProxyFaults(seed)
         self.accepted = 0
-        self._links: set[Link] = set()
+        self._links: set[ProxiedConnection] = set()
         self._changed = asyncio.Condition()
         self._replies = 0
 
@@ -110,7 +110,7 @@
         except OSError:
             writer.transport.abort()
             return
-        link = Link(writer, target)
+        link = ProxiedConnection(writer, target)
         self._links.add(link)
         try:
             await asyncio.gather(
@@ -127,7 +127,10 @@
             target.close()
 
     async def _pass(
-        self, reader: asyncio.StreamReader, link: Link, direction: str
+        self,
+        reader: asyncio.StreamReader,
+        link: ProxiedConnection,
+        direction: str,
     ) -> None:
         writer = link.writer(direction)
         while data := await reader.read(READ_BYTES):
@@ -139,7 +142,7 @@
         if direction not in link.silent:
             _end(writer)
 
-    async def _disturb(self, link: Link, direction: str) -> None:
+    async def _disturb(self, link: ProxiedConnection, direction: str) -> None:
         """Delay, hold back or drop bytes that are about to pass."""
         delay_s = self.faults.pick_delay_s()
         if delay_s:
@@ -151,7 +154,7 @@
             link.awaits_reply = False
             await self._disturb_reply(link)
 
-    async def _disturb_reply(self, link: Link) -> None:
+    async def _disturb_reply(self, link: ProxiedConnection) -> None:
         if self.faults.drops_reply():
             link.abort()
             raise ConnectionResetError
--- a/standins/rate_limits.py
+++ b/standins/rate_limits.py
@@ -2,10 +2,10 @@
 
 import collections
 
-__all__ = ["Calls", "Rate"]
+__all__ = ["CallCounter", "TokenBucket"]
 
 
-class Rate:
+class TokenBucket:
     """A token bucket of one second's worth.
 
     :param per_s: calls a second; 0 for no limit
@@ -35,7 +35,7 @@
         return True
 
 
-class Calls:
+class CallCounter:
     """Counts calls by verb and kind, for checkers and benchmarks."""
 
     def __init__(self) -> None:
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "answer",
-    "answer_error",
+    "make_error_response",
     "make_app",
     "make_session",
     "read_json",
@@ -32,7 +32,7 @@
     return web.json_response(body, status=status)
 
 
-def answer_error(status: int, message: str) -> web.Response:
+def make_error_response(status: int, message: str) -> web.Response:
     """Return a JSON error.
 
     :param status: the HTTP status
--- a/standins/shared_link.py
+++ b/standins/shared_link.py
@@ -4,21 +4,21 @@
 
 from standins import engine_types
 
-__all__ = ["Link"]
+__all__ = ["SharedLink"]
 
 
-class Link:
+class SharedLink:
     """Moves the bytes of all transfers at once, each at an equal part.
 
     :param shape: the engine's figures
     """
 
-    def __init__(self, shape: engine_types.Shape) -> None:
+    def __init__(self, shape: engine_types.EngineParameters) -> None:
         self._shape = shape
-        self._transfers: list[engine_types.Run] = []
+        self._transfers: list[engine_types.EngineRequest] = []
         self._moved_ms = 0.0
 
-    def add(self, run: engine_types.Run, now_ms: float) -> None:
+    def add(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Begin a run's transfer.
 
         :param run: the run
@@ -30,7 +30,7 @@
         )
         self._transfers.append(run)
 
-    def remove(self, run: engine_types.Run, now_ms: float) -> None:
+    def remove(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Give a run's transfer up, if it has one.
 
         :param run: the run
@@ -48,7 +48,7 @@
         rate = self._bytes_per_ms() / len(self._transfers)
         return self._moved_ms + max(least, 0.0) / rate
 
-    def end_transfers(self, at_ms: float) -> list[engine_types.Run]:
+    def end_transfers(self, at_ms: float) -> list[engine_types.EngineRequest]:
         """Take out the runs whose transfers have ended.
 
         :param at_ms: the present
--- a/standins/watches.py
+++ b/standins/watches.py
@@ -66,7 +66,7 @@
         try:
             self._store.read_changes(kind, after)
         except store.TooOld:
-            return serving.answer_error(410, "the version is too old")
+            return serving.make_error_response(410, "the version is too old")
         watch = Watch(kind)
         self._open.add(watch)
         try:
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -107,7 +107,7 @@
         self.vms = []
         if is_split:
             self.books = [
-                static_allowances.SplitAllowances(source, self.clock, count)
+                static_allowances.StaticAllowances(source, self.clock, count)
                 for _ in names
             ]
             return
--- a/tests/allowance_simulation.py
+++ b/tests/allowance_simulation.py
@@ -28,7 +28,7 @@
 LIST_LAG_MS = 700
 
 
-class Mode:
+class FaultProfile:
     """What fails most in a schedule.
 
     :param lost: part of the messages of which request or answer is lost
@@ -61,14 +61,14 @@
 
 
 MODES = {
-    "calm": Mode(wish=400),
-    "doubled": Mode(doubled=0.4, wish=400),
-    "lost": Mode(lost=0.2, doubled=0.05, wish=100),
-    "crash": Mode(crash=0.02),
-    "pause": Mode(pause=0.001, wish=150),
-    "platform": Mode(platform=0.04, crash=0.005, pause=0.0003),
-    "rates": Mode(rates=0.02),
-    "everything": Mode(0.1, 0.1, 0.01, 0.0005, 0.02, 0.01),
+    "calm": FaultProfile(wish=400),
+    "doubled": FaultProfile(doubled=0.4, wish=400),
+    "lost": FaultProfile(lost=0.2, doubled=0.05, wish=100),
+    "crash": FaultProfile(crash=0.02),
+    "pause": FaultProfile(pause=0.001, wish=150),
+    "platform": FaultProfile(platform=0.04, crash=0.005, pause=0.0003),
+    "rates": FaultProfile(rates=0.02),
+    "everything": FaultProfile(0.1, 0.1, 0.01, 0.0005, 0.02, 0.01),
 }
 
 
@@ -121,7 +121,7 @@
         self.world = world
         self.name = name
 
-    def fail(self, run=errors.Run.NOT_RUN):
+    def fail(self, run=errors.ExecutionStatus.NOT_RUN):
         return expression.Error(
             errors.Fault(
                 errors.Code.PLATFORM_UNAVAILABLE,
@@ -165,7 +165,7 @@
         versions.append(stored)
         self.world.take_time(30)
         if self.world.chance(0.1):
-            return self.fail(errors.Run.MAY_HAVE_RUN)
+            return self.fail(errors.ExecutionStatus.MAY_HAVE_RUN)
         return expression.Ok(stored)
 
     def delete(self, kind, name, version, purpose):
@@ -268,7 +268,7 @@
             if one.name != self.name and (
                 is_paused or self.world.chance(0.02)
             ):
-                one.health = member.Health.DEAD
+                one.health = member.MemberStatus.DEAD
         return members
 
     def change_own(self, is_stopping=None, holdings=None):
@@ -311,7 +311,7 @@
         self.slots.release_all()
 
 
-class World:
+class Simulation:
     """All VMs, the platform and the network, driven by one seed."""
 
     def __init__(self, seed, mode):
--- a/tests/claim_history.py
+++ b/tests/claim_history.py
@@ -21,7 +21,7 @@
 ONE_HOUR_MS = 3_600_000
 
 
-class RoughStore(fakes.MemoryStore):
+class FaultyStore(fakes.MemoryStore):
     """A platform whose writes may also arrive late, and lists be torn.
 
     :param clock_: moves on with each call, so that retries end
@@ -52,7 +52,7 @@
         self._pass_time()
         if not self.outage and self.random.random() < self.late:
             self._on_their_way.append((kind, name, value, version))
-            return self._unavailable(errors.Run.MAY_HAVE_RUN)
+            return self._unavailable(errors.ExecutionStatus.MAY_HAVE_RUN)
         return super()._write(kind, name, value, version, purpose)
 
     def _pass_time(self):
@@ -62,7 +62,7 @@
                 self._apply(*self._on_their_way.pop(0))
 
 
-class RoughPeers(peer_network.FakePeers):
+class FaultyPeers(peer_network.FakePeers):
     """Calls between VMs that are lost, or whose replies are.
 
     :param history: decides which
@@ -76,9 +76,13 @@
     def call(self, *arguments, **options):
         roll = self.history.random.random()
         if roll < 0.1:
-            return self.lose(errors.Run.NOT_RUN)
+            return self.lose(errors.ExecutionStatus.NOT_RUN)
         answer = super().call(*arguments, **options)
-        return self.lose(errors.Run.MAY_HAVE_RUN) if roll < 0.3 else answer
+        return (
+            self.lose(errors.ExecutionStatus.MAY_HAVE_RUN)
+            if roll < 0.3
+            else answer
+        )
 
     def lose(self, run):
         self.history.clock.advance_ms(CALL_MS)
@@ -109,7 +113,7 @@
     def __init__(self, seed, make_shard=None, adapt=None, keepers=False):
         self.random = random.Random(seed)
         self.clock = clock.ManualClock(ONE_HOUR_MS)
-        self.store = RoughStore(seed, self.clock)
+        self.store = FaultyStore(seed, self.clock)
         self.make_shard = make_shard or self.make_small_shard
         self.adapt = adapt or (lambda store: None)
         self.keepers = keepers
@@ -137,7 +141,7 @@
             self.lives[name],
             1,
             self.make_shard,
-            RoughPeers(self, name),
+            FaultyPeers(self, name),
             lambda shard: self.find_keeper(name),
         )
         self.network.attach(name, Claims.Processor(store.handler))
@@ -174,7 +178,7 @@
             old = self.random.choice(self.calls[-6:])
             return Call(self.random.choice(ACCOUNTS), old.key, old.call)
         number = self.random.getrandbits(70)
-        key = claim_records.make_key(self.clock.wall_ms(), number)
+        key = claim_records.make_uuid7(self.clock.wall_ms(), number)
         call = Call(self.random.choice(ACCOUNTS), key, f"call-{number}")
         self.calls.append(call)
         return call
@@ -205,7 +209,7 @@
         self.ends[f"{fault.code.value} {fault.run.value}"] += 1
         if fault.code is errors.Code.REQUEST_ID_REUSED:
             self.check(self.used[id_] - {call.call}, f"{id_} was not reused")
-        if fault.run is errors.Run.RAN:
+        if fault.run is errors.ExecutionStatus.RAN:
             self.check(self.runs[id_], f"{id_} never ran")
 
     def end(self):
@@ -213,14 +217,16 @@
             return
         place = self.random.randrange(len(self.open))
         name, grant, id_, call = self.open.pop(place)
-        run = self.random.choice((*errors.Run, errors.Run.RAN))
-        if run is errors.Run.RAN:
+        run = self.random.choice(
+            (*errors.ExecutionStatus, errors.ExecutionStatus.RAN)
+        )
+        if run is errors.ExecutionStatus.RAN:
             body = b"%d" % self.random.getrandbits(32)
             self.replies[(*id_, call.call)] = body
-            reply = claim_records.KeptReply(201, [("A", "b")], body)
+            reply = claim_records.CachedReply(201, [("A", "b")], body)
             self.vms[name].end(grant, run, reply)
             return
-        if run is errors.Run.NOT_RUN:
+        if run is errors.ExecutionStatus.NOT_RUN:
             self.runs[id_] -= 1
         self.vms[name].end(grant, run)
 
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -51,7 +51,7 @@
         if answer.result.is_ok():
             if revisions.get(edit_id) != answer.result.ok.revision:
                 yield "accepted but not there", edit_id
-        elif answer.result.error.run is errors.Run.NOT_RUN:
+        elif answer.result.error.run is errors.ExecutionStatus.NOT_RUN:
             earlier = [
                 one
                 for one in world.answers
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -67,7 +67,7 @@
         make = world.variant.get("configuration", configuration.Configuration)
         self.controller = make(
             settings_,
-            CutStore(world, name),
+            PartitionableStore(world, name),
             WorldPeers(world, name),
             world.clock,
             world.random,
@@ -82,7 +82,7 @@
         self.installs.append((tables.revision, self.in_force.root.digest()))
 
 
-class CutStore:
+class PartitionableStore:
     """The platform as one VM reaches it, which may be not at all."""
 
     def __init__(self, world, name):
@@ -159,7 +159,7 @@
             self.start_vm(f"vm{number}")
         self.editors = [
             make(
-                CutStore(self, f"vm{number}"),
+                PartitionableStore(self, f"vm{number}"),
                 self.clock,
                 self.random,
                 announce=functools.partial(self.announce, f"vm{number}"),
@@ -305,7 +305,7 @@
             answer.edit
             for answer in self.answers
             if answer.result.is_error()
-            and answer.result.error.run is errors.Run.MAY_HAVE_RUN
+            and answer.result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN
         ]
         if unknown:
             edit = self.random.choice(unknown)
@@ -335,8 +335,8 @@
                 changes.DeleteRow("routes", "spare"),
                 changes.PutRow("pools", "spare", SPARE),
                 changes.DeleteRow("pools", "spare"),
-                changes.GiveKey("tea", digest),
-                changes.WithdrawKey("tea", digest),
+                changes.AddKey("tea", digest),
+                changes.RevokeKey("tea", digest),
             )
         )
 
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -87,7 +87,7 @@
         return processes.call(port, "GET", "/readyz").status == 200
 
     def has_tokens(self, port):
-        reply = PortRig(port).complete("first", max_tokens=1)
+        reply = RemoteRouter(port).complete("first", max_tokens=1)
         return reply.status == 200
 
     def make_rows(self):
@@ -196,12 +196,12 @@
         return file
 
 
-class PortRig:
+class RemoteRouter:
     """What :class:`router_rig.OpenStream` needs of a router elsewhere."""
 
     def __init__(self, port):
         self.port = port
 
-    connect = router_fixture.Rig.connect
-    call = router_fixture.Rig.call
-    complete = router_fixture.Rig.complete
+    connect = router_fixture.RouterFixture.connect
+    call = router_fixture.RouterFixture.call
+    complete = router_fixture.RouterFixture.complete
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -14,7 +14,7 @@
 VALUE_BYTES = 1 << 20
 
 
-def make_fault(code, run=errors.Run.NOT_RUN):
+def make_fault(code, run=errors.ExecutionStatus.NOT_RUN):
     return errors.Fault(code, errors.Step.PLATFORM, "memory", run)
 
 
@@ -123,7 +123,7 @@
         self.counts[purpose] += 1
         return self.outage
 
-    def _unavailable(self, run=errors.Run.NOT_RUN):
+    def _unavailable(self, run=errors.ExecutionStatus.NOT_RUN):
         code = errors.Code.PLATFORM_UNAVAILABLE
         return expression.Error(make_fault(code, run))
 
@@ -133,10 +133,10 @@
             if self._refuses(purpose):
                 return self._unavailable()
             if self.random.random() < self.lose_write:
-                return self._unavailable(errors.Run.MAY_HAVE_RUN)
+                return self._unavailable(errors.ExecutionStatus.MAY_HAVE_RUN)
             result = self._apply(kind, name, value, version)
             if self.random.random() < self.lose_reply:
-                return self._unavailable(errors.Run.MAY_HAVE_RUN)
+                return self._unavailable(errors.ExecutionStatus.MAY_HAVE_RUN)
             return result
 
     def _apply(self, kind, name, value, version):
--- a/tests/peer_network.py
+++ b/tests/peer_network.py
@@ -32,11 +32,15 @@
         return target in self.processors and not (is_cut or ends & self.down)
 
     def exchange(self, source, target, request):
-        reader = protocol.PeerProtocol(TTransport.TMemoryBuffer(request))
+        reader = protocol.MultiplexedProtocol(
+            TTransport.TMemoryBuffer(request)
+        )
         buffer = TTransport.TMemoryBuffer()
         reader.peek_service()
         kind = reader.read_method()
-        self.processors[target].process(reader, protocol.PeerProtocol(buffer))
+        self.processors[target].process(
+            reader, protocol.MultiplexedProtocol(buffer)
+        )
         reply = buffer.getvalue()
         for end, is_source in ((source, True), (target, False)):
             for payload, is_sent in ((request, True), (reply, False)):
@@ -62,6 +66,6 @@
         transport = protocol.CallTransport(
             lambda request: self.network.exchange(self.address, peer, request)
         )
-        service = protocol.read_service_name(client_class)
-        client = client_class(protocol.PeerProtocol(transport, service))
+        service = protocol.get_service_name(client_class)
+        client = client_class(protocol.MultiplexedProtocol(transport, service))
         return expression.Ok(getattr(client, method)(*arguments))
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -29,7 +29,7 @@
 OPENER = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
 
-def claim_range():
+def reserve_port_range():
     """Return the first port of a range that no other process uses.
 
     Two runs at once, such as a soak beside the tests, would else pick the
@@ -50,7 +50,7 @@
     raise RuntimeError("all ranges of ports are in use")
 
 
-FIRST_OWN_PORT, RANGE_GUARD = claim_range()
+FIRST_OWN_PORT, RANGE_GUARD = reserve_port_range()
 
 
 def pick_ports(count):
--- a/tests/request_history.py
+++ b/tests/request_history.py
@@ -129,7 +129,7 @@
             if number and number % fault_every == 0:
                 await self.inject()
             kind = self.random.choice(KINDS)
-            key = claim_records.make_key(
+            key = claim_records.make_uuid7(
                 clock.SystemClock().wall_ms(),
                 self.random.getrandbits(74),
             )
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -19,7 +19,7 @@
 KEY = "key-of-tea-estate-1"
 OTHER_KEY = "key-of-surveyors-2"
 CREDENTIAL = "pool-credential"
-GUARD_S = 30
+TEST_TIMEOUT_S = 30
 ROLES = {
     "prefill": tables.UpstreamRole.PREFILL,
     "decode": tables.UpstreamRole.DECODE,
@@ -71,12 +71,12 @@
         self.settled.append((reservation.account, reservation.tokens, used))
 
 
-class OneEntry(endpoints.EntryDirectory):
+class OneEntry(endpoints.EndpointDirectory):
     def __init__(self, address):
         self.address = address
 
     def list_addresses(self, caller_zone):
-        return [endpoints.EntryAddress(self.address, "kandy-a")]
+        return [endpoints.Endpoint(self.address, "kandy-a")]
 
 
 def make_account(name, key, *further):
@@ -131,7 +131,7 @@
     return made
 
 
-class Rig:
+class RouterFixture:
     """One router; use it as a context manager."""
 
     def __init__(
@@ -171,14 +171,18 @@
         self.router.stop(graceful=False)
 
     def connect(self):
-        return http.client.HTTPConnection("127.0.0.1", self.port, GUARD_S)
+        return http.client.HTTPConnection(
+            "127.0.0.1", self.port, TEST_TIMEOUT_S
+        )
 
     def call(self, method, path, body=None, key=KEY, **headers):
         """Make one call on a connection of its own."""
         headers = {k.replace("_", "-"): v for k, v in headers.items()}
         if key:
             headers["Authorization"] = f"Bearer {key}"
-        return processes.call(self.port, method, path, body, headers, GUARD_S)
+        return processes.call(
+            self.port, method, path, body, headers, TEST_TIMEOUT_S
+        )
 
     def complete(self, prompt="why did my fix drift", key=KEY, **body):
         body = {"model": "m", "prompt": prompt, "max_tokens": 8} | body
@@ -229,7 +233,7 @@
         to come again; callers do so.
         """
         self.reply = self.connection.getresponse()
-        until = time.monotonic() + GUARD_S
+        until = time.monotonic() + TEST_TIMEOUT_S
         while self.reply.status == 429 and time.monotonic() < until:
             self.refusals += 1
             error = json.loads(self.reply.read())["error"]
--- a/tests/test_allowance_history.py
+++ b/tests/test_allowance_history.py
@@ -34,7 +34,7 @@
 def judge(seed, mode=None):
     """Return the overrun of one schedule and the tokens it granted."""
     mode = mode or MODES[seed % len(MODES)]
-    world = allowance_simulation.World(seed, mode).run()
+    world = allowance_simulation.Simulation(seed, mode).run()
     overrun = allowance_simulation.find_overrun(world.grants, world.most)
     return overrun, sum(tokens for _, _, tokens in world.grants)
 
@@ -45,7 +45,7 @@
 
 def find_broken(rule, first):
     """Break a rule; return the first schedule of a batch that shows it."""
-    mode, patches = BROKEN[rule]
+    mode, patches = MUTATIONS[rule]
     with contextlib.ExitStack() as stack:
         for owner, name, broken in patches:
             stack.enter_context(mock.patch.object(owner, name, broken))
@@ -75,7 +75,7 @@
 
 def note_written_at_once(self, slot, decision, record, sent_ms, now_ms):
     NOTE_WRITTEN(self, slot, decision, record, sent_ms, now_ms)
-    if decision is slot_lease_manager.Decision.TAKE:
+    if decision is slot_lease_manager.LeaseAction.TAKE:
         self.holdings[slot].start_ms = now_ms - 10_000
 
 
@@ -102,14 +102,14 @@
     loan.left, loan.is_closed = left, False
 
 
-NOTE_WRITTEN = slot_lease_manager.SlotKeeper.note_written
+NOTE_WRITTEN = slot_lease_manager.SlotLeaseManager.note_written
 LEND = allowance_lender.Lender._lend
 CLOSE = allowance_lender.Lender.close
 CLOSE_BORROWED = allowance_borrower.Borrower._close
 
 BUCKET = token_bucket.TokenBucket
-KEEPER = slot_lease_manager.SlotKeeper
-BROKEN = {
+KEEPER = slot_lease_manager.SlotLeaseManager
+MUTATIONS = {
     "tokens on loan leave no room": (
         "calm",
         (
@@ -184,7 +184,7 @@
     def test_the_checker_finds_each_broken_rule(self):
         """Each rule is broken in turn; some schedule has to overrun."""
         with make_pool() as pool:
-            for rule in BROKEN:
+            for rule in MUTATIONS:
                 with self.subTest(rule=rule):
                     found = self.find(pool, rule)
                     self.assertIsNotNone(found, "no schedule shows it")
--- a/tests/test_allowance_split.py
+++ b/tests/test_allowance_split.py
@@ -30,7 +30,7 @@
     def setUp(self):
         self.clock = clock.ManualClock()
         self.source = FakeSource()
-        self.allowances = static_allowances.SplitAllowances(
+        self.allowances = static_allowances.StaticAllowances(
             self.source, self.clock, 4
         )
         self.source.put(1, 400, 4_000)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -9,12 +9,12 @@
 from mulberryway.policy import slot_lease_manager
 from tests import allowance_simulation
 
-TAKE = slot_lease_manager.Decision.TAKE
-NONE = slot_lease_manager.Decision.NONE
-RELEASE = slot_lease_manager.Decision.RELEASE
+TAKE = slot_lease_manager.LeaseAction.TAKE
+NONE = slot_lease_manager.LeaseAction.NONE
+RELEASE = slot_lease_manager.LeaseAction.RELEASE
 
 
-class CalmWorld(allowance_simulation.World):
+class CalmWorld(allowance_simulation.Simulation):
     """VMs, a platform and a network that work as they should."""
 
     def chance(self, probability):
@@ -68,7 +68,7 @@
         result = self.vms[1].allowances.reserve("tea", 200)
         self.assertIs(result.error.code, errors.Code.OVER_ALLOWANCE)
         self.assertGreater(result.error.retry_after_ms, 200)
-        self.assertIs(result.error.run, errors.Run.NOT_RUN)
+        self.assertIs(result.error.run, errors.ExecutionStatus.NOT_RUN)
         unknown = self.vms[0].allowances.reserve("nobody", 1)
         self.assertFalse(unknown.is_ok())
 
@@ -125,7 +125,7 @@
 class SlotKeeperTest(unittest.TestCase):
     def setUp(self):
         self.times = allowance_times.AllowanceTimes()
-        self.keeper = slot_lease_manager.SlotKeeper(
+        self.keeper = slot_lease_manager.SlotLeaseManager(
             "b", "10.0.0.2", 7, self.times
         )
 
--- a/tests/test_baselines.py
+++ b/tests/test_baselines.py
@@ -28,7 +28,7 @@
                 [a.job_id for a in first.assignments], ["j0", "j1"]
             )
             self.assertEqual(first.wake_ms, 1_100)
-            scheduler.finish("j0", jobs.JobEnd.DONE, "", 10)
+            scheduler.finish("j0", jobs.JobOutcome.DONE, "", 10)
             second = scheduler.dispatch(10)
             self.assertEqual([a.job_id for a in second.assignments], ["j2"])
 
@@ -40,7 +40,9 @@
             self.assertFalse(scheduler.cancel("gone", 1))
             refusals = scheduler.dispatch(1_100).refusals
             self.assertEqual([r.job_id for r in refusals], ["late"])
-            self.assertIs(refusals[0].fault.run, errors.Run.NOT_RUN)
+            self.assertIs(
+                refusals[0].fault.run, errors.ExecutionStatus.NOT_RUN
+            )
             other = cases.make_job("x", pool="none")
             self.assertTrue(scheduler.submit(other, 0).is_error())
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -7,7 +7,7 @@
 from mulberryway.policy import retries
 from mulberryway.policy import server_selection
 
-End = server_selection.CallEnd
+End = server_selection.CallOutcome
 ZONES = ("a", "b", "c")
 
 
@@ -24,7 +24,7 @@
 class ChooserTest(unittest.TestCase):
     def setUp(self):
         self.pool = make_pool()
-        self.chooser = server_selection.ServerChooser("a")
+        self.chooser = server_selection.ServerSelector("a")
 
     def call(self, now_ms, judge, took_ms=60):
         """Make one call, one after another, and return the server."""
@@ -103,7 +103,7 @@
         """Servers crash, and all VMs repeat at once.  What they send again
         must stay within what operators allow over all of them.
         """
-        books = [retries.FleetBudget(0.2, 10_000, 52) for _ in range(6)]
+        books = [retries.FleetRetryBudget(0.2, 10_000, 52) for _ in range(6)]
         spent = 0
         for book in books:
             book.change_vms(6)
@@ -115,14 +115,14 @@
         self.assertGreater(spent, 40)
 
     def test_window_moves_on(self):
-        book = retries.FleetBudget(0.0, 10_000, 10)
+        book = retries.FleetRetryBudget(0.0, 10_000, 10)
         while book.spend("lm", 0):
             continue
         self.assertFalse(book.spend("lm", 9_999))
         self.assertTrue(book.spend("lm", 10_000))
 
     def test_pools_have_budgets_of_their_own(self):
-        book = retries.FleetBudget(0.0, 10_000, 10)
+        book = retries.FleetRetryBudget(0.0, 10_000, 10)
         while book.spend("lm", 0):
             continue
         self.assertTrue(book.spend("app", 0))
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -39,7 +39,7 @@
             name,
             1,
             peers=peers.PeerClient("s", self.clock),
-            find_keeper=claim_coordination.make_finder(
+            find_keeper=claim_coordination.make_coordinator_finder(
                 name, lambda: self.members
             ),
         )
@@ -65,12 +65,12 @@
     def make_key(self, keeper):
         """Return a key in a shard that a VM keeps."""
         while True:
-            key = claim_records.make_key(
+            key = claim_records.make_uuid7(
                 self.clock.wall_ms(), next(self.numbers)
             )
-            digest = claim_records.read_id("a", key).digest
+            digest = claim_records.parse_claim_id("a", key).digest
             shard = claims.pick_shard(digest)
-            chosen = claim_coordinators.choose_keeper(shard, self.members)
+            chosen = claim_coordinators.choose_coordinator(shard, self.members)
             if chosen.name == keeper:
                 return key
 
@@ -78,8 +78,8 @@
         key = self.make_key("b1")
         grant = self.begin("a1", key).ok
         reads = self.store.counts["claims"]
-        reply = claim_records.KeptReply(201, [], b"booked")
-        self.vms["a1"].end(grant, errors.Run.RAN, reply)
+        reply = claim_records.CachedReply(201, [], b"booked")
+        self.vms["a1"].end(grant, errors.ExecutionStatus.RAN, reply)
         # The end reaches the keeper with the repeat, before any write.
         self.assertEqual(self.begin("a1", key).ok.body, b"booked")
         self.assertEqual(self.begin("b1", key).ok.body, b"booked")
@@ -94,7 +94,7 @@
         self.servers["b1"].stop()
         self.assertIsInstance(self.begin("a1", fresh).ok, controller.Grant)
         again = self.begin("a1", old)
-        self.assertEqual(again.error.run, errors.Run.MAY_HAVE_RUN)
+        self.assertEqual(again.error.run, errors.ExecutionStatus.MAY_HAVE_RUN)
 
 
 class ClaimStoreTest(unittest.TestCase):
@@ -109,7 +109,7 @@
         return controller.ClaimStore(self.store, self.clock, name, incarnation)
 
     def make_key(self, ahead_ms=0):
-        return claim_records.make_key(
+        return claim_records.make_uuid7(
             self.clock.wall_ms() + ahead_ms, next(self.numbers)
         )
 
@@ -130,10 +130,10 @@
         self.check_fault(
             self.begin(self.b1, key),
             errors.Code.DUPLICATE,
-            errors.Run.MAY_HAVE_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN,
         )
-        reply = claim_records.KeptReply(201, [("X", "y")], b"booked")
-        self.a1.end(grant, errors.Run.RAN, reply)
+        reply = claim_records.CachedReply(201, [("X", "y")], b"booked")
+        self.a1.end(grant, errors.ExecutionStatus.RAN, reply)
         self.assertEqual(self.begin(self.a1, key).ok.body, b"booked")
         self.a1.step()
         again = self.begin(self.b1, key).ok
@@ -141,7 +141,7 @@
         self.check_fault(
             self.begin(self.b1, key, "other"),
             errors.Code.REQUEST_ID_REUSED,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
         )
         mine = self.begin(self.b1, key, account="b")
         self.assertIsInstance(mine.ok, controller.Grant)
@@ -157,8 +157,8 @@
             target=lambda: found.append(self.begin(self.a1, key))
         )
         follower.start()
-        reply = claim_records.KeptReply(201, [], b"booked")
-        self.a1.end(grant, errors.Run.RAN, reply)
+        reply = claim_records.CachedReply(201, [], b"booked")
+        self.a1.end(grant, errors.ExecutionStatus.RAN, reply)
         follower.join(10)
         self.assertEqual(found[0].ok.body, b"booked")
 
@@ -172,7 +172,7 @@
             self.check_fault(
                 self.begin(vm, key),
                 errors.Code.DUPLICATE,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
             )
 
     def test_call_that_did_not_run_can_be_repeated_at_once(self):
@@ -180,7 +180,9 @@
         tries again at another VM, which must not hold it back.
         """
         key = self.make_key()
-        self.a1.end(self.begin(self.a1, key).ok, errors.Run.NOT_RUN)
+        self.a1.end(
+            self.begin(self.a1, key).ok, errors.ExecutionStatus.NOT_RUN
+        )
         self.assertIsInstance(self.begin(self.b1, key).ok, controller.Grant)
 
     def test_outage_means_not_run(self):
@@ -192,7 +194,7 @@
         self.check_fault(
             self.begin(self.a1, key),
             errors.Code.PLATFORM_UNAVAILABLE,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
         )
         self.store.outage = False
         self.assertIsInstance(self.begin(self.a1, key).ok, controller.Grant)
@@ -212,7 +214,7 @@
         When it turns up after all it must not block the caller's repeat.
         """
         key = self.make_key()
-        digest = claim_records.read_id("a", key).digest
+        digest = claim_records.parse_claim_id("a", key).digest
         writer = self.a1._find_shard(digest).writer
         real = writer.log._send
         sent = []
@@ -221,7 +223,8 @@
             sent.append(append)
             self.store.outage = True
             fault = fakes.make_fault(
-                errors.Code.PLATFORM_UNAVAILABLE, errors.Run.MAY_HAVE_RUN
+                errors.Code.PLATFORM_UNAVAILABLE,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
             )
             return expression.Error(fault)
 
@@ -229,7 +232,7 @@
         self.check_fault(
             self.begin(self.a1, key),
             errors.Code.PLATFORM_UNAVAILABLE,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
         )
         self.store.outage = False
         writer.log._send = real
@@ -241,7 +244,7 @@
     def make_key_in(self, writer):
         while True:
             key = self.make_key()
-            digest = claim_records.read_id("a", key).digest
+            digest = claim_records.parse_claim_id("a", key).digest
             if self.a1._find_shard(digest).writer is writer:
                 return key
 
@@ -251,16 +254,18 @@
             (self.make_key(ahead_ms=120_000), errors.Code.BAD_REQUEST),
         ):
             self.check_fault(
-                self.begin(self.a1, key), code, errors.Run.NOT_RUN
+                self.begin(self.a1, key), code, errors.ExecutionStatus.NOT_RUN
             )
 
     def test_large_reply_is_not_kept_but_told(self):
         key = self.make_key()
         grant = self.begin(self.a1, key).ok
-        reply = claim_records.KeptReply(200, [], b"x" * 10_000)
-        self.a1.end(grant, errors.Run.RAN, reply)
+        reply = claim_records.CachedReply(200, [], b"x" * 10_000)
+        self.a1.end(grant, errors.ExecutionStatus.RAN, reply)
         self.check_fault(
-            self.begin(self.a1, key), errors.Code.DUPLICATE, errors.Run.RAN
+            self.begin(self.a1, key),
+            errors.Code.DUPLICATE,
+            errors.ExecutionStatus.RAN,
         )
 
     def test_many_at_once_share_writes_and_run_once(self):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -22,12 +22,12 @@
 
 class RecordsTest(unittest.TestCase):
     def test_id_binds_account_and_key(self):
-        key = claim_records.make_key(1_700_000_000_123, 42)
-        found = claim_records.read_id("a", key)
+        key = claim_records.make_uuid7(1_700_000_000_123, 42)
+        found = claim_records.parse_claim_id("a", key)
         self.assertEqual(found.time_ms, 1_700_000_000_123)
-        same = claim_records.read_id("a", key.upper().replace("-", ""))
+        same = claim_records.parse_claim_id("a", key.upper().replace("-", ""))
         self.assertEqual(same.digest, found.digest)
-        other = claim_records.read_id("b", key)
+        other = claim_records.parse_claim_id("b", key)
         self.assertNotEqual(other.digest, found.digest)
 
     def test_other_ids_carry_no_time(self):
@@ -36,10 +36,10 @@
             "booking-7",
             "8c5b5b0e-54c1-4d0e-9d7b-6f0a1d3d7f10",
         ):
-            self.assertIsNone(claim_records.read_id("a", key))
+            self.assertIsNone(claim_records.parse_claim_id("a", key))
 
     def test_record_is_read_as_written(self):
-        reply = claim_records.KeptReply(201, [("A", "b")], b"\xff")
+        reply = claim_records.CachedReply(201, [("A", "b")], b"\xff")
         record = claim_records.Record(
             "d", 7, "c", "a1/1/1", claim_records.ClaimState.DONE, reply
         )
@@ -88,12 +88,12 @@
         The attempt went on by itself and runs; so does the next one.
         """
 
-        class Meddling(claim_queue.Waiter):
+        class Meddling(claim_queue.PendingClaim):
             def __init__(self, request, is_own=True):
                 super().__init__(request)
 
         with unittest.mock.patch.object(
-            claim_coordination, "Waiter", Meddling
+            claim_coordination, "PendingClaim", Meddling
         ):
             self.check_broken("two runs", 200, keepers=True)
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -50,7 +50,7 @@
         self.assertLess(max(sizes), 30_000)
         self.assertGreater(sum(sizes), 400_000)
         edit = edits.Edit(
-            "e", "op", (changes.WithdrawKey("account-7", digest(7)),)
+            "e", "op", (changes.RevokeKey("account-7", digest(7)),)
         )
         after = segments.split_tables(edit.apply(made).ok)
         moved = after.segments.keys() - split.segments.keys()
@@ -88,7 +88,7 @@
         """The platform refuses calls over its rates, and an operator has to
         find out what they were made for.
         """
-        kept = call_metrics.CallCounts()
+        kept = call_metrics.InMemoryCallCounter()
         instruments = metrics.Metrics("vm")
         self.addCleanup(instruments.stop)
         kept.report(instruments)
@@ -105,7 +105,7 @@
     """What a watch reports to, as the configuration controller is."""
 
     def __init__(self):
-        self.in_force = tables_in_force.TablesInForce(
+        self.in_force = tables_in_force.ActiveTables(
             clock.SystemClock(), 60_000, 60_000
         )
         self.revisions = []
@@ -165,13 +165,15 @@
         chosen = [
             name
             for name in names
-            if configuration_watch.is_chosen(name, set(names) - {name}, 3)
+            if configuration_watch.is_selected_watcher(
+                name, set(names) - {name}, 3
+            )
         ]
         self.assertEqual(len(chosen), 3)
         left = set(names) - {chosen[0]}
         after = [
             name
             for name in left
-            if configuration_watch.is_chosen(name, left - {name}, 3)
+            if configuration_watch.is_selected_watcher(name, left - {name}, 3)
         ]
         self.assertEqual(len(set(after) & set(chosen)), 2)
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -28,7 +28,7 @@
 logging.getLogger("mulberryway").setLevel(logging.CRITICAL)
 
 # Fewer shards than in service: the rules are the same, the runs shorter.
-SHARDS = mock.patch.dict(roots.SHARDS, routes=1, pools=2, accounts=4)
+SHARDS = mock.patch.dict(roots.SHARD_COUNTS, routes=1, pools=2, accounts=4)
 
 SEEDS = 300
 BROKEN_SEEDS = 150
@@ -61,7 +61,7 @@
             accepted += sum(result.is_ok() for result in results)
             unknown += sum(
                 result.is_error()
-                and result.error.run is errors.Run.MAY_HAVE_RUN
+                and result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN
                 for result in results
             )
             served += len(world.serving)
@@ -101,7 +101,7 @@
     def submit(self, edit, timeout_ms):
         result = super().submit(edit, timeout_ms)
         if result.is_error():
-            result.error.run = errors.Run.NOT_RUN
+            result.error.run = errors.ExecutionStatus.NOT_RUN
         return result
 
 
@@ -112,12 +112,12 @@
         return expression.Ok(None)
 
 
-def write_blindly(self, held, root):
+def write_unconditionally(self, held, root):
     """Put a root in the place of whatever is there."""
     found = self._store.read(root_store.KIND, root_store.NAME, "test")
     version = found.ok.version if found.is_ok() else held.version
     return root_store.RootStore.plain_write(
-        self, root_store.HeldRoot(version, held.root), root
+        self, root_store.VersionedRoot(version, held.root), root
     )
 
 
@@ -131,7 +131,7 @@
     return parse.decode_tables(rows, tables.revision + 1)
 
 
-class YoungConfiguration(configuration.Configuration):
+class RefreshedAgeConfiguration(configuration.Configuration):
     """Takes another VM's confirmation for one of this moment."""
 
     def pull(self, address):
@@ -172,7 +172,7 @@
         root_store.RootStore.plain_write = root_store.RootStore.write_root
         self.addCleanup(delattr, root_store.RootStore, "plain_write")
         with mock.patch.object(
-            root_store.RootStore, "write_root", write_blindly
+            root_store.RootStore, "write_root", write_unconditionally
         ):
             self.check_found(
                 {"edit lost or reverted", "revision skipped or reverted"}
@@ -190,9 +190,9 @@
         has been withdrawn.
         """
         with mock.patch.object(
-            tables_in_force.TablesInForce,
+            tables_in_force.ActiveTables,
             "_compare",
-            lambda self, root: tables_in_force.Offer.TAKEN,
+            lambda self, root: tables_in_force.OfferResult.TAKEN,
         ):
             self.check_found({"revision fell on a VM"})
 
@@ -223,7 +223,8 @@
         a key that was withdrawn goes on working there.
         """
         self.check_found(
-            {"outdated tables used"}, {"configuration": YoungConfiguration}
+            {"outdated tables used"},
+            {"configuration": RefreshedAgeConfiguration},
         )
 
     def test_accepted_edit_not_handed_over(self):
@@ -236,7 +237,7 @@
         """A VM that reaches nobody goes on with tables of any age."""
         with mock.patch.object(
             freshness,
-            "judge_freshness",
+            "evaluate_freshness",
             lambda *arguments: freshness.Freshness.CONFIRMED,
         ):
             self.check_found({"outdated tables used"})
@@ -258,7 +259,7 @@
         make a majority that has never heard of a withdrawn key.
         """
         with mock.patch.object(
-            tables_in_force.TablesInForce, "is_witness", lambda self: True
+            tables_in_force.ActiveTables, "is_witness", lambda self: True
         ):
             self.check_found({"outdated tables used"}, first=FORGETFUL_SEED)
 
@@ -266,10 +267,10 @@
         """A VM is paused for a minute and goes on by what others told it
         before the pause.
         """
-        judge = freshness.judge_freshness
+        judge = freshness.evaluate_freshness
         with mock.patch.object(
             freshness,
-            "judge_freshness",
+            "evaluate_freshness",
             lambda confirmation, quorum_ms, now_ms, *limits: judge(
                 confirmation, quorum_ms and now_ms, now_ms, *limits
             ),
@@ -279,7 +280,7 @@
 
 class EmptyTest(unittest.TestCase):
     def test_no_tables_before_the_first(self):
-        in_force = tables_in_force.TablesInForce(
+        in_force = tables_in_force.ActiveTables(
             configuration_world.clock.ManualClock(), 1, 1
         )
         self.assertIsNone(in_force.read_tables())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -113,14 +113,14 @@
         see of one another are stale reports.  If all then choose what looks
         best, most decodes are refused after their prefill.
         """
-        load = next(o for o in workloads.LOADS if o.name == "saturation")
-        arrivals = workloads.arrive(KANDURATA, load, LENGTH_MS, 1)
+        load = next(o for o in workloads.WORKLOADS if o.name == "saturation")
+        arrivals = workloads.generate_arrivals(KANDURATA, load, LENGTH_MS, 1)
         routers = [
             decisions.make_scheduler("worst_served", n) for n in range(9)
         ]
-        blind = fleet.Fleet(KANDURATA, routers, notes=False)
+        blind = fleet.Simulation(KANDURATA, routers, notes=False)
         outcomes = blind.run(arrivals, LENGTH_MS)
-        row = decisions.judge(KANDURATA, load, outcomes, LENGTH_MS)
+        row = decisions.compute_metrics(KANDURATA, load, outcomes, LENGTH_MS)
         self.check(row, goodput_part=0.7, wasted_part=0.2)
 
     def test_a_leaving_engine_gets_nothing_and_cuts_nothing(self):
@@ -128,12 +128,12 @@
         after another within two seconds.  What is sent there later would be
         cut when it stops.
         """
-        load = next(o for o in workloads.LOADS if o.name == "saturation")
-        arrivals = workloads.arrive(KANDURATA, load, 60_000, 1)
+        load = next(o for o in workloads.WORKLOADS if o.name == "saturation")
+        arrivals = workloads.generate_arrivals(KANDURATA, load, 60_000, 1)
         routers = [
             decisions.make_scheduler("worst_served", n) for n in range(3)
         ]
-        leaving = fleet.Fleet(KANDURATA, routers)
+        leaving = fleet.Simulation(KANDURATA, routers)
         leaving.plan_leaving("d2", 30_000, 1_000)
         outcomes = leaving.run(arrivals, 60_000)
         self.assertLessEqual(leaving.last_start_ms["d2"], 32_000)
--- a/tests/test_decode_call.py
+++ b/tests/test_decode_call.py
@@ -16,13 +16,16 @@
 class DecodeCallTest(unittest.TestCase):
     def call(self, port, timeout_ms=TIMEOUT_MS, made=None):
         request = decode_call.DecodeRequest(
-            "POST", "/v1/completions", {connections.REQUEST_ID: "r-1"}, b"{}"
+            "POST",
+            "/v1/completions",
+            {connections.REQUEST_ID_HEADER: "r-1"},
+            b"{}",
         )
         found = decode_call.begin_decode(
             f"{HOST}:{port}",
             request,
             timeout_ms,
-            decode_call.read_refusal,
+            decode_call.parse_rejection,
             made=made,
         )
         return found.error
@@ -44,7 +47,7 @@
         fault = self.call(listener.getsockname()[1])
         thread.join()
         self.assertIs(fault.code, errors.Code.UPSTREAM_FAILED)
-        self.assertIs(fault.run, errors.Run.MAY_HAVE_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
 
     def test_engine_stays_silent(self):
         """A connection holds and nothing ever comes over it."""
@@ -52,7 +55,7 @@
         self.addCleanup(listener.close)
         fault = self.call(listener.getsockname()[1])
         self.assertIs(fault.code, errors.Code.UPSTREAM_TIMEOUT)
-        self.assertIs(fault.run, errors.Run.MAY_HAVE_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
 
     def test_nobody_listens(self):
         """The engine is down: nothing can have run there."""
@@ -60,7 +63,7 @@
             port = listener.getsockname()[1]
         fault = self.call(port)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
-        self.assertIs(fault.run, errors.Run.NOT_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
     def test_engine_that_went_dark(self):
         """An engine's machine is there no more, and nothing says so.  Whoever
@@ -80,7 +83,7 @@
         fault = self.call(address[1], 5_000)
         self.assertLess(time.monotonic() - began_s, 1.0)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
-        self.assertIs(fault.run, errors.Run.NOT_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
     def test_connection_that_was_idle_is_not_used(self):
         """A prompt takes long to read, and its decode's engine drops the idle
@@ -109,7 +112,7 @@
             time.sleep(0.05)
             fault = self.call(port, TIMEOUT_MS, made)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
-        self.assertIs(fault.run, errors.Run.NOT_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
 
 class ListensTest(unittest.TestCase):
@@ -127,10 +130,14 @@
 
         thread = threading.Thread(target=die)
         thread.start()
-        self.assertFalse(connections.listens(f"{HOST}:{port}"))
+        self.assertFalse(
+            connections.is_accepting_connections(f"{HOST}:{port}")
+        )
         thread.join()
 
     def test_port_that_stays_open(self):
         with socket.create_server((HOST, 0)) as listener:
             port = listener.getsockname()[1]
-            self.assertTrue(connections.listens(f"{HOST}:{port}"))
+            self.assertTrue(
+                connections.is_accepting_connections(f"{HOST}:{port}")
+            )
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -16,7 +16,7 @@
         cls.world = deployment.Deployment()
         cls.addClassCleanup(cls.world.__exit__)
         cls.world.__enter__()
-        cls.rigs = list(map(deployment.PortRig, cls.world.ports))
+        cls.rigs = list(map(deployment.RemoteRouter, cls.world.ports))
 
     def test_streams_over_three_vms(self):
         """Many callers read at once; a byte of another's answer, or a
@@ -84,8 +84,8 @@
         entry answers, serve on, end what runs, and exit with 0.
         """
         with deployment.Deployment() as world:
-            rig = deployment.PortRig(world.ports[0])
-            other = deployment.PortRig(world.ports[1])
+            rig = deployment.RemoteRouter(world.ports[0])
+            other = deployment.RemoteRouter(world.ports[1])
             stream = router_fixture.OpenStream(rig, "long", 800)
             self.assertIn("choices", stream.read_event())
             world.routers[0].send_signal(15)
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -14,7 +14,7 @@
 
 
 def make_fleet(vms=VMS, zones=ZONES):
-    return model.Fleet(vms, zones, model.RelayNode)
+    return model.SimulatedNetwork(vms, zones, model.RelayNode)
 
 
 def find_relay(zone):
@@ -41,7 +41,7 @@
         found = fleet.sum_up(2_000)
         self.assertLess(found.worst_age_ms, FRESH_MS)
         self.assertLess(found.missed, 0.02)
-        direct = model.Fleet(VMS, ZONES, model.DirectNode)
+        direct = model.SimulatedNetwork(VMS, ZONES, model.DirectNode)
         direct.run(2_000, ITEMS_PER_S)
         before = direct.sum_up(2_000)
         self.assertLess(found.zone_bytes * 10, before.zone_bytes)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -20,7 +20,7 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-End = jobs.JobEnd
+End = jobs.JobOutcome
 # How late other VMs hear of something in a large fleet.
 NEWS_MS = 30
 
@@ -28,7 +28,7 @@
 class TrustTest(unittest.TestCase):
     def test_vms_that_are_gone_are_forgotten(self):
         """Guards against a memory that grows with every VM that ever was."""
-        remembered = failure_reports.Trust()
+        remembered = failure_reports.FailureReportFilter()
         for number in range(1_000):
             now_ms = number * 1_000
             remembered.accepts(f"vm{number}", ("lm", "d0"), 8, now_ms)
@@ -39,17 +39,17 @@
 class HearingTest(unittest.TestCase):
     def test_upstreams_that_have_left_are_forgotten(self):
         """Guards against a memory that grows with every engine that was."""
-        register = poison.Register()
-        hearer = note_receiver.Hearer("vm1", register)
+        register = poison.PoisonRegistry()
+        hearer = note_receiver.NoteReceiver("vm1", register)
         known = pool_set.PoolSet(
             "vm1",
-            fairness.find_weighing("goodput"),
+            fairness.find_fairness_mode("goodput"),
             register,
             random.Random(1),
             300,
             100,
             100_000,
-            retries.NoBudget,
+            retries.UnlimitedRetryBudget,
             0.018,
         )
         for number in range(100):
@@ -83,8 +83,8 @@
     def test_what_is_too_much_for_one_note_is_told_in_several(self):
         """Guards against outcomes that are lost beyond a note's limit."""
         received = [
-            gossip_messages.read_datagram(
-                gossip_messages.write_note(note)
+            gossip_messages.decode_datagram(
+                gossip_messages.encode_note(note)
             ).note
             for now_ms in (100, 200, 300)
             if (note := self.router.take_hints(now_ms)) is not None
@@ -117,18 +117,18 @@
             for note in filter(None, notes)
             if any(one.upstream == started.decode for one in note.holdings)
         ]
-        self.assertLessEqual(len(told), 2_000 / note_sender.LATER_MS + 1)
+        self.assertLessEqual(len(told), 2_000 / note_sender.MAX_DEFER_MS + 1)
         self.assertGreaterEqual(len(told), 4)
 
     def test_a_note_fits_a_datagram(self):
         """Guards against notes that are too large to be sent."""
-        payload = gossip_messages.write_note(self.router.take_hints(100))
+        payload = gossip_messages.encode_note(self.router.take_hints(100))
         self.assertLessEqual(len(payload), datagrams.MOST_PAYLOAD_BYTES)
 
 
 class HealthTest(unittest.TestCase):
     def setUp(self):
-        self.health = health.Health(random.Random(1))
+        self.health = health.OutlierDetector(random.Random(1))
 
     def test_failures_of_several_vms_count_in_a_row(self):
         """Guards against each VM learning of a resetting engine by itself."""
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -8,7 +8,7 @@
 from mulberryway.policy import member
 
 
-def make(name, zone, health=member.Health.ALIVE, is_stopping=False):
+def make(name, zone, health=member.MemberStatus.ALIVE, is_stopping=False):
     return member.Member(
         name, name, 1, 2, zone, "r", 1, 0, health, is_stopping
     )
@@ -16,7 +16,7 @@
 
 class EntryTest(unittest.TestCase):
     def choose(self, members, zone="a", seed=0):
-        return endpoints.choose_addresses(
+        return endpoints.choose_endpoints(
             members, zone, random.Random(seed), 0
         )
 
@@ -35,7 +35,7 @@
 
         An empty answer would cut callers off from VMs that may well work.
         """
-        suspect = make("a1", "a", member.Health.SUSPECT)
+        suspect = make("a1", "a", member.MemberStatus.SUSPECT)
         stopping = make("a2", "a", is_stopping=True)
         good = make("b1", "b")
         chosen = self.choose([suspect, stopping, good])
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -14,7 +14,7 @@
     def setUp(self):
         self.vms = [f"vm{n}" for n in range(410)]
         self.engines = [f"e{n}" for n in range(4_800)]
-        self.division = subsetting.Cells(75, self.vms)
+        self.division = subsetting.Subsets(75, self.vms)
 
     def test_every_engine_has_routers_and_few(self):
         """Each router looks at a part of the engines.  An engine in nobody's
@@ -32,7 +32,7 @@
         )
 
     def test_a_vm_that_goes_moves_few_others(self):
-        after = subsetting.Cells(75, self.vms[1:])
+        after = subsetting.Subsets(75, self.vms[1:])
         moved = sum(
             after.find_cell(vm) != self.division.find_cell(vm)
             for vm in self.vms[1:]
@@ -60,12 +60,12 @@
     def test_bounded(self):
         index = prefix_index.PrefixIndex()
         index.note_own(tuple(f"h{n}" for n in range(5_000)))
-        self.assertEqual(len(index), prefix_index.MOST_BLOCKS)
+        self.assertEqual(len(index), prefix_index.MAX_BLOCKS)
 
 
 class HealthTest(unittest.TestCase):
     def setUp(self):
-        self.health = health.Health(random.Random(1))
+        self.health = health.OutlierDetector(random.Random(1))
 
     def test_a_batch_that_dies_ejects_once(self):
         for _ in range(20):
@@ -103,7 +103,7 @@
 
 class LinksTest(unittest.TestCase):
     def test_transfers_wait_for_one_another(self):
-        links = transfers.Links()
+        links = transfers.TransferLinks()
         way = ("a", "b")
         self.assertEqual(links.estimate_ms(way, 1_000, 10_000, 0), 100)
         links.reserve(way, 1_000, 10_000, 0)
--- a/tests/test_hosted_upstreams.py
+++ b/tests/test_hosted_upstreams.py
@@ -10,7 +10,7 @@
 ALL = list(range(1, 21))
 STREAM = hosted_fleet.STREAM
 # Tokens of an engine that holds two of these streams.
-TIGHT = 300
+SMALL_KV_TOKENS = 300
 
 
 class HostedUpstreamTest(unittest.TestCase):
@@ -107,7 +107,7 @@
         """
         phases = ("prefill", "decode", "decode")
         with hosted_fleet.Fleet(
-            1, phases=phases, engine_tokens=TIGHT
+            1, phases=phases, engine_tokens=SMALL_KV_TOKENS
         ) as fleet:
             fleet.set_fault("e1", no_room=1)
             for number in range(6):
@@ -122,7 +122,7 @@
 
     def test_room_is_given_back_when_the_prefill_is_refused(self):
         """Guards engines against memory that stays reserved for nobody."""
-        with hosted_fleet.Fleet(1, engine_tokens=TIGHT) as fleet:
+        with hosted_fleet.Fleet(1, engine_tokens=SMALL_KV_TOKENS) as fleet:
             fleet.set_fault("e0", full=1)
             reply = fleet.send(0, "/talk/a", "b-1", headers=STREAM)
             self.assertEqual(reply.status, 503)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -80,7 +80,7 @@
 class CancellingTest(unittest.TestCase):
     def test_sleeps_while_nothing_is_to_be_cancelled(self):
         """Guards against a thread that wakes ten times a second."""
-        one = cancelling.Cancelling(clock.ManualClock(), mock.Mock())
+        one = cancelling.CancelController(clock.ManualClock(), mock.Mock())
         self.addCleanup(one.stop)
         one.step()
         self.assertEqual(one.period_ms, cancelling.IDLE_MS)
@@ -92,7 +92,7 @@
             expression.Error(mock.Mock()),
             expression.Ok(True),
         ]
-        one = cancelling.Cancelling(clock.SystemClock(), mock.Mock())
+        one = cancelling.CancelController(clock.SystemClock(), mock.Mock())
         one.start()
         self.addCleanup(one.stop)
         one.cancel(engine, mock.Mock())
@@ -107,7 +107,7 @@
     def make(self):
         self.sent = []
         self.clock = clock.ManualClock(10_000)
-        book = usage.UsageBook(
+        book = usage.ReplicatedRateLimiter(
             "a1", 1, usage.Margin(8_000, 0.1, 100), 10_000, True
         )
         made = fleet_allowances.FleetAllowances(
@@ -159,7 +159,9 @@
         """Guards against a wakeup for each of a hundred datagrams a second."""
         made = self.make()
         made.change_members([make_member(n) for n in range(79)])
-        self.assertEqual(made.datagrams.gather_ms, dissemination.GATHER_MS)
+        self.assertEqual(
+            made.datagrams.gather_ms, dissemination.RECEIVE_BATCH_MS
+        )
 
     def test_a_small_fleet_reads_each_at_once(self):
         """Guards against engines chosen by news that is older than needed."""
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -18,7 +18,7 @@
             return known_failures.read_entries(path)
 
     def check_refused(self, *lines):
-        with self.assertRaises(known_failures.ListError):
+        with self.assertRaises(known_failures.KnownFailuresError):
             self.read(*lines)
 
     def test_listed(self):
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -84,10 +84,10 @@
 
     def __init__(self, name):
         self.name = name
-        self.outages = store_reachability.Outages()
-        limits = mass_expiry.Limits(HEARTBEAT_MS, DRAIN_MS)
+        self.outages = store_reachability.StoreReachability()
+        limits = mass_expiry.RegistrationLimits(HEARTBEAT_MS, DRAIN_MS)
         self.mirror = mirrors.Mirror(
-            "servers", mass_expiry.LapseDetector(limits, self.outages)
+            "servers", mass_expiry.MassExpiryDetector(limits, self.outages)
         )
         self.is_reached = True
         self.next_ms = 0
@@ -168,7 +168,7 @@
                     newest.mirror.changed,
                     now_ms,
                     [
-                        mirrors.KeptObject(
+                        mirrors.RetainedObject(
                             one.object, one.revision, now_ms, one.until_ms
                         )
                         for one in newest.mirror.list_kept()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -25,7 +25,7 @@
 
 
 def make_caller(**values):
-    return plan.CallerPlan("a", "k", **values)
+    return plan.ClientProfile("a", "k", **values)
 
 
 class PlanTest(unittest.TestCase):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -59,7 +59,7 @@
         handler = self.make(stream, 1_000_000)
         filler = "x" * 1_000
         took = []
-        for _ in range(logs.MOST_QUEUED + 500):
+        for _ in range(logs.MAX_QUEUED_RECORDS + 500):
             began = time.monotonic()
             handler.emit(make_record(filler))
             took.append(time.monotonic() - began)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -10,7 +10,7 @@
     return {
         "time_ms": time_ms,
         "vm": "vm0",
-        "message": losses.ENDED,
+        "message": losses.REQUEST_ENDED,
         "request_id": request_id,
         "first_ms": 200,
         "gap_ms": 60,
@@ -28,7 +28,7 @@
     return {
         "time_ms": time_ms,
         "vm": "vm0",
-        "message": losses.CHOSEN,
+        "message": losses.ENGINES_SELECTED,
         "request_id": request_id,
         "prefill": prefill,
         "decode": decode,
@@ -54,7 +54,7 @@
                 "a late first piece: waited for the decode to begin": 1,
                 losses.ON_TIME: 1,
             },
-            losses.add_up(lines).ends,
+            losses.summarize(lines).ends,
         )
 
     def test_late_pause_with_the_prompts_read_beside_it(self):
@@ -68,8 +68,8 @@
             make_choice("d", 1_600, "e2", "e2"),
             make_end("a", 2_000, gap_ms=450),
         ]
-        found = losses.add_up(lines)
-        self.assertEqual({losses.PAUSED: 1}, found.ends)
+        found = losses.summarize(lines)
+        self.assertEqual({losses.GAP_EXCEEDED: 1}, found.ends)
         self.assertEqual({400: [2]}, found.pauses)
 
     def test_prompts_read_in_vain_by_cause(self):
@@ -80,7 +80,7 @@
             make_choice("a", 1_000, "e0", "e1"),
             {
                 "time_ms": 1_100,
-                "message": losses.UNANSWERED,
+                "message": losses.PREFILL_OUTCOME_UNKNOWN,
                 "request_id": "a",
                 "decode": "e1",
                 "step": "prefill",
@@ -88,7 +88,7 @@
             },
             {
                 "time_ms": 1_200,
-                "message": losses.IN_VAIN,
+                "message": losses.PREFILL_WASTED,
                 "request_id": "b",
                 "tokens": 2_000,
                 "step": "decode",
@@ -101,7 +101,7 @@
                 "no answer, prefill upstream_timeout": 3_000,
                 "decode upstream_refused, full": 2_000,
             },
-            losses.add_up(lines).in_vain,
+            losses.summarize(lines).in_vain,
         )
 
     def test_failures_and_the_report(self):
@@ -112,9 +112,9 @@
         lines = [
             make_end("a", 1, first_ms=0, **failed),
             make_end("b", 2, step="decode", code="upstream_failed"),
-            {"time_ms": 3, "message": losses.ENDED, "request_id": "c"},
+            {"time_ms": 3, "message": losses.REQUEST_ENDED, "request_id": "c"},
         ]
-        report = losses.write_report(losses.add_up(lines))
+        report = losses.format_report(losses.summarize(lines))
         self.assertIn("2 streams", report)
         self.assertIn("failed before it: queue overloaded", report)
         self.assertIn(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,7 @@
         clock_.advance_ms(10_000)
         self.assertEqual(found.list_alive(), ("vm0",))
         dead = next(one for one in found.list_members() if one.name == "vm1")
-        self.assertIs(dead.health, member.Health.DEAD)
+        self.assertIs(dead.health, member.MemberStatus.DEAD)
 
 
 class MembershipTest(unittest.TestCase):
@@ -60,7 +60,7 @@
         named = {one.address for answer in answers[:4] for one in answer}
         self.assertNotIn("vm4:2", named)
         fleet.run(20)
-        self.check_all_see(fleet, "vm4", member.Health.DEAD)
+        self.check_all_see(fleet, "vm4", member.MemberStatus.DEAD)
 
     def test_the_last_other_vm_dies_and_comes_back(self):
         """A VM takes all others for dead, as one that is cut off does.  With
@@ -72,11 +72,13 @@
         fleet.network.down.add("vm1:1")
         fleet.run(30)
         first = fleet.vms[0]
-        self.assertIs(fleet.see(first, "vm1").health, member.Health.DEAD)
+        self.assertIs(fleet.see(first, "vm1").health, member.MemberStatus.DEAD)
         self.assertIsNone(first.exchange.view.choose_target())
         fleet.network.down.discard("vm1:1")
         fleet.run(40)
-        self.assertIs(fleet.see(first, "vm1").health, member.Health.ALIVE)
+        self.assertIs(
+            fleet.see(first, "vm1").health, member.MemberStatus.ALIVE
+        )
 
     def test_one_lost_link_kills_nobody(self):
         """Two VMs cannot reach each other, though all others reach both.
@@ -87,8 +89,8 @@
         fleet.run(20)
         fleet.network.cut.add(("vm3:1", "vm5:1"))
         fleet.run(40)
-        self.check_all_see(fleet, "vm3", member.Health.ALIVE)
-        self.check_all_see(fleet, "vm5", member.Health.ALIVE)
+        self.check_all_see(fleet, "vm3", member.MemberStatus.ALIVE)
+        self.check_all_see(fleet, "vm5", member.MemberStatus.ALIVE)
 
     def test_regions_that_lost_each_other_join_again(self):
         """Two halves are cut apart until each takes the other for dead."""
@@ -102,11 +104,11 @@
         fleet.network.cut.update(halves)
         fleet.run(40)
         dead = fleet.see(fleet.vms[0], "vm7")
-        self.assertIs(dead.health, member.Health.DEAD)
+        self.assertIs(dead.health, member.MemberStatus.DEAD)
         fleet.network.cut.clear()
         fleet.run(60)
         for vm in fleet.vms:
-            self.check_all_see(fleet, vm.own.name, member.Health.ALIVE)
+            self.check_all_see(fleet, vm.own.name, member.MemberStatus.ALIVE)
 
     def test_a_new_vm_at_an_old_address_is_not_the_old_one(self):
         """A VM is replaced; the new one has its name and IP number.
@@ -120,7 +122,7 @@
         fleet.network.down.clear()
         fleet.vms[4] = fleet.make("vm4", 1, incarnation=2)
         fleet.run(20)
-        self.check_all_see(fleet, "vm4", member.Health.ALIVE)
+        self.check_all_see(fleet, "vm4", member.MemberStatus.ALIVE)
         self.assertEqual(fleet.see(fleet.vms[0], "vm4").incarnation, 2)
 
     def test_a_vm_whose_clock_went_back_gets_a_larger_incarnation(self):
@@ -132,7 +134,7 @@
         fleet.run(20)
         fleet.vms[4] = fleet.make("vm4", 1, incarnation=0)
         fleet.run(20)
-        self.check_all_see(fleet, "vm4", member.Health.ALIVE)
+        self.check_all_see(fleet, "vm4", member.MemberStatus.ALIVE)
         self.assertEqual(
             fleet.see(fleet.vms[0], "vm4").incarnation,
             fleet.vms[4].own.incarnation,
@@ -207,5 +209,5 @@
         behind = clock.ManualClock(old - 1)
         ahead = clock.ManualClock(old + 500)
         for clock_, expected in ((behind, old + 1), (ahead, old + 500)):
-            found = controllers.find_incarnation("vm2", seeds, peers, clock_)
+            found = controllers.choose_incarnation("vm2", seeds, peers, clock_)
             self.assertEqual(found, expected)
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -33,10 +33,12 @@
 
 class MirrorTest(unittest.TestCase):
     def setUp(self):
-        self.outages = store_reachability.Outages()
-        limits = mass_expiry.Limits(heartbeat_ms=1_000, drain_ms=2_000)
+        self.outages = store_reachability.StoreReachability()
+        limits = mass_expiry.RegistrationLimits(
+            heartbeat_ms=1_000, drain_ms=2_000
+        )
         self.mirror = mirrors.Mirror(
-            "servers", mass_expiry.LapseDetector(limits, self.outages)
+            "servers", mass_expiry.MassExpiryDetector(limits, self.outages)
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.mirror.replace(rows, 10, 0)
@@ -205,7 +207,7 @@
         self.assertEqual(self.names(), ["s5", "s6"])
 
 
-class AwayStore:
+class UnavailableStore:
     """A store that refuses every call."""
 
     def read_listing(self, kind, purpose):
@@ -238,11 +240,11 @@
 class ExchangeTest(unittest.TestCase):
     def make(self, failures):
         self.changes = []
-        self.keeper = controllers.MirrorKeeper(
+        self.keeper = controllers.MirrorController(
             "config", None, clock.ManualClock(), lambda: self.changes.append(1)
         )
         self.peers = FailingPeers(failures)
-        return mirror_exchange.MirrorExchange(
+        return mirror_exchange.MirrorSyncController(
             {"config": self.keeper}, self.peers, clock.ManualClock(), list
         )
 
@@ -274,11 +276,11 @@
     """A VM that the store has not answered yet, and that hears nobody."""
 
     def make(self, failures=0, addresses=("a2:1", "a3:1")):
-        self.keeper = controllers.MirrorKeeper(
-            "config", AwayStore(), clock.ManualClock(), lambda: None
+        self.keeper = controllers.MirrorController(
+            "config", UnavailableStore(), clock.ManualClock(), lambda: None
         )
         self.peers = FailingPeers(failures)
-        return mirror_exchange.MirrorExchange(
+        return mirror_exchange.MirrorSyncController(
             {"config": self.keeper},
             self.peers,
             clock.ManualClock(),
@@ -332,7 +334,7 @@
 
 class PackTest(unittest.TestCase):
     def setUp(self):
-        self.keeper = controllers.MirrorKeeper(
+        self.keeper = controllers.MirrorController(
             "servers", None, clock.ManualClock(), lambda: None
         )
         self.take([["s1", 5, {}], ["s2", 7, {}]], 7)
@@ -398,13 +400,15 @@
     def setUp(self):
         self.clock = clock.ManualClock()
         self.store = ScriptedStore(self.clock)
-        self.outages = store_reachability.Outages()
-        self.keeper = controllers.MirrorKeeper(
+        self.outages = store_reachability.StoreReachability()
+        self.keeper = controllers.MirrorController(
             "servers",
             self.store,
             self.clock,
             lambda: None,
-            mass_expiry.LapseDetector(mass_expiry.Limits(), self.outages),
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(), self.outages
+            ),
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.step((0, base.Listing(rows, 10)))
@@ -420,7 +424,7 @@
     def lapse_all(self, revision=20):
         """Return the answer that tells that all entries have lapsed."""
         events = [change(f"s{n}", n, True) for n in range(1, 7)]
-        return base.Changes(events, revision)
+        return base.ChangeBatch(events, revision)
 
 
 class LateRemovalTest(KeeperCase):
@@ -430,13 +434,13 @@
 
     def leave(self, name, revision):
         number = int(name[1:])
-        return base.Changes([change(name, number, True)], revision)
+        return base.ChangeBatch([change(name, number, True)], revision)
 
     def test_refusals_of_all_vms_put_no_removal_off(self):
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
-            (1_200, base.Changes([], 11)),
+            (1_200, base.ChangeBatch([], 11)),
             (700, self.leave("s1", 12)),
         )
         self.assertNotIn("s1", self.names())
@@ -445,9 +449,9 @@
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
-            (3_000, base.Changes([], 11)),
+            (3_000, base.ChangeBatch([], 11)),
             (2_000, fail("reset")),
-            (10, base.Changes([], 12)),
+            (10, base.ChangeBatch([], 12)),
             (700, self.leave("s1", 13)),
         )
         self.assertNotIn("s1", self.names())
@@ -480,9 +484,9 @@
     def poll(self, kind, revision, wait_ms, purpose):
         if self.is_told:
             self.end.wait(wait_ms / 1_000)
-            return expression.Ok(base.Changes([], revision))
+            return expression.Ok(base.ChangeBatch([], revision))
         self.is_told = True
-        return expression.Ok(base.Changes(self.events, 20))
+        return expression.Ok(base.ChangeBatch(self.events, 20))
 
 
 class ExpiryTest(unittest.TestCase):
@@ -494,13 +498,14 @@
             [make(f"s{n}", n) for n in range(1, 7)],
             [change(f"s{n}", n, True) for n in range(1, 7)],
         )
-        keeper = controllers.MirrorKeeper(
+        keeper = controllers.MirrorController(
             "servers",
             store,
             clock.SystemClock(),
             lambda: None,
-            mass_expiry.LapseDetector(
-                mass_expiry.Limits(), store_reachability.Outages()
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(),
+                store_reachability.StoreReachability(),
             ),
         )
         keeper.start()
@@ -510,7 +515,7 @@
             self.assertTrue(keeper.list_objects())
             gone = processes.wait_until(
                 lambda: not keeper.list_objects(),
-                mass_expiry.RETURN_MS / 1e3 + 0.2,
+                mass_expiry.REREGISTRATION_MS / 1e3 + 0.2,
             )
             self.assertTrue(gone)
         finally:
@@ -523,13 +528,14 @@
 
     def setUp(self):
         super().setUp()
-        self.other = controllers.MirrorKeeper(
+        self.other = controllers.MirrorController(
             "servers",
             None,
             self.clock,
             lambda: None,
-            mass_expiry.LapseDetector(
-                mass_expiry.Limits(), store_reachability.Outages()
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(),
+                store_reachability.StoreReachability(),
             ),
         )
         self.copy()
@@ -547,13 +553,13 @@
         self.step((0, fail()), (4_000, self.lapse_all()))
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
-        self.clock.advance_ms(mass_expiry.RETURN_MS)
+        self.clock.advance_ms(mass_expiry.REREGISTRATION_MS)
         self.other.expire()
         self.assertEqual(self.list_other(), [])
 
     def test_a_copy_keeps_entries_no_longer_than_its_vm(self):
         self.step((0, fail()), (4_000, self.lapse_all()))
-        self.clock.advance_ms(mass_expiry.RETURN_MS - 100)
+        self.clock.advance_ms(mass_expiry.REREGISTRATION_MS - 100)
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
         self.clock.advance_ms(100)
@@ -561,7 +567,7 @@
         self.assertEqual(self.list_other(), [])
 
     def test_a_vm_that_has_just_started_gets_kept_entries(self):
-        fresh = controllers.MirrorKeeper(
+        fresh = controllers.MirrorController(
             "servers", None, self.clock, lambda: None
         )
         self.step((0, fail()), (4_000, self.lapse_all()))
@@ -575,7 +581,7 @@
         """Guards against VMs that start in an outage and make all others take
         it for trouble of their own.
         """
-        started = controllers.MirrorKeeper(
+        started = controllers.MirrorController(
             "servers", self.store, self.clock, lambda: None
         )
         self.assertFalse(started.is_reached)
@@ -643,7 +649,7 @@
     def make_keeper(self, kind):
         store = ScriptedStore(clock.ManualClock())
         store.answers = [(0, base.Listing([], 1))]
-        return controllers.MirrorKeeper(
+        return controllers.MirrorController(
             kind, store, store.clock, self.source.refresh
         )
 
@@ -670,10 +676,10 @@
 
 class OutagesTest(unittest.TestCase):
     def test_alone_it_is_shared(self):
-        self.assertTrue(store_reachability.Outages().is_shared(0, 0))
+        self.assertTrue(store_reachability.StoreReachability().is_shared(0, 0))
 
     def test_one_vm_that_is_served_tells(self):
-        found = store_reachability.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a3", True, 0)
         self.assertFalse(found.is_shared(0, 100))
@@ -684,7 +690,7 @@
         """Guards against a VM's own trouble that is taken for an outage
         because all had missed the store shortly before.
         """
-        found = store_reachability.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a2", True, 1_000)
         self.assertFalse(found.is_shared(1_100, 1_200))
@@ -695,9 +701,9 @@
         """
         vms = [f"a{n}" for n in range(90)]
         watchers = store_reachability.choose_watchers(vms)
-        self.assertEqual(len(watchers), store_reachability.WATCHERS)
+        self.assertEqual(len(watchers), store_reachability.WATCHER_COUNT)
         other = next(vm for vm in vms if vm not in watchers)
-        found = store_reachability.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer(watchers[0], True, 0)
         self.assertFalse(found.must_ask(other, vms, 100))
         self.assertTrue(found.must_ask(watchers[0], vms, 100))
@@ -709,11 +715,11 @@
         vms = [f"a{n}" for n in range(90)]
         watchers = store_reachability.choose_watchers(vms)
         other = next(vm for vm in vms if vm not in watchers)
-        found = store_reachability.Outages()
+        found = store_reachability.StoreReachability()
         self.assertTrue(found.must_ask(other, vms, 0))
         found.note_peer(watchers[0], True, 0)
         self.assertTrue(
-            found.must_ask(other, vms, store_reachability.HEARD_MS)
+            found.must_ask(other, vms, store_reachability.PEER_REPORT_TTL_MS)
         )
         found.note_peer(watchers[0], False, 6_000)
         self.assertTrue(found.must_ask(other, vms, 6_100))
--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -37,7 +37,7 @@
             target_gap_ms=300,
         ),
     )
-    maker = model_job.JobMaker(exchange, clock.ManualClock(now_ms))
+    maker = model_job.JobBuilder(exchange, clock.ManualClock(now_ms))
     limit = clock.Deadline(now_ms + 10_000)
     return maker.make(0, frozenset(), limit, since_ms)
 
@@ -49,7 +49,7 @@
         """
         lost_ms = ARRIVED_MS + 5_000
         job = make_job(lost_ms, lost_ms)
-        entry = queue_entries.Entry(
+        entry = queue_entries.QueueEntry(
             job, queue_entries.Lane.SHORT, 100, lost_ms + 2_000
         )
         self.assertFalse(entry.is_late(lost_ms))
--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -18,7 +18,7 @@
     """Ask for a stream and return the socket, its reply unread."""
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
-    connection.settimeout(router_fixture.GUARD_S)
+    connection.settimeout(router_fixture.TEST_TIMEOUT_S)
     connection.connect(("127.0.0.1", port))
     body = json.dumps(
         {
@@ -61,7 +61,7 @@
         self.group.processes += self.processes.values()
         for process in self.processes.values():
             process.wait_ready()
-        self.rig = router_fixture.Rig(
+        self.rig = router_fixture.RouterFixture(
             self.make_tables(),
             self.make_settings(),
             may_repeat=self.may_repeat,
@@ -179,7 +179,7 @@
         reply = self.rig.complete()
         self.assertEqual(reply.status, 502)
         error = reply.json()["error"]
-        self.assertEqual(error["run"], errors.Run.NOT_RUN.value)
+        self.assertEqual(error["run"], errors.ExecutionStatus.NOT_RUN.value)
         self.assertEqual(error["step"], "prefill")
         self.assertEqual(error["peer"], f"127.0.0.1:{self.ports[0]}")
         self.check_free(self.ports[0])
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -21,19 +21,20 @@
         pool = cases.make_pool(prefills=160, decodes=320)
         asked = []
         for vm in vms:
-            share = pool_subsets.divide_pool(pool, vm, vms)
+            share = pool_subsets.find_pool_subset(pool, vm, vms)
             self.assertLess(len(share.peers), 8)
             asked += [
                 name
                 for name in share.upstreams
-                if pool_subsets.choose_reporter(name, [*share.peers, vm]) == vm
+                if pool_subsets.choose_load_poller(name, [*share.peers, vm])
+                == vm
             ]
         self.assertEqual(
             sorted(asked), sorted(one.name for one in pool.upstreams)
         )
 
     def test_a_small_pool_is_shared_by_all(self):
-        share = pool_subsets.divide_pool(
+        share = pool_subsets.find_pool_subset(
             cases.make_pool(), "b", ("a", "b", "c")
         )
         self.assertEqual(share.upstreams, ["p0", "p1", "d0", "d1"])
@@ -43,12 +44,14 @@
 class CodecTest(unittest.TestCase):
     def test_reads_on_after_a_broken_message(self):
         """Guards against a thread that reads nothing after one bad packet."""
-        payload = gossip_messages.write_note(hints.Note("a", 7, 3, [], [], []))
+        payload = gossip_messages.encode_note(
+            hints.Note("a", 7, 3, [], [], [])
+        )
         for size in range(1, len(payload)):
             with self.assertRaises((EOFError, TypeError)):
-                gossip_messages.read_datagram(payload[:size])
+                gossip_messages.decode_datagram(payload[:size])
             self.assertEqual(
-                gossip_messages.read_datagram(payload).note.vm, "a"
+                gossip_messages.decode_datagram(payload).note.vm, "a"
             )
 
 
@@ -60,7 +63,7 @@
         self.address = f"{HOST}:{self.receiver.port}"
 
     def open(self, secret):
-        opened = datagrams.Datagrams(
+        opened = datagrams.DatagramTransport(
             HOST,
             0,
             secret,
@@ -83,11 +86,11 @@
             [hints.AccountNote("lm", "tea", 2, 5_000, 3, 250, 77)],
             [hints.Death("ab" * 16, "lm/d0", 40, True)],
         )
-        payload = gossip_messages.write_note(note)
+        payload = gossip_messages.encode_note(note)
         self.sender.send(self.address, payload)
         self.wait_for(payload)
-        back = gossip_messages.read_datagram(self.got[-1]).note
-        self.assertEqual(gossip_messages.write_note(back), payload)
+        back = gossip_messages.decode_datagram(self.got[-1]).note
+        self.assertEqual(gossip_messages.encode_note(back), payload)
         self.assertEqual(back.holdings[0].blocks, 12)
         self.assertEqual(back.holdings[0].step_ms, 41)
         self.assertEqual(back.accounts[0].prefill_ms, 77)
@@ -98,12 +101,12 @@
             upstreams.CacheEvent(n, tuple(f"{n:016x}" for _ in range(9)), ())
             for n in range(100)
         ]
-        news = gossip_messages.EngineNews(
+        news = gossip_messages.EngineReport(
             "lm", "p0", cases.make_load(running=3), events
         )
-        payload = gossip_messages.write_news(news)
+        payload = gossip_messages.encode_report(news)
         self.assertLess(len(payload), datagrams.MOST_PAYLOAD_BYTES)
-        back = gossip_messages.read_datagram(payload).news[0]
+        back = gossip_messages.decode_datagram(payload).news[0]
         self.assertEqual(back.load.running, 3)
         self.assertEqual(back.events[-1].stored, events[-1].stored)
         numbers = [one.sequence for one in back.events]
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -54,9 +54,9 @@
             f"http://{processes.HOST}:{cls.platform_by_proxy}",
             PLATFORM_TIMEOUT_MS,
             clock_,
-            call_metrics.CallCounts(),
+            call_metrics.InMemoryCallCounter(),
         )
-        rig = router_fixture.Rig(
+        rig = router_fixture.RouterFixture(
             cls.make_tables(cls.service_by_proxy),
             claims=claims.ClaimStore(store, clock_, vm, 1, 1),
         )
@@ -79,7 +79,7 @@
         self.assertEqual(reply.status, 200, reply.body)
 
     def make_key(self):
-        return claim_records.make_key(
+        return claim_records.make_uuid7(
             self.clock.wall_ms(), self.random.getrandbits(70)
         )
 
@@ -202,7 +202,7 @@
         self.assertGreater(sum(runs), len(keys) / 2)
 
     def test_call_without_a_claim_store_is_refused(self):
-        rig = router_fixture.Rig(self.make_tables(self.service))
+        rig = router_fixture.RouterFixture(self.make_tables(self.service))
         with rig:
             key = self.make_key()
             reply = rig.call("POST", "/bookings", b"{}", Idempotency_Key=key)
--- a/tests/test_once_deployment.py
+++ b/tests/test_once_deployment.py
@@ -34,13 +34,13 @@
         self.answers = collections.defaultdict(list)
 
     def make_key(self):
-        return claim_records.make_key(
+        return claim_records.make_uuid7(
             time.time_ns() // 1_000_000, self.random.getrandbits(70)
         )
 
     def book(self, vm, key):
         """Send a booking; return its reply, or none if none came."""
-        rig = deployment.PortRig(self.fleet.ports[vm])
+        rig = deployment.RemoteRouter(self.fleet.ports[vm])
         with contextlib.suppress(OSError):
             reply = rig.call(
                 "POST", "/bookings", key.encode(), Idempotency_Key=key
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -94,17 +94,17 @@
     def test_candidates_are_few_and_the_same_for_all(self):
         vms = [f"vm{n}" for n in range(410)]
         chosen = leader_lease.choose_candidates(vms)
-        self.assertEqual(len(chosen), leader_lease.CANDIDATES)
+        self.assertEqual(len(chosen), leader_lease.CANDIDATE_COUNT)
         self.assertEqual(chosen, leader_lease.choose_candidates(reversed(vms)))
 
     def test_a_stale_read_brings_no_old_holder_back(self):
-        lease = leader_lease.IssuerLease("a", 1)
+        lease = leader_lease.LeaderLease("a", 1)
         lease.note_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
         lease.note_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
         self.assertEqual((lease.fencing, lease.version), (5, 50))
 
 
-class CutStore:
+class PartitionableStore:
     """The platform as one VM reaches it, or not."""
 
     def __init__(self, world, name):
@@ -144,7 +144,7 @@
         return controllers.OrdersController(
             name,
             1,
-            CutStore(self, name),
+            PartitionableStore(self, name),
             self,
             lambda pool, upstream: WorldEngine(self, upstream),
             dict,
@@ -181,7 +181,7 @@
 
     def give_order(self, order):
         world = self.world
-        flight_ms = world.random.randint(0, leader_lease.FLIGHT_MS)
+        flight_ms = world.random.randint(0, leader_lease.MAX_IN_FLIGHT_MS)
         at_ms = world.clock.now_ms() + flight_ms
         world.arrivals[self.name].append((at_ms, order.fencing))
         # Most answers are lost, so that orders are given all the time.
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -124,9 +124,9 @@
         stranger = peers.PeerClient("guess", self.clock, GUARD_MS)
         result = stranger.call(self.address, Probe.Client, "echo", b"x")
         self.assertIs(result.error.code, errors.Code.PEER_UNREACHABLE)
-        self.assertIs(result.error.run, errors.Run.NOT_RUN)
+        self.assertIs(result.error.run, errors.ExecutionStatus.NOT_RUN)
         with socket.create_connection(("127.0.0.1", self.server.port)) as raw:
-            raw.sendall(b"\0" * channel.HELLO_BYTES)
+            raw.sendall(b"\0" * channel.HANDSHAKE_BYTES)
             received = b""
             while part := raw.recv(1_000):
                 received += part
@@ -208,7 +208,7 @@
         self.echo.go.clear()
         late = self.call(b"old", timeout_ms=100)
         self.assertIs(late.error.code, errors.Code.PEER_UNREACHABLE)
-        self.assertIs(late.error.run, errors.Run.MAY_HAVE_RUN)
+        self.assertIs(late.error.run, errors.ExecutionStatus.MAY_HAVE_RUN)
         self.echo.go.set()
         self.assertEqual(self.call(b"new").ok, b"new")
 
@@ -217,7 +217,7 @@
         self.server.stop()
         result = self.call(b"x")
         self.assertIs(result.error.code, errors.Code.PEER_UNREACHABLE)
-        self.assertIs(result.error.run, errors.Run.NOT_RUN)
+        self.assertIs(result.error.run, errors.ExecutionStatus.NOT_RUN)
         self.assertEqual(result.error.peer, self.address)
 
     def test_a_broken_handler_is_reported(self):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -197,33 +197,33 @@
 
 class AnswerTest(unittest.TestCase):
     def read(self, status, *headers):
-        return responses.read_answer(
+        return responses.make_response_fault(
             status, list(headers), b"x", "10.0.0.1:80", errors.Step.DECODE
         )
 
     def test_refusal_is_not_run(self):
         for status in (503, 429, 400):
             fault = self.read(status, ("not-executed", "1"))
-            self.assertIs(fault.run, errors.Run.NOT_RUN)
-        self.assertIs(self.read(421).run, errors.Run.NOT_RUN)
+            self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
+        self.assertIs(self.read(421).run, errors.ExecutionStatus.NOT_RUN)
 
     def test_own_failure_has_run_and_goes_on(self):
         fault = self.read(500, ("Server-Seal", "s"), ("Content-Length", "1"))
-        self.assertIs(fault.run, errors.Run.RAN)
+        self.assertIs(fault.run, errors.ExecutionStatus.RAN)
         self.assertEqual(fault.answer.status, 500)
         self.assertEqual(fault.answer.headers, [("Server-Seal", "s")])
 
     def test_503_without_a_promise_may_have_run(self):
         fault = self.read(503, ("Server-Seal", "s"))
-        self.assertIs(fault.run, errors.Run.RAN)
+        self.assertIs(fault.run, errors.ExecutionStatus.RAN)
 
     def test_answer_to_another_request_is_nobodys(self):
         fault = self.read(500)
-        self.assertIs(fault.run, errors.Run.MAY_HAVE_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
         self.assertIsNone(fault.answer)
 
     def test_headers_for_an_upstream(self):
-        found = responses.make_headers(
+        found = responses.make_request_headers(
             [
                 ("Host", "site.example"),
                 ("Deadline-Ms", "9000"),
@@ -251,7 +251,7 @@
         ever, they would fill a VM's memory in days.
         """
         one = engine.PlatformEngine("i-1", "10.0.0.1:80", clock.ManualClock())
-        label = upstreams.RunLabel("r-1", "vm1", 1)
+        label = upstreams.AttemptLabel("r-1", "vm1", 1)
         body = b'{"cache_handle": "h-1", "tokens": 100, "version": 1}'
         found = one._read_prefill(
             label, connections.Response(200, [], body)
@@ -273,7 +273,7 @@
             made = engine.PlatformEngine(
                 "i-1", f"{host}:{port}", clock.SystemClock()
             )
-            label = upstreams.RunLabel("r-1", "vm0", 1)
+            label = upstreams.AttemptLabel("r-1", "vm0", 1)
             made.cancel(label)
             self.assertTrue(made.prepare(label).is_ok())
             connection, _ = listener.accept()
@@ -294,7 +294,7 @@
             made = engine.PlatformEngine(
                 "i-1", f"{host}:{port}", clock.SystemClock()
             )
-            label = upstreams.RunLabel("r-1", "vm0", 1)
+            label = upstreams.AttemptLabel("r-1", "vm0", 1)
             taken = []
 
             def refuse():
@@ -306,19 +306,21 @@
 
             thread = threading.Thread(target=refuse)
             thread.start()
-            fault = made.prepare(label, upstreams.Room(100, 2_000)).error
+            fault = made.prepare(
+                label, upstreams.ReservationRequest(100, 2_000)
+            ).error
             thread.join()
             for connection in taken:
                 self.addCleanup(connection.close)
             self.assertIs(fault.step, errors.Step.RESERVE)
-            self.assertIs(fault.run, errors.Run.NOT_RUN)
+            self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
             taken[0].settimeout(1.0)
             self.assertEqual(taken[0].recv(1), b"")
 
 
 class WireTest(unittest.TestCase):
     def test_numbers(self):
-        self.assertEqual(wire.read_whole(3.0), 3)
+        self.assertEqual(wire.parse_integer(3.0), 3)
         for value in (True, "3", 2.5, None, -1):
             with self.assertRaises(ValueError):
-                wire.read_whole(value)
+                wire.parse_integer(value)
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -60,7 +60,7 @@
         self.addCleanup(self.server.server_close)
         self.addCleanup(self.server.shutdown)
         self.addCleanup(self.released.set)
-        self.counts = call_metrics.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         self.store = platform.HttpObjectStore(
             f"http://127.0.0.1:{self.server.server_port}",
             300,
@@ -102,7 +102,7 @@
         self.assertEqual(self.counts.read_counts()[("p", "ok")].calls, 4)
 
     def test_refusals(self):
-        code, run = errors.Code, errors.Run
+        code, run = errors.Code, errors.ExecutionStatus
         for status, expected, expected_run in (
             (404, code.NOT_FOUND, run.NOT_RUN),
             (409, code.CONFLICT, run.NOT_RUN),
@@ -126,7 +126,7 @@
             self.check_fault(
                 result,
                 errors.Code.PLATFORM_UNAVAILABLE,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
             )
 
     def test_unreachable_is_not_run(self):
@@ -137,7 +137,9 @@
         self.server.server_close()
         result = self.store.create("k", "a", {}, "p")
         self.check_fault(
-            result, errors.Code.PLATFORM_UNAVAILABLE, errors.Run.NOT_RUN
+            result,
+            errors.Code.PLATFORM_UNAVAILABLE,
+            errors.ExecutionStatus.NOT_RUN,
         )
 
     def test_silent_watch_ends(self):
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -8,8 +8,8 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-DIED = jobs.JobEnd.DIED
-DONE = jobs.JobEnd.DONE
+DIED = jobs.JobOutcome.DIED
+DONE = jobs.JobOutcome.DONE
 
 
 class RouterCase(unittest.TestCase):
@@ -73,7 +73,7 @@
         for router in self.routers:
             refused = self.send(router, "bad")
             self.assertIs(refused.code, errors.Code.QUARANTINED)
-            self.assertIs(refused.run, errors.Run.NOT_RUN)
+            self.assertIs(refused.run, errors.ExecutionStatus.NOT_RUN)
         self.assertIsInstance(self.send(first, "other"), str)
 
     def test_bystanders_are_cleared_and_the_culprit_is_not(self):
@@ -103,8 +103,10 @@
             digest: router.register.read_standing(digest, self.now_ms)
             for digest in digests
         }
-        self.assertIs(standings.pop("bad"), poison.Standing.QUARANTINED)
-        self.assertEqual(set(standings.values()), {poison.Standing.CLEAR})
+        self.assertIs(standings.pop("bad"), poison.QuarantineState.QUARANTINED)
+        self.assertEqual(
+            set(standings.values()), {poison.QuarantineState.CLEAR}
+        )
 
     def crash_batch(self, router):
         """Let one engine die with its batch; return the batch's digests."""
@@ -140,11 +142,12 @@
         router.finish(suspect, DIED, where, self.now_ms)
         register = router.register
         self.assertIs(
-            register.read_standing(beside, self.now_ms), poison.Standing.CLEAR
+            register.read_standing(beside, self.now_ms),
+            poison.QuarantineState.CLEAR,
         )
         self.assertIs(
             register.read_standing("bad", self.now_ms),
-            poison.Standing.QUARANTINED,
+            poison.QuarantineState.QUARANTINED,
         )
 
     def test_waiting_repeats_are_refused_when_the_news_comes(self):
@@ -161,7 +164,7 @@
 
 class RegisterTest(unittest.TestCase):
     def setUp(self):
-        self.register = poison.Register()
+        self.register = poison.PoisonRegistry()
 
     def read(self, digest, now_ms):
         return self.register.read_standing(digest, now_ms)
@@ -181,10 +184,12 @@
     def test_one_death_seen_twice_is_one(self):
         self.register.note_death("d", "lm/d0", False, 0)
         self.register.note_death("d", "lm/d0", False, 400)
-        self.assertIs(self.read("d", 1_000), poison.Standing.SUSPECT)
+        self.assertIs(self.read("d", 1_000), poison.QuarantineState.SUSPECT)
         # Started again at once, the same upstream can die a second time.
         self.register.note_death("d", "lm/d0", False, 1_100)
-        self.assertIs(self.read("d", 1_100), poison.Standing.QUARANTINED)
+        self.assertIs(
+            self.read("d", 1_100), poison.QuarantineState.QUARANTINED
+        )
 
     def test_unproven_is_tried_again_and_proven_is_not(self):
         """Many callers send the same small request, and it was in two
@@ -195,32 +200,39 @@
             self.register.note_death(digest, "lm/d0", False, 0)
             self.register.note_death(digest, "lm/d1", proven, 10_000)
             self.assertIs(
-                self.read(digest, 11_000), poison.Standing.QUARANTINED
+                self.read(digest, 11_000), poison.QuarantineState.QUARANTINED
             )
-        later = 10_000 + poison.PAROLE_MS
-        self.assertIs(self.read("chance", later), poison.Standing.SUSPECT)
-        self.assertIs(self.read("bad", later), poison.Standing.QUARANTINED)
+        later = 10_000 + poison.UNPROVEN_QUARANTINE_MS
+        self.assertIs(
+            self.read("chance", later), poison.QuarantineState.SUSPECT
+        )
+        self.assertIs(
+            self.read("bad", later), poison.QuarantineState.QUARANTINED
+        )
 
     def test_bounded_in_size_and_time(self):
-        for number in range(poison.MOST_DIGESTS + 50):
+        for number in range(poison.MAX_DIGESTS + 50):
             self.register.note_death(f"d{number}", "lm/d0", False, number)
-        self.assertEqual(len(self.register), poison.MOST_DIGESTS)
-        self.assertIs(self.read("d0", 5_000), poison.Standing.CLEAR)
-        late = 5_000 + poison.KEPT_MS
-        self.assertIs(self.read("d4000", late), poison.Standing.CLEAR)
+        self.assertEqual(len(self.register), poison.MAX_DIGESTS)
+        self.assertIs(self.read("d0", 5_000), poison.QuarantineState.CLEAR)
+        late = 5_000 + poison.QUARANTINE_MS
+        self.assertIs(self.read("d4000", late), poison.QuarantineState.CLEAR)
 
     def test_a_repeat_renews_the_quarantine(self):
         self.register.note_death("d", "lm/d0", False, 0)
         self.register.note_death("d", "lm/d1", True, 6_000)
-        almost = 6_000 + poison.KEPT_MS - 1
+        almost = 6_000 + poison.QUARANTINE_MS - 1
         self.register.note_repeat("d", almost)
-        self.assertIs(self.read("d", almost + 10), poison.Standing.QUARANTINED)
+        self.assertIs(
+            self.read("d", almost + 10), poison.QuarantineState.QUARANTINED
+        )
 
     def test_a_new_router_gets_all_that_is_known(self):
         self.register.note_death("d", "lm/d0", False, 0)
         self.register.note_death("d", "lm/d1", True, 6_000)
-        other = poison.Register()
+        other = poison.PoisonRegistry()
         other.note_news(self.register.list_deaths(7_000), 100_000)
         self.assertIs(
-            other.read_standing("d", 100_000), poison.Standing.QUARANTINED
+            other.read_standing("d", 100_000),
+            poison.QuarantineState.QUARANTINED,
         )
--- a/tests/test_poison_router.py
+++ b/tests/test_poison_router.py
@@ -31,7 +31,7 @@
             timeout_ms=5_000,
         )
         fair = scheduler.FairScheduler("vm1", seed=1)
-        self.rig = router_fixture.Rig(tables, scheduler=fair)
+        self.rig = router_fixture.RouterFixture(tables, scheduler=fair)
         self.rig.__enter__()
         self.addCleanup(self.rig.__exit__)
 
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -65,27 +65,27 @@
 
     def test_one_vm_probes_for_all(self):
         """Guards an engine that comes back against a probe of each VM."""
-        due = [probes.Ejected("lm", "d0", True)]
+        due = [probes.EjectedUpstream("lm", "d0", True)]
         asked = [name for name in VMS if self.step(name, due)[0].asked]
-        self.assertEqual(asked, [pool_subsets.choose_reporter("d0", VMS)])
+        self.assertEqual(asked, [pool_subsets.choose_load_poller("d0", VMS)])
 
     def test_the_answer_is_taken_in(self):
-        prober = pool_subsets.choose_reporter("d1", VMS)
-        due = [probes.Ejected("lm", "d1", True)]
+        prober = pool_subsets.choose_load_poller("d1", VMS)
+        due = [probes.EjectedUpstream("lm", "d1", True)]
         self.assertEqual(self.step(prober, due)[0].noted, [("d1", True)])
         failed, _ = self.step(prober, due, answers=False)
         self.assertEqual(failed.noted, [("d1", False)])
 
     def test_nothing_is_probed_before_it_is_due(self):
-        prober = pool_subsets.choose_reporter("d1", VMS)
-        early = [probes.Ejected("lm", "d1", False)]
+        prober = pool_subsets.choose_load_poller("d1", VMS)
+        early = [probes.EjectedUpstream("lm", "d1", False)]
         stub, made = self.step(prober, early)
         self.assertEqual(stub.asked, [])
         self.assertEqual(made.period_ms, probing.PERIOD_MS)
         self.assertEqual(self.step(prober, [])[1].period_ms, probing.IDLE_MS)
 
     def test_changes_are_logged_once(self):
-        ejected = [probes.Ejected("lm", "d1", False)]
+        ejected = [probes.EjectedUpstream("lm", "d1", False)]
         with self.assertLogs("mulberryway.controllers.probing") as found:
             _, made = self.step("vm0", ejected)
             made.step()
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -21,7 +21,7 @@
 EVENT = b'data: {"id": "x", "index": 0, "choices": []}\n\n'
 
 
-class BrokenOwner(streams.StreamOwner):
+class FailingOwner(streams.StreamOwner):
     """Fails while it seeks another engine."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
         self.closed.set()
 
 
-class StayingOwner(BrokenOwner):
+class StayingOwner(FailingOwner):
     """Knows of no other engine, and counts how often it is asked."""
 
     def __init__(self):
@@ -61,7 +61,7 @@
         return False
 
 
-class SeekingOwner(BrokenOwner):
+class SeekingOwner(FailingOwner):
     """Leaves a silent engine when the test says so.
 
     :param relay: returns the relay
@@ -175,7 +175,7 @@
         """
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        owner = BrokenOwner()
+        owner = FailingOwner()
         caller, engine = self.lend(owner, GUARD_MS)
         engine.sendall(EVENT)
         data = caller.recv(65_536)
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -8,7 +8,9 @@
 
 def push(fair, job_id, account, cost=100.0, latest_ms=1_000, **values):
     job = cases.make_job(job_id, account, **values)
-    fair.push(fair_queue.Entry(job, fair_queue.Lane.SHORT, cost, latest_ms))
+    fair.push(
+        fair_queue.QueueEntry(job, fair_queue.Lane.SHORT, cost, latest_ms)
+    )
 
 
 def serve(fair):
@@ -55,7 +57,7 @@
             push(self.fair, f"b{number}", "b", cost=1_000)
             push(self.fair, f"c{number}", "a", cost=1_000)
         served = [serve(self.fair) for _ in range(40)]
-        claim = fair_queue.CLAIM_TOKENS / 1_000
+        claim = fair_queue.MAX_CREDIT_TOKENS / 1_000
         self.assertGreaterEqual(served.count("a"), (40 - claim) / 2 - 1)
 
     def test_one_account_cannot_fill_the_room(self):
@@ -91,7 +93,9 @@
 
     def test_lanes_overtake(self):
         job = cases.make_job("long", "a")
-        self.fair.push(fair_queue.Entry(job, fair_queue.Lane.LONG, 1, 1_000))
+        self.fair.push(
+            fair_queue.QueueEntry(job, fair_queue.Lane.LONG, 1, 1_000)
+        )
         push(self.fair, "short", "a", now_ms=5)
         heads = self.fair.list_next(1)[0].list_heads()
         self.assertEqual([e.job.job_id for e in heads], ["long", "short"])
--- a/tests/test_raw_stream.py
+++ b/tests/test_raw_stream.py
@@ -23,11 +23,11 @@
 class RawStreamTest(unittest.TestCase):
     def make(self, chunked=True, length=None, headers=HEADERS):
         head = writers.ReplyHead(True, True, [])
-        self.writer = passthrough_stream.RawWriter(head)
+        self.writer = passthrough_stream.PassthroughWriter(head)
         source = upstreams.TokenStream(
             None, b"", chunked, "r", length, headers
         )
-        return passthrough_stream.RawStream(
+        return passthrough_stream.PassthroughStream(
             None, self.writer, source, None, None, 1_000, 1_000
         )
 
@@ -74,7 +74,7 @@
         """
         stream = self.make()
         stream.take(make_chunk(EVENTS[0] + EVENTS[1]))
-        with self.assertRaises(events.BrokenStream):
+        with self.assertRaises(events.InvalidStream):
             stream.take(make_chunk(EVENTS[1]))
 
     def test_end_by_length(self):
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -37,7 +37,7 @@
                 f"vm{n}",
                 seed=n,
                 token_gap_ms=PAUSE_MS,
-                budget=retries.NoBudget,
+                budget=retries.UnlimitedRetryBudget,
                 prefill_rate=PREFILL_RATE,
             )
             for n in range(vms)
@@ -87,7 +87,7 @@
         Each by itself is no harm; both together make every caller of the
         engine wait 0.4 s for the next event.
         """
-        budget = chunked_prefill.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_100))
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_200))
@@ -99,14 +99,14 @@
         """An engine needs longer for a read than was thought.  The next one
         would begin before its streams have had an event.
         """
-        budget = chunked_prefill.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         budget.shift(60.0)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_240))
         self.assertTrue(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_300))
 
     def test_streams_that_have_paused_too_long(self):
-        budget = chunked_prefill.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         self.assertFalse(budget.is_broken(4_000, 1_100))
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_100)
@@ -114,7 +114,7 @@
         self.assertFalse(budget.is_broken(4_000, 6_000))
 
     def test_engine_without_streams_harms_nobody(self):
-        budget = chunked_prefill.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(500.0, PAUSE_MS, EVENT_MS, 0, 1_000)
         self.assertFalse(budget.is_broken(4_000, 1_600))
 
@@ -124,7 +124,7 @@
         """Several VMs' prompts meet at one engine.  Whoever takes the wait
         for the speed believes that no read fits, and refuses callers.
         """
-        speed = health.Floor(0.036)
+        speed = health.LatencyFloor(0.036)
         for observed in (0.066, 0.21, 0.067, 0.14, 0.066, 0.3, 0.068, 0.12):
             speed.note(observed)
         self.assertLess(speed.value, 0.085)
@@ -135,7 +135,7 @@
         it would make every prompt look too long, and the VM would never ask
         the engine again.
         """
-        speed = health.Floor(0.036)
+        speed = health.LatencyFloor(0.036)
         speed.note(0.4)
         self.assertLess(speed.value, 0.05)
 
@@ -236,7 +236,7 @@
         first = rig.submit(0)
         rig.start(0)
         router = rig.routers[0]
-        router.finish(first, jobs.JobEnd.REFUSED_BY_ENGINE, "p0", 5)
+        router.finish(first, jobs.JobOutcome.REFUSED_BY_ENGINE, "p0", 5)
         rig.submit(10)
         (one,) = rig.start(10)
         self.assertEqual(one.prefill, one.decode)
--- a/tests/test_reconciling.py
+++ b/tests/test_reconciling.py
@@ -23,7 +23,7 @@
 
     def list_held(self):
         return expression.Ok(
-            [upstreams.HeldRequest(one, "decode", 1) for one in self.held]
+            [upstreams.InFlightRequest(one, "decode", 1) for one in self.held]
         )
 
     def cancel(self, label):
@@ -32,7 +32,7 @@
         return expression.Ok(True)
 
 
-def make_member(name, incarnation, health=member.Health.ALIVE):
+def make_member(name, incarnation, health=member.MemberStatus.ALIVE):
     return member.Member(
         name, "127.0.0.1", 1, 2, "z", "r", incarnation, health=health
     )
@@ -47,12 +47,12 @@
         self.running = set()
 
     def reconcile(self, engine, rounds=6):
-        controller = reconciling.Reconciling(
+        controller = reconciling.ReconcileController(
             "a",
             5,
             lambda: [engine],
             self.running.__contains__,
-            owner_liveness.MemberOwners(
+            owner_liveness.MembershipLivenessChecker(
                 lambda: self.members, self.store, self.clock
             ),
             metrics.Metrics("a"),
@@ -64,7 +64,7 @@
         return engine.cancelled
 
     def label(self, request_id, vm, incarnation):
-        return upstreams.RunLabel(request_id, vm, incarnation)
+        return upstreams.AttemptLabel(request_id, vm, incarnation)
 
     def test_older_life(self):
         """A VM's router was killed and started again.  What its older life
@@ -82,7 +82,7 @@
         """A VM vanishes: it answers nobody and the platform's list has
         dropped it.  Its requests would hold slots for ever.
         """
-        self.members.append(make_member("b", 9, member.Health.DEAD))
+        self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
         engine = HoldingEngine(self.label("left", "b", 9))
         self.assertEqual(self.reconcile(engine), ["left"])
 
@@ -90,13 +90,13 @@
         """The other VMs cannot reach a VM, but its callers and engines can.
         Its live answers must not be cut by a wrong suspicion.
         """
-        self.members.append(make_member("b", 9, member.Health.DEAD))
+        self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
         self.store.vms.append(platform.ListedVm("b", "", "z", False))
         engine = HoldingEngine(self.label("live", "b", 9))
         self.assertEqual(self.reconcile(engine, 30), [])
 
     def test_platform_down(self):
-        self.members.append(make_member("b", 9, member.Health.DEAD))
+        self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
         self.store.outage = True
         engine = HoldingEngine(self.label("live", "b", 9))
         self.assertEqual(self.reconcile(engine, 30), [])
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -12,8 +12,8 @@
 class SharedBudgetTest(unittest.TestCase):
     def make(self, vms):
         self.vms = vms
-        return repeats.Budget(
-            retries.FleetBudget(0.0, 10_000, SLACK),
+        return repeats.SharedRetryBudget(
+            retries.FleetRetryBudget(0.0, 10_000, SLACK),
             clock.ManualClock(),
             lambda: self.vms,
         )
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -17,7 +17,7 @@
         have run.  A caller who is told 503 repeats a booking.
         """
         for code in errors.Code:
-            fault = make(code, errors.Run.MAY_HAVE_RUN)
+            fault = make(code, errors.ExecutionStatus.MAY_HAVE_RUN)
             status = replies.choose_status(fault)
             self.assertNotIn(status, (408, 421, 429, 503), code)
 
@@ -26,26 +26,30 @@
             errors.Code.UPSTREAM_UNREACHABLE,
             errors.Code.DEADLINE_EXCEEDED,
         ):
-            fault = make(code, errors.Run.NOT_RUN)
-            style = replies.Style(repeats_by_status=True)
+            fault = make(code, errors.ExecutionStatus.NOT_RUN)
+            style = replies.FaultFormat(repeats_by_status=True)
             self.assertEqual(replies.choose_status(fault, style), 503)
             self.assertNotEqual(replies.choose_status(fault), 503)
 
     def test_wait_is_told_as_finely_as_callers_read_it(self):
         fault = make(
-            errors.Code.OVERLOADED, errors.Run.NOT_RUN, retry_after_ms=250
+            errors.Code.OVERLOADED,
+            errors.ExecutionStatus.NOT_RUN,
+            retry_after_ms=250,
         )
-        own = dict(replies.reply_fault(fault).headers)
-        fine = replies.Style(has_fractions=True)
-        told = dict(replies.reply_fault(fault, style=fine).headers)
+        own = dict(replies.make_fault_reply(fault).headers)
+        fine = replies.FaultFormat(has_fractions=True)
+        told = dict(replies.make_fault_reply(fault, style=fine).headers)
         self.assertEqual(own["Retry-After"], "1")
         self.assertEqual(told["Retry-After"], "0.250")
 
     def test_upstreams_own_answer_goes_on(self):
         answer = upstreams.ServiceReply(500, [("Server-Seal", "s")], b"x")
         fault = make(
-            errors.Code.UPSTREAM_FAILED, errors.Run.RAN, answer=answer
+            errors.Code.UPSTREAM_FAILED,
+            errors.ExecutionStatus.RAN,
+            answer=answer,
         )
-        reply = replies.reply_fault(fault)
+        reply = replies.make_fault_reply(fault)
         self.assertEqual((reply.status, reply.body), (500, b"x"))
         self.assertEqual(reply.headers, answer.headers)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -28,7 +28,7 @@
             map(router_fixture.make_upstream, roles, cls.ports),
             [router_fixture.make_upstream("service", cls.service_port)],
         )
-        cls.rig = router_fixture.Rig(cls.tables).__enter__()
+        cls.rig = router_fixture.RouterFixture(cls.tables).__enter__()
 
     @classmethod
     def tearDownClass(cls):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,7 +11,7 @@
 from mulberryway.upstreams import base as upstreams
 from tests import policy_cases as cases
 
-End = jobs.JobEnd
+End = jobs.JobOutcome
 
 
 class SchedulerCase(unittest.TestCase):
@@ -38,7 +38,7 @@
         router = self.make()
         refused = self.submit(router, "j", prompt_tokens=40_000).error
         self.assertIs(refused.code, errors.Code.DEADLINE_EXCEEDED)
-        self.assertIs(refused.run, errors.Run.NOT_RUN)
+        self.assertIs(refused.run, errors.ExecutionStatus.NOT_RUN)
         self.assertIsNone(refused.retry_after_ms)
 
     def test_given_up_before_the_deadline(self):
@@ -56,7 +56,7 @@
             wake_ms = found.wake_ms
         self.assertLess(wake_ms, 1_110)
         fault = found.refusals[0].fault
-        self.assertIs(fault.run, errors.Run.NOT_RUN)
+        self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
         self.assertGreater(fault.retry_after_ms, 0)
 
     def test_a_long_queue_refuses_early(self):
@@ -85,7 +85,7 @@
             self.submit(router, f"j{n}", attempt=1, within_ms=60_000).is_ok()
             for n in range(200)
         )
-        self.assertLessEqual(taken, retries.MOST_SAVED)
+        self.assertLessEqual(taken, retries.MAX_BALANCE)
 
 
 class PlacingTest(SchedulerCase):
@@ -384,7 +384,7 @@
 class OrderTest(SchedulerCase):
     def test_goodput_puts_cheap_prompts_first_and_worst_served_does_not(self):
         for name, expected in (("worst_served", "dear"), ("goodput", "cheap")):
-            weighed = scheduler.fairness.find_weighing(name)
+            weighed = scheduler.fairness.find_fairness_mode(name)
             router = scheduler.FairScheduler("vm1", weighed=weighed)
             pool = cases.make_pool(decodes=1, slots=1)
             router.change_pools({"lm": pool}, 0)
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -10,7 +10,7 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-ENDS = list(jobs.JobEnd)
+ENDS = list(jobs.JobOutcome)
 UPSTREAMS = ("p0", "p1", "d0", "d1", "")
 POOLS = (
     {"lm": cases.make_pool()},
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -36,7 +36,7 @@
         self.scheduler = CountingScheduler()
         pool = cases.make_pool(prefills=1, decodes=1, slots=SLOTS)
         self.scheduler.change_pools({pool.name: pool}, clock_.now_ms())
-        return scheduling.Scheduling(self.scheduler, clock_)
+        return scheduling.SchedulingController(self.scheduler, clock_)
 
     def test_a_flood_of_hints_shares_few_rounds(self):
         """Guards a burst's processor time against one round for each hint."""
@@ -53,7 +53,8 @@
             clock_.advance_ms(1)
             controller.note_hints([make_note(sequence, SLOTS)])
         self.assertLessEqual(
-            self.scheduler.rounds - before, 400 / scheduling.HINTED_MS
+            self.scheduler.rounds - before,
+            400 / scheduling.GOSSIP_DISPATCH_INTERVAL_MS,
         )
 
     def test_a_slot_that_another_vm_frees_is_taken_soon(self):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,14 +18,16 @@
         settings_.router_header_bytes = 2_000
         settings_.router_body_ms = 600
         settings_.router_threads = 4
-        cls.rig = router_fixture.Rig(router_fixture.make_tables(), settings_)
+        cls.rig = router_fixture.RouterFixture(
+            router_fixture.make_tables(), settings_
+        )
         cls.rig.__enter__()
         cls.addClassCleanup(cls.rig.__exit__)
 
     def exchange(self, *pieces):
         """Send raw bytes and return all that comes until the close."""
         with socket.create_connection(
-            ("127.0.0.1", self.rig.port), router_fixture.GUARD_S
+            ("127.0.0.1", self.rig.port), router_fixture.TEST_TIMEOUT_S
         ) as connection:
             for piece in pieces:
                 connection.sendall(piece.encode())
@@ -138,7 +140,7 @@
         """A VM starts while the platform is down and has met no other VM.
         It must say that it knows nothing and not guess.
         """
-        with router_fixture.Rig() as rig:
+        with router_fixture.RouterFixture() as rig:
             self.assertEqual(rig.call("GET", "/readyz", key="").status, 503)
             reply = rig.complete()
             self.assertEqual(reply.status, 503)
@@ -158,7 +160,7 @@
                 group, "service", "--delay_ms=1500"
             )
             service = router_fixture.make_upstream("service", port)
-            with router_fixture.Rig(
+            with router_fixture.RouterFixture(
                 router_fixture.make_tables((), [service]), settings_
             ) as rig:
                 callers = [rig.connect() for _ in range(8)]
--- a/tests/test_service_forward.py
+++ b/tests/test_service_forward.py
@@ -48,7 +48,7 @@
             errors.Fault(
                 errors.Code.UPSTREAM_TIMEOUT,
                 errors.Step.SERVICE,
-                run=errors.Run.MAY_HAVE_RUN,
+                run=errors.ExecutionStatus.MAY_HAVE_RUN,
             )
         )
 
@@ -60,7 +60,7 @@
         self.servers = SilentServers(self.clock, self.change)
         self.forward = service_forward.ServiceForward(
             self.servers,
-            server_selection.ServerChooser("kandy-a"),
+            server_selection.ServerSelector("kandy-a"),
             traces.Tracer("a1"),
             self.clock,
             self.source,
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -39,7 +39,7 @@
             vm,
             seed=3,
             token_gap_ms=GAP_MS,
-            budget=retries.NoBudget,
+            budget=retries.UnlimitedRetryBudget,
             prefill_rate=RATE,
         )
         self.scheduler.change_pools({"lm": make_pool(**pool)}, 0)
@@ -103,7 +103,7 @@
         rig.submit(0)
         rig.submit(1_000)
         for one in running:
-            rig.scheduler.finish(one.job_id, jobs.JobEnd.DONE, "", 1_100)
+            rig.scheduler.finish(one.job_id, jobs.JobOutcome.DONE, "", 1_100)
         first = rig.start(1_100)
         self.assertEqual(first[0].job_id, f"j{rig.count}")
 
@@ -154,24 +154,24 @@
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
     def test_surplus_prefill_engines_become_decode_engines(self):
-        found = self.plan(role_planner.ShapePlanner(), prefills=4, decodes=3)
+        found = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
         self.assertEqual([one.row.name for one in found], ["p0", "p1"])
         self.assertEqual({one.argument for one in found}, {"decode"})
 
     def test_pool_in_shape_needs_nothing(self):
-        planner = role_planner.ShapePlanner()
+        planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=4), [])
         self.assertEqual(self.plan(planner, prefills=0, decodes=4), [])
 
     def test_small_pool_stays_as_it_is(self):
-        planner = role_planner.ShapePlanner()
+        planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=0), [])
 
     def test_order_is_not_repeated_while_it_may_be_under_way(self):
         """An order got no answer, and may be carried out twelve seconds
         later.  Repeated, it would empty another engine as well.
         """
-        planner = role_planner.ShapePlanner()
+        planner = role_planner.RolePlanner()
         for order in self.plan(planner, prefills=4, decodes=3):
             planner.note_failed(order, 0)
         self.assertEqual(self.plan(planner, 12_000, prefills=4, decodes=3), [])
@@ -180,7 +180,7 @@
 
     def test_leaving_engines_do_not_count(self):
         found = self.plan(
-            role_planner.ShapePlanner(),
+            role_planner.RolePlanner(),
             prefills=3,
             decodes=3,
             leaving=("p0", "p1"),
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,12 +7,14 @@
 from soak import plan
 from soak import run
 
-Kind = history.Kind
+RequestKind = history.RequestKind
 QUOTA = run.QUOTA
-SHORT = plan.Shape(vms=2, decodes=2, services=2, chains=2, length_ms=4_000)
+SHORT = plan.SoakConfig(
+    vms=2, decodes=2, services=2, chains=2, length_ms=4_000
+)
 
 
-def make_attempt(name="a", kind=Kind.PLAIN, status=200, **values):
+def make_attempt(name="a", kind=RequestKind.PLAIN, status=200, **values):
     """An attempt that went well, but for what is given."""
     attempt = history.Attempt(name, kind, "k", 0, 10_000)
     attempt.ended_ms = 10_100
@@ -52,21 +54,21 @@
     """Each check against a history that breaks just its promise."""
 
     def check(self, *parts, **more):
-        return checks.check(make_history(*parts, **more), QUOTA)
+        return checks.find_violations(make_history(*parts, **more), QUOTA)
 
     def find(self, needle, *parts, **more):
         found = self.check(*parts, **more)
         self.assertTrue(any(needle in one for one in found), found)
 
     def test_sound_history(self):
-        stream = make_attempt("b", Kind.TALK)
+        stream = make_attempt("b", RequestKind.SINGLE_RUN_STREAM)
         runs = [make_run(), make_run("b", "d0-life1")]
         self.assertEqual(self.check([make_attempt(), stream], runs), [])
 
     def test_booking_that_runs_twice(self):
         self.find(
             "ran 2 times",
-            [make_attempt(kind=Kind.BOOK)],
+            [make_attempt(kind=RequestKind.NON_IDEMPOTENT)],
             [make_run(), make_run()],
         )
 
@@ -102,7 +104,7 @@
         body = make_stream(range(1, 9))
         self.find(
             "as whole",
-            [make_attempt(kind=Kind.TALK, body=body)],
+            [make_attempt(kind=RequestKind.SINGLE_RUN_STREAM, body=body)],
             [make_run(instance="d0-life1")],
         )
 
@@ -110,7 +112,11 @@
         body = make_stream([1, 2, 2, 3])
         self.find(
             "got events",
-            [make_attempt(kind=Kind.DIGEST, body=body, is_cut=True)],
+            [
+                make_attempt(
+                    kind=RequestKind.RESUMABLE_STREAM, body=body, is_cut=True
+                )
+            ],
             [make_run(instance="d0-life1")],
         )
 
@@ -124,13 +130,13 @@
 
     def test_new_route_that_is_missing(self):
         edit = history.Edit("add", "/late/", 5_000)
-        late = make_attempt(kind=Kind.LATE, status=404)
+        late = make_attempt(kind=RequestKind.ADDED_ROUTE, status=404)
         self.find("no route", [late], edits=[edit])
 
     def test_route_that_goes_again(self):
-        late = make_attempt(kind=Kind.LATE)
+        late = make_attempt(kind=RequestKind.ADDED_ROUTE)
         gone = make_attempt(
-            "b", Kind.LATE, 404, began_ms=20_000, ended_ms=20_010
+            "b", RequestKind.ADDED_ROUTE, 404, began_ms=20_000, ended_ms=20_010
         )
         self.find("had shown", [late, gone], [make_run()])
 
@@ -139,7 +145,7 @@
         self.find("had left", [make_attempt()], [make_run()], edits=[edit])
 
     def test_planned_stop_that_cuts(self):
-        window = history.Window("vm_term", "vm-0", 9_900, 12_000)
+        window = history.FaultWindow("vm_term", "vm-0", 9_900, 12_000)
         lost = make_attempt(status=0)
         self.find("lost its answer", [lost], [make_run()], [window])
 
@@ -150,14 +156,14 @@
     def test_calm_in_which_too_little_is_served(self):
         seen = make_history([make_attempt(status=502)])
         seen.calm_ms = 0
-        found = checks.check(seen, QUOTA)
+        found = checks.find_violations(seen, QUOTA)
         self.assertIn("after all faults 0 of 1 were served", found)
 
     def test_end_of_its_own_and_held_memory(self):
         seen = make_history([])
         seen.exits.append("vm-0")
         seen.held = 2
-        self.assertEqual(len(checks.check(seen, QUOTA)), 2)
+        self.assertEqual(len(checks.find_violations(seen, QUOTA)), 2)
 
     def test_account_over_its_rate(self):
         count = int(QUOTA.read_most() / 200) + 1
@@ -169,36 +175,38 @@
 
     def test_fault_of_the_vm_itself_excuses(self):
         edit = history.Edit("withdraw", "k", 5_000)
-        window = history.Window("vm_pause", "vm-0", 9_000, 10_000)
+        window = history.FaultWindow("vm_pause", "vm-0", 9_000, 10_000)
         found = self.check([make_attempt()], [make_run()], [window], [edit])
         self.assertEqual(found, [])
 
 
 class PlanTest(unittest.TestCase):
     def test_same_seed_gives_the_same_plan(self):
-        shape = plan.Shape()
+        shape = plan.SoakConfig()
 
         def describe():
             return [
                 (step.at_ms, step.kind, step.target, step.for_ms)
-                for step in plan.make_plan(5, shape)
+                for step in plan.make_fault_schedule(5, shape)
             ]
 
         self.assertEqual(describe(), describe())
 
     def test_faults_end_before_the_calm(self):
-        shape = plan.Shape()
+        shape = plan.SoakConfig()
         for seed in range(200):
-            for step in plan.make_plan(seed, shape):
+            for step in plan.make_fault_schedule(seed, shape):
                 self.assertLessEqual(step.at_ms + step.for_ms, 10_000)
 
     def test_every_fault_is_drawn(self):
         kinds = {
             step.kind
             for seed in range(400)
-            for step in plan.make_plan(seed, plan.Shape())
+            for step in plan.make_fault_schedule(seed, plan.SoakConfig())
+        }
+        known = {
+            kind for kinds_, _ in plan.WEIGHTED_FAULT_GROUPS for kind in kinds_
         }
-        known = {kind for kinds_, _ in plan.SORTS for kind in kinds_}
         self.assertEqual(kinds, known)
 
 
@@ -206,7 +214,7 @@
     """Real processes under faults."""
 
     def hold(self, seed, shape):
-        outcome = run.play(seed, shape)
+        outcome = run.run_seed(seed, shape)
         self.assertEqual(outcome.broken, [], outcome.describe())
 
     def test_short_seeds(self):
@@ -220,4 +228,4 @@
         each prompt that it drew was refused.  Callers of streams got one
         refusal in seven for as long as the entry was wrong.
         """
-        self.hold(1, plan.Shape())
+        self.hold(1, plan.SoakConfig())
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -199,11 +199,13 @@
         with a later token, and a checker blamed the router for it.
         """
         await asyncio.sleep(0)
-        call = engine_completion.read_call(
+        call = engine_completion.parse_completion_request(
             {"model": "m", "prompt": PROMPT, "max_tokens": 3, "stream": True}
         )
-        run = engine_types.Run("r-1", "a1/7", "m", (), 90, 3)
-        exchange = engine_completion.Exchange(call, run, {"tokens": 0})
+        run = engine_types.EngineRequest("r-1", "a1/7", "m", (), 90, 3)
+        exchange = engine_completion.CompletionResponder(
+            call, run, {"tokens": 0}
+        )
         exchange.send_token(0)
         transport = FakeTransport()
         exchange.attach(transport)
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -10,14 +10,14 @@
 
 
 def make_run(name, prompt=1_024, output=10, hashes=(), priority=0):
-    return engine_types.Run(
+    return engine_types.EngineRequest(
         name, "a1/1", "m", hashes, prompt, output, priority
     )
 
 
 class EngineModelTest(unittest.TestCase):
     def make(self, role="both", **figures):
-        shape = engine_types.Shape()
+        shape = engine_types.EngineParameters()
         for name, value in figures.items():
             setattr(shape, name, value)
         return engine_model.EngineModel(shape, role, ("m",))
@@ -29,7 +29,7 @@
             self.assertIsNone(model.submit_decode(run, 0.0))
         self.assertEqual(
             model.submit_decode(make_run("c"), 0.0),
-            engine_types.Refused.FULL,
+            engine_types.RejectReason.FULL,
         )
         events = model.advance(FAR_MS)
         times = [
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -25,14 +25,16 @@
         self.addCleanup(ends.set)
         deadline = time.monotonic() + 5
         while (
-            threads.list_thread_ms().get("spinner", 0) < 90
+            threads.read_thread_cpu_ms().get("spinner", 0) < 90
             and time.monotonic() < deadline
         ):
             time.sleep(0.02)
-        self.assertGreaterEqual(threads.list_thread_ms()["spinner"], 90)
+        self.assertGreaterEqual(threads.read_thread_cpu_ms()["spinner"], 90)
 
     def test_no_figures_are_no_error(self):
-        self.assertEqual(threads.list_thread_ms(threads.TASKS / "none"), {})
+        self.assertEqual(
+            threads.read_thread_cpu_ms(threads.TASKS / "none"), {}
+        )
 
     def test_they_are_a_metric(self):
         made = metrics.Metrics("vm")
--- a/tests/test_upstream_faults.py
+++ b/tests/test_upstream_faults.py
@@ -37,7 +37,7 @@
             router_fixture.make_upstream("service", front, "a"),
             router_fixture.make_upstream("service", self.services[1], "b"),
         ]
-        self.rig = router_fixture.Rig(
+        self.rig = router_fixture.RouterFixture(
             router_fixture.make_tables((), servers, timeout_ms=1_500),
             claims=claims.ClaimStore(
                 fakes.MemoryStore(), clock.SystemClock(), "a1", 7
@@ -52,7 +52,7 @@
 
     def make_key(self):
         now_ms = int(time.time() * 1000)
-        return claim_records.make_key(now_ms, next(self.numbers))
+        return claim_records.make_uuid7(now_ms, next(self.numbers))
 
     def book(self, key, body=b'{"pen": 4}'):
         return self.rig.call("POST", "/bookings", body, Idempotency_Key=key)
@@ -156,7 +156,9 @@
         for number in range(2):
             result = service.call(f"r{number}", "GET", "/x", [], b"", 5_000)
             self.assertTrue(result.is_error())
-            self.assertIs(result.error.run, errors.Run.MAY_HAVE_RUN)
+            self.assertIs(
+                result.error.run, errors.ExecutionStatus.MAY_HAVE_RUN
+            )
         self.assertEqual(len(server.connections), 2)
         service.close()
         server.shutdown()
@@ -185,7 +187,7 @@
                 map(router_fixture.make_upstream, roles, [front, *ports[1:]]),
                 timeout_ms=2_000,
             )
-            with router_fixture.Rig(current) as rig:
+            with router_fixture.RouterFixture(current) as rig:
                 reply = rig.complete("silent", max_tokens=5)
                 self.assertEqual(reply.status, 200)
                 self.assertEqual(
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -37,7 +37,9 @@
     margin=MARGIN,
     account=ACCOUNT,
 ):
-    book = usage.UsageBook(vm, incarnation, margin, now_ms, has_others)
+    book = usage.ReplicatedRateLimiter(
+        vm, incarnation, margin, now_ms, has_others
+    )
     book.change_accounts([account], now_ms)
     return book
 
@@ -61,7 +63,9 @@
         while book.take("a", 500, 10_000) is None:
             given += 500
         self.assertGreaterEqual(given, BURST)
-        self.assertLessEqual(given, BURST * 1.05 + 20_000 * usage.FREE_PART)
+        self.assertLessEqual(
+            given, BURST * 1.05 + 20_000 * usage.UPFRONT_MARGIN_FRACTION
+        )
 
     def make_fleet(self, vms):
         """Return one VM's book whose bucket is full after ten seconds."""
@@ -96,7 +100,7 @@
         self.assertIsNotNone(book.make_usage({}, 10_060))
 
     def test_account_without_a_rate_has_no_limit(self):
-        book = usage.UsageBook("a1", 1, MARGIN, 0)
+        book = usage.ReplicatedRateLimiter("a1", 1, MARGIN, 0)
         book.change_accounts([tables.ClientAccount("b", (), 0, 0)], 0)
         self.assertIsNone(book.take("b", 10_000_000, 0))
 
@@ -139,7 +143,7 @@
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         for now_ms in range(0, 10_000, 100):
             tell(books, now_ms)
-        cut_ms = 10_000 + usage.SILENT_MS + 100
+        cut_ms = 10_000 + usage.HEARTBEAT_TIMEOUT_MS + 100
         given = 0
         for name in books:
             while books[name].take("a", 500, cut_ms) is None:
@@ -160,7 +164,7 @@
             while book.take("a", 100, 50_000) is None:
                 given += 100
         margin = MARGIN.read_tokens(ACCOUNT)
-        self.assertLessEqual(given, margin * usage.START_PART)
+        self.assertLessEqual(given, margin * usage.INITIAL_MARGIN_FRACTION)
         self.assertGreater(given, 5_000)
 
     def test_large_fleet_that_begins_together(self):
@@ -176,7 +180,7 @@
             while book.take("a", 20, 50_000) is None:
                 given += 20
         margin = MARGIN.read_tokens(ACCOUNT)
-        self.assertLessEqual(given, margin * usage.START_PART)
+        self.assertLessEqual(given, margin * usage.INITIAL_MARGIN_FRACTION)
 
     def test_change_of_the_rate_keeps_the_parts(self):
         """Configurations come in quick succession while VMs are cut off.
@@ -185,7 +189,7 @@
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         for now_ms in range(0, 10_100, 100):
             tell(books, now_ms)
-        cut_ms = 10_000 + usage.SILENT_MS + 100
+        cut_ms = 10_000 + usage.HEARTBEAT_TIMEOUT_MS + 100
         given = 0
         for _ in range(20):
             while books["a1"].take("a", 100, cut_ms) is None:
@@ -217,7 +221,7 @@
     def test_vm_that_begins_takes_over_whole_counts_only(self):
         """Guards a new VM against knowing the levels of some accounts only."""
         old = make_book("a1")
-        old.make_usage({}, usage.WHOLE_FOR_MS)
+        old.make_usage({}, usage.STARTUP_FULL_SYNC_MS)
         old.take("a", 100, 20_000)
         partial = old.make_usage({}, 20_010)
         self.assertFalse(partial.is_whole)
@@ -244,10 +248,10 @@
             tables.ClientAccount(f"a{n}", (), RATE, BURST) for n in range(16)
         ]
         book.change_accounts(accounts, 0)
-        told = self.list_heartbeats(book, usage.WHOLE_FOR_MS, 20)
+        told = self.list_heartbeats(book, usage.STARTUP_FULL_SYNC_MS, 20)
         self.assertTrue(all(one.is_heartbeat for one in told))
         whole = [one for one in told if len(one.accounts) == 17]
-        self.assertEqual(len(whole), 20 // usage.WHOLE_HEARTBEATS)
+        self.assertEqual(len(whole), 20 // usage.FULL_SYNC_INTERVAL)
         self.assertEqual(sum(len(one.accounts) for one in told), 17 * 4)
 
     def test_all_accounts_are_told_twice_while_a_vm_settles(self):
@@ -258,7 +262,7 @@
         new = make_book("new", now_ms=20_000)
         fleet["new"] = new
         whole = collections.Counter()
-        for now_ms in range(20_000, 20_000 + usage.SETTLED_MS, 100):
+        for now_ms in range(20_000, 20_000 + usage.WARM_UP_MS, 100):
             for name, book in fleet.items():
                 message = book.make_usage({}, now_ms)
                 if message is None:
@@ -281,8 +285,8 @@
     def test_a_count_that_was_lost_comes_with_the_next_heartbeats(self):
         """Guards against tokens given twice after a lost datagram."""
         book = make_book("a1")
-        self.list_heartbeats(book, usage.WHOLE_FOR_MS, 2)
-        now_ms = usage.WHOLE_FOR_MS + usage.HEARTBEAT_MS + 100
+        self.list_heartbeats(book, usage.STARTUP_FULL_SYNC_MS, 2)
+        now_ms = usage.STARTUP_FULL_SYNC_MS + usage.HEARTBEAT_MS + 100
         book.take("a", 100, now_ms)
         lost = book.make_usage({}, now_ms)
         self.assertFalse(lost.is_heartbeat)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -10,7 +10,7 @@
 from tests import processes
 
 # Of the threads that a machine has, two fleets of 195 VMs get half.
-MOST_AT_REST = 30
+MAX_IDLE_THREADS = 30
 GUARD_S = 10
 
 
@@ -74,7 +74,7 @@
 
     def test_idle_workers_end(self):
         """Guards against a burst's threads that are kept for ever."""
-        with mock.patch.object(workers, "IDLE_S", 0.05):
+        with mock.patch.object(workers, "IDLE_TIMEOUT_S", 0.05):
             pool = self.make(most=5)
             burst = [self.put(pool, ends=False) for _ in range(5)]
             self.assertEqual(pool.count(), 5)
@@ -87,7 +87,7 @@
 
     def test_many_bursts_lose_no_connection(self):
         """Guards against a connection handed to a worker that is ending."""
-        with mock.patch.object(workers, "IDLE_S", 0.001):
+        with mock.patch.object(workers, "IDLE_TIMEOUT_S", 0.001):
             pool = self.make(most=4, most_waiting=10_000)
             served = [self.put(pool) for _ in range(2_000)]
             for one in served:
@@ -149,7 +149,7 @@
                 self.assertTrue(
                     processes.wait_until(
                         lambda pid=vm.popen.pid: (
-                            processes.count_threads(pid) <= MOST_AT_REST
+                            processes.count_threads(pid) <= MAX_IDLE_THREADS
                         ),
                         GUARD_S,
                     )
--- a/tools/known_failures.py
+++ b/tools/known_failures.py
@@ -4,20 +4,20 @@
 import itertools
 import pathlib
 
-__all__ = ["Entry", "ListError", "read_entries"]
+__all__ = ["KnownFailure", "KnownFailuresError", "read_entries"]
 
 SEPARATOR = "|"
-TESTS = "tests."
+TEST_PREFIX = "tests."
 # A day that is played by hand is no test of the suite, so it is listed but
 # passes over nothing.
-PLAYED = ("hunt of ", "run of ")
+SIMULATION_PREFIXES = ("hunt of ", "run of ")
 
 
-class ListError(Exception):
+class KnownFailuresError(Exception):
     """An entry that does not say what it must."""
 
 
-class Entry:
+class KnownFailure:
     """One known failure.
 
     :param test: a test's id, or the hunt or run that showed the failure
@@ -37,18 +37,18 @@
     @property
     def is_of_suite(self) -> bool:
         """Whether the suite runs it."""
-        return self.test.startswith(TESTS)
+        return self.test.startswith(TEST_PREFIX)
 
     def __str__(self) -> str:
         return f"{self.command}: {self.seen} (issue {self.issue})"
 
 
-def read_entries(path: pathlib.Path) -> dict[str, Entry]:
+def read_entries(path: pathlib.Path) -> dict[str, KnownFailure]:
     """Return the entries by test.
 
     :param path: the list; none are known if it does not exist
-    :raises ListError: if an entry is malformed, stands twice, or names a
-        test that the suite does not have
+    :raises KnownFailuresError: if an entry is malformed, stands twice, or
+        names a test that the suite does not have
     """
     if not path.exists():
         return {}
@@ -60,24 +60,26 @@
     tests = sorted(entry.test for entry in entries)
     for one, other in itertools.pairwise(tests):
         if one == other:
-            raise ListError(f"{one} is listed twice")
+            raise KnownFailuresError(f"{one} is listed twice")
     return {entry.test: entry for entry in entries}
 
 
-def _parse(line: str) -> Entry:
+def _parse(line: str) -> KnownFailure:
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != 4 or not all(fields):
-        raise ListError(
+        raise KnownFailuresError(
             f"an entry needs test, command, what was seen, issue: {line}"
         )
     test, command, seen, issue = fields
     if not issue.isdecimal():
-        raise ListError(f"{test}: {issue!r} is not the number of an issue")
-    if test.startswith(TESTS):
+        raise KnownFailuresError(
+            f"{test}: {issue!r} is not the number of an issue"
+        )
+    if test.startswith(TEST_PREFIX):
         _find_test(test)
-    elif not test.startswith(PLAYED):
-        raise ListError(f"{test}: neither a test nor a played day")
-    return Entry(test, command, seen, int(issue))
+    elif not test.startswith(SIMULATION_PREFIXES):
+        raise KnownFailuresError(f"{test}: neither a test nor a played day")
+    return KnownFailure(test, command, seen, int(issue))
 
 
 def _find_test(name: str) -> None:
@@ -87,4 +89,6 @@
         found = getattr(importlib.import_module(module), case)
         getattr(found, rest)
     except (ImportError, AttributeError, ValueError) as error:
-        raise ListError(f"{name}: the suite has no such test") from error
+        raise KnownFailuresError(
+            f"{name}: the suite has no such test"
+        ) from error
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -197,7 +197,7 @@
     :param checks: takes the results
     """
     with MixedDeployment(builds) as world:
-        rigs = list(map(deployment.PortRig, world.ports))
+        rigs = list(map(deployment.RemoteRouter, world.ports))
         _check_requests(rigs, checks)
         _check_members(world, rigs, checks)
         keys = _check_bookings(world, rigs, checks)
@@ -267,7 +267,9 @@
     return 1 if checks.failed else 0
 
 
-def _check_requests(rigs: list[deployment.PortRig], checks: Checks) -> None:
+def _check_requests(
+    rigs: list[deployment.RemoteRouter], checks: Checks
+) -> None:
     statuses = [rig.complete(f"why {n}").status for n, rig in enumerate(rigs)]
     checks.report("completions of each VM", set(statuses) == {200}, statuses)
     statuses = [rig.call("GET", "/member/x").status for rig in rigs]
@@ -286,11 +288,11 @@
 
 
 def _check_members(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> None:
     expected = {f"127.0.0.1:{port}" for port in world.ports}
 
-    def read(rig: deployment.PortRig) -> set[str]:
+    def read(rig: deployment.RemoteRouter) -> set[str]:
         reply = rig.call("GET", "/v1/entry", key="").json()
         return {one["address"] for one in reply["addresses"]}
 
@@ -302,14 +304,14 @@
 
 
 def _check_bookings(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> list[str]:
     """Send bookings to one build and repeat each to the other.
 
     :returns: the bookings' keys
     """
     keys = [
-        claim_records.make_key(time.time_ns() // 1_000_000, number)
+        claim_records.make_uuid7(time.time_ns() // 1_000_000, number)
         for number in range(BOOKINGS)
     ]
     firsts = [_book(rigs[n % VMS], key) for n, key in enumerate(keys)]
@@ -327,7 +329,7 @@
 
 def _check_repeats(
     world: MixedDeployment,
-    rigs: list[deployment.PortRig],
+    rigs: list[deployment.RemoteRouter],
     keys: list[str],
     checks: Checks,
 ) -> None:
@@ -349,12 +351,12 @@
     checks.report("each booking ran once", set(runs) == {1}, runs)
 
 
-def _book(rig: deployment.PortRig, key: str) -> processes.Reply:
+def _book(rig: deployment.RemoteRouter, key: str) -> processes.Reply:
     return rig.call("POST", "/bookings", key.encode(), Idempotency_Key=key)
 
 
 def _check_edits(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> None:
     """Submit a change to each build's administration API."""
     for root in (processes.ROOT, world.builds.find_root(1)):
@@ -383,7 +385,7 @@
             )
 
 
-def _wait_status(rig: deployment.PortRig, status: int) -> int:
+def _wait_status(rig: deployment.RemoteRouter, status: int) -> int:
     def read() -> int:
         return rig.complete(key=router_fixture.OTHER_KEY).status
 
--- a/tools/suite.py
+++ b/tools/suite.py
@@ -20,9 +20,11 @@
 # small machine busy; more only make timings differ from run to run.
 WORKERS = 4
 WORKER_VARIABLE = "MULBERRYWAY_TEST_WORKER"
-CLOSING = re.compile(r"^(\d+) passed, (\d+) failed(?:, (\d+) skipped)?$")
+SUMMARY_PATTERN = re.compile(
+    r"^(\d+) passed, (\d+) failed(?:, (\d+) skipped)?$"
+)
 # A module that takes longer hangs; the whole suite takes four minutes.
-MODULE_S = 420.0
+MODULE_TIMEOUT_S = 420.0
 LONGEST_FIRST = (
     "test_soak",
     "test_hosted_processes",
@@ -40,7 +42,7 @@
 )
 
 
-class Outcome:
+class ModuleResult:
     """What one module's tests came to.
 
     :param module: the module's name
@@ -72,7 +74,7 @@
     return sorted(names, key=rank)
 
 
-def run_module(module: str, workers: "queue.Queue[int]") -> Outcome:
+def run_module(module: str, workers: "queue.Queue[int]") -> ModuleResult:
     """Run one module's tests.
 
     :param module: its name
@@ -88,7 +90,7 @@
             env=os.environ | {WORKER_VARIABLE: str(worker)},
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
-            timeout=MODULE_S,
+            timeout=MODULE_TIMEOUT_S,
             text=True,
             errors="replace",
         )
@@ -101,13 +103,13 @@
         (
             [int(number or 0) for number in found.groups()]
             for line in reversed(text.splitlines())
-            if (found := CLOSING.match(line))
+            if (found := SUMMARY_PATTERN.match(line))
         ),
         [0, 0, 0],
     )
     if not is_good and not counts[1]:
         counts[1] = 1
-    return Outcome(module, text, counts, time.monotonic() - began_s)
+    return ModuleResult(module, text, counts, time.monotonic() - began_s)
 
 
 def main() -> int:
