--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -75,7 +75,7 @@
             while arrivals[0][0] < now_ms + STEP_MS:
                 at_ms, number = heapq.heappop(arrivals)
                 self.finish(at_ms)
-                self.ask(at_ms, number)
+                self.submit_request(at_ms, number)
                 heapq.heappush(arrivals, (at_ms + self.wait(), number))
         return self.report(calls, start)
 
@@ -88,7 +88,7 @@
         mean_ms = 1_000 * tokens_per_request / (RATE * LOAD)
         return max(round(self.random.expovariate(1 / mean_ms)), 1)
 
-    def ask(self, at_ms: int, number: int) -> None:
+    def submit_request(self, at_ms: int, number: int) -> None:
         self.set_clock(at_ms)
         account = self.accounts[number].name
         is_home = self.random.random() < self.skew
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -37,12 +37,12 @@
     sizes = [x for x, _ in first.points]
     return (
         f"| {line.role} | {line.quantity} "
-        f"| {_round(line.work_out(*fits))} | {line.limit} "
+        f"| {_round(line.compute(*fits))} | {line.limit} "
         f"| {', '.join(line.names)}: {_round(min(sizes))} to "
         f"{_round(max(sizes))} {first.x_unit} "
         f"| {_round(fits[0].slope)} ± {_round(fits[0].slope_error)} "
         f"{first.y_unit} for each of {first.x_unit} "
-        f"| {_round(fits[0].stretch(line.size))} times "
+        f"| {_round(fits[0].extrapolation_factor(line.size))} times "
         f"| {line.mechanism} |"
     )
 
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -33,7 +33,7 @@
     :param names: the measurements behind it
     :param size: the size, in the first measurement's unit, it is worked
         out at
-    :param work_out: turns the fits into the figure
+    :param compute: turns the fits into the figure
     :param limit: what the letter or the platform allows, in words
     :param mechanism: what carries it
     """
@@ -43,7 +43,7 @@
         "quantity",
         "names",
         "size",
-        "work_out",
+        "compute",
         "limit",
         "mechanism",
     )
@@ -54,7 +54,7 @@
         quantity: str,
         names: tuple[str, ...],
         size: float,
-        work_out: collections.abc.Callable[..., float],
+        compute: collections.abc.Callable[..., float],
         limit: str,
         mechanism: str,
     ) -> None:
@@ -62,6 +62,6 @@
         self.quantity = quantity
         self.names = names
         self.size = size
-        self.work_out = work_out
+        self.compute = compute
         self.limit = limit
         self.mechanism = mechanism
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -78,8 +78,8 @@
             name,
             1,
             peers=peers_,
-            find_keeper=claim_coordination.make_coordinator_finder(
-                name, self.list_keepers
+            find_coordinator=claim_coordination.make_coordinator_finder(
+                name, self.list_candidates
             ),
         )
         self.server = peers.PeerServer(
@@ -98,7 +98,7 @@
         self.fleet = fleet
         self.claims.start()
 
-    def list_keepers(self) -> list[member.Member]:
+    def list_candidates(self) -> list[member.Member]:
         """Return the VMs that may be keepers."""
         return self.fleet.members
 
@@ -122,7 +122,7 @@
 class LocalWriterVm(LogVm):
     """The batched log, each VM writing for itself."""
 
-    def list_keepers(self) -> list[member.Member]:
+    def list_candidates(self) -> list[member.Member]:
         return [self.own]
 
 
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -204,7 +204,7 @@
         """Wait until every VM knows all others."""
         end = time.monotonic() + START_S
         while time.monotonic() < end:
-            states = self.fleet.read_states()
+            states = self.fleet.fetch_vm_states()
             if sum(state.is_reached for state in states) == self.count:
                 return
             time.sleep(0.2)
@@ -269,8 +269,8 @@
     run.print_usage()
     at_rest = _measure_rest(run)
     run.print_usage()
-    written = sum(c.sent for c in run.counts.read_counts().values())
-    calls = sum(c.calls for c in run.counts.read_counts().values())
+    written = sum(c.sent for c in run.counts.get_counts().values())
+    calls = sum(c.calls for c in run.counts.get_counts().values())
     sent, accepted = _make_edits(run)
     run.print_usage()
     time.sleep(1)
@@ -278,11 +278,11 @@
         "vms": run.count,
         **at_rest,
         "edit_bytes_written": (
-            sum(c.sent for c in run.counts.read_counts().values()) - written
+            sum(c.sent for c in run.counts.get_counts().values()) - written
         )
         / EDITS,
         "edit_platform_calls": (
-            sum(c.calls for c in run.counts.read_counts().values()) - calls
+            sum(c.calls for c in run.counts.get_counts().values()) - calls
         )
         / EDITS,
     }
@@ -305,7 +305,7 @@
         began_ms = run.clock.wall_ms()
         if number % 3 == 0:
             digest = tables.digest_key(f"{number}-0")
-            answer = run.admin.withdraw_key(
+            answer = run.admin.revoke_key(
                 "bench", f"account-{number}", digest[:12], f"e{number}"
             )
         else:
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -85,7 +85,7 @@
     def read_usage(self) -> dict[str, typing.Any]:
         """Return calls, bytes, processor time and memory so far."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        calls = self.counts.read_counts()
+        calls = self.counts.get_counts()
         return {
             "platform_calls": {
                 f"{purpose} {outcome}": count.calls
@@ -105,7 +105,7 @@
         return sum(
             count.payload_bytes
             for end in (self.client, self.server)
-            for count in end.traffic.read_counts()
+            for count in end.traffic.get_counts()
             if count.kind.startswith(service)
         )
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -145,13 +145,13 @@
             outcome.arrival.output_tokens / seconds
         )
         served.setdefault(account, 0.0)
-        if outcome.is_good(FIRST_TOKEN_MS, GAP_MS):
+        if outcome.meets_targets(FIRST_TOKEN_MS, GAP_MS):
             served[account] += outcome.tokens / seconds
     capacity = _read_capacity(deployment.name, load.name, length_ms)
     limit = min(capacity, sum(demands.values()))
     dues = limits.compute_max_min_shares(demands, capacity)
     within = {a for a in demands if demands[a] <= dues[a] + 1e-6}
-    good = [o for o in outcomes if o.is_good(FIRST_TOKEN_MS, GAP_MS)]
+    good = [o for o in outcomes if o.meets_targets(FIRST_TOKEN_MS, GAP_MS)]
     # Below the engines' limit what counts is which requests were served well;
     # above it, how much good work the engines did within the time.
     goodput = sum(served.values())
@@ -160,7 +160,7 @@
             sum(
                 count_within(o, WARM_MS, length_ms)
                 for o in everything
-                if o.is_good(FIRST_TOKEN_MS, GAP_MS)
+                if o.meets_targets(FIRST_TOKEN_MS, GAP_MS)
             )
             / seconds
         )
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -104,7 +104,7 @@
         begun = time.process_time()
         router.finish(running.pop(0), jobs.JobOutcome.DONE, "", now_ms)
         found = router.dispatch(now_ms).assignments
-        router.take_hints(now_ms)
+        router.drain_hints(now_ms)
         starts += time.process_time() - begun
         running += [one.job_id for one in found]
     return {
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -32,7 +32,7 @@
     for _ in range(shape.slots):
         _feed(engine, next(source), next(numbers), 0.0)
     tokens = 0
-    while (now_ms := engine.next_ms()) < length_ms:
+    while (now_ms := engine.get_next_event_ms()) < length_ms:
         for event in engine.advance(now_ms):
             tokens += event.kind is engine_types.EventKind.TOKEN
             if event.kind is engine_types.EventKind.FINISHED:
--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -66,7 +66,7 @@
         self.prefilled = 0
         self.wasted = 0
 
-    def is_good(self, first_token_ms: int, gap_ms: int) -> bool:
+    def meets_targets(self, first_token_ms: int, gap_ms: int) -> bool:
         """Tell whether both latency targets were met by a whole answer.
 
         :param first_token_ms: the target for the first token
@@ -91,7 +91,7 @@
         "outcome",
         "assignment",
         "handle",
-        "told",
+        "announced",
         "prefilled_ms",
         "is_prefilled",
     )
@@ -102,7 +102,7 @@
         self.outcome = outcome
         self.assignment: jobs.Assignment | None = None
         self.handle = ""
-        self.told = 0.0
+        self.announced = 0.0
         self.prefilled_ms = 0.0
         self.is_prefilled = False
 
@@ -208,7 +208,7 @@
         for name, engine in self._engines.items():
             load = engine.report_load(self.now_ms)
             shape = engine.shape
-            scheduler.note_load(
+            scheduler.record_load(
                 "lm",
                 name,
                 upstreams.EngineLoad(
@@ -227,7 +227,7 @@
             )
             if records:
                 self._sequences[key] = records[-1].sequence
-                scheduler.note_cache_events(
+                scheduler.record_cache_events(
                     "lm",
                     name,
                     [
@@ -294,7 +294,7 @@
         self._at(at_ms, lambda: self._pump(router))
 
     def _tell(self, router: int) -> None:
-        note = self._schedulers[router].take_hints(int(self.now_ms))
+        note = self._schedulers[router].drain_hints(int(self.now_ms))
         if note is None or not self._notes:
             return
         for peer in range(len(self._schedulers)):
@@ -305,7 +305,7 @@
                 )
 
     def _hear(self, router: int, note: hints.Note) -> None:
-        self._schedulers[router].note_hints(note, int(self.now_ms))
+        self._schedulers[router].apply_hints(note, int(self.now_ms))
         self._pump(router)
 
     def _start_prefill(self, flight: _Flight) -> None:
@@ -339,9 +339,9 @@
         scheduler = self._schedulers[flight.router]
         if not flight.is_prefilled:
             flight.is_prefilled = True
-            scheduler.note_prefilled(flight.job.job_id, int(self.now_ms))
+            scheduler.record_prefilled(flight.job.job_id, int(self.now_ms))
         source = self._advance(prefill)
-        if source.claim_handle(flight.handle, self.now_ms) is None:
+        if source.pin_handle(flight.handle, self.now_ms) is None:
             self._waste(flight)
             self._retry(flight, "")
             return
@@ -364,7 +364,7 @@
     ) -> None:
         assert flight.assignment is not None
         scheduler = self._schedulers[flight.router]
-        other = scheduler.move_decode(
+        other = scheduler.reassign_decode(
             flight.job.job_id, refused, int(self.now_ms)
         )
         pause_ms = DECODE_RETRY_DELAY_MS
@@ -378,7 +378,7 @@
         )
 
     def _waste(self, flight: _Flight) -> None:
-        flight.outcome.wasted += int(flight.told)
+        flight.outcome.wasted += int(flight.announced)
 
     def _retry(self, flight: _Flight, blamed: str) -> None:
         end = jobs.JobOutcome.REFUSED_BY_ENGINE
@@ -403,7 +403,7 @@
             job.arrived_ms,
             job.deadline,
             job.attempt + 1,
-            job.avoid | frozenset((blamed,)),
+            job.excluded_upstreams | frozenset((blamed,)),
         )
         self._submit(_Flight(flight.router, again, flight.outcome))
 
@@ -414,7 +414,7 @@
         return engine
 
     def _follow(self, name: str) -> None:
-        due = self._engines[name].next_ms()
+        due = self._engines[name].get_next_event_ms()
         if due < self._engine_due[name] or (
             self._engine_due[name] <= self.now_ms
         ):
@@ -437,7 +437,7 @@
             flight.handle = event.run.handle
             flight.prefilled_ms = event.at_ms
             computed = event.run.prompt_tokens - event.run.cached_tokens
-            flight.told = computed
+            flight.announced = computed
             flight.outcome.prefilled += computed
             self._at(
                 self.now_ms + 2 * NETWORK_DELAY_MS,
@@ -463,10 +463,10 @@
         scheduler = self._schedulers[flight.router]
         if outcome.first_ms is None:
             outcome.first_ms = outcome.last_ms
-            flight.told = event.at_ms
+            flight.announced = event.at_ms
             scheduler.note_first_token(flight.job.job_id, int(self.now_ms))
-        elif event.at_ms - flight.told >= TOKEN_COUNT_INTERVAL_MS:
-            flight.told = event.at_ms
+        elif event.at_ms - flight.announced >= TOKEN_COUNT_INTERVAL_MS:
+            flight.announced = event.at_ms
             scheduler.note_tokens(
                 flight.job.job_id, outcome.tokens, int(self.now_ms)
             )
@@ -483,7 +483,7 @@
     def _slow_down(self) -> None:
         name = next(n for n in self._engines if n.startswith("d"))
         engine = self._advance(name)
-        engine.change_shape("slow_factor", SLOW_FACTOR, self.now_ms)
+        engine.set_parameter("slow_factor", SLOW_FACTOR, self.now_ms)
 
 
 def make_pool(deployment: workloads.Deployment) -> tables.Pool:
--- a/benchmarks/decisions_workloads.py
+++ b/benchmarks/decisions_workloads.py
@@ -82,7 +82,7 @@
         the others
     :param slow: one decode engine works at less than half its speed
     :param long_part: part of the prompts that have 4,000 to 9,000 tokens
-    :param sticky: an account's callers all use one VM for a while
+    :param has_vm_affinity: an account's callers all use one VM for a while
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         "bursts",
         "slow",
         "long_part",
-        "sticky",
+        "has_vm_affinity",
     )
 
     def __init__(
@@ -103,7 +103,7 @@
         bursts: bool = False,
         slow: bool = False,
         long_part: float = 0.0,
-        sticky: bool = False,
+        has_vm_affinity: bool = False,
     ) -> None:
         self.name = name
         self.factor = factor
@@ -111,14 +111,16 @@
         self.bursts = bursts
         self.slow = slow
         self.long_part = long_part
-        self.sticky = sticky
+        self.has_vm_affinity = has_vm_affinity
 
 
 WORKLOADS = (
     Workload("below", 0.7),
     Workload("saturation", 1.0),
     Workload("bursts", 0.75, bursts=True),
-    Workload("skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), sticky=True),
+    Workload(
+        "skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), has_vm_affinity=True
+    ),
     Workload("slow upstream", 0.6, slow=True),
     Workload("long and short", 0.75, long_part=0.15),
     Workload("1.5 saturation", 1.5),
@@ -229,7 +231,7 @@
         index = bisect.bisect(self._bounds, random_.random())
         account = f"account{min(index, len(self._bounds) - 1)}"
         router = random_.random()
-        if self._load.sticky:
+        if self._load.has_vm_affinity:
             window = int(at_ms // WINDOW_MS)
             router = random.Random(f"{account}/{window}").random()
         output = _clip_lognormal(
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -113,18 +113,20 @@
         time.sleep(EDIT_AFTER_S)
         route = {"path_prefix": "/status", "pool": "member-api"}
         file = self._running.write("route.toml", route)
-        self._running.operate("put", "routes.status", file)
+        self._running.run_admin_command("put", "routes.status", file)
         edited = time.monotonic()
-        self._running.operate("wait")
+        self._running.run_admin_command("wait")
         notes = [
             "a new route was in force on all VMs after "
             f"{time.monotonic() - edited:.2f} s, the command included"
         ]
         time.sleep(max(WITHDRAW_AFTER_S - (time.monotonic() - began), 0))
         digest = deployment.tables.digest_key(WITHDRAWN)
-        self._running.operate("withdraw-key", "tea-estate", digest[:12])
+        self._running.run_admin_command(
+            "withdraw-key", "tea-estate", digest[:12]
+        )
         withdrawn = time.monotonic()
-        self._running.operate("wait")
+        self._running.run_admin_command("wait")
         notes.append(
             "a withdrawn key was refused everywhere after "
             f"{time.monotonic() - withdrawn:.2f} s, the command included"
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -168,8 +168,8 @@
         :param revision: what they were made from
         """
         file = self.write("tables.toml", values)
-        self.operate(f"--revision={revision}", "apply", file)
-        self.operate("wait")
+        self.run_admin_command(f"--revision={revision}", "apply", file)
+        self.run_admin_command("wait")
         # A VM that has tables serves as soon as the platform confirms them.
         processes.wait_until(lambda: all(map(is_ready, self.router_ports)))
 
@@ -184,7 +184,7 @@
         file.write_text(tomli_w.dumps(values), encoding="utf-8")
         return str(file)
 
-    def operate(self, *words: str) -> dict[str, typing.Any]:
+    def run_admin_command(self, *words: str) -> dict[str, typing.Any]:
         """Run the operators' command.
 
         :param words: the command and its arguments
--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -52,7 +52,7 @@
             fleet.publish(one)
     fleet.run(DURATION_MS, ITEMS_PER_S_A_VM * vms)
     fleet.run(DURATION_MS + SETTLE_MS)
-    found = fleet.sum_up(DURATION_MS + SETTLE_MS)
+    found = fleet.summarize(DURATION_MS + SETTLE_MS)
     return {
         "deployment": f"{vms} VMs",
         "load": fault,
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -213,7 +213,7 @@
         self.nodes = {one.name: kind(self, one) for one in self.receivers}
         for node in self.nodes.values():
             if isinstance(node, RelayNode):
-                node.disseminator.change_receivers(self.receivers)
+                node.disseminator.set_receivers(self.receivers)
         # VMs that neither send nor receive, and pairs cut one way.
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
@@ -281,7 +281,7 @@
                 next_ms += self.random.expovariate(per_s / 1_000)
             self._deliver()
 
-    def sum_up(self, duration_ms: int) -> Summary:
+    def summarize(self, duration_ms: int) -> Summary:
         """Return what the run came to.
 
         :param duration_ms: how long it lasted
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -56,13 +56,13 @@
     return sum(
         one.payload_bytes
         for traffic in fleet.network.traffic.values()
-        for one in traffic.read_counts()
+        for one in traffic.get_counts()
     )
 
 
 def _count_spread(fleet: membership_fleet.Fleet) -> int | None:
     """Return the periods until all VMs know that one is stopping."""
-    fleet.vms[1].change_own(is_stopping=True)
+    fleet.vms[1].update_local(is_stopping=True)
     for period in range(1, MOST_PERIODS):
         fleet.run(1)
         seen = (fleet.see(vm, "vm1") for vm in fleet.vms)
--- a/benchmarks/series.py
+++ b/benchmarks/series.py
@@ -80,7 +80,7 @@
         """
         return self.intercept + self.slope * size
 
-    def stretch(self, size: float) -> float:
+    def extrapolation_factor(self, size: float) -> float:
         """Tell how far beyond the measured range a size lies.
 
         :param size: in the series' unit of size
--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -116,7 +116,7 @@
         change = changes.DeleteRow(table, name, expected)
         return self._submit(operator, change, edit_id)
 
-    def give_key(
+    def issue_key(
         self, operator: str, account: str, edit_id: str
     ) -> Result[responses.KeyResponse]:
         """Make a key for a client account; it is shown this once.
@@ -134,7 +134,7 @@
             lambda answer: self._check_given(answer, account, key, digest)
         )
 
-    def withdraw_key(
+    def revoke_key(
         self, operator: str, account: str, prefix: str, edit_id: str
     ) -> Result[responses.EditResponse]:
         """Take a key from a client account.
@@ -162,7 +162,7 @@
         :param edit_id: the edit's own id
         """
         edit = edits.Edit(edit_id, operator, ())
-        newest = self._fleet.read_newest()
+        newest = self._fleet.fetch_newest_state()
         restored = newest.bind(
             lambda found: self._editor.restore(
                 edit, found.root, found.segments, EDIT_TIMEOUT_MS
@@ -199,7 +199,7 @@
 
     def read_status(self) -> Result[responses.StatusResponse]:
         """Return the state of VMs, pools and client accounts."""
-        states = self._fleet.read_states()
+        states = self._fleet.fetch_vm_states()
         return self._read_tables().map(
             lambda current: response_builders.make_status_response(
                 current, states
--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -140,15 +140,15 @@
         return self._admin.apply(
             call.operator,
             call.read_text("text"),
-            call.read_number("revision"),
-            call.read_edit_id(),
+            call.get_integer("revision"),
+            call.get_edit_id(),
         )
 
     def _diff(self, call: calls.OperatorRequest) -> Result:
         return self._admin.diff(call.read_text("text"))
 
     def _restore(self, call: calls.OperatorRequest) -> Result:
-        return self._admin.restore(call.operator, call.read_edit_id())
+        return self._admin.restore(call.operator, call.get_edit_id())
 
     def _put_row(self, call: calls.OperatorRequest) -> Result:
         values = call.body.get("values")
@@ -158,32 +158,32 @@
             call.operator,
             *call.parts,
             values,
-            call.read_optional_text("digest"),
-            call.read_edit_id(),
+            call.get_optional_string("digest"),
+            call.get_edit_id(),
         )
 
     def _delete_row(self, call: calls.OperatorRequest) -> Result:
         return self._admin.delete_row(
             call.operator,
             *call.parts,
-            call.read_optional_text("digest"),
-            call.read_edit_id(),
+            call.get_optional_string("digest"),
+            call.get_edit_id(),
         )
 
     def _give_key(self, call: calls.OperatorRequest) -> Result:
-        return self._admin.give_key(
-            call.operator, *call.parts, call.read_edit_id()
+        return self._admin.issue_key(
+            call.operator, *call.parts, call.get_edit_id()
         )
 
     def _withdraw_key(self, call: calls.OperatorRequest) -> Result:
-        return self._admin.withdraw_key(
-            call.operator, *call.parts, call.read_edit_id()
+        return self._admin.revoke_key(
+            call.operator, *call.parts, call.get_edit_id()
         )
 
     def _wait(self, call: calls.OperatorRequest) -> Result:
-        wait_ms = call.read_query_number("wait_ms") or 0
+        wait_ms = call.get_query_integer("wait_ms") or 0
         return self._admin.wait(
-            call.read_query_number("revision"), min(wait_ms, MAX_WAIT_MS)
+            call.get_query_integer("revision"), min(wait_ms, MAX_WAIT_MS)
         )
 
 
--- a/mulberryway/admin/calls.py
+++ b/mulberryway/admin/calls.py
@@ -90,7 +90,7 @@
             raise bad_request(f"{key}: expected a text")
         return value
 
-    def read_optional_text(self, key: str) -> str | None:
+    def get_optional_string(self, key: str) -> str | None:
         """Return a text, or none if it was left out.
 
         :param key: its key in the body
@@ -98,7 +98,7 @@
         """
         return None if self.body.get(key) is None else self.read_text(key)
 
-    def read_number(self, key: str) -> int:
+    def get_integer(self, key: str) -> int:
         """Return a whole number that must be there.
 
         :param key: its key in the body
@@ -109,7 +109,7 @@
             raise bad_request(f"{key}: expected a whole number")
         return value
 
-    def read_edit_id(self) -> str:
+    def get_edit_id(self) -> str:
         """Return the edit's id; a new one if the operator sent none.
 
         :raises MulberrywayError: if it cannot be an id
@@ -121,7 +121,7 @@
             raise bad_request("edit_id: expected 1 to 64 of A-Za-z0-9._-")
         return edit_id
 
-    def read_query_number(self, key: str) -> int | None:
+    def get_query_integer(self, key: str) -> int | None:
         """Return a whole number of the query, or none.
 
         :param key: the parameter
--- a/mulberryway/admin/editor.py
+++ b/mulberryway/admin/editor.py
@@ -153,7 +153,7 @@
             return found
         # A newer root without the edit: the unanswered update had no
         # effect, and its version is gone for good.
-        submission.unknown_from = None
+        submission.ambiguous_revision = None
         made = self._make_root(submission, held)
         return made.bind(lambda new: self._accept(submission, held, new))
 
@@ -174,7 +174,7 @@
         submission: submissions.Submission,
     ) -> bool:
         return (
-            held.version > submission.newer_than
+            held.version > submission.stale_version
             and held.root.revision >= self._read_revision()
         )
 
@@ -196,7 +196,7 @@
         revision = history.find_edit(past.ok, edit_id)
         if revision is not None:
             return expression.Ok(submissions.AcceptedEdit(edit_id, revision))
-        unknown = submission.unknown_from
+        unknown = submission.ambiguous_revision
         if unknown is not None and past.ok[0]["revision"] > unknown + 1:
             return submissions.reject_unverifiable_edit(edit_id)
         return expression.Ok(None)
@@ -213,7 +213,7 @@
         if made.is_error() or past.is_error():
             return made if made.is_error() else past
         split = segments.split_tables(made.ok)
-        old = held.root.list_rows()
+        old = held.root.list_row_segments()
         retired = old - split.segments.keys()
         entries = history.add_edit(
             past.ok, edit, held.root, retired, self._clock.wall_ms()
@@ -222,12 +222,12 @@
         added = sorted(split.segments.keys() - old)
         new = [split.segments[name] for name in added]
         written = self._write_segments([*new, log], held.root.revision)
-        self.accepted.keep_history(log)
+        self.accepted.cache_history(log)
         root = roots.Root(
             held.root.revision + 1,
             split.shards,
             log.digest,
-            held.root.add_mark(edit.edit_id),
+            held.root.append_edit(edit.edit_id),
         )
         return written.map(lambda _: submissions.NewState(root, new))
 
@@ -247,7 +247,7 @@
             root.revision + 1,
             root.shards,
             log.digest,
-            root.add_mark(edit.edit_id),
+            root.append_edit(edit.edit_id),
         )
         written = self._write_segments([*rows, log], old.revision)
         return written.map(lambda _: submissions.NewState(new_root, rows))
@@ -280,10 +280,10 @@
                 )
             fault = written.error
             if fault.code is not errors.Code.PLATFORM_UNAVAILABLE:
-                submission.newer_than = held.version
+                submission.stale_version = held.version
                 return expression.Error(fault)
             if fault.run is not errors.ExecutionStatus.NOT_RUN:
-                submission.unknown_from = held.root.revision
+                submission.ambiguous_revision = held.root.revision
             if submission.deadline.has_passed(self._clock.now_ms()):
                 return expression.Error(fault)
             self._pause(submission)
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -36,7 +36,7 @@
     :param client: calls the routers
     :param own_address: the peers' side of this VM's router
     :param clock_: where the time comes from
-    :param fresh_ms: after how long a VM that nobody reaches refuses
+    :param staleness_limit_ms: after how long a VM that nobody reaches refuses
     :param rng: for the choice of VMs
     """
 
@@ -45,13 +45,13 @@
         client: peers.PeerClient,
         own_address: str,
         clock_: clock.Clock,
-        fresh_ms: int,
+        staleness_limit_ms: int,
         rng: random.Random,
     ) -> None:
         self._client = client
         self._own_address = own_address
         self._clock = clock_
-        self._fresh_ms = fresh_ms
+        self._fresh_ms = staleness_limit_ms
         self._random = rng
         self._pool = concurrent.futures.ThreadPoolExecutor(THREADS, "fleet")
         self._known: list[ttypes.Member] = []
@@ -104,11 +104,11 @@
                 root.revision,
             )
 
-    def read_states(self) -> list[responses.VmState]:
+    def fetch_vm_states(self) -> list[responses.VmState]:
         """Ask each VM that this VM's router knows for its tables."""
         return self._ask(self._list_members())
 
-    def read_newest(
+    def fetch_newest_state(
         self,
     ) -> expression.Result[submissions.NewState, errors.Fault]:
         """Return the newest root that a VM has in force, with its rows."""
@@ -134,7 +134,7 @@
         if not content:
             return expression.Error(_no_vm())
         root = roots.Root.decode(json.loads(content))
-        missing = root.list_rows()
+        missing = root.list_row_segments()
         rows: list[segments.Segment] = []
         while missing:
             reply = self._client.call(
--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -46,15 +46,21 @@
     :param deadline: when to give up
     """
 
-    __slots__ = ("edit", "deadline", "newer_than", "unknown_from", "pause_ms")
+    __slots__ = (
+        "edit",
+        "deadline",
+        "stale_version",
+        "ambiguous_revision",
+        "pause_ms",
+    )
 
     def __init__(self, edit: edits.Edit, deadline: clock.Deadline) -> None:
         self.edit = edit
         self.deadline = deadline
         # The platform's version that is known to be outdated.
-        self.newer_than = -1
+        self.stale_version = -1
         # The revision from which an update was sent whose end is unknown.
-        self.unknown_from: int | None = None
+        self.ambiguous_revision: int | None = None
         self.pause_ms = INITIAL_BACKOFF_MS
 
     def end(self, fault: errors.Fault) -> errors.Fault:
@@ -62,7 +68,7 @@
 
         :param fault: why it goes no further
         """
-        unknown = self.unknown_from is not None
+        unknown = self.ambiguous_revision is not None
         fault.run = (
             errors.ExecutionStatus.MAY_HAVE_RUN
             if unknown
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -85,7 +85,7 @@
             settings_.vm_name,
             self.incarnation,
             peers=self.client,
-            find_keeper=claim_coordination.make_coordinator_finder(
+            find_coordinator=claim_coordination.make_coordinator_finder(
                 settings_.vm_name, self.members.list_members
             ),
         )
@@ -130,7 +130,7 @@
         self.reconciling = reconciling.ReconcileController(
             settings_.vm_name,
             self.incarnation,
-            self.reports.list_engines,
+            self.reports.list_assigned_engines,
             self.router.scheduling.is_running,
             owner_liveness.MembershipLivenessChecker(
                 self.members.list_members, self.store, self.clock
@@ -270,9 +270,9 @@
             ),
             self.allowances,
             self.members,
-            on_withdraw=lambda: self.members.change_own(is_stopping=True),
+            on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             claim_store=self.claims,
-            has_settled=self.shares.is_complete,
-            on_ready=lambda: self.members.change_own(is_starting=False),
+            has_settled=self.shares.has_all_holders,
+            on_ready=lambda: self.members.update_local(is_starting=False),
         )
--- a/mulberryway/commands/losses.py
+++ b/mulberryway/commands/losses.py
@@ -45,12 +45,12 @@
         how many prompts its engine read for itself meanwhile
     """
 
-    __slots__ = ("ends", "in_vain", "pauses")
+    __slots__ = ("ends", "wasted_tokens", "gaps")
 
     def __init__(self) -> None:
         self.ends: collections.Counter[str] = collections.Counter()
-        self.in_vain: collections.Counter[str] = collections.Counter()
-        self.pauses: dict[int, list[int]] = {}
+        self.wasted_tokens: collections.Counter[str] = collections.Counter()
+        self.gaps: dict[int, list[int]] = {}
 
 
 def summarize(lines: collections.abc.Iterable[Line]) -> LossSummary:
@@ -68,12 +68,12 @@
     losses = LossSummary()
     for line in known:
         if line["message"] == PREFILL_WASTED:
-            losses.in_vain[_name_fault(line)] += line["tokens"]
+            losses.wasted_tokens[_name_fault(line)] += line["tokens"]
         elif line["message"] == PREFILL_OUTCOME_UNKNOWN:
             job = chosen.get(line["request_id"])
             if job is not None:
                 name = f"no answer, {_name_fault(line)}"
-                losses.in_vain[name] += job["prompt_tokens"]
+                losses.wasted_tokens[name] += job["prompt_tokens"]
         elif line["message"] == REQUEST_ENDED and line.get("target_ms"):
             losses.ends[classify_outcome(line)] += 1
             job = chosen.get(line["request_id"])
@@ -109,14 +109,17 @@
         f"{count:6d}  {count / total:6.3f}  {what}"
         for what, count in losses.ends.most_common()
     ]
-    rows.append(f"{sum(losses.in_vain.values())} prompt tokens read in vain")
+    rows.append(
+        f"{sum(losses.wasted_tokens.values())} prompt tokens read in vain"
+    )
     rows += [
-        f"{tokens:8d}  {what}" for what, tokens in losses.in_vain.most_common()
+        f"{tokens:8d}  {what}"
+        for what, tokens in losses.wasted_tokens.most_common()
     ]
     rows.append("longest pause; streams; prompts read beside each, mean")
     rows += [
         f"{at_ms:5d} ms  {len(beside):5d}  {sum(beside) / len(beside):5.2f}"
-        for at_ms, beside in sorted(losses.pauses.items())
+        for at_ms, beside in sorted(losses.gaps.items())
     ]
     return "\n".join(rows)
 
@@ -162,7 +165,7 @@
         for at_ms in reads.get(job["decode"], ())
     )
     step = line["gap_ms"] // GAP_BUCKET_MS * GAP_BUCKET_MS
-    losses.pauses.setdefault(min(step, MAX_GAP_BUCKET_MS), []).append(beside)
+    losses.gaps.setdefault(min(step, MAX_GAP_BUCKET_MS), []).append(beside)
 
 
 def _name_fault(line: Line) -> str:
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -32,7 +32,7 @@
     def list_members(self) -> list[member.Member]:
         """Return copies of all known VMs, this one included."""
 
-    def change_own(
+    def update_local(
         self, is_stopping: bool | None = None, holdings: bytes | None = None
     ) -> None:
         """Change what this VM tells of itself."""
@@ -79,7 +79,7 @@
         now_ms = self.clock.now_ms()
         members = self._membership.list_members()
         self._note_members(members, now_ms)
-        if now_ms - self._start_ms >= self._times.settle_ms:
+        if now_ms - self._start_ms >= self._times.startup_delay_ms:
             self._read_own_records()
             due = self._list_due(now_ms)
             for group in due[:MAX_GROUPS_PER_STEP]:
@@ -100,7 +100,7 @@
         self._tell_holdings()
 
     def _note_members(self, members: list[member.Member], now_ms: int) -> None:
-        able = [one for one in members if one.takes_callers]
+        able = [one for one in members if one.accepts_callers]
         since = self._alive_since
         self._alive_since = {
             (one.name, one.incarnation): since.get(
@@ -166,7 +166,7 @@
         if holding is None:
             return self._is_wanted(slot, now_ms)
         left_ms = holding.until_ms - now_ms
-        is_old = left_ms <= self._times.renew_ms
+        is_old = left_ms <= self._times.renew_before_ms
         return is_old or not self._is_wanted(slot, now_ms)
 
     def _is_wanted(self, slot: int, now_ms: int) -> bool:
@@ -186,7 +186,7 @@
             for (name, _), since_ms in self._alive_since.items()
             if name == best
         )
-        is_settled = lived_ms >= self._times.rebalance_ms
+        is_settled = lived_ms >= self._times.min_uptime_ms
         return not (is_settled and now_ms >= self._next_move_ms)
 
     def _settle(self, group: int) -> None:
@@ -301,10 +301,12 @@
             return
         with self._state.lock:
             keeper = self._state.keeper
-            keeper.note_list(self._listed, self._listed_ms)
+            keeper.update_vm_list(self._listed, self._listed_ms)
             for part, record in records.items():
                 slot = group * self._state.parts + part
-                keeper.note_absent(slot, record, self._listed, self._listed_ms)
+                keeper.track_absence(
+                    slot, record, self._listed, self._listed_ms
+                )
 
     def _tell_holdings(self) -> None:
         with self._state.lock:
@@ -312,7 +314,7 @@
         holdings = allowance_state.pack_holdings(slots)
         if holdings != self._told:
             self._told = holdings
-            self._membership.change_own(holdings=holdings)
+            self._membership.update_local(holdings=holdings)
 
 
 def _read_records(
--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -54,7 +54,7 @@
         # Whom to ask, by slot: ``host:port`` of holders; only a hint.
         self.holders: dict[int, str] = {}
 
-    def is_complete(self) -> bool:
+    def has_all_holders(self) -> bool:
         """Tell whether a holder of every slot is known.
 
         In a fleet that has just begun, or on a VM that has, an account's
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -60,7 +60,7 @@
             loan = lender.lend(
                 loan_id, request.account, request.need, request.wish, now_ms
             )
-            left = lender.read_left(request.account, now_ms)
+            left = lender.read_lendable(request.account, now_ms)
         return ttypes.Loan(loan.tokens, loan.length_ms, left)
 
     def close(self, borrower: str, closings: list[ttypes.Closing]) -> None:
@@ -116,7 +116,7 @@
         """
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            self._state.book.note_demand(account, tokens, now_ms)
+            self._state.book.record_demand(account, tokens, now_ms)
             reservation = self._state.book.reserve(account, tokens, now_ms)
         if reservation is None:
             reservation = self._reserve_borrowed(account, tokens)
@@ -260,7 +260,7 @@
     def _send_closings(self, is_all: bool) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            closings = self._state.borrower.take_closings(now_ms, is_all)
+            closings = self._state.borrower.collect_closings(now_ms, is_all)
         by_peer: dict[str, list[ttypes.Closing]] = {}
         for one in closings:
             message = ttypes.Closing(one.number, one.returned)
@@ -297,7 +297,7 @@
     def _refuse(self, account: str, tokens: int) -> errors.Fault:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            wait_ms = self._state.book.note_refused(account, tokens, now_ms)
+            wait_ms = self._state.book.record_refusal(account, tokens, now_ms)
         return errors.Fault(
             errors.Code.OVER_ALLOWANCE,
             errors.Step.ADMISSION,
@@ -308,8 +308,8 @@
     def _take_tables(self, current: tables.Tables) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            self._state.lender.change_accounts(current.accounts, now_ms)
-            self._state.book.forget_accounts()
+            self._state.lender.update_accounts(current.accounts, now_ms)
+            self._state.book.prune_accounts()
             for memory in (self._asking, self._left):
                 gone = [
                     key
--- a/mulberryway/controllers/claim_log.py
+++ b/mulberryway/controllers/claim_log.py
@@ -32,7 +32,7 @@
     :param kind: the shard's kind in the platform
     :param store: the platform
     :param make_shard: makes an empty view
-    :param on_fresh: gets the records that were not known before
+    :param on_new_records: gets the records that were not known before
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         kind: str,
         store: base.ObjectStore,
         make_shard: MakeShard,
-        on_fresh: OnNewRecords,
+        on_new_records: OnNewRecords,
     ) -> None:
         self.shard = make_shard()
         self.is_known = False
@@ -48,7 +48,7 @@
         self._kind = kind
         self._store = store
         self._make_shard = make_shard
-        self._on_fresh = on_fresh
+        self._on_fresh = on_new_records
 
     def forget(self) -> None:
         """Drop the view; it is read again when it is needed."""
@@ -69,13 +69,13 @@
             # Whether it was refused or its reply was lost, the log tells.
             self.is_known = False
             return written.error
-        self._on_fresh(self.shard.take_append(append, written.ok.version))
+        self._on_fresh(self.shard.apply_append(append, written.ok.version))
         return None
 
     def _send(
         self, append: claim_slots.Append
     ) -> expression.Result[base.StoredObject, errors.Fault]:
-        name = str(append.place)
+        name = str(append.slot_index)
         value = append.make_value()
         if append.version is None:
             return self._store.create(self._kind, name, value, PURPOSE)
@@ -83,7 +83,7 @@
             self._kind, name, value, append.version, PURPOSE
         )
 
-    def read_news(self) -> errors.Fault | None:
+    def catch_up(self) -> errors.Fault | None:
         """Bring the view up to date if there is reason to.
 
         :returns: why the view cannot be trusted, or none
@@ -101,16 +101,16 @@
     def _follow_log(self) -> errors.Fault | None:
         """Read the newest slot and those after it."""
         while self.shard.has_slots():
-            place = self.shard.newest_place()
+            place = self.shard.newest_index()
             fault = self._read_slot(place)
             if fault is not None:
                 return fault
             if not self.shard.is_newest_full():
                 break
-            fault = self._read_slot(self.shard.next_place())
+            fault = self._read_slot(self.shard.next_index())
             if fault is not None:
                 return fault
-            if self.shard.newest_place() == place:
+            if self.shard.newest_index() == place:
                 break
         return None
 
@@ -140,7 +140,7 @@
     def _take_slot(
         self, place: int, value: dict[str, typing.Any], version: int
     ) -> None:
-        self._on_fresh(self.shard.take_slot(place, value, version))
+        self._on_fresh(self.shard.apply_slot(place, value, version))
 
 
 def _sequence_of(item: base.StoredObject) -> int:
--- a/mulberryway/controllers/claim_queue.py
+++ b/mulberryway/controllers/claim_queue.py
@@ -77,16 +77,16 @@
 
     :param clock_: where the time comes from
     :param serve: settles a batch; called by one thread at a time
-    :param pace_ms: the least time between two batches
+    :param min_interval_ms: the least time between two batches
     """
 
     def __init__(
-        self, clock_: clock.Clock, serve: Serve, pace_ms: int = 0
+        self, clock_: clock.Clock, serve: Serve, min_interval_ms: int = 0
     ) -> None:
         self._clock = clock_
         self._serve = serve
-        self._pace_ms = pace_ms
-        self._served_ms = clock_.now_ms() - pace_ms
+        self._pace_ms = min_interval_ms
+        self._served_ms = clock_.now_ms() - min_interval_ms
         self._lock = threading.Lock()
         self._serving = threading.Lock()
         self._waiters: list[PendingClaim] = []
@@ -112,7 +112,7 @@
             finally:
                 self._serving.release()
 
-    def serve_now(self, deadline: clock.Deadline) -> bool:
+    def run_batch_now(self, deadline: clock.Deadline) -> bool:
         """Serve once, also if nobody waits; the pace is for attempts only.
 
         :param deadline: when to give up
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -113,7 +113,7 @@
         with self._lock:
             has_ends = bool(self._ends)
         if has_ends or self._is_unused():
-            self._queue.serve_now(deadline)
+            self._queue.run_batch_now(deadline)
         with self._lock:
             return not self._ends
 
@@ -146,7 +146,7 @@
 
     def _try_once(self, batch: list[PendingClaim]) -> errors.Fault | None:
         """Decide and append once; return why it has to be done again."""
-        fault = self.log.read_news()
+        fault = self.log.catch_up()
         if fault is not None:
             return fault
         free, ends = self._sort_out(batch)
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -65,7 +65,7 @@
     :param shards: how many shards there are; the same on all VMs
     :param make_shard: makes an empty view of one shard's log
     :param peers: calls other VMs
-    :param find_keeper: finds the VM that writes a shard; without it this
+    :param find_coordinator: finds the VM that writes a shard; without it this
         VM writes all of them
     """
 
@@ -78,7 +78,9 @@
         shards: int = claims.SHARD_COUNT,
         make_shard: collections.abc.Callable[[], claims.Shard] = claims.Shard,
         peers: client.PeerClient | None = None,
-        find_keeper: claim_coordination.FindCoordinator = lambda shard: None,
+        find_coordinator: claim_coordination.FindCoordinator = lambda shard: (
+            None
+        ),
     ) -> None:
         super().__init__("claims", clock_, FLUSH_MS)
         self._prefix = f"{vm}/{incarnation}/"
@@ -92,7 +94,7 @@
         self.handler = claim_coordination.ClaimHandler(writers, clock_)
         self._shards = [
             claim_coordination.ShardClient(
-                number, writer, peers, find_keeper, clock_
+                number, writer, peers, find_coordinator, clock_
             )
             for number, writer in enumerate(writers)
         ]
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -57,7 +57,7 @@
         rng: random.Random,
     ) -> None:
         super().__init__("configuration", clock_, PERIOD_MS)
-        self.in_force = tables_in_force.ActiveTables(
+        self.active_tables = tables_in_force.ActiveTables(
             clock_,
             settings_.configuration_fresh_ms,
             settings_.configuration_outage_ms,
@@ -83,7 +83,7 @@
         if self._must_read_platform(peers):
             self.read_platform()
         self._ask_peers(peers)
-        self.in_force.note_quorum(self._find_quorum())
+        self.active_tables.set_quorum_time(self._find_quorum())
         self._report()
 
     def note_news(self, address: str, revision: int) -> None:
@@ -92,13 +92,13 @@
         :param address: the VM's ``host:port``
         :param revision: its root's revision
         """
-        if revision <= self.in_force.root.revision:
+        if revision <= self.active_tables.root.revision:
             return
         with self._lock:
             self._news.add(address)
         self.wake()
 
-    def take_accepted(
+    def install_accepted(
         self, content: bytes, new_segments: dict[str, bytes]
     ) -> bool:
         """Take over a root that the administration API hands over.
@@ -122,9 +122,9 @@
             found = {digest: new_segments[digest] for digest in known}
             return found | self._fetch(rest, "")
 
-        self.in_force.offer(root, fetch)
+        self.active_tables.offer(root, fetch)
         self.wake()
-        return self.in_force.root.revision >= root.revision
+        return self.active_tables.root.revision >= root.revision
 
     def list_members(self) -> list[configuration_peers.PeerVm]:
         """Return the VMs that are known, this one first."""
@@ -164,7 +164,9 @@
         revision = self.offer_value(found.ok.value)
         if revision is None:
             return False
-        return self.in_force.confirm(revision, asked_ms, self._fleet.most)
+        return self.active_tables.confirm(
+            revision, asked_ms, self._fleet.maximum
+        )
 
     def offer_value(self, value: dict[str, object]) -> int | None:
         """Offer a root as the platform holds it.
@@ -186,7 +188,7 @@
         :returns: whether it answered
         """
         asked_ms = self.clock.now_ms()
-        known = self.in_force.root.revision
+        known = self.active_tables.root.revision
         answer = self._peers.read_root(address, known)
         if answer.is_error():
             return False
@@ -195,12 +197,12 @@
         if reply.content:
             revision = self._offer_content(reply.content, address)
         if revision is not None and reply.age_ms >= 0:
-            self.in_force.confirm(
+            self.active_tables.confirm(
                 revision,
                 asked_ms - reply.age_ms,
-                max(reply.fleet_size, self._fleet.most),
+                max(reply.fleet_size, self._fleet.maximum),
             )
-        is_known = 0 < reply.revision <= self.in_force.root.revision
+        is_known = 0 < reply.revision <= self.active_tables.root.revision
         if is_known and reply.is_witness:
             self._heard_ms[address] = asked_ms
         return True
@@ -217,12 +219,12 @@
             return None
 
     def _offer(self, root: roots.Root, address: str) -> int | None:
-        offer = self.in_force.offer(
+        offer = self.active_tables.offer(
             root, lambda missing: self._fetch(missing, address)
         )
         good = (
-            tables_in_force.OfferResult.TAKEN,
-            tables_in_force.OfferResult.KNOWN,
+            tables_in_force.OfferResult.INSTALLED,
+            tables_in_force.OfferResult.UNCHANGED,
         )
         return root.revision if offer in good else None
 
@@ -249,7 +251,7 @@
         now_ms = self.clock.now_ms()
         if now_ms < self._next_read_ms:
             return False
-        age_ms = self.in_force.age_ms()
+        age_ms = self.active_tables.age_ms()
         is_old = age_ms is None or age_ms > STALE_CONFIRMATION_MS
         if self.is_watcher():
             self._next_read_ms = now_ms + CONFIRM_INTERVAL_MS
@@ -262,7 +264,7 @@
         return is_old
 
     def _ask_peers(self, peers: list[configuration_peers.PeerVm]) -> None:
-        age_ms = self.in_force.age_ms()
+        age_ms = self.active_tables.age_ms()
         if age_ms is not None and age_ms <= STALE_CONFIRMATION_MS:
             asked = self._random.sample(
                 peers, min(PEER_SAMPLE_SIZE, len(peers))
@@ -273,7 +275,7 @@
         longest_ago = sorted(
             shuffled, key=lambda peer: self._heard_ms.get(peer.address, 0)
         )
-        needed = freshness.count_quorum_peers(self._fleet.most)
+        needed = freshness.count_quorum_peers(self._fleet.maximum)
         count = PEER_SAMPLE_SIZE + needed // QUORUM_STEPS
         for peer in longest_ago[:count]:
             self.pull(peer.address)
@@ -287,14 +289,14 @@
             for address, at_ms in self._heard_ms.items()
             if at_ms >= limit_ms
         }
-        confirmation = self.in_force.confirmation
+        confirmation = self.active_tables.confirmation
         if confirmation is None:
             return None
         # A VM that was started during a cut has a small fleet confirmed;
         # what it has seen alive since counts too.
-        fleet_size = max(confirmation.fleet_size, self._fleet.most)
+        fleet_size = max(confirmation.fleet_size, self._fleet.maximum)
         needed = freshness.count_quorum_peers(fleet_size)
-        if not self.in_force.is_witness():
+        if not self.active_tables.is_witness():
             needed += 1
         times = sorted(self._heard_ms.values(), reverse=True)
         if needed == 0:
@@ -307,12 +309,12 @@
         return sorted(news)
 
     def _report(self) -> None:
-        judged = self.in_force.judge()
+        judged = self.active_tables.judge()
         if judged is not self._last_judged:
             LOG.warning(
                 "tables are %s: revision %d, confirmed %s ms ago",
                 judged.value,
-                self.in_force.root.revision,
-                self.in_force.age_ms(),
+                self.active_tables.root.revision,
+                self.active_tables.age_ms(),
             )
         self._last_judged = judged
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -31,7 +31,7 @@
 
         :param known_revision: the revision that the asker holds
         """
-        in_force = self._controller.in_force
+        in_force = self._controller.active_tables
         # Read in this order: a root taken in between has a younger
         # confirmation, which must not be told of the older root.
         confirmation = in_force.confirmation
@@ -59,7 +59,7 @@
         found: list[ttypes.Segment] = []
         size = 0
         for digest in digests:
-            content = self._controller.in_force.find_segment(digest)
+            content = self._controller.active_tables.find_segment(digest)
             if content is None:
                 continue
             size += len(content)
@@ -76,7 +76,7 @@
         :param content: the root as canonical JSON
         :param segments: what is new in it
         """
-        return self._controller.take_accepted(
+        return self._controller.install_accepted(
             content, {one.digest: one.content for one in segments}
         )
 
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -57,16 +57,16 @@
         self._watch = configuration_watch.RootWatch(
             self._controller, store, clock_, settings_.platform_silence_ms
         )
-        self.source: tables.TableSource = self._controller.in_force
+        self.source: tables.TableSource = self._controller.active_tables
         self.processor: Thrift.TProcessor = Configuration.Processor(
             configuration_handler.ConfigurationHandler(
                 self._controller, clock_
             )
         )
         self.source.subscribe(
-            lambda taken: members.note_revision(taken.revision)
+            lambda taken: members.announce_revision(taken.revision)
         )
-        members.subscribe_newer(self._note_newer)
+        members.subscribe_newer_tables(self._note_newer)
 
     def start(self) -> None:
         """Begin to follow the platform and the other VMs."""
@@ -83,18 +83,18 @@
 
         :param metrics_: the process's instruments
         """
-        in_force = self._controller.in_force
-        metrics_.observe(
+        in_force = self._controller.active_tables
+        metrics_.register_gauge(
             "tables.revision",
             "revision of the tables in force",
             lambda: in_force.root.revision,
         )
-        metrics_.observe(
+        metrics_.register_gauge(
             "tables.age_ms",
             "milliseconds since the platform confirmed them; -1: never",
             lambda: _known(in_force.age_ms()),
         )
-        metrics_.observe(
+        metrics_.register_gauge(
             "tables.is_serving",
             "1 if requests are served with them",
             lambda: int(in_force.read_tables() is not None),
--- a/mulberryway/controllers/configuration_watch.py
+++ b/mulberryway/controllers/configuration_watch.py
@@ -66,7 +66,7 @@
     :param target: what to report to
     :param store: the platform
     :param clock_: where the time comes from
-    :param silence_ms: the longest wait for a line
+    :param idle_timeout_ms: the longest wait for a line
     """
 
     def __init__(
@@ -74,12 +74,12 @@
         target: WatchTarget,
         store: platform.ObjectStore,
         clock_: clock.Clock,
-        silence_ms: int,
+        idle_timeout_ms: int,
     ) -> None:
         super().__init__("root-watch", clock_, PERIOD_MS)
         self._target = target
         self._store = store
-        self._silence_ms = silence_ms
+        self._silence_ms = idle_timeout_ms
 
     def step(self) -> None:
         """Watch until the watch ends or another VM is chosen."""
--- a/mulberryway/controllers/dissemination.py
+++ b/mulberryway/controllers/dissemination.py
@@ -42,7 +42,7 @@
         self._addresses: dict[str, str] = {}
         self._disseminator = dissemination.Disseminator(_describe(own))
 
-    def change_members(self, alive: list[member.Member]) -> None:
+    def update_members(self, alive: list[member.Member]) -> None:
         """Take over which VMs there are.
 
         :param alive: those that are thought to be alive
@@ -50,10 +50,10 @@
         receivers = list(map(_describe, alive))
         with self._lock:
             self._addresses = {one.name: one.address for one in receivers}
-            self._disseminator.change_receivers(receivers)
+            self._disseminator.set_receivers(receivers)
         if self.datagrams is not None:
             is_large = len(alive) > MAX_UNBATCHED_VMS
-            self.datagrams.gather_ms = RECEIVE_BATCH_MS if is_large else 0
+            self.datagrams.batch_delay_ms = RECEIVE_BATCH_MS if is_large else 0
 
     def find_address(self, name: str) -> str:
         """Return where a VM answers peers; empty if it is not known.
@@ -124,23 +124,23 @@
 
         :param metrics_: the process's instruments
         """
-        metrics_.observe_many(
+        metrics_.register_counter(
             "peers.datagrams",
             "datagrams between VMs, by purpose, zone and direction",
             lambda: self._list_traffic("messages"),
         )
-        metrics_.observe_many(
+        metrics_.register_counter(
             "peers.datagram_bytes",
             "bytes of datagrams between VMs, by purpose, zone and direction",
             lambda: self._list_traffic("payload_bytes"),
         )
-        metrics_.observe_many(
+        metrics_.register_counter(
             "dissemination.items",
             "items that were relayed, sent to a second relay, or given up",
             lambda: [
                 ({"outcome": "relayed"}, self._disseminator.relayed),
                 ({"outcome": "resent"}, self._disseminator.count_resent()),
-                ({"outcome": "lost"}, self._disseminator.count_given_up()),
+                ({"outcome": "lost"}, self._disseminator.count_dropped()),
             ],
         )
 
@@ -158,7 +158,7 @@
                 },
                 getattr(one, attribute),
             )
-            for one in self.datagrams.traffic.read_counts()
+            for one in self.datagrams.traffic.get_counts()
         ]
 
     def _send(self, packets: list[dissemination.Packet]) -> None:
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -75,7 +75,7 @@
         super().stop(wait_ms)
         self._workers.shutdown(wait=False, cancel_futures=True)
 
-    def list_engines(self) -> list[upstreams.Engine]:
+    def list_assigned_engines(self) -> list[upstreams.Engine]:
         """Return the engines that fall to this router."""
         found = self._source.read_tables()
         if found is None:
@@ -118,8 +118,8 @@
         if load.is_error():
             return
         events = self._read_events(engine, (pool.name, upstream.name))
-        self._scheduling.note_load(pool.name, upstream.name, load.ok)
-        self._scheduling.note_cache_events(pool.name, upstream.name, events)
+        self._scheduling.record_load(pool.name, upstream.name, load.ok)
+        self._scheduling.record_cache_events(pool.name, upstream.name, events)
         news = gossip_messages.EngineReport(
             pool.name, upstream.name, load.ok, events
         )
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -36,7 +36,7 @@
         if it is not asked
     :param clock_: where the time comes from
 
-    ``send_all`` is set by whoever can send to the other VMs.
+    ``broadcast`` is set by whoever can send to the other VMs.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     ) -> None:
         super().__init__("fleet-allowances", clock_, PERIOD_MS)
         self._book = book
-        self.send_all: collections.abc.Callable[[bytes, bool], None] = (
+        self.broadcast: collections.abc.Callable[[bytes, bool], None] = (
             lambda payload, is_urgent: None
         )
         self._read_mirrors = read_mirrors
@@ -66,7 +66,7 @@
         self._stepped_ms = self.clock.now_ms()
         self._tell()
         with self._lock:
-            due_ms = self._book.find_due_ms()
+            due_ms = self._book.compute_next_heartbeat_ms()
         left_ms = due_ms - self.clock.now_ms()
         self.period_ms = min(max(left_ms, 1), IDLE_MS)
 
@@ -85,7 +85,7 @@
         if message is not None:
             self._told_ms = now_ms
             message.is_store_reached = is_reached
-            self.send_all(
+            self.broadcast(
                 gossip_messages.encode_usage(message), not message.is_heartbeat
             )
 
@@ -95,28 +95,28 @@
         :param told: its counts
         """
         with self._lock:
-            self._book.note_usage(told, self.clock.now_ms())
+            self._book.merge_usage(told, self.clock.now_ms())
 
-    def note_fleet(self, vms: list[str]) -> None:
+    def update_members(self, vms: list[str]) -> None:
         """Take over which VMs there are.
 
         :param vms: their names
         """
         with self._lock:
-            self._book.note_fleet(vms, self.clock.now_ms())
+            self._book.update_members(vms, self.clock.now_ms())
 
-    def list_silent(self) -> frozenset[str]:
+    def list_unresponsive(self) -> frozenset[str]:
         """Return the VMs that were heard before and are silent now."""
         with self._lock:
-            return self._book.list_silent(self.clock.now_ms())
+            return self._book.list_unresponsive(self.clock.now_ms())
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Take over rates and bursts.
 
         :param changed: the new tables
         """
         with self._lock:
-            self._book.change_accounts(
+            self._book.update_accounts(
                 changed.accounts.values(), self.clock.now_ms()
             )
         # VMs that do not watch the store wait for what this one knows.
@@ -158,7 +158,5 @@
         if unused <= 0:
             return
         with self._lock:
-            self._book.give_back(
-                reservation.account, unused, self.clock.now_ms()
-            )
+            self._book.refund(reservation.account, unused, self.clock.now_ms())
         self.wake()
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -42,7 +42,7 @@
         self.delay_ms = 0
         self._detector = detector
 
-    def note_kept(self, kept: Kept, now_ms: int) -> None:
+    def report_retained(self, kept: Kept, now_ms: int) -> None:
         """Tell of objects that are kept from now on.
 
         :param kept: the objects, at least one
@@ -58,7 +58,7 @@
             ),
         )
 
-    def note_expired(self, expired: Kept, now_ms: int) -> None:
+    def report_expired(self, expired: Kept, now_ms: int) -> None:
         """Tell of objects that count no longer.
 
         :param expired: the objects, at least one
@@ -91,7 +91,7 @@
         ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
         return {
             "cause": "the store was away",
-            "absence_ms": absence.read_length_ms(now_ms),
+            "absence_ms": absence.compute_duration_ms(now_ms),
             "ended_ms": now_ms - ended_ms,
             "failure": absence.reason,
             **self._detector.describe_peers(absence, now_ms),
@@ -107,17 +107,17 @@
     :param reports: of all kinds
     :param metrics_: the process's instruments
     """
-    metrics_.observe(
+    metrics_.register_gauge(
         "mirrors.kept",
         "objects that count although the store has removed them",
         lambda: sum(one.kept for one in reports),
     )
-    metrics_.observe_many(
+    metrics_.register_counter(
         "mirrors.deferred",
         "removals that took effect late, by kind",
         lambda: [({"kind": one.kind}, one.expired) for one in reports],
     )
-    metrics_.observe_many(
+    metrics_.register_counter(
         "mirrors.deferred_ms",
         "how late removals took effect, added up, by kind",
         lambda: [({"kind": one.kind}, one.delay_ms) for one in reports],
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -150,7 +150,7 @@
         with self._lock:
             self._expire()
             now_ms = self.clock.now_ms()
-            self._view.note_heard(
+            self._view.record_heartbeat(
                 self.own.name,
                 self.exchange.streams,
                 self.exchange.revision,
@@ -160,14 +160,14 @@
                 self._view.list_members(), caller_zone, self._random, now_ms
             )
 
-    def note_streams(self, streams: int) -> None:
+    def set_streams(self, streams: int) -> None:
         """Tell how many requests run here, for other VMs' entry answers.
 
         :param streams: running requests
         """
         self.exchange.streams = streams
 
-    def note_revision(self, revision: int) -> None:
+    def announce_revision(self, revision: int) -> None:
         """Tell which tables this VM has; a newer one is told to others.
 
         :param revision: the root's revision
@@ -178,7 +178,7 @@
         if is_newer:
             self._hurry()
 
-    def subscribe_newer(
+    def subscribe_newer_tables(
         self, on_newer: membership_exchange.OnNewerTables
     ) -> None:
         """Call a function when a VM is heard of that has newer tables.
@@ -188,7 +188,7 @@
         """
         self.exchange.on_newer.append(on_newer)
 
-    def change_own(
+    def update_local(
         self,
         is_stopping: bool | None = None,
         holdings: bytes | None = None,
@@ -201,7 +201,7 @@
         :param is_starting: whether it cannot serve callers yet
         """
         with self._lock:
-            self._view.change_own(is_stopping, holdings, is_starting)
+            self._view.update_local(is_stopping, holdings, is_starting)
         self._hurry()
 
     def publish(
@@ -233,7 +233,7 @@
         """
         self.exchange.on_hint.setdefault(kind, []).append(on_hint)
 
-    def change_seeds(self, seeds: tuple[str, ...]) -> None:
+    def update_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take over other addresses to begin with.
 
         :param seeds: addresses ``host:port`` of peers
@@ -245,8 +245,8 @@
         self._steps += 1
         with self._lock:
             is_urgent, self._is_urgent = self._is_urgent, False
-            target = self._view.choose_target()
-            others = self._view.choose_some(FAN_OUT if is_urgent else 0)
+            target = self._view.choose_probe_target()
+            others = self._view.sample_alive(FAN_OUT if is_urgent else 0)
         for one in others:
             self.exchange.probe_peer(one.peer, one.name)
         if target is None:
@@ -282,7 +282,7 @@
         if self.exchange.probe_peer(target.peer, target.name):
             return
         with self._lock:
-            helpers = self._view.choose_some(
+            helpers = self._view.sample_alive(
                 membership.INDIRECT_PROBES, target.name
             )
         answers = (
@@ -300,7 +300,7 @@
         if self._steps % DEAD_PROBE_PERIODS:
             return
         with self._lock:
-            dead = self._view.choose_dead()
+            dead = self._view.sample_dead()
         if dead is not None:
             self.exchange.probe_peer(dead.peer, dead.name)
         elif self._seeds:
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -104,7 +104,9 @@
         pack_member = membership_messages.pack_member
         with self.lock:
             now_ms = self._clock.now_ms()
-            notes = self.board.take(self.view.count_sends(), now_ms)
+            notes = self.board.take(
+                self.view.compute_retransmit_limit(), now_ms
+            )
             return ttypes.News(
                 pack_member(self.view.own),
                 self.revision,
@@ -130,7 +132,7 @@
         self._apply([news.sender, *news.members])
         now_ms = self._clock.now_ms()
         with self.lock:
-            self.view.note_heard(
+            self.view.record_heartbeat(
                 news.sender.name, news.streams, news.revision, now_ms
             )
             sender = self.view.find(news.sender.name)
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -48,7 +48,7 @@
             one.object.value,
             max(one.until_ms - now_ms, 0),
         ]
-        for one in mirror.list_kept()
+        for one in mirror.list_retained()
     ]
     return zlib.compress(json.dumps(rows).encode(), COMPRESSION_LEVEL)
 
--- a/mulberryway/controllers/mirror_exchange.py
+++ b/mulberryway/controllers/mirror_exchange.py
@@ -103,7 +103,7 @@
         missing = [
             kind
             for kind, keeper in self._keepers.items()
-            if keeper.needs_first
+            if keeper.needs_initial_sync
         ]
         addresses = self._list_addresses() if missing else ()
         if not addresses:
--- a/mulberryway/controllers/mirrors.py
+++ b/mulberryway/controllers/mirrors.py
@@ -80,7 +80,7 @@
     @property
     def revision(self) -> int:
         """The revision of the kind's last change that is known."""
-        return self._mirror.changed
+        return self._mirror.changed_revision
 
     @property
     def is_reached(self) -> bool:
@@ -93,7 +93,7 @@
         return self._is_known
 
     @property
-    def needs_first(self) -> bool:
+    def needs_initial_sync(self) -> bool:
         """Whether there is no copy yet, and the store has given none."""
         return not (self._is_known or self._was_reached)
 
@@ -142,7 +142,7 @@
             # its wait; a refusal or a cut tells only of its own moment.
             is_silent = now_ms - asked_ms >= wait_ms
             with self._lock:
-                self._mirror.note_failure(
+                self._mirror.record_failure(
                     asked_ms if is_silent else now_ms, fault.message
                 )
             self._note_reached(False, fault)
@@ -158,9 +158,9 @@
         now_ms = self.clock.now_ms()
         with self._lock:
             expired = self._mirror.expire(now_ms)
-            self.kept.kept = len(self._mirror.list_kept())
+            self.kept.kept = len(self._mirror.list_retained())
         if expired:
-            self.kept.note_expired(expired, now_ms)
+            self.kept.report_expired(expired, now_ms)
             self._on_change()
 
     def _find_expiry_ms(self) -> int | None:
@@ -174,10 +174,10 @@
         :returns: the revision and the packed objects; empty if not newer
         """
         with self._lock:
-            revision = self._mirror.changed
+            revision = self._mirror.changed_revision
             if revision <= known_revision:
                 return revision, b""
-            if self._mirror.list_kept():
+            if self._mirror.list_retained():
                 # How long an object is kept for changes with each copy.
                 return revision, mirror_codec.encode_snapshot(
                     self._mirror, self.clock.now_ms()
@@ -199,7 +199,7 @@
             self.kind, revision, content, now_ms
         )
         with self._lock:
-            has_changed = self._mirror.adopt(
+            has_changed = self._mirror.replace_from_peer(
                 copy.objects, revision, now_ms, copy.kept
             )
             self._is_known = True
@@ -218,7 +218,7 @@
         self._needs_listing = False
         now_ms = self.clock.now_ms()
         with self._lock:
-            self._mirror.note_answer(now_ms)
+            self._mirror.record_response(now_ms)
             has_changed = self._mirror.replace(
                 result.ok.objects, result.ok.revision, now_ms
             )
@@ -236,7 +236,7 @@
             return result.error
         now_ms = self.clock.now_ms()
         with self._lock:
-            self._mirror.note_answer(now_ms)
+            self._mirror.record_response(now_ms)
             has_changed = self._mirror.apply(
                 result.ok.events, result.ok.revision, now_ms
             )
@@ -247,10 +247,10 @@
 
     def _note_kept(self) -> None:
         with self._lock:
-            newly = self._mirror.take_newly_kept()
-            self.kept.kept = len(self._mirror.list_kept())
+            newly = self._mirror.drain_newly_retained()
+            self.kept.kept = len(self._mirror.list_retained())
         if newly:
-            self.kept.note_kept(newly, self.clock.now_ms())
+            self.kept.report_retained(newly, self.clock.now_ms())
             self._expiry.wake()
 
     def _log_change(self) -> None:
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -106,9 +106,9 @@
         now_ms = self.clock.now_ms()
         if result.is_ok():
             record = _unpack(result.ok.value)
-            self._lease.note_read(record, result.ok.version, now_ms)
+            self._lease.record_read(record, result.ok.version, now_ms)
         elif result.error.code is errors.Code.NOT_FOUND:
-            self._lease.note_read(None, 0, now_ms)
+            self._lease.record_read(None, 0, now_ms)
 
     def _write(self) -> None:
         sent_ms = self.clock.now_ms()
@@ -126,7 +126,7 @@
             # Somebody else wrote: whatever we held, it is theirs now.
             self._lease.lose()
         elif result.error.code is errors.Code.NOT_FOUND:
-            self._lease.note_gone()
+            self._lease.record_deleted()
 
     def _read_back(
         self, record: leader_lease.LeaseRecord, sent_ms: int
@@ -141,7 +141,7 @@
             self._note_written(record, result.ok.version, sent_ms)
         else:
             now_ms = self.clock.now_ms()
-            self._lease.note_read(found, result.ok.version, now_ms)
+            self._lease.record_read(found, result.ok.version, now_ms)
 
     def _note_written(
         self, record: leader_lease.LeaseRecord, version: int, sent_ms: int
@@ -158,13 +158,13 @@
         expected = None
         if self._planner.needs_state:
             state = engine.report_load()
-            if state.is_error() or state.ok.is_changing:
-                self._planner.note_failed(order, self.clock.now_ms())
+            if state.is_error() or state.ok.is_executing_order:
+                self._planner.record_failed(order, self.clock.now_ms())
                 return
             expected = state.ok.orders
             if state.ok.role == order.argument:
                 # The tables lag behind the engine.
-                self._planner.note_given(order, self.clock.now_ms())
+                self._planner.record_accepted(order, self.clock.now_ms())
                 return
         sent = upstreams.Order(
             order.verb,
@@ -195,9 +195,9 @@
             ),
         )
         if result.is_ok():
-            self._planner.note_given(order, now_ms)
+            self._planner.record_accepted(order, now_ms)
             return
-        self._planner.note_failed(order, now_ms)
+        self._planner.record_failed(order, now_ms)
         if result.error.code is errors.Code.UPSTREAM_REFUSED:
             LOG.warning("an order was fenced off: %r", result.error)
             self._lease.lose()
--- a/mulberryway/controllers/peak_fleet_size.py
+++ b/mulberryway/controllers/peak_fleet_size.py
@@ -18,7 +18,7 @@
         self._until_ms = 0
 
     @property
-    def most(self) -> int:
+    def maximum(self) -> int:
         """The number, this VM included."""
         return max(self._now, self._before)
 
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -111,6 +111,6 @@
                 has_passed=answer.is_ok(),
             ),
         )
-        self._scheduling.note_probe(
+        self._scheduling.record_probe(
             ejected.pool, ejected.upstream, answer.is_ok()
         )
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -35,7 +35,7 @@
     :param incarnation: which life of its router this is
     :param list_engines: returns the engines that fall to this router
     :param is_running: tells whether an attempt of this router goes on
-    :param view: knows whether other owners live
+    :param liveness: knows whether other owners live
     :param metrics_: counts what is freed
     :param clock_: where the time comes from
     """
@@ -46,7 +46,7 @@
         incarnation: int,
         list_engines: collections.abc.Callable[[], list[upstreams.Engine]],
         is_running: collections.abc.Callable[[str], bool],
-        view: owner_liveness.LivenessChecker,
+        liveness: owner_liveness.LivenessChecker,
         metrics_: metrics.Metrics,
         clock_: clock.Clock,
     ) -> None:
@@ -55,7 +55,7 @@
         self._incarnation = incarnation
         self._list_engines = list_engines
         self._is_running = is_running
-        self._view = view
+        self._view = liveness
         self._metrics = metrics_
         self._since_ms: dict[Key, int] = {}
 
@@ -65,7 +65,7 @@
         for engine in self._list_engines():
             if self.is_stopping():
                 return
-            held = engine.list_held()
+            held = engine.list_in_flight()
             if held.is_ok():
                 self._look(engine, held.ok, seen)
         self._since_ms = seen
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -80,7 +80,7 @@
         if now_ms >= self._look_ms:
             self._look_ms = now_ms + MEMBERSHIP_CHECK_MS
             self._look()
-        note = self._scheduling.take_hints()
+        note = self._scheduling.drain_hints()
         if note is None:
             return
         payload = gossip_messages.encode_note(note)
@@ -108,7 +108,7 @@
         received = [gossip_messages.decode_datagram(item) for item in items]
         notes = [one.note for one in received if one.note is not None]
         if notes:
-            self._scheduling.note_hints(notes)
+            self._scheduling.apply_hints(notes)
         for one in received:
             if one.usage is not None:
                 address = self._dissemination.find_address(one.usage.vm)
@@ -117,8 +117,8 @@
                 self._take_news(news)
 
     def _take_news(self, news: gossip_messages.EngineReport) -> None:
-        self._scheduling.note_load(news.pool, news.upstream, news.load)
-        self._scheduling.note_cache_events(
+        self._scheduling.record_load(news.pool, news.upstream, news.load)
+        self._scheduling.record_cache_events(
             news.pool, news.upstream, news.events
         )
 
@@ -129,7 +129,7 @@
 
     def _look(self) -> None:
         # Other VMs' entry answers go by it.
-        self._members.note_streams(self._scheduling.started)
+        self._members.set_streams(self._scheduling.started)
         vms = self._members.list_alive()
         if vms != self._vms:
             self._vms = vms
@@ -153,7 +153,7 @@
             for one in self._members.list_members()
             if one.health is not member.MemberStatus.DEAD
         ]
-        self._dissemination.change_members(alive)
+        self._dissemination.update_members(alive)
         self._others = frozenset(one.name for one in alive) - {
             self._members.own.name
         }
@@ -174,4 +174,4 @@
         # The hint may have gone from VM to VM for a while.
         left_ms = max(hint.until_ms - self.clock.now_ms(), 0)
         death.age_ms = max(poison.QUARANTINE_MS - left_ms, 0)
-        self._scheduling.note_deaths([death])
+        self._scheduling.record_crashes([death])
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -150,22 +150,22 @@
             ticket.decided.set()
             self._dispatch()
 
-    def note_prefilled(self, job_id: str) -> None:
+    def record_prefilled(self, job_id: str) -> None:
         """Tell that a started job's prefill has ended well.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_prefilled(job_id, self.clock.now_ms())
+            self._scheduler.record_prefilled(job_id, self.clock.now_ms())
             self._dispatch()
 
-    def note_unread(self, job_id: str) -> None:
+    def record_prefill_failed(self, job_id: str) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_unread(job_id, self.clock.now_ms())
+            self._scheduler.record_prefill_failed(job_id, self.clock.now_ms())
             self._dispatch()
 
     def note_first_token(self, job_id: str) -> None:
@@ -193,7 +193,7 @@
             self._dispatch()
         self.on_change()
 
-    def note_load(
+    def record_load(
         self, pool: str, upstream: str, load: upstreams.EngineLoad
     ) -> None:
         """Take in a load report.
@@ -204,7 +204,7 @@
         """
         with self._lock:
             self._loads[pool, upstream] = load
-            self._scheduler.note_load(
+            self._scheduler.record_load(
                 pool, upstream, load, self.clock.now_ms()
             )
             self._dispatch()
@@ -214,7 +214,7 @@
         with self._lock:
             return dict(self._loads)
 
-    def note_cache_events(
+    def record_cache_events(
         self, pool: str, upstream: str, events: list[upstreams.CacheEvent]
     ) -> None:
         """Take in cache events.
@@ -224,7 +224,7 @@
         :param events: the events in order
         """
         with self._lock:
-            self._scheduler.note_cache_events(
+            self._scheduler.record_cache_events(
                 pool, upstream, events, self.clock.now_ms()
             )
 
@@ -237,7 +237,7 @@
         with self._lock:
             self._scheduler.note_tokens(job_id, tokens, self.clock.now_ms())
 
-    def move_decode(
+    def reassign_decode(
         self, job_id: str, refused: str, is_unreached: bool = False
     ) -> str | None:
         """Find another slot for a job whose prefill has ended.
@@ -248,7 +248,7 @@
         :returns: the upstream to try, its slot reserved; or none
         """
         with self._lock:
-            return self._scheduler.move_decode(
+            return self._scheduler.reassign_decode(
                 job_id, refused, self.clock.now_ms(), is_unreached
             )
 
@@ -266,7 +266,7 @@
         with self._lock:
             return self._scheduler.list_ejected(self.clock.now_ms())
 
-    def note_probe(self, pool: str, upstream: str, has_passed: bool) -> None:
+    def record_probe(self, pool: str, upstream: str, has_passed: bool) -> None:
         """Take in what a probe of this VM found.
 
         :param pool: the pool's name
@@ -274,18 +274,18 @@
         :param has_passed: whether the engine answered
         """
         with self._lock:
-            self._scheduler.note_probe(
+            self._scheduler.record_probe(
                 pool, upstream, has_passed, self.clock.now_ms()
             )
             self._dispatch()
         self.on_change()
 
-    def take_hints(self) -> hints.Note | None:
+    def drain_hints(self) -> hints.Note | None:
         """Return what the routers that share upstreams should hear now."""
         with self._lock:
-            return self._scheduler.take_hints(self.clock.now_ms())
+            return self._scheduler.drain_hints(self.clock.now_ms())
 
-    def note_hints(self, notes: list[hints.Note]) -> None:
+    def apply_hints(self, notes: list[hints.Note]) -> None:
         """Take in what other routers told; what waits may start a bit later.
 
         :param notes: their notes in the order of arrival
@@ -293,17 +293,17 @@
         with self._lock:
             now_ms = self.clock.now_ms()
             for note in notes:
-                self._scheduler.note_hints(note, now_ms)
+                self._scheduler.apply_hints(note, now_ms)
             if now_ms - self._dispatched_ms >= GOSSIP_DISPATCH_INTERVAL_MS:
                 self._dispatch()
 
-    def note_deaths(self, deaths: list[hints.Death]) -> None:
+    def record_crashes(self, deaths: list[hints.Death]) -> None:
         """Take in deaths under requests that any VM told of.
 
         :param deaths: the deaths
         """
         with self._lock:
-            self._scheduler.note_deaths(deaths, self.clock.now_ms())
+            self._scheduler.record_crashes(deaths, self.clock.now_ms())
 
     def is_quarantined(self, digest: str) -> bool:
         """Tell whether a request may not run, because upstreams died of it.
@@ -313,14 +313,14 @@
         with self._lock:
             return self._scheduler.is_quarantined(digest, self.clock.now_ms())
 
-    def note_death(self, digest: str, upstream: str) -> None:
+    def record_crash(self, digest: str, upstream: str) -> None:
         """Tell that a plain service's server died under a request.
 
         :param digest: names the request
         :param upstream: ``pool/name`` of the server
         """
         with self._lock:
-            self._scheduler.note_death(digest, upstream, self.clock.now_ms())
+            self._scheduler.record_crash(digest, upstream, self.clock.now_ms())
         self.on_change()
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
@@ -331,7 +331,7 @@
         with self._lock:
             self._scheduler.change_vms(vms, self.clock.now_ms())
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Take over new tables.
 
         :param changed: the tables
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -24,11 +24,11 @@
 class OfferResult(enum.Enum):
     """What became of a root that was offered."""
 
-    TAKEN = "taken"
-    KNOWN = "known"
-    OLD = "old"
+    INSTALLED = "taken"
+    UNCHANGED = "known"
+    STALE = "old"
     INCOMPLETE = "incomplete"
-    DIFFERENT = "different"
+    CONFLICTING = "different"
 
 
 class ActiveTables(tables.TableSource):
@@ -116,7 +116,7 @@
             self._outage_ms,
         )
 
-    def note_quorum(self, at_ms: int | None) -> None:
+    def set_quorum_time(self, at_ms: int | None) -> None:
         """Tell since when most VMs have said that they know no newer root.
 
         :param at_ms: the time of the oldest question that is needed for a
@@ -147,19 +147,19 @@
             self._newest_seen = max(self._newest_seen, root.revision)
             offer = self._compare(root)
             missing = self._cache.list_missing(root)
-        if offer is not OfferResult.TAKEN:
+        if offer is not OfferResult.INSTALLED:
             return offer
         # Fetching may take seconds; meanwhile another thread may take a
         # newer root, so everything is compared again.
         fetched = fetch(missing) if missing else {}
         with self._lock:
             offer = self._compare(root)
-            if offer is not OfferResult.TAKEN:
+            if offer is not OfferResult.INSTALLED:
                 return offer
             if not self._fill(root, fetched):
                 return OfferResult.INCOMPLETE
             self._install(root)
-        return OfferResult.TAKEN
+        return OfferResult.INSTALLED
 
     def confirm(self, revision: int, at_ms: int, fleet_size: int) -> bool:
         """Note that the platform held no newer root at a time.
@@ -192,15 +192,15 @@
                 root.revision,
                 self._root.revision,
             )
-            return OfferResult.OLD
+            return OfferResult.STALE
         if root.revision > self._root.revision:
-            return OfferResult.TAKEN
+            return OfferResult.INSTALLED
         if root.digest() == self._root.digest():
-            return OfferResult.KNOWN
+            return OfferResult.UNCHANGED
         # The platform lost an accepted root, or somebody wrote to it by
         # hand.  Taking the other one would revert what was accepted.
         LOG.error("two roots of revision %d", root.revision)
-        return OfferResult.DIFFERENT
+        return OfferResult.CONFLICTING
 
     def _fill(
         self, root: roots.Root, fetched: collections.abc.Mapping[str, bytes]
@@ -219,7 +219,7 @@
         taken = self._cache.join(root)
         self._tables = taken
         self._root = root
-        self._cache.keep_only(root.list_rows())
+        self._cache.retain(root.list_row_segments())
         LOG.info("revision %d is in force on this VM", root.revision)
         for on_change in self._subscribers:
             on_change(taken)
--- a/mulberryway/filters/admission.py
+++ b/mulberryway/filters/admission.py
@@ -84,16 +84,16 @@
     caller's own count is never asked for.
 
     :param allowances: the accounts' tokens
-    :param charges_whole: whether a request is charged what it may use, and
+    :param charges_maximum: whether a request is charged what it may use, and
         plain calls are charged as well; nothing goes back then unless the
         request has not run
     """
 
     def __init__(
-        self, allowances: allowance.Allowances, charges_whole: bool = False
+        self, allowances: allowance.Allowances, charges_maximum: bool = False
     ) -> None:
         self._allowances = allowances
-        self._charges_whole = charges_whole
+        self._charges_whole = charges_maximum
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
@@ -116,7 +116,7 @@
         if reserved.is_error():
             return expression.Error(reserved.error)
         exchange.charge = charge
-        exchange.add_finisher(
+        exchange.add_completion_callback(
             lambda outcome: charge.settle(self._read_used(exchange, outcome))
         )
         return proceed(exchange)
--- a/mulberryway/filters/attempt.py
+++ b/mulberryway/filters/attempt.py
@@ -35,8 +35,8 @@
         "decode_name",
         "chosen_ms",
         "ready_in_ms",
-        "room_tokens",
-        "must_reserve",
+        "kv_tokens",
+        "requires_reservation",
         "_scheduling",
         "_cancelling",
         "_lock",
@@ -63,37 +63,37 @@
         self.decode_name = assignment.decode
         self.chosen_ms = chosen_ms
         self.ready_in_ms = assignment.ready_in_ms
-        self.room_tokens = assignment.room_tokens
-        self.must_reserve = False
+        self.kv_tokens = assignment.kv_tokens
+        self.requires_reservation = False
         self._scheduling = scheduling_
         self._cancelling = cancelling_
         self._lock = threading.Lock()
         self._is_over = False
         self._is_cancelled = False
 
-    def end(self, how: jobs.JobOutcome, blame: str = "") -> None:
+    def end(self, how: jobs.JobOutcome, failed_upstream: str = "") -> None:
         """Give the slot back, and free engine memory unless all went well.
 
         :param how: how it ended
-        :param blame: the name of the upstream that failed, if any
+        :param failed_upstream: the name of the upstream that failed, if any
         """
         with self._lock:
             if self._is_over:
                 return
             self._is_over = True
-        self._scheduling.finish(self.job_id, how, blame)
+        self._scheduling.finish(self.job_id, how, failed_upstream)
         if how is not jobs.JobOutcome.DONE:
             self.free()
 
-    def require_room(self, tokens: int) -> None:
+    def require_reservation(self, tokens: int) -> None:
         """Let the decode begin only where the engine has reserved its room.
 
         :param tokens: tokens of KV cache that it needs at least
         """
-        self.room_tokens = max(self.room_tokens, tokens)
-        self.must_reserve = True
+        self.kv_tokens = max(self.kv_tokens, tokens)
+        self.requires_reservation = True
 
-    def change_decode(
+    def reassign_decode(
         self, name: str, engine: upstreams.Engine, now_ms: int
     ) -> None:
         """Decode elsewhere, for the engine chosen first has refused.
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -21,19 +21,20 @@
 
     :param source: the tables in force
     :param scheme: the word before the key in ``Authorization``
-    :param cleans_whole: whether the key is sought in all of the request; if
-        not, the body goes on unchanged and only headers are looked at
+    :param scrubs_whole_request: whether the key is sought in all of the
+        request; if not, the body goes on unchanged and only headers are looked
+        at
     """
 
     def __init__(
         self,
         source: tables.TableSource,
         scheme: str = SCHEME,
-        cleans_whole: bool = True,
+        scrubs_whole_request: bool = True,
     ) -> None:
         self._source = source
         self._scheme = scheme
-        self._cleans_whole = cleans_whole
+        self._cleans_whole = scrubs_whole_request
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
@@ -67,7 +68,7 @@
         if not self._cleans_whole:
             credentials.strip_key_headers(exchange, key)
             return proceed(exchange)
-        cleaned = credentials.CredentialScrubber(key).clean(exchange)
+        cleaned = credentials.CredentialScrubber(key).scrub(exchange)
         if cleaned.is_error():
             return expression.Error(cleaned.error)
         return proceed(exchange)
--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -190,7 +190,7 @@
         "digest",
         "span",
         "has_gone",
-        "prompt_used",
+        "prefilled_tokens",
         "tried",
         "tried_ms",
         "first_ms",
@@ -243,7 +243,7 @@
         self.span: traces.Span = traces.NO_SPAN
         self.has_gone = threading.Event()
         # Prompt tokens that engines have computed for this request.
-        self.prompt_used = 0
+        self.prefilled_tokens = 0
         # Names of the upstreams that it was sent to, in order.
         self.tried: list[str] = []
         # When each was chosen, counted from the request's arrival.
@@ -267,7 +267,7 @@
             None,
         )
 
-    def note_try(self, upstream: str, now_ms: int) -> None:
+    def record_attempt(self, upstream: str, now_ms: int) -> None:
         """Note an upstream that the request is sent to.
 
         :param upstream: its name
@@ -276,7 +276,7 @@
         self.tried.append(upstream)
         self.tried_ms.append(now_ms - self.arrived_ms)
 
-    def add_finisher(self, finisher: Finisher) -> None:
+    def add_completion_callback(self, finisher: Finisher) -> None:
         """Have something done when the request has ended, on every path.
 
         :param finisher: gets the outcome, on whatever thread it comes
--- a/mulberryway/filters/caller_api.py
+++ b/mulberryway/filters/caller_api.py
@@ -76,7 +76,7 @@
         :param context: what they are made from
         """
 
-    def make_side_filters(
+    def make_auxiliary_filters(
         self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what is asked on ports of its own.
--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -93,7 +93,7 @@
         self._is_short = len(key) < MIN_SUBSTRING_KEY_LENGTH
         self._has_changed = False
 
-    def clean(
+    def scrub(
         self, exchange: base.Exchange
     ) -> expression.Result[None, errors.Fault]:
         """Clean a request in place.
--- a/mulberryway/filters/model_dependencies.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -50,8 +50,8 @@
     :param vm: the VM's name
     :param incarnation: which life of the VM's router this is
     :param gap_ms: the longest wait for a further token
-    :param may_repeat: takes a repeat out of a pool's budget for them
-    :param choice_ms: for how long a chosen upstream may be used without a
+    :param try_withdraw_retry: takes a repeat out of a pool's budget for them
+    :param choice_ttl_ms: for how long a chosen upstream may be used without a
         look at the tables; shorter than upstreams that leave serve on
     :param cuts_withdrawn: whether a withdrawn key ends running streams
     """
@@ -69,8 +69,8 @@
         "callers",
         "tracer",
         "metrics",
-        "may_repeat",
-        "choice_ms",
+        "try_withdraw_retry",
+        "choice_ttl_ms",
         "cuts_withdrawn",
     )
 
@@ -88,8 +88,8 @@
         callers: watch.DisconnectMonitor,
         tracer: traces.Tracer,
         metrics_: metrics.Metrics,
-        may_repeat: collections.abc.Callable[[str], bool],
-        choice_ms: int,
+        try_withdraw_retry: collections.abc.Callable[[str], bool],
+        choice_ttl_ms: int,
         cuts_withdrawn: bool,
     ) -> None:
         self.vm = vm
@@ -104,8 +104,8 @@
         self.callers = callers
         self.tracer = tracer
         self.metrics = metrics_
-        self.may_repeat = may_repeat
-        self.choice_ms = choice_ms
+        self.try_withdraw_retry = try_withdraw_retry
+        self.choice_ttl_ms = choice_ttl_ms
         self.cuts_withdrawn = cuts_withdrawn
 
 
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -95,7 +95,8 @@
         """
         self._may_begin = may_begin
         is_alone = (
-            attempt.prefill is attempt.decode and attempt.decode.reads_prompts
+            attempt.prefill is attempt.decode
+            and attempt.decode.supports_chunked_prefill
         )
         if is_alone:
             nothing = upstreams.PrefillResult({}, 0, 0)
@@ -103,7 +104,7 @@
                 attempt.label, self._read_room(attempt)
             ).bind(lambda made: self._decode(attempt, nothing, offset, limit))
             if result.is_ok():
-                self._parts.scheduling.note_prefilled(attempt.job_id)
+                self._parts.scheduling.record_prefilled(attempt.job_id)
         else:
             result = (
                 self._prepare(attempt)
@@ -143,10 +144,10 @@
         self, attempt: attempts.Attempt
     ) -> upstreams.ReservationRequest | None:
         hold_ms = self._exchange.pool.hold_ms
-        if not hold_ms or not attempt.room_tokens:
+        if not hold_ms or not attempt.kv_tokens:
             return None
         return upstreams.ReservationRequest(
-            attempt.room_tokens, hold_ms, attempt.must_reserve
+            attempt.kv_tokens, hold_ms, attempt.requires_reservation
         )
 
     def _note_vain(
@@ -178,7 +179,7 @@
         )
         if (
             not is_lost
-            or not attempt.decode.reads_prompts
+            or not attempt.decode.supports_chunked_prefill
             or self._exchange.has_gone.is_set()
         ):
             return expression.Error(fault)
@@ -191,7 +192,7 @@
                 ready_in_ms=attempt.ready_in_ms,
             ),
         )
-        self._parts.scheduling.note_unread(attempt.job_id)
+        self._parts.scheduling.record_prefill_failed(attempt.job_id)
         return expression.Ok(upstreams.PrefillResult({}, 0, 0))
 
     def _prefill(
@@ -210,9 +211,9 @@
             if result.is_error():
                 span.fail(result.error)
                 return result
-        self._exchange.prompt_used += result.ok.prompt_tokens
-        self.has_run = self.has_run or attempt.prefill.prefill_runs
-        parts.scheduling.note_prefilled(attempt.job_id)
+        self._exchange.prefilled_tokens += result.ok.prompt_tokens
+        self.has_run = self.has_run or attempt.prefill.counts_prefill_as_run
+        parts.scheduling.record_prefilled(attempt.job_id)
         return result
 
     def _decode(
@@ -252,7 +253,7 @@
                 self._note_vain(attempt, found, result.error)
             found = found_again
             # What did not reach an engine takes nothing from the budget.
-            if not is_unreached and not self._parts.may_repeat(
+            if not is_unreached and not self._parts.try_withdraw_retry(
                 self._exchange.pool.name
             ):
                 break
@@ -273,7 +274,7 @@
         """
         if self._move_decode(attempt):
             return found
-        if not attempt.decode.reads_prompts:
+        if not attempt.decode.supports_chunked_prefill:
             self._parts.clock.sleep_ms(DECODE_REASSIGN_DELAY_MS)
             return found
         if not found.transfer:
@@ -303,15 +304,15 @@
     def _move_decode(
         self, attempt: attempts.Attempt, is_unreached: bool = False
     ) -> bool:
-        if len(self.sent_to) >= self._exchange.route.most_attempts:
+        if len(self.sent_to) >= self._exchange.route.max_attempts:
             return False
-        name = self._parts.scheduling.move_decode(
+        name = self._parts.scheduling.reassign_decode(
             attempt.job_id, attempt.decode_name, is_unreached
         )
         engine = self.find_engine(name) if name is not None else None
         if name is None or engine is None:
             return False
-        attempt.change_decode(name, engine, self._parts.clock.now_ms())
+        attempt.reassign_decode(name, engine, self._parts.clock.now_ms())
         return True
 
     def _decode_once(
@@ -339,7 +340,7 @@
                     message="the chosen engine leaves",
                 )
             )
-        self._exchange.note_try(
+        self._exchange.record_attempt(
             attempt.decode_name, self._parts.clock.now_ms()
         )
         began_ms = self._parts.clock.now_ms()
@@ -369,7 +370,7 @@
         a younger choice holds.
         """
         parts = self._parts
-        if parts.clock.now_ms() - attempt.chosen_ms < parts.choice_ms:
+        if parts.clock.now_ms() - attempt.chosen_ms < parts.choice_ttl_ms:
             return False
         row = self._find_row(attempt.decode_name)
         return row is None or row[1].leaving
@@ -385,7 +386,7 @@
         self, attempt: attempts.Attempt, limit: clock.Deadline
     ) -> int:
         share = self._share(limit)
-        if not attempt.decode.reads_prompts:
+        if not attempt.decode.supports_chunked_prefill:
             return share
         patience_ms = attempt.ready_in_ms * PREFILL_TIMEOUT_FACTOR
         return min(share, max(patience_ms, MIN_PREFILL_TIMEOUT_MS))
--- a/mulberryway/filters/model_forward.py
+++ b/mulberryway/filters/model_forward.py
@@ -54,7 +54,7 @@
         if found.is_error():
             return expression.Error(found.error)
         stream = self._make_stream(
-            exchange, run, found.ok, run.read_gap_limit_ms()
+            exchange, run, found.ok, run.compute_token_timeout_ms()
         )
         return expression.Ok(base.StreamedAnswer(stream))
 
@@ -78,7 +78,7 @@
         source,
         exchange.connection,
         exchange.release,
-        run.limit_first_ms(),
+        run.compute_first_token_timeout_ms(),
         gap_limit_ms,
         exchange.key_digest,
         exchange.account.name,
@@ -104,12 +104,12 @@
         source,
         exchange.connection,
         exchange.release,
-        run.limit_first_ms(),
+        run.compute_first_token_timeout_ms(),
         gap_limit_ms,
         exchange.key_digest,
         exchange.account.name,
     )
-    stream.ends_at_ms = exchange.deadline.at_ms
+    stream.deadline_ms = exchange.deadline.at_ms
     return stream
 
 
--- a/mulberryway/filters/model_job.py
+++ b/mulberryway/filters/model_job.py
@@ -74,7 +74,7 @@
             if exchange.route.target_ms
             else 0,
             route.is_idempotent(exchange)
-            and number + 1 < exchange.route.most_attempts,
+            and number + 1 < exchange.route.max_attempts,
         )
 
     def _limit_start(
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -102,7 +102,7 @@
         :returns: the stream, or a fault
         """
         watch_ = self._parts.callers.begin(
-            self._exchange.connection, self.drop_source
+            self._exchange.connection, self.cancel_source
         )
         try:
             return self._find_source(0, self._exchange.deadline)
@@ -126,14 +126,14 @@
         if self._attempt is not None:
             self._parts.scheduling.note_tokens(self._attempt.job_id, tokens)
 
-    def note_longest_gap(self, gap_ms: int) -> None:
+    def on_longest_gap(self, gap_ms: int) -> None:
         """Keep it for the request's log line.
 
         :param gap_ms: the longest time between two pieces
         """
         self._exchange.gap_ms = gap_ms
 
-    def note_source_end(self, tokens: int) -> None:
+    def on_source_end(self, tokens: int) -> None:
         """Give the decode slot back.
 
         :param tokens: how many tokens have come in all
@@ -141,7 +141,7 @@
         self.note_tokens(tokens)
         self._end_attempt(jobs.JobOutcome.DONE)
 
-    def drop_source(self) -> None:
+    def cancel_source(self) -> None:
         """Let everything go, because the caller has gone or was cut off."""
         self._exchange.has_gone.set()
         with self._lock:
@@ -191,7 +191,7 @@
         self._begin_search(offset)
         if not self._may_move(fault):
             self._log_stay(fault)
-            self._parts.relay.stay(stream, fault)
+            self._parts.relay.keep_source(stream, fault)
             return
         self._avoid = self._avoid | {self._name_decode()}
         self._replacement = _Replacement(stream, offset, fault)
@@ -201,14 +201,14 @@
             self._parts.relay.resume(stream, result.ok)
             return
         self._log_stay(result.error)
-        self._parts.relay.stay(stream, self._word_last(result.error))
+        self._parts.relay.keep_source(stream, self._word_last(result.error))
 
-    def may_leave(self) -> bool:
+    def may_replace_source(self) -> bool:
         """Tell whether another engine can probably take the stream."""
         exchange = self._exchange
         return (
             route.is_idempotent(exchange)
-            and self._count_attempts() < exchange.route.most_attempts
+            and self._count_attempts() < exchange.route.max_attempts
             and not exchange.has_gone.is_set()
             and self._parts.scheduling.has_room(
                 exchange.pool.name, self._name_decode()
@@ -229,16 +229,16 @@
         self._end_attempt(how)
         exchange = self._exchange
         exchange.finish(
-            base.Outcome(fault, exchange.prompt_used + tokens, tokens)
+            base.Outcome(fault, exchange.prefilled_tokens + tokens, tokens)
         )
 
-    def limit_first_ms(self) -> int:
+    def compute_first_token_timeout_ms(self) -> int:
         """Return how long the first token may take from now on."""
         return model_engines.compute_attempt_timeout_ms(
             self._exchange.deadline, self._parts.clock.now_ms()
         )
 
-    def read_gap_limit_ms(self) -> int:
+    def compute_token_timeout_ms(self) -> int:
         """Return how long a further token may take.
 
         Where another engine can go on, a silent one is left soon enough for
@@ -265,7 +265,7 @@
         if chosen is None or before is None:
             return False
         is_same = chosen.decode_name == before.decode_name
-        if is_same or not self._parts.relay.leave_source(
+        if is_same or not self._parts.relay.try_close_source(
             replacement.stream, replacement.offset
         ):
             return False
@@ -335,7 +335,7 @@
         job = self._jobs.make(
             tries.number, self._avoid, limit, tries.search.since_ms
         )
-        tries.note_try()
+        tries.record_attempt()
         with self._exchange.span.begin(parts.tracer, errors.Step.QUEUE):
             submitted = parts.scheduling.submit(job)
             if submitted.is_error():
@@ -390,7 +390,7 @@
                 self._attempt = attempt
             else:
                 # A stream that has left its engine cannot go back to it.
-                attempt.require_room(self._exchange.estimate)
+                attempt.require_reservation(self._exchange.estimate)
                 self._next = attempt
         return expression.Ok(attempt)
 
@@ -399,14 +399,19 @@
         charge = self._exchange.charge
         held: expression.Result[None, errors.Fault] = expression.Ok(None)
         is_owed = (
-            self._tries.search.has_begun and not self._parts.cuts_withdrawn
+            self._tries.search.has_partial_answer
+            and not self._parts.cuts_withdrawn
         )
         if not is_owed:
             held = authentication.revalidate_key(
                 self._parts.source, self._exchange, errors.Step.QUEUE
             )
         # What has begun was granted its tokens, and has used some of them.
-        if held.is_error() or charge is None or self._tries.search.has_begun:
+        if (
+            held.is_error()
+            or charge is None
+            or self._tries.search.has_partial_answer
+        ):
             return held
         return charge.confirm()
 
@@ -470,13 +475,15 @@
             or route.is_idempotent(exchange)
         ):
             return "the request may run once only"
-        if self._count_attempts() >= exchange.route.most_attempts:
+        if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
         if self._tries.search.is_over():
             return "too many tries have failed"
         if not self._is_wanted():
             return "the caller has gone"
-        if not is_unsent and not self._parts.may_repeat(exchange.pool.name):
+        if not is_unsent and not self._parts.try_withdraw_retry(
+            exchange.pool.name
+        ):
             return "the budget for repeats is spent"
         return ""
 
@@ -484,12 +491,12 @@
         return not (self._is_closed or self._exchange.has_gone.is_set())
 
     def _count_attempts(self) -> int:
-        return self._tries.count_attempts(len(self._engines.sent_to))
+        return self._tries.count_sent_attempts(len(self._engines.sent_to))
 
     def _note_failure(self, fault: errors.Fault) -> None:
         if fault.run is not errors.ExecutionStatus.NOT_RUN:
             self._engines.has_run = True
-        self._tries.note_failure(fault)
+        self._tries.record_failure(fault)
         self._parts.metrics.attempts.add(
             1,
             {
--- a/mulberryway/filters/observe.py
+++ b/mulberryway/filters/observe.py
@@ -45,7 +45,9 @@
             errors.Step.CALLER, exchange.find_header("traceparent")
         )
         exchange.span.note("request_id", exchange.request_id)
-        exchange.add_finisher(lambda outcome: self._end(exchange, outcome))
+        exchange.add_completion_callback(
+            lambda outcome: self._end(exchange, outcome)
+        )
         return proceed(exchange)
 
     def _end(self, exchange: base.Exchange, outcome: base.Outcome) -> None:
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -30,13 +30,13 @@
         self._count_vms = count_vms
         self._lock = threading.Lock()
 
-    def earn(self, pool: str) -> None:
+    def deposit(self, pool: str) -> None:
         """Count a request.
 
         :param pool: the pool that it is for
         """
         with self._lock:
-            self._budget.earn(pool, self._clock.now_ms())
+            self._budget.deposit(pool, self._clock.now_ms())
 
     def spend(self, pool: str) -> bool:
         """Take one repeat out.
@@ -67,5 +67,5 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers
         """
-        self._budget.earn(exchange.pool.name)
+        self._budget.deposit(exchange.pool.name)
         return proceed(exchange)
--- a/mulberryway/filters/retry_state.py
+++ b/mulberryway/filters/retry_state.py
@@ -20,22 +20,24 @@
 
     :param since_ms: since when the caller waits for the next event: the
         arrival of the request, or when its stream lost its engine
-    :param has_begun: whether the caller has a part of the answer
+    :param has_partial_answer: whether the caller has a part of the answer
     """
 
-    __slots__ = ("since_ms", "has_begun", "_tries", "_unreserved")
+    __slots__ = ("since_ms", "has_partial_answer", "_tries", "_unreserved")
 
-    def __init__(self, since_ms: int, has_begun: bool = False) -> None:
+    def __init__(
+        self, since_ms: int, has_partial_answer: bool = False
+    ) -> None:
         self.since_ms = since_ms
-        self.has_begun = has_begun
+        self.has_partial_answer = has_partial_answer
         self._tries = 0
         self._unreserved = 0
 
-    def note_try(self) -> None:
+    def record_attempt(self) -> None:
         """Count a try."""
         self._tries += 1
 
-    def note_unreserved(self) -> None:
+    def record_reservation_failure(self) -> None:
         """Take notice that the last try has found no room."""
         self._unreserved += 1
 
@@ -67,23 +69,23 @@
 
         :param now_ms: when the stream lost its engine
         """
-        self.search = EngineSearch(now_ms, has_begun=True)
+        self.search = EngineSearch(now_ms, has_partial_answer=True)
 
-    def note_try(self) -> None:
+    def record_attempt(self) -> None:
         """Count a try."""
         self.number += 1
-        self.search.note_try()
+        self.search.record_attempt()
 
-    def note_failure(self, fault: errors.Fault) -> None:
+    def record_failure(self, fault: errors.Fault) -> None:
         """Take notice of how a try has ended.
 
         :param fault: what befell it
         """
         self._unsent += fault.step in UNSENT_STEPS or fault.code in UNSENT
         if fault.step is errors.Step.RESERVE:
-            self.search.note_unreserved()
+            self.search.record_reservation_failure()
 
-    def count_attempts(self, sent_to: int) -> int:
+    def count_sent_attempts(self, sent_to: int) -> int:
         """Return how many of the route's attempts are used.
 
         :param sent_to: how many engines got the request, refused or not
--- a/mulberryway/filters/route.py
+++ b/mulberryway/filters/route.py
@@ -17,15 +17,17 @@
 class RouteMatcher(base.Filter):
     """Joins a request with the tables by its path and its account.
 
-    :param needs_id: whether calls that may run only once must bring an id
-        by which a repeat at another VM is recognised
+    :param requires_idempotency_key: whether calls that may run only once must
+        bring an id by which a repeat at another VM is recognised
     :param random_: chooses among the pools of a divided route
     """
 
     def __init__(
-        self, needs_id: bool = True, random_: random.Random | None = None
+        self,
+        requires_idempotency_key: bool = True,
+        random_: random.Random | None = None,
     ) -> None:
-        self._needs_id = needs_id
+        self._needs_id = requires_idempotency_key
         self._random = random_ or random.Random()
 
     def handle(
@@ -76,7 +78,7 @@
     """
     row = exchange.route
     return row.idempotent or (
-        row.trusts_methods and exchange.method in SAFE_METHODS
+        row.retries_safe_methods and exchange.method in SAFE_METHODS
     )
 
 
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -47,7 +47,7 @@
     :param clock_: where the time comes from
     :param source: the tables in force
     :param callers: notices callers that go while a server works for them
-    :param may_repeat: takes one repeat out of a pool's budget for them
+    :param try_withdraw_retry: takes one repeat out of a pool's budget for them
     :param scheduling_: knows requests under which upstreams died; without
         it none is kept back
     """
@@ -60,7 +60,9 @@
         clock_: clock.Clock,
         source: tables.TableSource,
         callers: watch.DisconnectMonitor | None = None,
-        may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
+        try_withdraw_retry: collections.abc.Callable[
+            [str], bool
+        ] = lambda pool: True,
         scheduling_: scheduling.SchedulingController | None = None,
     ) -> None:
         self._directory = directory_
@@ -69,7 +71,7 @@
         self._clock = clock_
         self._source = source
         self._callers = callers
-        self._may_repeat = may_repeat
+        self._may_repeat = try_withdraw_retry
         self._scheduling = scheduling_
         self._lock = threading.Lock()
 
@@ -108,14 +110,14 @@
         fault = _no_server(exchange)
         sent = 0
         for number in range(MAX_ATTEMPTS):
-            if sent >= exchange.route.most_attempts:
+            if sent >= exchange.route.max_attempts:
                 break
             if number and not self._may_go_on(exchange, has_run, sent):
                 break
             upstream = self._choose(exchange, avoid)
             if upstream is None:
                 break
-            exchange.note_try(upstream.name, self._clock.now_ms())
+            exchange.record_attempt(upstream.name, self._clock.now_ms())
             result = self._call_once(exchange, upstream, number, interrupt)
             if result.is_ok():
                 return expression.Ok(_make_reply(result.ok))
@@ -123,7 +125,7 @@
             # Where no connection was made, nothing was sent.
             sent += fault.code is not errors.Code.UPSTREAM_UNREACHABLE
             if fault.has_died and self._scheduling is not None:
-                self._scheduling.note_death(
+                self._scheduling.record_crash(
                     exchange.digest, f"{exchange.pool.name}/{upstream.name}"
                 )
             has_run = (
@@ -209,7 +211,7 @@
         self, exchange: base.Exchange, number: int, now_ms: int
     ) -> int:
         left_ms = max(exchange.deadline.left_ms(now_ms), 1)
-        is_last = number + 1 >= exchange.route.most_attempts
+        is_last = number + 1 >= exchange.route.max_attempts
         if is_last or not route.is_idempotent(exchange):
             return left_ms
         return min(
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -36,17 +36,17 @@
 
     @property
     @abc.abstractmethod
-    def is_refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         """Whether new requests are refused."""
 
     @property
     @abc.abstractmethod
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether callers should use another VM for their next request."""
 
     @property
     @abc.abstractmethod
-    def is_ending(self) -> bool:
+    def is_near_shutdown(self) -> bool:
         """Whether work that takes seconds could not end in time any more."""
 
 
@@ -120,7 +120,7 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers, or ``STOPPING``
         """
-        if not self._lifecycle.is_refusing:
+        if not self._lifecycle.is_rejecting:
             return proceed(exchange)
         # The caller's next request has to go to another VM, and with an
         # open connection it would come here.
@@ -157,9 +157,11 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers, or ``STOPPING``
         """
-        if self._lifecycle.is_leaving:
+        if self._lifecycle.is_draining:
             exchange.head.keep = False
-        if not (self._lifecycle.is_ending and exchange.route.is_streaming):
+        if not (
+            self._lifecycle.is_near_shutdown and exchange.route.is_streaming
+        ):
             return proceed(exchange)
         return expression.Error(
             errors.Fault(
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -65,8 +65,8 @@
 TOKEN_GAP_MS = 300
 US_IN_MS = 1_000
 FAULT_FORMAT = replies.FaultFormat(
-    has_fractions=True,
-    repeats_by_status=True,
+    has_fractional_retry_after=True,
+    is_retried_by_status=True,
     statuses={
         # Callers take other refusals of this sort for the end of the matter,
         # though a request that only ran beside a poisonous one may run later.
@@ -88,7 +88,7 @@
         """
         return endpoints.list_endpoints(
             self._assembly.members.list_members(),
-            self._assembly.allowances.list_silent(),
+            self._assembly.allowances.list_unresponsive(),
         )
 
 
@@ -124,9 +124,9 @@
             platform_tables.TablesReader()
         )
         self.outages = store_reachability.StoreReachability()
-        self.keepers = self._make_keepers()
+        self.mirror_controllers = self._make_keepers()
         self.exchange = mirror_exchange.MirrorSyncController(
-            self.keepers, self.client, self.clock, self._list_peers
+            self.mirror_controllers, self.client, self.clock, self._list_peers
         )
         self.directory = directory.PlatformDirectory(self.clock)
         self.budget = repeats.SharedRetryBudget(
@@ -174,7 +174,7 @@
         )
         self.peer_server.start()
         self.datagrams.start()
-        for keeper in self.keepers.values():
+        for keeper in self.mirror_controllers.values():
             keeper.start()
         self.exchange.start()
         self.members.start()
@@ -292,18 +292,18 @@
             self.allowances,
             _AllEntries(self),
             self.budget.spend,
-            on_withdraw=lambda: self.members.change_own(is_stopping=True),
+            on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
-            on_ready=lambda: self.members.change_own(is_starting=False),
-            interface_=interface.PlatformInterface(self.budget),
-            style=FAULT_FORMAT,
+            on_ready=lambda: self.members.update_local(is_starting=False),
+            api=interface.PlatformInterface(self.budget),
+            fault_format=FAULT_FORMAT,
             # Here a key that was taken away binds the requests that come
             # after it; a stream that runs is owed to its caller.
-            cuts_withdrawn=False,
+            closes_revoked_streams=False,
         )
         self.counts.report(self.router.metrics)
         kept_objects.report(
-            [keeper.kept for keeper in self.keepers.values()],
+            [keeper.kept for keeper in self.mirror_controllers.values()],
             self.router.metrics,
         )
         self.dissemination = dissemination.DisseminationController(
@@ -325,7 +325,7 @@
             self.directory,
             self.clock,
         )
-        self.allowances.send_all = self.dissemination.publish
+        self.allowances.broadcast = self.dissemination.publish
         self.notes.on_usage = self._take_usage
         self.source.subscribe(self._change_tables)
 
@@ -338,7 +338,7 @@
             {
                 MEMBERSHIP: Membership.Processor(self.members.exchange),
                 MIRRORS: Mirrors.Processor(
-                    mirrors.MirrorHandler(self.keepers)
+                    mirrors.MirrorHandler(self.mirror_controllers)
                 ),
             },
             self.clock,
@@ -355,7 +355,7 @@
             self.members.own,
             self.store,
             self.clock,
-            self.allowances.note_fleet,
+            self.allowances.update_members,
         )
         self.orders = orders.OrdersController(
             settings_.vm_name,
@@ -380,7 +380,7 @@
         return alive or list(_list_seeds(self.settings))
 
     def _must_watch(self) -> bool:
-        return self.outages.must_ask(
+        return self.outages.must_poll(
             self.settings.vm_name,
             self.members.list_alive(),
             self.clock.now_ms(),
@@ -389,7 +389,7 @@
     def _is_store_reached(self) -> bool | None:
         if not self._must_watch():
             return None
-        return all(one.is_reached for one in self.keepers.values())
+        return all(one.is_reached for one in self.mirror_controllers.values())
 
     def _find_engine(
         self, pool: str, upstream: str
@@ -403,10 +403,13 @@
         return self.settings.vm_name in candidates
 
     def _change_settings(self, changed: settings.Settings) -> None:
-        self.members.change_seeds(_list_seeds(changed))
+        self.members.update_seeds(_list_seeds(changed))
 
     def _read_mirrors(self) -> dict[str, int]:
-        return {kind: keeper.revision for kind, keeper in self.keepers.items()}
+        return {
+            kind: keeper.revision
+            for kind, keeper in self.mirror_controllers.items()
+        }
 
     def _take_usage(self, told: usage.Usage, address: str) -> None:
         self.allowances.take(told)
@@ -426,7 +429,7 @@
             self.exchange.note_peer(address, told.mirrors)
 
     def _change_tables(self, changed: tables.Tables) -> None:
-        self.allowances.change_tables(changed)
+        self.allowances.update_tables(changed)
 
 
 def _list_seeds(settings_: settings.Settings) -> tuple[str, ...]:
--- a/mulberryway/load/caller.py
+++ b/mulberryway/load/caller.py
@@ -180,7 +180,7 @@
 def _note_refusal(found: outcome.Outcome, body: bytes) -> None:
     found.text = body.decode(errors="replace")
     try:
-        found.note_error(json.loads(body)["error"])
+        found.record_error(json.loads(body)["error"])
     except (ValueError, KeyError, TypeError, AttributeError):
         found.code = f"http_{found.status}"
 
@@ -225,7 +225,7 @@
         return
     value = json.loads(event.removeprefix(b"data: "))
     if "error" in value:
-        found.note_error(value["error"])
+        found.record_error(value["error"])
         return
     if found.tokens == 0:
         found.first_ms = now_ms - found.began_ms
--- a/mulberryway/load/outcome.py
+++ b/mulberryway/load/outcome.py
@@ -77,7 +77,7 @@
         self.text = ""
         self.key = ""
 
-    def is_good(self) -> bool:
+    def meets_targets(self) -> bool:
         """Tell whether the call met both latency targets in full."""
         if not self.is_whole or self.kind != "stream":
             return False
@@ -87,7 +87,7 @@
             and gap_ms <= TOKEN_GAP_TARGET_MS
         )
 
-    def note_error(self, error: dict[str, typing.Any]) -> None:
+    def record_error(self, error: dict[str, typing.Any]) -> None:
         """Take over an error answer.
 
         :param error: the ``error`` object
--- a/mulberryway/load/report.py
+++ b/mulberryway/load/report.py
@@ -50,7 +50,7 @@
 ) -> dict[str, typing.Any]:
     firsts = [item.first_ms for item in items if item.tokens]
     gaps = [*itertools.chain.from_iterable(item.gaps_ms for item in items)]
-    good = [item for item in items if item.is_good()]
+    good = [item for item in items if item.meets_targets()]
     seconds = max(elapsed_ms, 1) / 1000
     refusals = collections.Counter(
         f"{item.code} {item.run}" for item in items if not item.is_whole
--- a/mulberryway/metrics.py
+++ b/mulberryway/metrics.py
@@ -102,7 +102,7 @@
             description="requests freed that dead owners had left behind",
         )
 
-    def observe(self, name: str, description: str, read: Gauge) -> None:
+    def register_gauge(self, name: str, description: str, read: Gauge) -> None:
         """Report a value that somebody else keeps.
 
         :param name: the instrument's name, without the common prefix
@@ -115,7 +115,9 @@
             description=description,
         )
 
-    def observe_many(self, name: str, description: str, read: Points) -> None:
+    def register_counter(
+        self, name: str, description: str, read: Points
+    ) -> None:
         """Report totals that somebody else keeps, by labels.
 
         :param name: the instrument's name, without the common prefix
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -220,7 +220,7 @@
 
     @abc.abstractmethod
     def watch(
-        self, kind: str, from_version: int, silence_ms: int, purpose: str
+        self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[expression.Result[WatchEvent, errors.Fault]]:
         """Yield changes of a kind until the watch ends or falls silent.
 
@@ -230,7 +230,7 @@
 
         :param kind: the plural kind
         :param from_version: report what came after this version
-        :param silence_ms: the longest wait for a line, in milliseconds
+        :param idle_timeout_ms: the longest wait for a line, in milliseconds
         :param purpose: what the call is counted under
         :returns: events; a fault is the last item
         """
--- a/mulberryway/objects/call_metrics.py
+++ b/mulberryway/objects/call_metrics.py
@@ -69,7 +69,7 @@
             count.sent += sent
             count.received += received
 
-    def read_counts(self) -> dict[tuple[str, str], CallStats]:
+    def get_counts(self) -> dict[tuple[str, str], CallStats]:
         """Return the counts so far.
 
         :returns: a copy, by purpose and outcome
@@ -85,12 +85,12 @@
 
         :param metrics_: the process's instruments
         """
-        metrics_.observe_many(
+        metrics_.register_counter(
             "platform.calls",
             "calls to the platform, by purpose and outcome",
             lambda: self._list_totals("calls"),
         )
-        metrics_.observe_many(
+        metrics_.register_counter(
             "platform.received",
             "bytes received from the platform, by purpose and outcome",
             lambda: self._list_totals("received"),
@@ -102,5 +102,5 @@
                 {"purpose": purpose, "outcome": outcome},
                 getattr(count, attribute),
             )
-            for (purpose, outcome), count in self.read_counts().items()
+            for (purpose, outcome), count in self.get_counts().items()
         ]
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -131,7 +131,7 @@
         return reply.map(lambda body: None)
 
     def watch(
-        self, kind: str, from_version: int, silence_ms: int, purpose: str
+        self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[
         expression.Result[base.WatchEvent, errors.Fault]
     ]:
@@ -144,7 +144,7 @@
             }
         )
         opened = self._send(
-            "GET", f"{_path(kind)}?{query}", None, silence_ms, purpose
+            "GET", f"{_path(kind)}?{query}", None, idle_timeout_ms, purpose
         )
         if opened.is_error():
             yield expression.Error(opened.error)
@@ -152,7 +152,7 @@
         self._counter.count_call(purpose, "ok", 0, 0)
         response = opened.ok
         try:
-            for line in self._read_lines(response, silence_ms):
+            for line in self._read_lines(response, idle_timeout_ms):
                 event = line.bind(
                     lambda text: self._read(
                         "GET", lambda: codec.decode_event(kind, text)
--- a/mulberryway/objects/roots.py
+++ b/mulberryway/objects/roots.py
@@ -96,7 +96,7 @@
             return self._fill(root).map(
                 lambda cache: [
                     segments.Segment(digest, cache.find(digest))
-                    for digest in sorted(root.list_rows())
+                    for digest in sorted(root.list_row_segments())
                 ]
             )
 
@@ -108,7 +108,7 @@
             if content.is_error():
                 return expression.Error(content.error)
             self._cache.add(digest, content.ok)
-        self._cache.keep_only(root.list_rows())
+        self._cache.retain(root.list_row_segments())
         return expression.Ok(self._cache)
 
     def read_history(
@@ -125,12 +125,12 @@
             return expression.Ok(_read_entries(kept.content))
         content = self._segments.read(root.history)
         return content.map(
-            lambda text: self.keep_history(
+            lambda text: self.cache_history(
                 segments.Segment(root.history, text)
             )
         )
 
-    def keep_history(
+    def cache_history(
         self, segment: segments.Segment
     ) -> list[dict[str, typing.Any]]:
         """Remember a history, so that the next edit need not read it.
--- a/mulberryway/peers/channel.py
+++ b/mulberryway/peers/channel.py
@@ -121,7 +121,7 @@
         self.used_ms = self._clock.now_ms()
         return payload
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether nothing has arrived, not even the other end's close.
 
         A pooled connection that became readable was closed, or holds an
--- a/mulberryway/peers/client.py
+++ b/mulberryway/peers/client.py
@@ -156,7 +156,7 @@
                     self._idle.pop(peer, None)
                     return None
                 one = pool.pop()
-            if self._is_fresh(one) and one.is_quiet():
+            if self._is_fresh(one) and one.is_reusable():
                 return one
             one.close()
 
--- a/mulberryway/peers/datagrams.py
+++ b/mulberryway/peers/datagrams.py
@@ -40,8 +40,8 @@
     :param host: the IP number to listen on
     :param port: the port; the same number as that of the peers' server
     :param secret: the fleet's secret
-    ``gather_ms`` is for how long datagrams may wait to be read together: each
-    wakeup of the thread takes processor time of its own.
+    ``batch_delay_ms`` is for how long datagrams may wait to be read together:
+    each wakeup of the thread takes processor time of its own.
 
     :param on_payload: gets each genuine payload and the ``host:port`` that
         it came from, on a thread of its own
@@ -60,7 +60,7 @@
         self._key = hashlib.sha256(CONTEXT + secret.encode()).digest()
         self._on_payload = on_payload
         self._clock = clock_
-        self.gather_ms = 0
+        self.batch_delay_ms = 0
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
@@ -113,9 +113,9 @@
     def _run(self) -> None:
         while not self._is_stopping:
             has_received = self._receive(0)
-            if has_received and self.gather_ms and not self._is_stopping:
+            if has_received and self.batch_delay_ms and not self._is_stopping:
                 self._receive_more()
-                self._clock.sleep_ms(self.gather_ms)
+                self._clock.sleep_ms(self.batch_delay_ms)
 
     def _receive_more(self) -> None:
         """Take what has come meanwhile, without waiting."""
--- a/mulberryway/peers/protocol.py
+++ b/mulberryway/peers/protocol.py
@@ -61,7 +61,7 @@
         self._peeked = (method, type_, seqid)
         return service
 
-    def read_method(self) -> str:
+    def get_peeked_method(self) -> str:
         """Return the method that was peeked at."""
         return "" if self._peeked is None else self._peeked[0]
 
--- a/mulberryway/peers/server.py
+++ b/mulberryway/peers/server.py
@@ -254,7 +254,7 @@
             # Without an answer the caller would wait for its whole timeout.
             raise channel.ChannelError(f"no service {service!r}")
         processor.process(reader, protocol.MultiplexedProtocol(buffer))
-        kind = service + protocol.SEPARATOR + reader.read_method()
+        kind = service + protocol.SEPARATOR + reader.get_peeked_method()
         size = len(request) + channel.OVERHEAD_BYTES
         self.traffic.count(kind, False, size)
         sent = one.send(buffer.getvalue(), self._limit())
--- a/mulberryway/peers/traffic.py
+++ b/mulberryway/peers/traffic.py
@@ -48,7 +48,7 @@
             count.messages += 1
             count.payload_bytes += payload_bytes
 
-    def read_counts(self) -> list[TrafficCount]:
+    def get_counts(self) -> list[TrafficCount]:
         """Return a copy of all counters."""
         with self._lock:
             return [
--- a/mulberryway/platform/directory.py
+++ b/mulberryway/platform/directory.py
@@ -54,7 +54,7 @@
             base.UpstreamService, self._find(upstream, service.PlatformService)
         )
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Forget upstreams that the tables no longer hold.
 
         :param changed: the new tables
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -66,8 +66,8 @@
     :param clock_: where the time comes from
     """
 
-    reads_prompts = True
-    prefill_runs = False
+    supports_chunked_prefill = True
+    counts_prefill_as_run = False
 
     def __init__(
         self, instance: str, address: str, clock_: clock.Clock
@@ -120,12 +120,12 @@
     def prepare(
         self,
         label: base.AttemptLabel,
-        room: base.ReservationRequest | None = None,
+        reservation: base.ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
         """Make the connection for a decode that comes soon, and reserve.
 
         :param label: names the attempt
-        :param room: what to reserve; none for nothing
+        :param reservation: what to reserve; none for nothing
         :returns: nothing, or a fault: nothing of the request was sent
         """
         connected = decode_call.connect(self.address)
@@ -133,7 +133,9 @@
             return connected.map(lambda made: None)
         self._keep(label, connected.ok)
         return (
-            expression.Ok(None) if room is None else self._reserve(label, room)
+            expression.Ok(None)
+            if reservation is None
+            else self._reserve(label, reservation)
         )
 
     def release(self, label: base.AttemptLabel) -> None:
@@ -222,7 +224,7 @@
             "DELETE", f"{wire.KV_HANDLE_PATH}/{handle.name}"
         ).map(lambda found: True)
 
-    def list_held(
+    def list_in_flight(
         self,
     ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
         """Return nothing: an engine drops a run with its connection."""
--- a/mulberryway/platform/interface.py
+++ b/mulberryway/platform/interface.py
@@ -40,13 +40,13 @@
             observe.RequestTelemetry(parts.tracer, parts.metrics, parts.clock),
             status.ShutdownRejection(context.lifecycle),
             authentication.Authentication(
-                context.source, wire.SCHEME, cleans_whole=False
+                context.source, wire.SCHEME, scrubs_whole_request=False
             ),
-            route.RouteMatcher(needs_id=False),
+            route.RouteMatcher(requires_idempotency_key=False),
             callers.RequestParser(),
             repeats.RetryBudgetDeposit(self._budget),
             status.LateStreamRejection(context.lifecycle),
-            admission.Admission(context.allowances, charges_whole=True),
+            admission.Admission(context.allowances, charges_maximum=True),
             model_forward.ModelForward(parts, model_forward.make_raw_stream),
             service_forward.ServiceForward(
                 parts.directory,
@@ -55,12 +55,12 @@
                 parts.clock,
                 context.source,
                 parts.callers,
-                parts.may_repeat,
+                parts.try_withdraw_retry,
                 parts.scheduling,
             ),
         ]
 
-    def make_side_filters(
+    def make_auxiliary_filters(
         self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what the platform and collectors ask.
@@ -73,5 +73,5 @@
                 context.entries,
                 context.settings.router_entry_ttl_ms,
             ),
-            *super().make_side_filters(context),
+            *super().make_auxiliary_filters(context),
         ]
--- a/mulberryway/platform/service.py
+++ b/mulberryway/platform/service.py
@@ -67,7 +67,7 @@
             body or None,
             timeout_ms,
             errors.Step.SERVICE,
-            is_fresh=not is_idempotent,
+            needs_new_connection=not is_idempotent,
             interrupt=interrupt,
         ).bind(self._read)
 
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -193,7 +193,7 @@
         return self._call("DELETE", target, purpose).map(lambda value: None)
 
     def watch(
-        self, kind: str, from_version: int, silence_ms: int, purpose: str
+        self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[
         expression.Result[base.WatchEvent, errors.Fault]
     ]:
@@ -201,13 +201,13 @@
 
         :param kind: the kind
         :param from_version: report what came after this version
-        :param silence_ms: the longest wait for a change or a bookmark
+        :param idle_timeout_ms: the longest wait for a change or a bookmark
         :param purpose: what the call is counted under
         :returns: events; a fault is the last item
         """
         revision = from_version
         while True:
-            found = self.poll(kind, revision, silence_ms // 2, purpose)
+            found = self.poll(kind, revision, idle_timeout_ms // 2, purpose)
             if found.is_error():
                 yield expression.Error(found.error)
                 return
--- a/mulberryway/platform/tables.py
+++ b/mulberryway/platform/tables.py
@@ -121,13 +121,13 @@
         timeout_ms=wire.parse_integer(row["timeout_ms"], 1),
         host=wire.parse_string(row["host"]).lower(),
         shares=shares if len(shares) > 1 else (),
-        trusts_methods=False,
+        retries_safe_methods=False,
         is_public=is_open or bool(row.get("public")),
         is_streaming=is_streaming,
-        most_attempts=wire.parse_integer(row.get("max_attempts", 1), 1),
+        max_attempts=wire.parse_integer(row.get("max_attempts", 1), 1),
         target_ms=wire.parse_integer(row.get("target_latency_ms", 0)),
         target_gap_ms=wire.parse_integer(row.get("target_gap_ms") or 0),
-        rank=wire.parse_integer(row.get("priority", 0)),
+        priority=wire.parse_integer(row.get("priority", 0)),
     )
 
 
@@ -154,7 +154,7 @@
     shape = row.get("engine")
     if not shape:
         return tables.Pool(
-            name, tables.PoolKind.PLAIN, (), most_connections=connections
+            name, tables.PoolKind.PLAIN, (), max_connections=connections
         )
     # A link's rate is in megabits a second, and "swap_s" is how long an
     # engine is away that changes its role.
@@ -169,9 +169,9 @@
             float(shape["link_mbps"]) * BITS_IN_MBIT / BITS_IN_BYTE
         ),
         kv_bytes_per_token=wire.parse_integer(shape["kv_bytes"]),
-        engine_tokens=wire.parse_integer(shape["kv_capacity"], 1),
-        most_connections=connections,
-        switch_ms=int(float(shape.get("swap_s", 0)) * MS_IN_S),
+        kv_capacity_tokens=wire.parse_integer(shape["kv_capacity"], 1),
+        max_connections=connections,
+        role_switch_ms=int(float(shape.get("swap_s", 0)) * MS_IN_S),
         self_reading=True,
         pause_ms=pause_ms,
         hold_ms=int(float(shape.get("hold_ms", 0))),
@@ -186,7 +186,7 @@
         wire.parse_integer(row.get("rate_per_s") or 0),
         wire.parse_integer(row.get("burst") or 0),
         plain_tokens=wire.parse_integer(row.get("plain_tokens") or 0),
-        rank=row.get("priority"),
+        priority=row.get("priority"),
     )
 
 
@@ -268,9 +268,9 @@
         block_tokens=pool.block_tokens,
         link_bytes_per_s=pool.link_bytes_per_s,
         kv_bytes_per_token=pool.kv_bytes_per_token,
-        engine_tokens=pool.engine_tokens,
-        most_connections=pool.most_connections,
-        switch_ms=pool.switch_ms,
+        kv_capacity_tokens=pool.kv_capacity_tokens,
+        max_connections=pool.max_connections,
+        role_switch_ms=pool.role_switch_ms,
         self_reading=pool.self_reading,
         pause_ms=pool.pause_ms,
         hold_ms=pool.hold_ms,
--- a/mulberryway/platform/wire.py
+++ b/mulberryway/platform/wire.py
@@ -85,18 +85,18 @@
 )
 
 
-def parse_integer(value: typing.Any, least: int = 0) -> int:
+def parse_integer(value: typing.Any, minimum: int = 0) -> int:
     """Return a whole number.
 
     :param value: what was sent
-    :param least: the least that makes sense
+    :param minimum: the least that makes sense
     :returns: the number
     :raises ValueError: if it is none, or too small
     """
     if type(value) is float and value.is_integer():
         value = int(value)
-    if type(value) is not int or value < least:
-        raise ValueError(f"expected a whole number from {least} on")
+    if type(value) is not int or value < minimum:
+        raise ValueError(f"expected a whole number from {minimum} on")
     return value
 
 
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -26,7 +26,7 @@
     :param fair: the pool's queue
     :param placer: the pool's placer
     :param peers: what peers told
-    :param measured: the pool's meters
+    :param stats: the pool's meters
     """
 
     __slots__ = ("_fair", "_placer", "_peers", "_meters")
@@ -36,14 +36,14 @@
         fair: fair_queue.FairQueue,
         placer: job_placement.Placer,
         peers: peer_accounts.PeerAccounts,
-        measured: pool_stats.PoolStats,
+        stats: pool_stats.PoolStats,
     ) -> None:
         self._fair = fair
         self._placer = placer
         self._peers = peers
-        self._meters = measured
+        self._meters = stats
 
-    def check_room(self, job: jobs.Job) -> errors.Fault | None:
+    def check_capacity(self, job: jobs.Job) -> errors.Fault | None:
         """Refuse what does not fit into the waiting room.
 
         :param job: the job
@@ -55,10 +55,10 @@
             errors.Code.OVERLOADED,
             job,
             "too much is waiting",
-            self._meters.hint_retry_ms(self._meters.hold_ms.value / 4),
+            self._meters.clamp_retry_ms(self._meters.hold_ms.value / 4),
         )
 
-    def read_latest_ms(
+    def compute_latest_start_ms(
         self,
         job: jobs.Job,
         best: placements.Placement,
@@ -80,13 +80,13 @@
         needed_ms = (
             best.prefill_ms
             + carry_ms
-            + self._placer.slowness.read_step_ms()
+            + self._placer.slowness.get_median_step_ms()
             + placements.NETWORK_OVERHEAD_MS
             + placements.DEADLINE_MARGIN_MS
         )
         return int(job.deadline.at_ms - needed_ms)
 
-    def check_time(
+    def check_deadline(
         self,
         job: jobs.Job,
         best: placements.Placement,
@@ -115,13 +115,13 @@
             errors.Code.OVERLOADED,
             job,
             "the first token could not come in time",
-            self._meters.hint_retry_ms(wait_ms),
+            self._meters.clamp_retry_ms(wait_ms),
         )
         fault.inputs = {
             "wait_ms": round(wait_ms),
             "left_ms": latest_ms - now_ms,
             "waiting": len(self._fair),
-            "free_slots": self._placer.count_free(now_ms),
+            "free_slots": self._placer.estimate_free_slots(now_ms),
         }
         return fault
 
@@ -129,16 +129,16 @@
         # In virtual time a job waits until the account's start is reached;
         # virtual time moves by the pool's speed over the waiting weights.
         # This takes constant time however many jobs or accounts wait.
-        if self._placer.count_free(now_ms) > len(self._fair):
+        if self._placer.estimate_free_slots(now_ms) > len(self._fair):
             return 0.0
         state = self._fair.find_account(job.account, job.weight)
         own = sum(estimate_lane_cost(lane) for lane in state.lanes)
-        start = self._fair.read_start(job.account) + own / state.weight
-        ahead = max(start - self._fair.now_virtual, 0.0)
-        weights = self._fair.weight_waiting + self._peers.read_weight_waiting(
+        start = self._fair.get_virtual_start(job.account) + own / state.weight
+        ahead = max(start - self._fair.virtual_time, 0.0)
+        weights = self._fair.weight_waiting + self._peers.sum_waiting_weight(
             now_ms
         )
-        speed = self._meters.read_tokens_per_ms(self._placer.count_slots())
+        speed = self._meters.estimate_throughput(self._placer.count_slots())
         return ahead * max(weights, state.weight) / speed / WAIT_TOLERANCE
 
 
--- a/mulberryway/policy/aggregated_serving.py
+++ b/mulberryway/policy/aggregated_serving.py
@@ -18,7 +18,7 @@
 
 def choose_aggregated(
     options: list[placements.Placement],
-    must_read: bool,
+    is_prefill_unavailable: bool,
     stream_ms: float,
     yield_ms: int,
     random_: random.Random,
@@ -29,7 +29,7 @@
     It serves requests that prefill engines cannot read in time, or at all.
 
     :param options: the engines with room
-    :param must_read: no prefill engine takes the prompt
+    :param is_prefill_unavailable: no prefill engine takes the prompt
     :param stream_ms: how long a stream usually lasts
     :param yield_ms: for how long an engine that may read again is left to
         peers' jobs that should go before
@@ -41,14 +41,14 @@
     fitting = [
         option
         for option in options
-        if option.prefill.fits_read(option.prefill_ms, now_ms, yield_ms)
+        if option.prefill.fits_prefill(option.prefill_ms, now_ms, yield_ms)
     ]
-    if not fitting and must_read:
+    if not fitting and is_prefill_unavailable:
         fitting = _list_least_harm(options)
     return min(
         fitting,
         key=lambda option: (
-            option.prefill.reads.is_broken(stream_ms, now_ms),
+            option.prefill.prefill_budget.is_gap_exceeded(stream_ms, now_ms),
             option.prefill.count_running()
             + random_.random() * STREAM_COUNT_JITTER,
         ),
@@ -67,8 +67,8 @@
 
 
 def prefers_aggregated(
-    alone: placements.Placement,
-    apart: placements.Placement,
+    aggregated: placements.Placement,
+    disaggregated: placements.Placement,
     job: jobs.Job,
 ) -> bool:
     """Tell whether a decode engine should read a prompt itself.
@@ -77,18 +77,21 @@
     first token on time that else would be late; without a target, where it
     clearly saves time.
 
-    :param alone: the decode engine's own read
-    :param apart: the read by a prefill engine, which is not on time
+    :param aggregated: the decode engine's own read
+    :param disaggregated: the read by a prefill engine, which is not on time
     :param job: the job
     """
-    if not job.target_at_ms:
-        return alone.first_token_ms + MIN_SAVING_MS < apart.first_token_ms
-    return alone.first_token_ms <= _read_limit_ms(apart, job)
+    if not job.first_token_target_ms:
+        return (
+            aggregated.first_token_ms + MIN_SAVING_MS
+            < disaggregated.first_token_ms
+        )
+    return aggregated.first_token_ms <= _read_limit_ms(disaggregated, job)
 
 
 def _read_limit_ms(apart: placements.Placement, job: jobs.Job) -> float:
     # A prompt that came to another VM at the same moment may go before.
-    return job.target_at_ms - max(
+    return job.first_token_target_ms - max(
         apart.prefill_ms, placements.DEADLINE_MARGIN_MS
     )
 
@@ -103,7 +106,8 @@
     engine by name that has room, and short prompts keep away from it.
     """
     waits = any(
-        option.prefill.fits_alone(option.prefill_ms) for option in options
+        option.prefill.fits_prefill_alone(option.prefill_ms)
+        for option in options
     )
     if waits or not options:
         # An engine may read it as soon as it has rested.
--- a/mulberryway/policy/allowance_borrower.py
+++ b/mulberryway/policy/allowance_borrower.py
@@ -142,7 +142,7 @@
         loan.left -= tokens
         loan.used_ms = now_ms
 
-    def put_back(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
+    def refund(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
         """Take back what a request did not use.
 
         While the loan runs the tokens can be used again here; afterwards
@@ -154,12 +154,12 @@
         """
         if loan.is_usable(now_ms):
             loan.left += tokens
-        elif now_ms < loan.end_ms + self._times.refund_ms:
+        elif now_ms < loan.end_ms + self._times.refund_window_ms:
             loan.returned += tokens
             self._changed[loan.number] = loan
 
-    def take_closings(
-        self, now_ms: int, is_all: bool = False
+    def collect_closings(
+        self, now_ms: int, closes_all: bool = False
     ) -> list[Closing]:
         """Close loans that are due, and tell what came back.
 
@@ -167,11 +167,13 @@
         already be lent to somebody else.
 
         :param now_ms: the present
-        :param is_all: close all loans, for a planned stop
+        :param closes_all: close all loans, for a planned stop
         :returns: what to tell; a lost message only loses tokens
         """
         for account, loans in list(self._open.items()):
-            due = [one for one in loans if is_all or self._is_due(one, now_ms)]
+            due = [
+                one for one in loans if closes_all or self._is_due(one, now_ms)
+            ]
             for loan in due:
                 self._close(loan)
             rest = [one for one in loans if not one.is_closed]
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -109,7 +109,7 @@
             collections.deque()
         )
 
-    def change_accounts(
+    def update_accounts(
         self, accounts: dict[str, tables.ClientAccount], now_ms: int
     ) -> None:
         """Go over to other rates and bursts.
@@ -147,7 +147,7 @@
         """
         return self._accounts.get(name)
 
-    def list_shares(self, account: str, now_ms: int) -> list[SlotBucket]:
+    def list_buckets(self, account: str, now_ms: int) -> list[SlotBucket]:
         """Return the account's shares that may be used now.
 
         :param account: the client account
@@ -191,19 +191,19 @@
         if known is not None:
             return known
         self.expire(now_ms)
-        shares = self.list_shares(account, now_ms)
+        shares = self.list_buckets(account, now_ms)
         if not shares:
             return Loan(None, 0, 0, now_ms)
         return self._lend(loan_id, shares[0], need, wish, now_ms)
 
-    def read_left(self, account: str, now_ms: int) -> int:
+    def read_lendable(self, account: str, now_ms: int) -> int:
         """Return the most tokens that one more loan could have.
 
         :param account: the client account
         :param now_ms: the present
         :returns: tokens
         """
-        shares = self.list_shares(account, now_ms)
+        shares = self.list_buckets(account, now_ms)
         return shares[0].bucket.read_level(now_ms) if shares else 0
 
     def close(self, loan_id: LoanId, returned: int, now_ms: int) -> None:
@@ -236,7 +236,7 @@
             loan = self._loans[loan_id]
             if loan.stamp is None:
                 self._end(loan, 0, now_ms)
-            forget_ms = now_ms + self._times.refund_ms
+            forget_ms = now_ms + self._times.refund_window_ms
             self._ended.append((forget_ms, loan_id))
         while self._ended and self._ended[0][0] <= now_ms:
             del self._loans[self._ended.popleft()[1]]
@@ -254,12 +254,14 @@
         :returns: loans that end by themselves if nobody confirms them
         """
         loans = []
-        for share in self.list_shares(account, now_ms):
+        for share in self.list_buckets(account, now_ms):
             part = min(share.bucket.read_level(now_ms), tokens)
             if part > 0 and share.bucket.lend(part, now_ms):
                 loan_id = ("", next(self._numbers))
-                lapse_ms = now_ms + self._times.use_ms
-                loan = Loan(share, part, self._times.use_ms, lapse_ms)
+                lapse_ms = now_ms + self._times.reservation_ttl_ms
+                loan = Loan(
+                    share, part, self._times.reservation_ttl_ms, lapse_ms
+                )
                 self._keep(loan_id, loan)
                 tokens -= part
                 loans.append(loan)
--- a/mulberryway/policy/allowance_slots.py
+++ b/mulberryway/policy/allowance_slots.py
@@ -60,7 +60,7 @@
         self.is_listed = is_listed
         self.is_released = is_released
 
-    def lease(self) -> tuple[int, int]:
+    def lease_version(self) -> tuple[int, int]:
         """Return what changes with each take and renewal."""
         return (self.term, self.renewals)
 
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -52,14 +52,14 @@
         """
 
     @abc.abstractmethod
-    def note_prefilled(self, job_id: str, now_ms: int) -> None:
+    def record_prefilled(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's prefill has ended well.
 
         :param job_id: the job
         :param now_ms: the present
         """
 
-    def note_unread(self, job_id: str, now_ms: int) -> None:
+    def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
 
         :param job_id: the job
@@ -87,7 +87,7 @@
         """
         return None
 
-    def move_decode(
+    def reassign_decode(
         self,
         job_id: str,
         refused: str,
@@ -109,11 +109,11 @@
         """
         return None
 
-    def has_room(self, pool: str, besides: str, now_ms: int) -> bool:
+    def has_room(self, pool: str, excluded: str, now_ms: int) -> bool:
         """Tell whether another upstream probably has room for a decode.
 
         :param pool: the pool's name
-        :param besides: the upstream that does not count
+        :param excluded: the upstream that does not count
         :param now_ms: the present
         """
         return True
@@ -125,7 +125,7 @@
         """
         return []
 
-    def note_probe(
+    def record_probe(
         self, pool: str, upstream: str, has_passed: bool, now_ms: int
     ) -> None:
         """Take in what a probe, which was no request, found.
@@ -137,7 +137,7 @@
         """
         return
 
-    def take_hints(self, now_ms: int) -> hints.Note | None:
+    def drain_hints(self, now_ms: int) -> hints.Note | None:
         """Return what the other routers should hear now, if anything.
 
         :param now_ms: the present
@@ -145,7 +145,7 @@
         """
         return None
 
-    def note_hints(self, note: hints.Note, now_ms: int) -> None:
+    def apply_hints(self, note: hints.Note, now_ms: int) -> None:
         """Take in what another router told.
 
         :param note: its note; late, lost and repeated ones do no harm
@@ -153,7 +153,7 @@
         """
         return None
 
-    def note_deaths(self, deaths: list[hints.Death], now_ms: int) -> None:
+    def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
         """Take in deaths of upstreams under requests, told by any VM.
 
         :param deaths: the deaths; repeated ones do no harm
@@ -170,7 +170,7 @@
         """
         return False
 
-    def note_death(self, digest: str, upstream: str, now_ms: int) -> None:
+    def record_crash(self, digest: str, upstream: str, now_ms: int) -> None:
         """Tell that a plain service's server died under a request.
 
         :param digest: names the request
@@ -204,7 +204,7 @@
         """
 
     @abc.abstractmethod
-    def note_load(
+    def record_load(
         self,
         pool: str,
         upstream: str,
@@ -220,7 +220,7 @@
         """
 
     @abc.abstractmethod
-    def note_cache_events(
+    def record_cache_events(
         self,
         pool: str,
         upstream: str,
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -117,7 +117,7 @@
         """
         return self._waiting.pop(job_id, None) is not None
 
-    def note_prefilled(self, job_id: str, now_ms: int) -> None:
+    def record_prefilled(self, job_id: str, now_ms: int) -> None:
         """Count the job's prefill as ended.
 
         :param job_id: the job
@@ -149,12 +149,12 @@
         :param upstream: the upstream to blame
         :param now_ms: the present
         """
-        self.note_prefilled(job_id, now_ms)
+        self.record_prefilled(job_id, now_ms)
         running = self._running.pop(job_id, None)
         if running is not None:
             running.decode.decodes -= 1
 
-    def note_load(
+    def record_load(
         self,
         pool: str,
         upstream: str,
@@ -172,7 +172,7 @@
         if member is not None:
             member.running = load.running + load.waiting
 
-    def note_cache_events(
+    def record_cache_events(
         self,
         pool: str,
         upstream: str,
@@ -242,7 +242,7 @@
             member
             for member in self._members.get(job.pool, {}).values()
             if not member.upstream.leaving
-            and member.upstream.name not in job.avoid
+            and member.upstream.name not in job.excluded_upstreams
         ]
         prefills = [m for m in usable if m.upstream.role in PREFILL_ROLES]
         decodes = [
--- a/mulberryway/policy/broadcast_queue.py
+++ b/mulberryway/policy/broadcast_queue.py
@@ -22,7 +22,14 @@
     :param until_ms: when it is forgotten, by this VM's clock
     """
 
-    __slots__ = ("kind", "key", "payload", "number", "until_ms", "sends")
+    __slots__ = (
+        "kind",
+        "key",
+        "payload",
+        "number",
+        "until_ms",
+        "transmissions",
+    )
 
     def __init__(
         self, kind: str, key: str, payload: bytes, number: int, until_ms: int
@@ -32,7 +39,7 @@
         self.payload = payload
         self.number = number
         self.until_ms = until_ms
-        self.sends = 0
+        self.transmissions = 0
 
 
 class BroadcastQueue:
@@ -69,11 +76,13 @@
         live = (
             hint
             for hint in self._hints.values()
-            if hint.sends < most_sends and hint.until_ms > now_ms
+            if hint.transmissions < most_sends and hint.until_ms > now_ms
         )
-        chosen = sorted(live, key=lambda hint: hint.sends)[:MOST_IN_MESSAGE]
+        chosen = sorted(live, key=lambda hint: hint.transmissions)[
+            :MOST_IN_MESSAGE
+        ]
         for hint in chosen:
-            hint.sends += 1
+            hint.transmissions += 1
         return chosen
 
     def list_kind(self, kind: str, now_ms: int) -> list[Hint]:
--- a/mulberryway/policy/chunked_prefill.py
+++ b/mulberryway/policy/chunked_prefill.py
@@ -82,7 +82,7 @@
         run_ms = 0.0 if has_rested else self._run_ms
         return fits_gap_limit(run_ms + read_ms, limit_ms, event_ms)
 
-    def read_open_ms(self, event_ms: float, now_ms: int) -> float:
+    def get_open_since_ms(self, event_ms: float, now_ms: int) -> float:
         """Return since when the next read may have begun.
 
         :param event_ms: the usual time between two events of a stream
@@ -91,7 +91,7 @@
         rested_ms = self._ends_ms + event_ms
         return rested_ms if now_ms >= rested_ms else float(self._noted_ms)
 
-    def is_broken(self, stream_ms: float, now_ms: int) -> bool:
+    def is_gap_exceeded(self, stream_ms: float, now_ms: int) -> bool:
         """Tell whether the streams that run there have paused too long.
 
         A further long read makes hardly any of them worse.
--- a/mulberryway/policy/claim_coordinators.py
+++ b/mulberryway/policy/claim_coordinators.py
@@ -27,7 +27,7 @@
     :returns: one that takes callers, or none
     """
     return max(
-        (one for one in members if one.takes_callers),
+        (one for one in members if one.accepts_callers),
         key=lambda one: _weigh(shard, one.name),
         default=None,
     )
--- a/mulberryway/policy/claim_slots.py
+++ b/mulberryway/policy/claim_slots.py
@@ -40,7 +40,7 @@
 class Append:
     """An append to be made.
 
-    :param place: the slot's place in the ring; the object's name
+    :param slot_index: the slot's place in the ring; the object's name
     :param version: the version to update; none to create the object
     :param sequence: the slot's place in the log
     :param floor_ms: the shard's floor from now on
@@ -49,7 +49,7 @@
     """
 
     __slots__ = (
-        "place",
+        "slot_index",
         "version",
         "sequence",
         "floor_ms",
@@ -60,14 +60,14 @@
 
     def __init__(
         self,
-        place: int,
+        slot_index: int,
         version: int | None,
         sequence: int,
         floor_ms: int,
         records: list[Record],
         slot_bytes: int,
     ) -> None:
-        self.place = place
+        self.slot_index = slot_index
         self.version = version
         self.sequence = sequence
         self.floor_ms = floor_ms
--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -161,7 +161,7 @@
 
     def next_floor_ms(self) -> int:
         """Return the floor that the next append writes."""
-        overwritten = self._slots.get(self.next_place())
+        overwritten = self._slots.get(self.next_index())
         if overwritten is None or not self.is_newest_full():
             return self.floor_ms
         lost_ms = max(
@@ -175,12 +175,12 @@
         :param records: what to append
         :returns: the update, refused by the platform if the log has moved
         """
-        newest = self._slots.get(self.newest_place())
+        newest = self._slots.get(self.newest_index())
         if newest is not None and not newest.is_full:
             old, sequence, slot = newest.records, newest.sequence, newest
         else:
             old, sequence = [], self._newest + 1
-            slot = self._slots.get(self.next_place())
+            slot = self._slots.get(self.next_index())
         return claim_slots.Append(
             sequence % self._ring,
             slot.version if slot is not None else None,
@@ -194,20 +194,20 @@
         """Tell whether any slot is known."""
         return bool(self._slots)
 
-    def newest_place(self) -> int:
+    def newest_index(self) -> int:
         """Return the newest slot's place in the ring."""
         return self._newest % self._ring
 
-    def next_place(self) -> int:
+    def next_index(self) -> int:
         """Return the place at which the log goes on after the newest."""
         return (self._newest + 1) % self._ring
 
     def is_newest_full(self) -> bool:
         """Tell whether the log goes on after the newest slot."""
-        newest = self._slots.get(self.newest_place())
+        newest = self._slots.get(self.newest_index())
         return newest is not None and newest.is_full
 
-    def take_slot(
+    def apply_slot(
         self, place: int, value: dict[str, typing.Any], version: int
     ) -> list[Record]:
         """Take in a slot as the platform answered it.
@@ -227,7 +227,7 @@
             return []
         return self._put(place, known, claim_slots.decode_slot(value, version))
 
-    def take_append(
+    def apply_append(
         self, append: claim_slots.Append, version: int
     ) -> list[Record]:
         """Take in what this VM has appended itself.
@@ -243,7 +243,9 @@
             append.floor_ms,
             append.records,
         )
-        return self._put(append.place, self._slots.get(append.place), slot)
+        return self._put(
+            append.slot_index, self._slots.get(append.slot_index), slot
+        )
 
     def _put(
         self,
--- a/mulberryway/policy/dissemination/batch.py
+++ b/mulberryway/policy/dissemination/batch.py
@@ -40,9 +40,9 @@
             self._items.append(item)
             self._bytes += len(item)
             self._note_due(now_ms, is_deferrable)
-        return full + self.take_due(now_ms)
+        return full + self.pop_due(now_ms)
 
-    def take_due(self, now_ms: int) -> list[list[bytes]]:
+    def pop_due(self, now_ms: int) -> list[list[bytes]]:
         """Return the batch if its time has come.
 
         :param now_ms: the present
--- a/mulberryway/policy/dissemination/disseminator.py
+++ b/mulberryway/policy/dissemination/disseminator.py
@@ -31,7 +31,7 @@
         # Counters for metrics.
         self.relayed = 0
 
-    def change_receivers(
+    def set_receivers(
         self, receivers: collections.abc.Iterable[messages.Receiver]
     ) -> None:
         """Take over which other VMs there are.
@@ -80,7 +80,7 @@
         """
         if envelope.acknowledged:
             for one in self._outboxes.values():
-                if one.note_acknowledged(envelope.acknowledged):
+                if one.acknowledge(envelope.acknowledged):
                     break
         if not envelope.relay_number:
             return []
@@ -101,11 +101,11 @@
         """
         packets = [
             packet
-            for items in self._batch.take_due(now_ms)
+            for items in self._batch.pop_due(now_ms)
             for packet in self._spread(items)
         ]
         for zone, box in self._outboxes.items():
-            for one in box.take_overdue(now_ms):
+            for one in box.pop_overdue(now_ms):
                 packets += self._publish_zone(
                     zone, one.item, one.relays, now_ms, one.is_deferrable
                 )
@@ -123,7 +123,7 @@
         """Return how many items were sent to a second relay."""
         return sum(box.resent for box in self._outboxes.values())
 
-    def count_given_up(self) -> int:
+    def count_dropped(self) -> int:
         """Return how many items no relay has acknowledged."""
         return sum(box.given_up for box in self._outboxes.values())
 
--- a/mulberryway/policy/dissemination/outbox.py
+++ b/mulberryway/policy/dissemination/outbox.py
@@ -90,7 +90,7 @@
             messages.Envelope([item], number, is_deferrable=is_deferrable),
         )
 
-    def note_acknowledged(self, number: int) -> bool:
+    def acknowledge(self, number: int) -> bool:
         """Forget an item that a relay has taken.
 
         :param number: the packet's number
@@ -98,7 +98,7 @@
         """
         return self._pending.pop(number, None) is not None
 
-    def take_overdue(self, now_ms: int) -> list[UnackedItem]:
+    def pop_overdue(self, now_ms: int) -> list[UnackedItem]:
         """Pass silent relays over, and return what has to be sent again.
 
         :param now_ms: the present
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -51,7 +51,7 @@
 def choose_endpoints(
     members: list[member.Member],
     caller_zone: str,
-    chance: random.Random,
+    rng: random.Random,
     now_ms: int,
 ) -> list[Endpoint]:
     """Choose the addresses that a caller is told.
@@ -69,7 +69,7 @@
 
     :param members: all VMs that are known
     :param caller_zone: the caller's zone; empty if not known
-    :param chance: where the choice comes from
+    :param rng: where the choice comes from
     :param now_ms: the present
     :returns: addresses in the order of trying; empty only without members
     """
@@ -77,11 +77,11 @@
     usable = [one for one in members if _rank(one) == ranks[0]]
     near = [one for one in usable if one.zone == caller_zone]
     far = [one for one in usable if one.zone != caller_zone]
-    chosen = _pick(near, MOST_ADDRESSES, chance, now_ms)
+    chosen = _pick(near, MOST_ADDRESSES, rng, now_ms)
     if near and far:
         chosen = chosen[: MOST_ADDRESSES - 1]
     missing = MOST_ADDRESSES - len(chosen)
-    chosen += _pick(far, missing, chance, now_ms)
+    chosen += _pick(far, missing, rng, now_ms)
     return [Endpoint(one.entry, one.zone) for one in chosen]
 
 
@@ -102,7 +102,9 @@
     usable = [
         one
         for one in members
-        if one.takes_callers and not one.is_starting and one.name not in silent
+        if one.accepts_callers
+        and not one.is_starting
+        and one.name not in silent
     ]
     chosen = usable or [one for one in members if not one.is_stopping]
     return [
--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -39,14 +39,14 @@
 class FairQueue:
     """Entries of all accounts, and the virtual time that orders them.
 
-    :param most_entries: limit on what waits
-    :param most_bytes: limit on the bodies of what waits
+    :param max_entries: limit on what waits
+    :param max_bytes: limit on the bodies of what waits
     """
 
-    def __init__(self, most_entries: int, most_bytes: int) -> None:
-        self.most_entries = most_entries
-        self.most_bytes = most_bytes
-        self.now_virtual = 0.0
+    def __init__(self, max_entries: int, max_bytes: int) -> None:
+        self.max_entries = max_entries
+        self.max_bytes = max_bytes
+        self.virtual_time = 0.0
         self.weight_waiting = 0
         self.bytes = 0
         self._entries: dict[str, QueueEntry] = {}
@@ -76,7 +76,7 @@
             state.weight = max(weight, 1)
         return state
 
-    def read_waiting(self, name: str) -> int:
+    def count_waiting(self, name: str) -> int:
         """Return how many jobs of an account wait.
 
         :param name: the account
@@ -85,7 +85,7 @@
         state = self._accounts.get(name)
         return state.waiting if state is not None else 0
 
-    def read_start(self, name: str) -> float:
+    def get_virtual_start(self, name: str) -> float:
         """Return where an account would stand in the order.
 
         :param name: the account
@@ -96,7 +96,7 @@
             return self._read_least_start()
         return state.start if state.waiting else self._start_of_idle(state)
 
-    def read_weight(self, name: str) -> int:
+    def get_weight(self, name: str) -> int:
         """Return an account's weight; 1 for one without state.
 
         :param name: the account
@@ -119,10 +119,10 @@
         state = self.find_account(job.account, job.weight)
         entries, size = len(self._entries) + 1, self.bytes + job.body_bytes
         return (
-            entries <= self.most_entries
-            and size <= self.most_bytes
-            and (state.waiting + 1) * 2 <= self.most_entries
-            and (state.bytes + job.body_bytes) * 2 <= self.most_bytes
+            entries <= self.max_entries
+            and size <= self.max_bytes
+            and (state.waiting + 1) * 2 <= self.max_entries
+            and (state.bytes + job.body_bytes) * 2 <= self.max_bytes
         )
 
     def push(self, entry: QueueEntry) -> None:
@@ -142,7 +142,8 @@
         self.bytes += job.body_bytes
         self._entries[job.job_id] = entry
         heapq.heappush(
-            self._latest, (entry.latest_ms, next(self._numbers), job.job_id)
+            self._latest,
+            (entry.latest_start_ms, next(self._numbers), job.job_id),
         )
 
     def remove(self, job_id: str) -> QueueEntry | None:
@@ -177,7 +178,7 @@
         entry.lane = lane
         state.lanes[lane][job_id] = entry
 
-    def pop_late(self, now_ms: int) -> collections.abc.Iterator[QueueEntry]:
+    def pop_expired(self, now_ms: int) -> collections.abc.Iterator[QueueEntry]:
         """Take out the jobs that can no longer start in time.
 
         :param now_ms: the present
@@ -188,7 +189,7 @@
             if entry is not None:
                 yield entry
 
-    def next_latest_ms(self) -> int | None:
+    def get_next_expiry_ms(self) -> int | None:
         """Return when the next waiting job becomes late."""
         while self._latest and self._latest[0][2] not in self._entries:
             heapq.heappop(self._latest)
@@ -214,10 +215,10 @@
         """
         state = self.find_account(name, weight)
         start = state.start if state.waiting else self._start_of_idle(state)
-        self.now_virtual = max(self.now_virtual, start)
+        self.virtual_time = max(self.virtual_time, start)
         self._move_start(state, start + tokens / state.weight)
 
-    def correct(self, name: str, weight: int, tokens: float) -> None:
+    def adjust_charge(self, name: str, weight: int, tokens: float) -> None:
         """Mend an earlier charge that was an estimate.
 
         :param name: the account
@@ -230,7 +231,7 @@
         self._move_start(state, max(start, self._read_least_start()))
 
     def _read_least_start(self) -> float:
-        return max(self.now_virtual - MAX_CREDIT_TOKENS, 0.0)
+        return max(self.virtual_time - MAX_CREDIT_TOKENS, 0.0)
 
     def _move_start(self, state: AccountState, start: float) -> None:
         if state.waiting:
@@ -248,5 +249,5 @@
             name: state
             for name, state in self._accounts.items()
             if state.waiting
-            or state.start > self.now_virtual - MAX_CREDIT_TOKENS
+            or state.start > self.virtual_time - MAX_CREDIT_TOKENS
         }
--- a/mulberryway/policy/health.py
+++ b/mulberryway/policy/health.py
@@ -116,7 +116,7 @@
         self.probes_passed = probes_passed
         self.probes_failed = probes_failed
 
-    def has_blame(self) -> bool:
+    def has_failures(self) -> bool:
         """Tell whether any of them speaks against the upstream."""
         return bool(self.failed or self.unreached or self.probes_failed)
 
@@ -195,7 +195,7 @@
         """
         return self._until_ms is not None and now_ms >= self._probe_ms
 
-    def read_probe_ms(self) -> int | None:
+    def next_probe_ms(self) -> int | None:
         """Return when the next probe is due; none while not ejected."""
         return None if self._until_ms is None else self._probe_ms
 
@@ -204,7 +204,7 @@
         news, self._news = self._news, Outcomes()
         return news
 
-    def note_start(self, now_ms: int) -> None:
+    def record_start(self, now_ms: int) -> None:
         """Tell that a job starts; after an ejection it is the only probe.
 
         :param now_ms: the present
@@ -212,7 +212,7 @@
         if self._until_ms is not None:
             self._is_probing = True
 
-    def note_peer_start(self, now_ms: int) -> None:
+    def record_peer_start(self, now_ms: int) -> None:
         """Tell that another VM starts a job; it may be its probe.
 
         :param now_ms: the present
@@ -220,7 +220,7 @@
         if self._until_ms is not None:
             self._peer_probe_ms = now_ms + PEER_PROBE_MS
 
-    def note_success(self, started_ms: int | None = None) -> bool:
+    def record_success(self, started_ms: int | None = None) -> bool:
         """Tell that a job went well.
 
         :param started_ms: when it started: a job that started before the
@@ -239,7 +239,7 @@
         self._recover()
         return is_news
 
-    def note_no_verdict(self) -> None:
+    def record_inconclusive(self) -> None:
         """Tell that a job ended without a word about the upstream.
 
         A probe whose caller has gone proves nothing; without this no other
@@ -247,7 +247,7 @@
         """
         self._is_probing = False
 
-    def note_failure(self, died: bool, now_ms: int) -> None:
+    def record_failure(self, died: bool, now_ms: int) -> None:
         """Tell that a job failed by the upstream's fault.
 
         :param died: the connection broke in the middle, or was not made
@@ -261,7 +261,7 @@
         self._is_probing = False
         self._count_failure(died, was_probing, now_ms)
 
-    def note_probe(self, has_passed: bool, now_ms: int) -> None:
+    def record_probe(self, has_passed: bool, now_ms: int) -> None:
         """Take in what this VM's probe found.
 
         :param has_passed: whether the upstream answered
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -29,17 +29,17 @@
         self._pool = pool
         self._register = register
 
-    def note_start(self, job: running_jobs.RunningJob, now_ms: int) -> None:
+    def record_start(self, job: running_jobs.RunningJob, now_ms: int) -> None:
         """Count a job on the upstreams where it starts.
 
         :param job: the started job
         :param now_ms: the present
         """
         for view in self._list_views(job):
-            view.health.note_start(now_ms)
+            view.health.record_start(now_ms)
             view.own_suspects += job.is_suspect()
 
-    def note_prefilled(
+    def record_prefilled(
         self, job: running_jobs.RunningJob, now_ms: int
     ) -> None:
         """Learn from a prefill that ended well.
@@ -53,15 +53,15 @@
         placement = job.placement
         reader = placement.prefill
         # Prompts in a queue are late by the same cause, which counts once.
-        later_ms = reader.shifted_ms - placement.shifted_ms
-        reader.note_prefilled(
+        later_ms = reader.drift_ms - placement.drift_ms
+        reader.record_prefilled(
             placement.prefill_ms,
             placement.ready_ms + later_ms,
             placement.tokens,
             job.started_ms,
             now_ms,
         )
-        reader.health.note_success(job.started_ms)
+        reader.health.record_success(job.started_ms)
 
     @staticmethod
     def note_first_token(job: running_jobs.RunningJob) -> bool:
@@ -71,11 +71,13 @@
         :returns: whether that is news to other VMs
         """
         decode = job.placement.decode
-        return decode is not None and decode.health.note_success(
+        return decode is not None and decode.health.record_success(
             job.started_ms
         )
 
-    def note_unread(self, job: running_jobs.RunningJob, now_ms: int) -> None:
+    def record_prefill_failed(
+        self, job: running_jobs.RunningJob, now_ms: int
+    ) -> None:
         """Take in that a prefill failed and the decode engine reads instead.
 
         :param job: the job
@@ -86,11 +88,13 @@
             return
         job.prefilled_ms = now_ms
         failed = placement.prefill
-        failed.drop_prefill(placement.prefill_ms)
-        failed.health.note_failure(False, now_ms)
+        failed.cancel_prefill(placement.prefill_ms)
+        failed.health.record_failure(False, now_ms)
         failed.own_suspects -= job.is_suspect()
         reader = placement.prefill = placement.decode
-        reader.count_read(reader.speed.estimate_ms(placement.tokens), now_ms)
+        reader.add_chunked_prefill(
+            reader.speed.estimate_ms(placement.tokens), now_ms
+        )
 
     def finish(
         self,
@@ -109,7 +113,7 @@
         """
         placement = job.placement
         if job.prefilled_ms is None:
-            placement.prefill.drop_prefill(placement.prefill_ms)
+            placement.prefill.cancel_prefill(placement.prefill_ms)
         if placement.decode is not None:
             placement.decode.end_decode(placement.blocks)
         self._judge(job, end, upstream, now_ms)
@@ -126,13 +130,13 @@
     ) -> None:
         for view in self._list_views(job):
             if end is jobs.JobOutcome.DONE:
-                view.health.note_success(job.started_ms)
+                view.health.record_success(job.started_ms)
             elif view.row.name != upstream:
-                view.health.note_no_verdict()
+                view.health.record_inconclusive()
             else:
                 self._blame(job, view, end, now_ms)
         if end is jobs.JobOutcome.DONE:
-            self._register.note_success(job.entry.job.digest, now_ms)
+            self._register.record_success(job.entry.job.digest, now_ms)
 
     def _blame(
         self,
@@ -143,18 +147,18 @@
     ) -> None:
         if end is jobs.JobOutcome.REFUSED_BY_ENGINE:
             if self._refused_prefill(job, view):
-                view.note_refused_prefill(now_ms)
+                view.record_prefill_refused(now_ms)
             else:
-                view.note_full(now_ms)
-            view.health.note_no_verdict()
+                view.record_full(now_ms)
+            view.health.record_inconclusive()
         elif end is jobs.JobOutcome.CANCELLED:
-            view.health.note_no_verdict()
+            view.health.record_inconclusive()
         else:
             died = end is jobs.JobOutcome.DIED
             # An engine that takes no connection will take none of the next
             # either, and each costs its caller the wait for one.
             is_down = died or end is jobs.JobOutcome.UNREACHED
-            view.health.note_failure(is_down, now_ms)
+            view.health.record_failure(is_down, now_ms)
             if died:
                 self._suspect(job, view, now_ms)
 
@@ -165,7 +169,7 @@
         placement = job.placement
         return (
             view is placement.prefill
-            and not placement.is_alone()
+            and not placement.is_aggregated()
             and job.prefilled_ms is None
         )
 
@@ -184,26 +188,26 @@
         others = view.count_suspects() - job.is_suspect()
         if job.is_suspect():
             view.suspect_died_ms = now_ms
-            self._register.note_death(digest, name, others == 0, now_ms)
+            self._register.record_crash(digest, name, others == 0, now_ms)
             return
         died_ms = view.suspect_died_ms
         is_explained = others > 0 or (
             died_ms is not None and now_ms - died_ms < SAME_BATCH_MS
         )
         if not is_explained:
-            self._register.note_death(digest, name, False, now_ms)
+            self._register.record_crash(digest, name, False, now_ms)
 
     def _correct(
         self, job: running_jobs.RunningJob, end: jobs.JobOutcome, now_ms: int
     ) -> float:
         measured = self._pool.meters
-        step_ms = self._pool.placer.slowness.read_step_ms()
+        step_ms = self._pool.placer.slowness.get_median_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
         cost = measured.sum_cost(prompt, tokens)
         if end is jobs.JobOutcome.DONE:
             hold_ms = now_ms - job.started_ms
-            measured.note_job(
+            measured.record_job(
                 job.entry.job.account, cost, tokens, max(hold_ms, 1)
             )
         return cost - job.entry.cost
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -58,8 +58,8 @@
         )
         self._usual_blocks = health.Ewma(0.0)
         # How long a stream usually holds its memory; set by the pool.
-        self.stream_ms = 0.0
-        self.is_blind = False
+        self.typical_stream_ms = 0.0
+        self.is_without_peer_state = False
 
     def estimate(
         self, job: jobs.Job, pool: tables.Pool, now_ms: int
@@ -155,7 +155,7 @@
         placement = aggregated_serving.choose_aggregated(
             options,
             apart is None and not self._reads_apart(now_ms),
-            self.stream_ms,
+            self.typical_stream_ms,
             yield_ms,
             self._random,
             now_ms,
@@ -173,7 +173,8 @@
     def _reads_apart(self, now_ms: int) -> bool:
         """Tell whether any prefill engine takes prompts."""
         return any(
-            not view.is_resting(now_ms) and not view.health.is_ejected(now_ms)
+            not view.is_backing_off(now_ms)
+            and not view.health.is_ejected(now_ms)
             for view in self._members.prefills
         )
 
@@ -201,9 +202,9 @@
             self._usual_blocks.value = float(placement.blocks)
         self._usual_blocks.note(placement.blocks)
         placement.prefill.add_prefill(placement.prefill_ms, now_ms)
-        placement.shifted_ms = placement.prefill.shifted_ms
+        placement.drift_ms = placement.prefill.drift_ms
         placement.prefill.prefixes.note_own(job.prefix_hashes)
-        if placement.is_alone():
+        if placement.is_aggregated():
             return
         self._links.reserve(
             placements.get_zone_pair(placement.prefill, placement.decode),
@@ -212,7 +213,7 @@
             placement.ready_ms,
         )
 
-    def choose_other(
+    def choose_other_decode(
         self,
         entry: fair_queue.QueueEntry,
         placement: placements.Placement,
@@ -229,7 +230,7 @@
         """
         return self._choose_decode(entry, placement, pool, now_ms)
 
-    def count_free(self, now_ms: int) -> int:
+    def estimate_free_slots(self, now_ms: int) -> int:
         """Return how many decodes of usual size probably find room.
 
         Streams may fill an engine's memory long before its slots; slots alone
@@ -240,12 +241,12 @@
         """
         blocks = self._usual_blocks.value
         return sum(
-            view.count_room(blocks, now_ms)
+            view.estimate_capacity(blocks, now_ms)
             for view in self._members.decodes
             if not view.health.is_ejected(now_ms)
         )
 
-    def is_tight(self, view: upstream_view.UpstreamView) -> bool:
+    def is_near_capacity(self, view: upstream_view.UpstreamView) -> bool:
         """Tell whether an engine may have less room than is believed.
 
         Others may have chosen it since they were heard last.  Where so few
@@ -268,9 +269,15 @@
         all_: list[upstream_view.UpstreamView], job: jobs.Job, now_ms: int
     ) -> list[upstream_view.UpstreamView]:
         works = [
-            view for view in all_ if view.health.admits(job.may_move, now_ms)
+            view
+            for view in all_
+            if view.health.admits(job.is_retry_safe, now_ms)
+        ]
+        other = [
+            view
+            for view in works
+            if view.row.name not in job.excluded_upstreams
         ]
-        other = [view for view in works if view.row.name not in job.avoid]
         # With two upstreams left, the one that refused a moment ago is
         # better than none.
         return other or works
@@ -280,7 +287,7 @@
     ) -> list[placements.Placement]:
         job = entry.job
         usable = self._list_usable(self._members.prefills, job, now_ms)
-        willing = [view for view in usable if not view.is_resting(now_ms)]
+        willing = [view for view in usable if not view.is_backing_off(now_ms)]
         # Where all have refused of late, as the last prefill engine does that
         # changes its role, one of them is better than none; but a decode
         # engine that reads the prompt itself is better still.
@@ -291,9 +298,9 @@
         if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
         elif entry.lane is fair_queue.Lane.LONG:
-            if now_ms < entry.latest_ms - LAST_CHANCE_MS:
+            if now_ms < entry.latest_start_ms - LAST_CHANCE_MS:
                 usable = self._leave_room_for_short(usable, now_ms)
-        if self.is_blind and len(usable) > UNINFORMED_CHOICES:
+        if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
             usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return [self._plan_prefill(view, job, pool, now_ms) for view in usable]
 
@@ -308,7 +315,7 @@
         quick = [
             view
             for view in usable
-            if view.read_wait_ms(now_ms) < SHORT_WAIT_MS
+            if view.estimate_prefill_wait_ms(now_ms) < SHORT_WAIT_MS
         ]
         return quick if len(quick) > 1 else []
 
@@ -322,10 +329,10 @@
         hits = view.prefixes.count_hits(job.prefix_hashes)
         tokens = max(job.prompt_tokens - hits * pool.block_tokens, 0.0)
         prefill_ms = view.speed.estimate_ms(tokens)
-        wait_ms = view.read_wait_ms(now_ms)
-        if self.is_blind:
+        wait_ms = view.estimate_prefill_wait_ms(now_ms)
+        if self.is_without_peer_state:
             # Nobody tells what the others sent, so the report has to do.
-            wait_ms += view.excess_prefills * prefill_ms
+            wait_ms += view.unattributed_prefills * prefill_ms
         ready_ms = now_ms + wait_ms + prefill_ms
         return placements.Placement(view, tokens, prefill_ms, ready_ms)
 
@@ -338,7 +345,7 @@
     ) -> upstream_view.UpstreamView | None:
         blocks = placements.estimate_kv_blocks(entry.job, pool)
         usable = self._list_open(entry, blocks, now_ms)
-        if self.is_blind and len(usable) > UNINFORMED_CHOICES:
+        if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
             usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return max(
             usable,
@@ -357,11 +364,11 @@
             for view in self._list_usable(
                 self._members.decodes, entry.job, now_ms
             )
-            if view.read_free(now_ms) > 0 and view.has_blocks(blocks)
+            if view.count_free_slots(now_ms) > 0 and view.has_blocks(blocks)
         ]
         if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
-        return self.slowness.set_apart(usable, entry, now_ms)
+        return self.slowness.exclude_slow(usable, entry, now_ms)
 
     def _rate_decode(
         self,
@@ -377,7 +384,7 @@
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
-        free = view.read_free(now_ms) / max(view.slots, 1)
+        free = view.count_free_slots(now_ms) / max(view.slots, 1)
         # A batch that fills makes each of its tokens later; a whole empty
         # engine is worth about 40 ms of transfer time.
         return free * 40.0 - transfer_ms + self._random.random()
--- a/mulberryway/policy/jobs.py
+++ b/mulberryway/policy/jobs.py
@@ -30,14 +30,14 @@
     :param arrived_ms: when it came
     :param deadline: when its first token is too late
     :param attempt: 0 at first; counts up as it moves to other upstreams
-    :param avoid: names of upstreams that failed it
+    :param excluded_upstreams: names of upstreams that failed it
     :param digest: names account, model and body, see ``policy.poison``;
         empty where repeats need not be recognised
     :param expected_tokens: how many tokens the answer probably has; 0 where
         the most that may be generated is all that is known
-    :param target_at_ms: until when the first token is on time; 0 where only
-        the deadline counts
-    :param may_move: whether it may go to another upstream even if it may
+    :param first_token_target_ms: until when the first token is on time; 0
+        where only the deadline counts
+    :param is_retry_safe: whether it may go to another upstream even if it may
         have run at the first
     """
 
@@ -54,11 +54,11 @@
         "arrived_ms",
         "deadline",
         "attempt",
-        "avoid",
+        "excluded_upstreams",
         "digest",
         "expected_tokens",
-        "target_at_ms",
-        "may_move",
+        "first_token_target_ms",
+        "is_retry_safe",
     )
 
     def __init__(
@@ -75,13 +75,13 @@
         arrived_ms: int,
         deadline: clock.Deadline,
         attempt: int = 0,
-        avoid: frozenset[str] = frozenset(),
+        excluded_upstreams: frozenset[str] = frozenset(),
         digest: str = "",
         expected_tokens: int = 0,
-        target_at_ms: int = 0,
-        may_move: bool = False,
+        first_token_target_ms: int = 0,
+        is_retry_safe: bool = False,
     ) -> None:
-        self.may_move = may_move
+        self.is_retry_safe = is_retry_safe
         self.job_id = job_id
         self.account = account
         self.weight = weight
@@ -94,10 +94,10 @@
         self.arrived_ms = arrived_ms
         self.deadline = deadline
         self.attempt = attempt
-        self.avoid = avoid
+        self.excluded_upstreams = excluded_upstreams
         self.digest = digest
         self.expected_tokens = expected_tokens
-        self.target_at_ms = target_at_ms
+        self.first_token_target_ms = first_token_target_ms
 
 
 class Assignment:
@@ -108,7 +108,7 @@
     :param decode: the name of the upstream whose slot is reserved
     :param priority: what the engines are told; 0 goes first
     :param ready_in_ms: after how long the prefill probably ends; 0 unknown
-    :param room_tokens: tokens of KV cache that the decode takes; 0 unknown
+    :param kv_tokens: tokens of KV cache that the decode takes; 0 unknown
     """
 
     __slots__ = (
@@ -117,7 +117,7 @@
         "decode",
         "priority",
         "ready_in_ms",
-        "room_tokens",
+        "kv_tokens",
         "inputs",
     )
 
@@ -128,9 +128,9 @@
         decode: str,
         priority: int = 0,
         ready_in_ms: int = 0,
-        room_tokens: int = 0,
+        kv_tokens: int = 0,
     ) -> None:
-        self.room_tokens = room_tokens
+        self.kv_tokens = kv_tokens
         self.job_id = job_id
         self.prefill = prefill
         self.decode = decode
--- a/mulberryway/policy/leader_lease.py
+++ b/mulberryway/policy/leader_lease.py
@@ -110,7 +110,7 @@
             LeaseAction.WRITE if self._has_lapsed(now_ms) else LeaseAction.WAIT
         )
 
-    def note_read(
+    def record_read(
         self, record: LeaseRecord | None, version: int, now_ms: int
     ) -> None:
         """Take in what the platform's object says.
@@ -164,7 +164,7 @@
         self._renewed_ms = sent_ms
         self._held_until = clock.Deadline(sent_ms + LEASE_MS)
 
-    def note_gone(self) -> None:
+    def record_deleted(self) -> None:
         """Take in that the platform's object was deleted.
 
         The next write creates it, with a fencing number above what was seen:
