--- a/mulberryway/policy/leased_rate_limiter.py
+++ b/mulberryway/policy/leased_rate_limiter.py
@@ -42,13 +42,13 @@
 class LeasedReservation(allowance.Reservation):
     """A reservation that remembers where its tokens came from."""
 
-    __slots__ = ("pieces", "is_used")
+    __slots__ = ("sources", "is_used")
 
     def __init__(
-        self, account: str, tokens: int, pieces: list[ReservationSource]
+        self, account: str, tokens: int, sources: list[ReservationSource]
     ) -> None:
         super().__init__(account, tokens)
-        self.pieces = pieces
+        self.sources = sources
         self.is_used = False
 
 
@@ -135,7 +135,7 @@
         :returns: tokens
         """
         loans = self.borrower.list_usable(account, now_ms)
-        shares = self.lender.list_shares(account, now_ms)
+        shares = self.lender.list_buckets(account, now_ms)
         return sum(loan.left for loan in loans) + sum(
             share.bucket.read_level(now_ms) for share in shares
         )
@@ -155,7 +155,7 @@
         if reservation.is_used:
             # The request moves to another upstream; it counts once.
             return True
-        sources = [piece.source for piece in reservation.pieces]
+        sources = [piece.source for piece in reservation.sources]
         if not all(self._is_usable(source, now_ms) for source in sources):
             return False
         for source in sources:
@@ -181,7 +181,7 @@
         unused = reservation.tokens - used
         if unused < 0:
             self._debts[account] = self._debts.get(account, 0) - unused
-        for piece in reservation.pieces:
+        for piece in reservation.sources:
             part = min(max(unused, 0), piece.tokens)
             unused -= part
             if part > 0:
@@ -213,7 +213,7 @@
         ahead = 0 if demand is None else max(demand.per_window, demand.tokens)
         return BorrowPlan(max(need, 1), max(need, 1) + ahead)
 
-    def note_demand(self, account: str, tokens: int, now_ms: int) -> None:
+    def record_demand(self, account: str, tokens: int, now_ms: int) -> None:
         """Count what an account wants here.
 
         :param account: the client account
@@ -225,7 +225,7 @@
         demand = self._demands.setdefault(account, _Demand(now_ms))
         demand.note(tokens, now_ms)
 
-    def note_refused(self, account: str, tokens: int, now_ms: int) -> int:
+    def record_refusal(self, account: str, tokens: int, now_ms: int) -> int:
         """Take in that no VM could help, and estimate when one can.
 
         :param account: the client account
@@ -243,7 +243,7 @@
             self._pauses[account] = (now_ms + pause_ms, tokens)
         return max(wait_ms, MIN_BACKOFF_MS)
 
-    def forget_accounts(self) -> None:
+    def prune_accounts(self) -> None:
         """Forget what is remembered of accounts that are gone."""
         for memory in (self._demands, self._pauses, self._debts):
             _drop(memory, lambda name: self.lender.find_account(name) is None)
@@ -274,7 +274,7 @@
     ) -> None:
         source = piece.source
         if isinstance(source, allowance_borrower.BorrowedLoan):
-            self.borrower.put_back(source, tokens, now_ms)
+            self.borrower.refund(source, tokens, now_ms)
         else:
             self.lender.settle(source, tokens, now_ms)
 
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -39,12 +39,12 @@
         self.drain_ms = drain_ms
 
     @property
-    def least_absence_ms(self) -> int:
+    def min_outage_ms(self) -> int:
         """The shortest absence of the store in which an entry can lapse."""
         return (LAPSE_BEATS - 1) * self.heartbeat_ms
 
     @property
-    def most_kept_ms(self) -> int:
+    def max_retention_ms(self) -> int:
         """How long a removed entry may count at most without an outage."""
         return int(self.drain_ms * DRAIN_PART)
 
@@ -59,15 +59,15 @@
     :param reason: how the first call failed
     """
 
-    __slots__ = ("began_ms", "reason", "ended_ms", "is_shared")
+    __slots__ = ("began_ms", "reason", "ended_ms", "is_fleet_wide")
 
     def __init__(self, began_ms: int, reason: str) -> None:
         self.began_ms = began_ms
         self.reason = reason
         self.ended_ms: int | None = None
-        self.is_shared = False
+        self.is_fleet_wide = False
 
-    def read_length_ms(self, now_ms: int) -> int:
+    def compute_duration_ms(self, now_ms: int) -> int:
         """Return how long it lasted so far.
 
         :param now_ms: the present
@@ -111,7 +111,7 @@
         # have come back.
         self._removed: set[str] = set()
 
-    def note_failure(self, began_ms: int, reason: str) -> None:
+    def record_failure(self, began_ms: int, reason: str) -> None:
         """Tell that the store could not be asked.
 
         :param began_ms: since when it may have been away: the moment of a
@@ -122,7 +122,7 @@
             self._absence = UnreachablePeriod(began_ms, reason)
             self._removed.clear()
 
-    def note_answer(self, now_ms: int) -> None:
+    def record_response(self, now_ms: int) -> None:
         """Tell that the store has answered.
 
         :param now_ms: the present
@@ -131,9 +131,11 @@
         if absence is None or absence.ended_ms is not None:
             return
         absence.ended_ms = now_ms
-        absence.is_shared = self._outages.is_shared(absence.began_ms, now_ms)
+        absence.is_fleet_wide = self._outages.is_fleet_wide(
+            absence.began_ms, now_ms
+        )
 
-    def find_absence(self, now_ms: int) -> UnreachablePeriod | None:
+    def find_unreachable_period(self, now_ms: int) -> UnreachablePeriod | None:
         """Return the absence by which removals are judged now, or none.
 
         :param now_ms: the present
@@ -160,12 +162,12 @@
         :returns: until when all that went since the absence began count; none
             if the removals count at once
         """
-        absence = self.find_absence(now_ms)
+        absence = self.find_unreachable_period(now_ms)
         if absence is None:
             most = max((len(left) + len(removed)) * LAPSE_PART, LEAST_LAPSE)
             if not is_one_answer or len(removed) < most:
                 return None
-            return now_ms + self._limits.most_kept_ms
+            return now_ms + self._limits.max_retention_ms
         self._removed |= removed
         if not self._may_have_lapsed(absence, now_ms):
             return None
@@ -187,8 +189,8 @@
     def _may_have_lapsed(
         self, absence: UnreachablePeriod, now_ms: int
     ) -> bool:
-        if absence.read_length_ms(now_ms) < self._limits.least_absence_ms:
+        if absence.compute_duration_ms(now_ms) < self._limits.min_outage_ms:
             return False
         if absence.ended_ms is not None:
-            return absence.is_shared
-        return self._outages.is_shared(absence.began_ms, now_ms)
+            return absence.is_fleet_wide
+        return self._outages.is_fleet_wide(absence.began_ms, now_ms)
--- a/mulberryway/policy/member.py
+++ b/mulberryway/policy/member.py
@@ -100,7 +100,7 @@
         return f"{self.address}:{self.router_port}"
 
     @property
-    def takes_callers(self) -> bool:
+    def accepts_callers(self) -> bool:
         """Whether it is thought to be alive and not about to stop."""
         return self.health is MemberStatus.ALIVE and not self.is_stopping
 
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -89,7 +89,7 @@
         self._put(self._keep_liveliness(news, known), now_ms)
         return True
 
-    def note_heard(
+    def record_heartbeat(
         self, name: str, streams: int, revision: int, now_ms: int
     ) -> None:
         """Take in what a VM told of itself just now.
@@ -154,7 +154,7 @@
             return since_ms + DEAD_MS
         return math.inf
 
-    def choose_target(self) -> member.Member | None:
+    def choose_probe_target(self) -> member.Member | None:
         """Return the VM to probe next.
 
         Every VM is probed once in each shuffled round, so that the time
@@ -179,7 +179,7 @@
             ):
                 return known
 
-    def choose_some(
+    def sample_alive(
         self, count: int, besides: str = ""
     ) -> list[member.Member]:
         """Return random VMs that are thought to be alive.
@@ -195,7 +195,7 @@
         ]
         return self._random.sample(alive, min(count, len(alive)))
 
-    def choose_dead(self) -> member.Member | None:
+    def sample_dead(self) -> member.Member | None:
         """Return a random dead VM, to find out whether it is back.
 
         After two regions have lost each other for minutes, each takes the
@@ -212,7 +212,7 @@
 
         :returns: a few VMs, those least often passed on first
         """
-        most = self.count_sends()
+        most = self.compute_retransmit_limit()
         waiting = sorted(self._sends, key=lambda name: self._sends[name])
         chosen = waiting[:MOST_IN_MESSAGE]
         for name in chosen:
@@ -221,7 +221,7 @@
             del self._sends[name]
         return [self._members[name] for name in chosen]
 
-    def count_sends(self) -> int:
+    def compute_retransmit_limit(self) -> int:
         """Return how often a VM passes a piece of news on."""
         return SENDS_FACTOR * math.ceil(math.log2(len(self._members) + 1))
 
@@ -247,7 +247,7 @@
         self._synced_ms = now_ms
         return True
 
-    def change_own(
+    def update_local(
         self,
         is_stopping: bool | None = None,
         holdings: bytes | None = None,
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -48,17 +48,17 @@
         count for a while; without it removals count at once
 
     ``objects`` are those that the store holds.  ``revision`` grows with any
-    change in the store, and a watch goes on from it; ``changed`` only with
-    changes of this kind, so that two VMs which know the same tell the same.
-    ``edits`` counts changes of the copy itself, also those that the store did
-    not tell.
+    change in the store, and a watch goes on from it; ``changed_revision`` only
+    with changes of this kind, so that two VMs which know the same tell the
+    same. ``edits`` counts changes of the copy itself, also those that the
+    store did not tell.
     """
 
     __slots__ = (
         "kind",
         "objects",
         "revision",
-        "changed",
+        "changed_revision",
         "edits",
         "_detector",
         "_removed",
@@ -73,7 +73,7 @@
         self.kind = kind
         self.objects: dict[str, base.StoredObject] = {}
         self.revision = 0
-        self.changed = 0
+        self.changed_revision = 0
         self.edits = 0
         self._detector = detector
         # Objects that were removed in or after one absence; that they lapsed
@@ -83,22 +83,22 @@
         self._kept: dict[str, RetainedObject] = {}
         self._unreported: list[RetainedObject] = []
 
-    def note_failure(self, began_ms: int, reason: str = "") -> None:
+    def record_failure(self, began_ms: int, reason: str = "") -> None:
         """Tell that the store could not be asked.
 
-        :param began_ms: see :meth:`lapses.LapseDetector.note_failure`
+        :param began_ms: see :meth:`lapses.LapseDetector.record_failure`
         :param reason: how the call failed
         """
         if self._detector is not None:
-            self._detector.note_failure(began_ms, reason)
+            self._detector.record_failure(began_ms, reason)
 
-    def note_answer(self, now_ms: int) -> None:
+    def record_response(self, now_ms: int) -> None:
         """Tell that the store has answered.
 
         :param now_ms: the present
         """
         if self._detector is not None:
-            self._detector.note_answer(now_ms)
+            self._detector.record_response(now_ms)
 
     def replace(
         self,
@@ -118,18 +118,18 @@
         self.revision = revision
         found = {one.name: one for one in objects}
         newest = max((one.version for one in found.values()), default=0)
-        self.changed = max(self.changed, newest)
+        self.changed_revision = max(self.changed_revision, newest)
         gone = self.objects.keys() - found.keys()
         removed = {name: self.objects.pop(name) for name in gone}
         if gone:
             # No object left bears the revision of a removal.
-            self.changed = max(self.changed, revision)
+            self.changed_revision = max(self.changed_revision, revision)
         for one in found.values():
             self._put(one)
         self._judge(removed, gone, False, now_ms)
         return True
 
-    def adopt(
+    def replace_from_peer(
         self,
         objects: collections.abc.Iterable[base.StoredObject],
         changed: int,
@@ -147,9 +147,9 @@
         :param kept: the objects that the other VM keeps
         :returns: whether it was newer
         """
-        if changed <= self.changed:
+        if changed <= self.changed_revision:
             return False
-        self.changed = changed
+        self.changed_revision = changed
         known, self.revision = self.revision, 0
         self.replace(objects, changed, now_ms)
         self.revision = max(known, changed)
@@ -179,11 +179,13 @@
         for event in events:
             has_changed = True
             name = event.object.name
-            self.changed = max(self.changed, event.object.version)
+            self.changed_revision = max(
+                self.changed_revision, event.object.version
+            )
             if event.type is base.EventType.DELETED:
                 # The version is that of the object's last content, which
                 # says nothing of when it went.
-                self.changed = revision
+                self.changed_revision = revision
                 gone.add(name)
                 if name in self.objects:
                     removed[name] = self.objects.pop(name)
@@ -213,7 +215,7 @@
         kept = (one.object for one in self._kept.values())
         return [*self.objects.values(), *kept]
 
-    def list_kept(self) -> list[RetainedObject]:
+    def list_retained(self) -> list[RetainedObject]:
         """Return the objects that count although they were removed."""
         return list(self._kept.values())
 
@@ -221,7 +223,7 @@
         """Return when the next kept object's time is over, or none."""
         return min((one.until_ms for one in self._kept.values()), default=None)
 
-    def take_newly_kept(self) -> list[RetainedObject]:
+    def drain_newly_retained(self) -> list[RetainedObject]:
         """Return the objects that are kept since the last call."""
         found, self._unreported = self._unreported, []
         return found
@@ -253,7 +255,7 @@
         self.edits += 1
         if self._detector is None:
             return
-        absence = self._detector.find_absence(now_ms)
+        absence = self._detector.find_unreachable_period(now_ms)
         if absence is None or absence is not self._removed_after:
             self._removed.clear()
         self._removed_after = absence
--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -94,7 +94,7 @@
             if pool is not None and heard.accepts(key, note.sequence):
                 pool.neighbours.note(note.vm, account, now_ms)
 
-    def read_age_ms(self, now_ms: int) -> int:
+    def compute_max_age_ms(self, now_ms: int) -> int:
         """Return how long ago the longest silent peer was heard.
 
         :param now_ms: the present
@@ -109,7 +109,7 @@
             default=0,
         )
 
-    def sweep(
+    def expire_peers(
         self,
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
@@ -140,8 +140,8 @@
             now_ms - heard.at_ms < FRESH_MS for heard in self._heard.values()
         )
         for pool in pools_.values():
-            pool.placer.is_blind = not hears and any(
-                view.excess for view in pool.members.list_all()
+            pool.placer.is_without_peer_state = not hears and any(
+                view.unattributed_decodes for view in pool.members.list_all()
             )
 
     @property
@@ -196,14 +196,16 @@
             return
         view.note_peer(vm, holding, now_ms)
         outcomes = holding.outcomes
-        if outcomes.has_blame() and not self._trust.accepts(
+        if outcomes.has_failures() and not self._trust.accepts(
             vm,
             (holding.pool, holding.upstream),
             len(pool.members.list_all()),
             now_ms,
         ):
             return
-        if outcomes.has_blame() and pool.members.has_few_left(view, now_ms):
+        if outcomes.has_failures() and pool.members.is_ejection_limit_reached(
+            view, now_ms
+        ):
             return
         view.health.note_peer(outcomes, now_ms)
 
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -68,7 +68,7 @@
         self._at_ms: int | None = None
         self._whole_ms: int | None = None
 
-    def note_view(self, pool: str, upstream: str) -> None:
+    def mark_changed(self, pool: str, upstream: str) -> None:
         """Mark an upstream where something of ours began or ended.
 
         :param pool: the pool's name
@@ -76,7 +76,9 @@
         """
         self._views.add((pool, upstream))
 
-    def note_later(self, pool: str, upstream: str, now_ms: int) -> None:
+    def mark_changed_deferred(
+        self, pool: str, upstream: str, now_ms: int
+    ) -> None:
         """Mark an upstream of which the news may wait a bit.
 
         :param pool: the pool's name
@@ -87,7 +89,7 @@
             self._later_since_ms = now_ms
         self._later.add((pool, upstream))
 
-    def note_charge(
+    def record_charge(
         self, pool: str, account: str, weight: int, tokens: float
     ) -> None:
         """Add to what an account was charged.
@@ -102,7 +104,7 @@
         self._weights[key] = weight
         self._accounts.add(key)
 
-    def make_note(
+    def build_note(
         self,
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
@@ -217,14 +219,14 @@
                 state.list_heads()[0].job.arrived_ms,
             )
             for name, pool in pools_.items()
-            for state in pool.fair.list_next(MOST_ACCOUNTS)
+            for state in pool.queue.list_next(MOST_ACCOUNTS)
         }
 
     def _read_account(
         self, pool: pool_scheduler.PoolScheduler, account: str, now_ms: int
     ) -> hints.AccountNote:
         key = pool.row.name, account
-        state = pool.fair.find_account(account, self._weights.get(key, 1))
+        state = pool.queue.find_account(account, self._weights.get(key, 1))
         self._weights[key] = state.weight
         heads = state.list_heads()
         oldest_ms = now_ms - heads[0].job.arrived_ms if heads else 0
--- a/mulberryway/policy/orders.py
+++ b/mulberryway/policy/orders.py
@@ -36,7 +36,7 @@
         self.verb = verb
         self.argument = argument
 
-    def read_key(self) -> tuple[str, str, str, str]:
+    def get_key(self) -> tuple[str, str, str, str]:
         """Return what tells this order from others."""
         return self.pool, self.row.name, self.verb, self.argument
 
@@ -64,7 +64,7 @@
         """
 
     @abc.abstractmethod
-    def note_given(self, order: PlannedOrder, now_ms: int) -> None:
+    def record_accepted(self, order: PlannedOrder, now_ms: int) -> None:
         """Tell that an engine took an order.
 
         :param order: the order
@@ -72,7 +72,7 @@
         """
 
     @abc.abstractmethod
-    def note_failed(self, order: PlannedOrder, now_ms: int) -> None:
+    def record_failed(self, order: PlannedOrder, now_ms: int) -> None:
         """Tell that an order was refused or got no answer.
 
         :param order: the order
@@ -128,21 +128,21 @@
         loading = [order for order in ready if order.verb == "load"]
         return [o for o in ready if o.verb != "load"] + loading[:room]
 
-    def note_given(self, order: PlannedOrder, now_ms: int) -> None:
+    def record_accepted(self, order: PlannedOrder, now_ms: int) -> None:
         """Tell that an engine took an order.
 
         :param order: the order
         :param now_ms: the present
         """
         if order.verb == "load":
-            self._loading[order.read_key()] = now_ms
+            self._loading[order.get_key()] = now_ms
         elif order.verb == "role":
             key = order.pool, order.row.name
             self._given_roles[key] = order.argument
         else:
-            self._failed_ms[order.read_key()] = now_ms
+            self._failed_ms[order.get_key()] = now_ms
 
-    def note_failed(self, order: PlannedOrder, now_ms: int) -> None:
+    def record_failed(self, order: PlannedOrder, now_ms: int) -> None:
         """Tell that an order was refused or got no answer.
 
         All orders are idempotent, so one that may have arrived is repeated.
@@ -150,7 +150,7 @@
         :param order: the order
         :param now_ms: the present
         """
-        self._failed_ms[order.read_key()] = now_ms
+        self._failed_ms[order.get_key()] = now_ms
 
     def forget(self) -> None:
         """Forget all, for this VM is the issuer no longer.
@@ -192,7 +192,7 @@
         return orders
 
     def _forget_done(self, needed: list[PlannedOrder], now_ms: int) -> None:
-        keys = {order.read_key() for order in needed}
+        keys = {order.get_key() for order in needed}
         self._loading = {
             key: at_ms
             for key, at_ms in self._loading.items()
@@ -205,5 +205,5 @@
         }
 
     def _is_ready(self, order: PlannedOrder, now_ms: int) -> bool:
-        key = order.read_key()
+        key = order.get_key()
         return key not in self._loading and key not in self._failed_ms
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -46,7 +46,7 @@
         if more > 0:
             self._fair.charge(note.account, note.weight, more)
         elif more < 0:
-            self._fair.correct(note.account, note.weight, more)
+            self._fair.adjust_charge(note.account, note.weight, more)
         waiting = self._waiting.setdefault(vm, {})
         if note.waiting:
             waiting[note.account] = _Waiting(note, now_ms)
@@ -96,14 +96,14 @@
         entry: fair_queue.QueueEntry,
         slack_tokens: int,
     ) -> int:
-        lead = state.start - self._fair.read_start(account)
+        lead = state.start - self._fair.get_virtual_start(account)
         if abs(lead) < slack_tokens:
             return 1 if waiting.prefill_ms < entry.prefill_ms else 0
         if account == state.name:
             return 1 if waiting.since_ms < entry.job.arrived_ms else 0
         return waiting.jobs if lead > 0 else 0
 
-    def read_weight_waiting(self, now_ms: int) -> int:
+    def sum_waiting_weight(self, now_ms: int) -> int:
         """Return the weights of accounts that wait only at peers.
 
         :param now_ms: the present
@@ -114,6 +114,6 @@
             for accounts in self._waiting.values()
             for account, waiting in accounts.items()
             if now_ms - waiting.told_ms <= WAITING_FRESH_MS
-            and not self._fair.read_waiting(account)
+            and not self._fair.count_waiting(account)
         }
-        return sum(map(self._fair.read_weight, names))
+        return sum(map(self._fair.get_weight, names))
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -49,7 +49,7 @@
         "transfer_ms",
         "first_token_ms",
         "blocks",
-        "shifted_ms",
+        "drift_ms",
     )
 
     def __init__(
@@ -67,7 +67,7 @@
         self.transfer_ms = 0.0
         self.first_token_ms = ready_ms
         self.blocks = 0
-        self.shifted_ms = 0.0
+        self.drift_ms = 0.0
 
     def describe(self, now_ms: int) -> dict[str, int | float | str]:
         """Return what decided, for logs.
@@ -78,14 +78,14 @@
         decode = self.decode or self.prefill
         return {
             "blocks": self.blocks,
-            "free_slots": decode.read_free(now_ms),
+            "free_slots": decode.count_free_slots(now_ms),
             "free_blocks": decode.count_free_blocks(),
             "prefill_ms": round(self.prefill_ms),
             "ready_in_ms": round(self.ready_ms - now_ms),
             "step_ms": round(decode.step.value, 1),
         }
 
-    def is_alone(self) -> bool:
+    def is_aggregated(self) -> bool:
         """Tell whether one upstream does the prefill and the decode."""
         return self.decode is self.prefill
 
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -118,7 +118,7 @@
             return QuarantineState.CLEAR
         return record.read_standing(now_ms)
 
-    def note_repeat(self, digest: str, now_ms: int) -> None:
+    def renew_quarantine(self, digest: str, now_ms: int) -> None:
         """Renew a quarantine because the request came again.
 
         :param digest: the request's digest
@@ -128,7 +128,7 @@
         if record is not None:
             self._touch(digest, record, now_ms)
 
-    def note_death(
+    def record_crash(
         self, digest: str, upstream: str, proven: bool, now_ms: int
     ) -> None:
         """Count an upstream that died under a request, and tell peers.
@@ -146,7 +146,7 @@
             death = hints.Death(digest, upstream, 0, proven)
             self._tell(death, now_ms)
 
-    def note_success(self, digest: str, now_ms: int) -> None:
+    def record_success(self, digest: str, now_ms: int) -> None:
         """Clear a suspect that ran to its end, and tell peers.
 
         :param digest: the request's digest
@@ -172,7 +172,7 @@
             death.age_ms = now_ms - at_ms
         return [death for death, _ in news]
 
-    def list_deaths(self, now_ms: int) -> list[hints.Death]:
+    def list_crashes(self, now_ms: int) -> list[hints.Death]:
         """Return all that is known, for a router that has just begun.
 
         :param now_ms: the present
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -45,7 +45,7 @@
     :param row: the pool's row
     :param members: its upstreams
     :param register: requests that may be poison
-    :param weighed: what is weighed more
+    :param fairness_mode: what is weighed more
     :param random_: a seeded source of chance
     :param token_gap_ms: the most time between tokens that is still good
     :param most_entries: limit on what waits
@@ -58,7 +58,7 @@
         row: tables.Pool,
         members: pool_upstreams.PoolUpstreams,
         register: poison.PoisonRegistry,
-        weighed: fairness.FairnessMode,
+        fairness_mode: fairness.FairnessMode,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
@@ -67,16 +67,16 @@
     ) -> None:
         self.row = row
         self.members = members
-        self.fair = fair_queue.FairQueue(most_entries, most_bytes)
+        self.queue = fair_queue.FairQueue(most_entries, most_bytes)
         self.placer = job_placement.Placer(members, random_, token_gap_ms)
-        self.neighbours = peer_accounts.PeerAccounts(self.fair)
+        self.neighbours = peer_accounts.PeerAccounts(self.queue)
         self.meters = pool_stats.PoolStats()
         self.budget = budget or retries.RetryBudget()
         self._admission = admission.Admission(
-            self.fair, self.placer, self.neighbours, self.meters
+            self.queue, self.placer, self.neighbours, self.meters
         )
         self._register = register
-        self._weighed = weighed
+        self._weighed = fairness_mode
         self._free = UNKNOWN
         self._free_since_ms = 0
 
@@ -90,7 +90,7 @@
         fault = (
             self._check_standing(job, now_ms)
             or self._check_budget(job)
-            or self._admission.check_room(job)
+            or self._admission.check_capacity(job)
         )
         if fault is not None:
             return fault
@@ -100,29 +100,31 @@
                 errors.Code.NO_UPSTREAM,
                 job,
                 "no upstream takes this work now",
-                self.meters.hint_retry_ms(1_000),
+                self.meters.clamp_retry_ms(1_000),
             )
-        latest_ms = self._admission.read_latest_ms(job, best, self.row)
-        fault = self._admission.check_time(job, best, latest_ms, now_ms)
+        latest_ms = self._admission.compute_latest_start_ms(
+            job, best, self.row
+        )
+        fault = self._admission.check_deadline(job, best, latest_ms, now_ms)
         if fault is not None:
             return fault
         cost = self.meters.estimate_cost(job, best.tokens)
         lane = self._choose_lane(job, best.prefill_ms, now_ms)
-        if not len(self.fair):
+        if not len(self.queue):
             # Nobody has looked while nothing waited.
             self._free = UNKNOWN
-        self.fair.push(
+        self.queue.push(
             fair_queue.QueueEntry(job, lane, cost, latest_ms, best.prefill_ms)
         )
         return None
 
-    def give_up_late(self, now_ms: int) -> list[jobs.Refusal]:
+    def expire_waiting(self, now_ms: int) -> list[jobs.Refusal]:
         """Refuse the jobs that can no longer start in time.
 
         :param now_ms: the present
         :returns: the refusals; each is final and given at once
         """
-        retry_ms = self.meters.hint_retry_ms(self.meters.hold_ms.value / 10)
+        retry_ms = self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10)
         return [
             jobs.Refusal(
                 entry.job.job_id,
@@ -133,7 +135,7 @@
                     retry_ms,
                 ),
             )
-            for entry in self.fair.pop_late(now_ms)
+            for entry in self.queue.pop_expired(now_ms)
         ]
 
     def start_next(
@@ -145,11 +147,11 @@
         :param refusals: gets the jobs that turn out to be quarantined
         :returns: the started job, or none if none can start now
         """
-        if not len(self.fair):
+        if not len(self.queue):
             # Each note of a peer asks, and mostly nothing waits.
             return None
-        self.placer.stream_ms = self.meters.hold_ms.value
-        free = self.placer.count_free(now_ms)
+        self.placer.typical_stream_ms = self.meters.hold_ms.value
+        free = self.placer.estimate_free_slots(now_ms)
         self._note_free(free, now_ms)
         tried = 0
         for entry in self._list_candidates(now_ms, refusals):
@@ -166,13 +168,13 @@
                 break
         return None
 
-    def read_wake_ms(self, now_ms: int) -> int | None:
+    def get_wake_ms(self, now_ms: int) -> int | None:
         """Return when to ask again, if nothing happens before.
 
         :param now_ms: the present
         :returns: a time; none if nothing waits
         """
-        latest_ms = self.fair.next_latest_ms()
+        latest_ms = self.queue.get_next_expiry_ms()
         if latest_ms is None:
             return None
         pause_ms = RETRY_PAUSE_MS if self._free else FULL_PAUSE_MS
@@ -184,7 +186,7 @@
         standing = self._register.read_standing(job.digest, now_ms)
         if standing is not poison.QuarantineState.QUARANTINED:
             return None
-        self._register.note_repeat(job.digest, now_ms)
+        self._register.renew_quarantine(job.digest, now_ms)
         return admission.make_rejection(
             errors.Code.QUARANTINED,
             job,
@@ -193,7 +195,7 @@
 
     def _check_budget(self, job: jobs.Job) -> errors.Fault | None:
         if job.attempt == 0:
-            self.budget.earn()
+            self.budget.deposit()
             return None
         if self.budget.spend():
             return None
@@ -201,7 +203,7 @@
             errors.Code.OVERLOADED,
             job,
             "too many repeats at once",
-            self.meters.hint_retry_ms(self.meters.hold_ms.value / 10),
+            self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10),
         )
 
     def _choose_lane(
@@ -221,7 +223,7 @@
     def _list_candidates(
         self, now_ms: int, refusals: list[jobs.Refusal]
     ) -> list[fair_queue.QueueEntry]:
-        states = self.fair.list_next(ACCOUNTS_TRIED)
+        states = self.queue.list_next(ACCOUNTS_TRIED)
         limit = states[0].start + self._weighed.slack_tokens
         entries = [
             (state.start, entry)
@@ -252,7 +254,7 @@
     ) -> bool:
         fault = self._check_standing(entry.job, now_ms)
         if fault is not None:
-            self.fair.remove(entry.job.job_id)
+            self.queue.remove(entry.job.job_id)
             refusals.append(jobs.Refusal(entry.job.job_id, fault))
             return False
         standing = self._register.read_standing(entry.job.digest, now_ms)
@@ -260,13 +262,13 @@
             standing is poison.QuarantineState.SUSPECT
             and entry.lane is not fair_queue.Lane.SUSPECT
         ):
-            self.fair.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
+            self.queue.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
         return True
 
     def _count_ahead(self, entry: fair_queue.QueueEntry, now_ms: int) -> int:
         """Return how many of the peers' jobs should go before one of ours."""
         job = entry.job
-        state = self.fair.find_account(job.account, job.weight)
+        state = self.queue.find_account(job.account, job.weight)
         # What goes out of the fair order by the slack does so at peers too.
         return self.neighbours.count_ahead(
             state, entry, self._weighed.slack_tokens, now_ms
@@ -276,7 +278,7 @@
         waited_ms = now_ms - self._free_since_ms
         return free <= ahead and waited_ms < _limit_yield(ahead)
 
-    def move_decode(
+    def reassign_decode(
         self,
         job: running_jobs.RunningJob,
         refused: str,
@@ -297,10 +299,10 @@
         before = job.placement.decode
         view = self.members.find(refused)
         if view is not None and is_unreached:
-            view.health.note_failure(True, now_ms)
+            view.health.record_failure(True, now_ms)
         elif view is not None:
-            view.note_full(now_ms)
-        decode = self.placer.choose_other(
+            view.record_full(now_ms)
+        decode = self.placer.choose_other_decode(
             job.entry, job.placement, self.row, now_ms
         )
         if decode is None or before is None or decode is before:
@@ -318,9 +320,9 @@
         now_ms: int,
     ) -> running_jobs.RunningJob:
         job = entry.job
-        self.fair.remove(job.job_id)
+        self.queue.remove(job.job_id)
         entry.cost = self.meters.estimate_cost(job, placement.tokens)
-        self.fair.charge(job.account, job.weight, entry.cost)
+        self.queue.charge(job.account, job.weight, entry.cost)
         self.placer.commit(placement, job, self.row, now_ms)
         return running_jobs.RunningJob(entry, placement, now_ms)
 
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -82,7 +82,7 @@
             return
         self._vms = tuple(sorted(vms))
         for pool in self.pools.values():
-            pool.members.forget_division()
+            pool.members.reset_subsets()
             pool.members.change(pool.row, self._vms)
 
     def change(
--- a/mulberryway/policy/pool_stats.py
+++ b/mulberryway/policy/pool_stats.py
@@ -50,7 +50,7 @@
         """
         return max(prompt_tokens * PREFILL_TOKEN_COST + output_tokens, 1.0)
 
-    def note_job(
+    def record_job(
         self, account: str, cost: float, tokens: int, hold_ms: int
     ) -> None:
         """Learn from a job that ran to its end.
@@ -69,7 +69,7 @@
             output = self._outputs[account] = health.Ewma(OUTPUT_TOKENS)
         output.note(tokens)
 
-    def read_tokens_per_ms(self, slots: int) -> float:
+    def estimate_throughput(self, slots: int) -> float:
         """Return how fast full slots work, in tokens of cost.
 
         :param slots: how many slots there are
@@ -77,7 +77,7 @@
         """
         return max(slots, 1) / self.hold_ms.value * self.cost.value
 
-    def hint_retry_ms(self, wait_ms: float) -> int:
+    def clamp_retry_ms(self, wait_ms: float) -> int:
         """Return when a repeat makes sense.
 
         :param wait_ms: how long it would have waited now
--- a/mulberryway/policy/pool_upstreams.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -63,7 +63,7 @@
         """Return every view, of either role."""
         return list(self._views.values())
 
-    def has_few_left(
+    def is_ejection_limit_reached(
         self, view: upstream_view.UpstreamView, now_ms: int
     ) -> bool:
         """Tell whether no more upstreams may be ejected on peers' word.
@@ -118,7 +118,7 @@
             by_name[name] for name in division.choose(self._vm, list(by_name))
         ]
 
-    def forget_division(self) -> None:
+    def reset_subsets(self) -> None:
         """Divide anew at the next change, for the list of VMs has changed."""
         self._divisions = {}
 
@@ -128,7 +128,7 @@
         row: tables.Upstream,
         pool: tables.Pool,
     ) -> upstream_view.UpstreamView:
-        blocks = pool.engine_tokens // max(pool.block_tokens, 1) or None
+        blocks = pool.kv_capacity_tokens // max(pool.block_tokens, 1) or None
         is_new = view is None or row.role is not view.row.role
         if view is None:
             view = upstream_view.UpstreamView(
--- a/mulberryway/policy/queue_entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -33,24 +33,24 @@
     :param job: the job
     :param lane: which others of its account it may not overtake
     :param cost: what it is charged, in tokens
-    :param latest_ms: when it has to start so as to be in time
+    :param latest_start_ms: when it has to start so as to be in time
     :param prefill_ms: how long its prefill takes by itself
     """
 
-    __slots__ = ("job", "lane", "cost", "latest_ms", "prefill_ms")
+    __slots__ = ("job", "lane", "cost", "latest_start_ms", "prefill_ms")
 
     def __init__(
         self,
         job: jobs.Job,
         lane: Lane,
         cost: float,
-        latest_ms: int,
+        latest_start_ms: int,
         prefill_ms: float = 0.0,
     ) -> None:
         self.job = job
         self.lane = lane
         self.cost = cost
-        self.latest_ms = latest_ms
+        self.latest_start_ms = latest_start_ms
         self.prefill_ms = prefill_ms
 
     def is_late(self, now_ms: int) -> bool:
@@ -59,7 +59,7 @@
         :param now_ms: the present
         :returns: false also for jobs without a target
         """
-        target_ms = self.job.target_at_ms
+        target_ms = self.job.first_token_target_ms
         return bool(target_ms) and now_ms + self.prefill_ms > target_ms
 
 
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._saved = MAX_BALANCE
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count a first attempt."""
         self._saved = min(self._saved + REPEATS_PER_FIRST, MAX_BALANCE)
 
@@ -78,7 +78,7 @@
         """
         self._vms = max(count, 1)
 
-    def earn(self, pool: str, now_ms: int) -> None:
+    def deposit(self, pool: str, now_ms: int) -> None:
         """Count a request.
 
         :param pool: the pool that it is for
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -54,7 +54,7 @@
             for order in self._plan_pool(name, pool)
         ]
 
-    def note_given(self, order: orders.PlannedOrder, now_ms: int) -> None:
+    def record_accepted(self, order: orders.PlannedOrder, now_ms: int) -> None:
         """Tell that an engine took an order.
 
         :param order: the order
@@ -62,7 +62,7 @@
         """
         self._ordered_ms[order.pool, order.row.name] = now_ms
 
-    def note_failed(self, order: orders.PlannedOrder, now_ms: int) -> None:
+    def record_failed(self, order: orders.PlannedOrder, now_ms: int) -> None:
         """Tell that an order was refused or got no answer.
 
         :param order: the order
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -108,12 +108,12 @@
         :param now_ms: the present
         :returns: the decisions
         """
-        self._hearer.sweep(self._pools, now_ms)
+        self._hearer.expire_peers(self._pools, now_ms)
         refusals = self._dropped
         self._dropped = []
         assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
-            refusals += pool.give_up_late(now_ms)
+            refusals += pool.expire_waiting(now_ms)
             for _ in range(MAX_STARTS):
                 started = pool.start_next(now_ms, refusals)
                 if started is None:
@@ -136,10 +136,10 @@
         if name is None:
             return False
         self._dropped = [one for one in self._dropped if one.job_id != job_id]
-        self._set.find_any(name).fair.remove(job_id)
+        self._set.find_any(name).queue.remove(job_id)
         return True
 
-    def note_prefilled(self, job_id: str, now_ms: int) -> None:
+    def record_prefilled(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's prefill has ended well.
 
         :param job_id: the job
@@ -147,11 +147,11 @@
         """
         job = self._running.get(job_id)
         if job is not None:
-            self._set.find_endings(job.entry.job.pool).note_prefilled(
+            self._set.find_endings(job.entry.job.pool).record_prefilled(
                 job, now_ms
             )
 
-    def note_unread(self, job_id: str, now_ms: int) -> None:
+    def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
 
         :param job_id: the job
@@ -162,7 +162,7 @@
             pool = job.entry.job.pool
             # Both the engine that read in vain and the one that reads now.
             self._tell_views(pool, job)
-            self._set.find_endings(pool).note_unread(job, now_ms)
+            self._set.find_endings(pool).record_prefill_failed(job, now_ms)
 
     def note_first_token(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's first token has come.
@@ -190,13 +190,13 @@
             decode = job.placement.decode
             if decode is not None:
                 before_ms = decode.step.value
-                decode.note_step(gap_ms, now_ms)
+                decode.record_step(gap_ms, now_ms)
                 if abs(gap_ms - before_ms) > STEP_CHANGE_FRACTION * before_ms:
-                    self._teller.note_later(
+                    self._teller.mark_changed_deferred(
                         job.entry.job.pool, decode.row.name, now_ms
                     )
 
-    def move_decode(
+    def reassign_decode(
         self,
         job_id: str,
         refused: str,
@@ -216,11 +216,11 @@
             return None
         pool = self._set.find_any(job.entry.job.pool)
         before = job.placement.decode
-        after = pool.move_decode(job, refused, now_ms, is_unreached)
+        after = pool.reassign_decode(job, refused, now_ms, is_unreached)
         if after is None:
             return None
         for view in (before, after):
-            self._teller.note_view(pool.row.name, view.row.name)
+            self._teller.mark_changed(pool.row.name, view.row.name)
         return after.row.name
 
     def finish(
@@ -245,11 +245,11 @@
             started, end, upstream, now_ms
         )
         pool = self._set.find_any(job.pool)
-        pool.fair.correct(job.account, job.weight, tokens)
-        self._teller.note_charge(job.pool, job.account, job.weight, tokens)
+        pool.queue.adjust_charge(job.account, job.weight, tokens)
+        self._teller.record_charge(job.pool, job.account, job.weight, tokens)
         self._tell_views(job.pool, started)
 
-    def note_load(
+    def record_load(
         self,
         pool: str,
         upstream: str,
@@ -266,9 +266,9 @@
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
-            view.note_report(load, now_ms)
+            view.record_load(load, now_ms)
 
-    def note_cache_events(
+    def record_cache_events(
         self,
         pool: str,
         upstream: str,
@@ -287,17 +287,17 @@
         if view is not None:
             view.prefixes.note_events(events)
 
-    def has_room(self, pool: str, besides: str, now_ms: int) -> bool:
+    def has_room(self, pool: str, excluded: str, now_ms: int) -> bool:
         """Tell whether another upstream probably has room for a decode.
 
         :param pool: the pool's name
-        :param besides: the upstream that does not count
+        :param excluded: the upstream that does not count
         :param now_ms: the present
         """
         known = self._pools.get(pool)
         return known is not None and any(
-            view.row.name != besides
-            and view.read_free(now_ms) > 0
+            view.row.name != excluded
+            and view.count_free_slots(now_ms) > 0
             and not view.health.is_ejected(now_ms)
             for view in known.members.decodes
         )
@@ -313,10 +313,10 @@
             )
             for name, pool in self._pools.items()
             for view in pool.members.list_all()
-            if view.health.read_probe_ms() is not None
+            if view.health.next_probe_ms() is not None
         ]
 
-    def note_probe(
+    def record_probe(
         self, pool: str, upstream: str, has_passed: bool, now_ms: int
     ) -> None:
         """Take in what a probe, which was no request, found.
@@ -329,18 +329,18 @@
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
-            view.health.note_probe(has_passed, now_ms)
-            self._teller.note_view(pool, upstream)
+            view.health.record_probe(has_passed, now_ms)
+            self._teller.mark_changed(pool, upstream)
 
-    def take_hints(self, now_ms: int) -> hints.Note | None:
+    def drain_hints(self, now_ms: int) -> hints.Note | None:
         """Return what the other routers should hear now, if anything.
 
         :param now_ms: the present
         :returns: a note to send to each peer of the cell, or none
         """
-        return self._teller.make_note(self._pools, now_ms)
+        return self._teller.build_note(self._pools, now_ms)
 
-    def note_hints(self, note: hints.Note, now_ms: int) -> None:
+    def apply_hints(self, note: hints.Note, now_ms: int) -> None:
         """Take in what another router told.
 
         :param note: its note; late, lost and repeated ones do no harm
@@ -348,7 +348,7 @@
         """
         self._hearer.note(note, self._pools, now_ms)
 
-    def note_deaths(self, deaths: list[hints.Death], now_ms: int) -> None:
+    def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
         """Take in deaths of upstreams under requests, told by any VM.
 
         :param deaths: the deaths; repeated ones do no harm
@@ -366,17 +366,17 @@
         standing = self.register.read_standing(digest, now_ms)
         if standing is not poison.QuarantineState.QUARANTINED:
             return False
-        self.register.note_repeat(digest, now_ms)
+        self.register.renew_quarantine(digest, now_ms)
         return True
 
-    def note_death(self, digest: str, upstream: str, now_ms: int) -> None:
+    def record_crash(self, digest: str, upstream: str, now_ms: int) -> None:
         """Tell that a plain service's server died under a request.
 
         :param digest: names the request
         :param upstream: ``pool/name`` of the server
         :param now_ms: the present
         """
-        self.register.note_death(digest, upstream, False, now_ms)
+        self.register.record_crash(digest, upstream, False, now_ms)
 
     def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
         """Take over the list of VMs that run a router.
@@ -403,7 +403,7 @@
         # it gets its final answer with the next dispatch.
         pool = self._set.find_any(name)
         for job_id in [i for i, p in self._waiting.items() if p == name]:
-            entry = pool.fair.remove(job_id)
+            entry = pool.queue.remove(job_id)
             if entry is not None:
                 fault = admission.make_rejection(
                     errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
@@ -416,8 +416,8 @@
         job = started.entry.job
         del self._waiting[job.job_id]
         self._running[job.job_id] = started
-        self._set.find_endings(pool).note_start(started, now_ms)
-        self._teller.note_charge(
+        self._set.find_endings(pool).record_start(started, now_ms)
+        self._teller.record_charge(
             pool, job.account, job.weight, started.entry.cost
         )
         self._tell_views(pool, started)
@@ -432,7 +432,7 @@
             self._read_room(pool, started),
         )
         assignment.inputs = started.placement.describe(now_ms) | {
-            "heard_ms": self._hearer.read_age_ms(now_ms)
+            "heard_ms": self._hearer.compute_max_age_ms(now_ms)
         }
         return assignment
 
@@ -444,13 +444,13 @@
         """
         decode = started.placement.decode
         assert decode is not None
-        is_tight = self._pools[pool].placer.is_tight(decode)
+        is_tight = self._pools[pool].placer.is_near_capacity(decode)
         return started.entry.job.prompt_tokens if is_tight else 0
 
     def _tell_views(self, pool: str, started: running_jobs.RunningJob) -> None:
         for view in (started.placement.prefill, started.placement.decode):
             if view is not None:
-                self._teller.note_view(pool, view.row.name)
+                self._teller.mark_changed(pool, view.row.name)
 
     def _read_wake_ms(self, now_ms: int) -> int | None:
         if self._dropped:
@@ -458,7 +458,7 @@
         times = [
             wake_ms
             for wake_ms in (
-                pool.read_wake_ms(now_ms) for pool in self._pools.values()
+                pool.get_wake_ms(now_ms) for pool in self._pools.values()
             )
             if wake_ms is not None
         ]
--- a/mulberryway/policy/slot_lease_manager.py
+++ b/mulberryway/policy/slot_lease_manager.py
@@ -63,7 +63,9 @@
             return None
         return holding
 
-    def note_list(self, listed: set[tuple[str, str]], now_ms: int) -> None:
+    def update_vm_list(
+        self, listed: set[tuple[str, str]], now_ms: int
+    ) -> None:
         """Take in the platform's list of VMs.
 
         :param listed: names and addresses
@@ -75,7 +77,7 @@
         }
         self._absent = {vm: (first, now_ms) for vm, (first, _) in kept.items()}
 
-    def note_absent(
+    def track_absence(
         self,
         slot: int,
         record: allowance_slots.SlotRecord,
@@ -94,7 +96,7 @@
         :param listed_ms: when the list was asked for
         """
         lease, seen_ms = self._leases.get(slot, (None, 0))
-        is_seen = lease == record.lease() and seen_ms <= listed_ms
+        is_seen = lease == record.lease_version() and seen_ms <= listed_ms
         key = (record.vm, record.address)
         if is_seen and record.is_listed and key not in listed:
             self._absent.setdefault(key, (listed_ms, listed_ms))
@@ -122,7 +124,7 @@
         if holding is not None:
             if not is_wanted:
                 return LeaseAction.RELEASE
-            is_due = holding.until_ms - now_ms <= self._times.renew_ms
+            is_due = holding.until_ms - now_ms <= self._times.renew_before_ms
             return LeaseAction.RENEW if is_due else LeaseAction.NONE
         if is_wanted:
             is_free = self._may_take(slot, record, now_ms)
@@ -223,8 +225,8 @@
             self._leases.pop(slot, None)
             return
         known = self._leases.get(slot)
-        if known is None or known[0] != record.lease():
-            self._leases[slot] = (record.lease(), now_ms)
+        if known is None or known[0] != record.lease_version():
+            self._leases[slot] = (record.lease_version(), now_ms)
 
     def _may_take(
         self, slot: int, record: allowance_slots.SlotRecord | None, now_ms: int
@@ -249,7 +251,7 @@
         _, seen_ms = self._leases[slot]
         first_ms, last_ms = absent
         absent_ms = last_ms - max(first_ms, seen_ms)
-        return absent_ms >= self._times.list_margin_ms
+        return absent_ms >= self._times.absence_timeout_ms
 
     def _has_lapsed(self, slot: int, now_ms: int) -> bool:
         _, seen_ms = self._leases[slot]
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -38,7 +38,7 @@
         self._median_ms = upstream_view.STEP_MS
         self._median_at_ms: int | None = None
 
-    def read_step_ms(self) -> float:
+    def get_median_step_ms(self) -> float:
         """Return the time between tokens that is usual here."""
         return self._median_ms
 
@@ -55,7 +55,7 @@
             self._median_ms * MEDIAN_RATIO,
         )
 
-    def set_apart(
+    def exclude_slow(
         self,
         usable: list[upstream_view.UpstreamView],
         entry: fair_queue.QueueEntry,
@@ -78,7 +78,7 @@
         quick = [view for view in usable if view not in slow]
         # A late answer is better than none: who would be refused in a moment
         # may have a slow upstream.
-        if not quick and now_ms >= entry.latest_ms - LAST_CHANCE_MS:
+        if not quick and now_ms >= entry.latest_start_ms - LAST_CHANCE_MS:
             return slow
         return quick
 
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -55,7 +55,7 @@
         if not is_reached:
             peer.away_ms = now_ms
 
-    def is_shared(self, since_ms: int, now_ms: int) -> bool:
+    def is_fleet_wide(self, since_ms: int, now_ms: int) -> bool:
         """Tell whether every VM that is heard has missed the store since.
 
         :param since_ms: when the store stopped answering this VM
@@ -78,7 +78,7 @@
         away = sum(_was_away(peer, since_ms) for peer in heard)
         return {"vms_heard": len(heard), "vms_away": away}
 
-    def must_ask(self, vm: str, vms: tuple[str, ...], now_ms: int) -> bool:
+    def must_poll(self, vm: str, vms: tuple[str, ...], now_ms: int) -> bool:
         """Tell whether a VM has to ask the store itself.
 
         :param vm: the VM
--- a/mulberryway/policy/subsetting.py
+++ b/mulberryway/policy/subsetting.py
@@ -17,22 +17,22 @@
 class Subsets:
     """A division of engines and routers that changes little with either.
 
-    :param cells: how many
+    :param count: how many
     :param vms: names of all VMs that run a router
     """
 
-    def __init__(self, cells: int, vms: collections.abc.Iterable[str]) -> None:
-        self.cells = max(cells, 1)
-        self._cell_of_vm = _spread(sorted(set(vms)), self.cells)
+    def __init__(self, count: int, vms: collections.abc.Iterable[str]) -> None:
+        self.count = max(count, 1)
+        self._cell_of_vm = _spread(sorted(set(vms)), self.count)
 
-    def find_cell(self, vm: str) -> int:
+    def find_subset(self, vm: str) -> int:
         """Return the cell in which a VM's router works.
 
         :param vm: its name; one that is not in the list gets a cell too
         :returns: the cell's number
         """
         cell = self._cell_of_vm.get(vm)
-        return _rank_cells(vm, self.cells)[0] if cell is None else cell
+        return _rank_cells(vm, self.count)[0] if cell is None else cell
 
     def list_peers(self, vm: str) -> list[str]:
         """Return the other VMs in a VM's cell; they exchange hints.
@@ -40,7 +40,7 @@
         :param vm: the VM's name
         :returns: their names
         """
-        cell = self.find_cell(vm)
+        cell = self.find_subset(vm)
         return [
             name
             for name, other in self._cell_of_vm.items()
@@ -56,11 +56,11 @@
         :param upstreams: all names
         :returns: those of its cell, or all if the cell has none
         """
-        if self.cells == 1:
+        if self.count == 1:
             return list(upstreams)
-        cell = self.find_cell(vm)
+        cell = self.find_subset(vm)
         chosen = [
-            name for name in upstreams if _hash(name) % self.cells == cell
+            name for name in upstreams if _hash(name) % self.count == cell
         ]
         return chosen or list(upstreams[:SUBSET_SIZE])
 
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -48,32 +48,32 @@
         "slots",
         "own",
         "peers",
-        "excess",
+        "unattributed_decodes",
         "own_blocks",
         "peer_blocks",
-        "excess_blocks",
+        "unattributed_blocks",
         "total_blocks",
         "own_prefills",
-        "excess_prefills",
+        "unattributed_prefills",
         "own_suspects",
         "peer_suspects",
         "suspect_died_ms",
         "own_prefill_ms",
         "_told_prefill_ms",
         "busy_until_ms",
-        "shifted_ms",
+        "drift_ms",
         "full_until_ms",
-        "resting_until_ms",
-        "rests",
+        "backoff_until_ms",
+        "backoff_exponent",
         "speed",
         "step",
-        "event",
+        "step_floor",
         "step_seen_ms",
         "_own_step_ms",
         "health",
         "prefixes",
         "pause_ms",
-        "reads",
+        "prefill_budget",
         "_by_peer",
         "_high",
         "_high_before",
@@ -91,13 +91,13 @@
         self.slots = slots
         self.own = 0
         self.peers = 0
-        self.excess = 0
+        self.unattributed_decodes = 0
         self.own_blocks = 0
         self.peer_blocks = 0
-        self.excess_blocks = 0
+        self.unattributed_blocks = 0
         self.total_blocks = total_blocks
         self.own_prefills = 0
-        self.excess_prefills = 0
+        self.unattributed_prefills = 0
         self.own_suspects = 0
         self.peer_suspects = 0
         self.suspect_died_ms: int | None = None
@@ -105,29 +105,29 @@
         self._told_prefill_ms = 0
         self.busy_until_ms = 0.0
         # By how much reads were late, less by how much early, added up.
-        self.shifted_ms = 0.0
+        self.drift_ms = 0.0
         self.full_until_ms = 0
-        self.resting_until_ms = 0
-        self.rests = 0
+        self.backoff_until_ms = 0
+        self.backoff_exponent = 0
         self.speed = prefill_speed.PrefillSpeed(
             health.LatencyFloor(PREFILL_MS_PER_TOKEN), 1.0
         )
         self.step = health.Ewma(STEP_MS, STEP_SMOOTHING)
         # The same where the engine reads nothing between its tokens.
-        self.event = health.LatencyFloor(STEP_MS)
+        self.step_floor = health.LatencyFloor(STEP_MS)
         self.step_seen_ms = 0
         self._own_step_ms = 0.0
         self.health = health.OutlierDetector(random_)
         self.prefixes = prefix_index.PrefixIndex()
         # The longest pause of a stream that is on time; 0 for no target.
         self.pause_ms = 0
-        self.reads = chunked_prefill.ChunkedPrefillBudget()
+        self.prefill_budget = chunked_prefill.ChunkedPrefillBudget()
         self._by_peer: dict[str, hints.Holding] = {}
         self._high = 0
         self._high_before = 0
         self._high_since_ms = 0
 
-    def read_free(self, now_ms: int) -> int:
+    def count_free_slots(self, now_ms: int) -> int:
         """Return how many decode slots are probably free.
 
         :param now_ms: the present
@@ -135,30 +135,30 @@
         """
         if now_ms < self.full_until_ms:
             return 0
-        free = self.slots - self.own - self.peers - self.excess
+        free = self.slots - self.own - self.peers - self.unattributed_decodes
         return free if free > 0 else 0
 
     def count_free_blocks(self) -> int:
         """Return how many KV cache blocks are probably free; -1 unknown."""
         if self.total_blocks is None:
             return -1
-        used = self.own_blocks + self.peer_blocks + self.excess_blocks
+        used = self.own_blocks + self.peer_blocks + self.unattributed_blocks
         return self.total_blocks - used
 
-    def count_room(self, blocks: float, now_ms: int) -> int:
+    def estimate_capacity(self, blocks: float, now_ms: int) -> int:
         """Return how many more decodes of usual size probably fit.
 
         :param blocks: how many blocks one usually takes; 0 if not known
         :param now_ms: the present
         """
-        free = self.read_free(now_ms)
+        free = self.count_free_slots(now_ms)
         if self.total_blocks is None or not blocks:
             return free
         return min(free, max(int(self.count_free_blocks() / blocks), 0))
 
     def count_running(self) -> int:
         """Return how many streams probably run here, all VMs together."""
-        return self.own + self.peers + self.excess
+        return self.own + self.peers + self.unattributed_decodes
 
     def has_blocks(self, blocks: int) -> bool:
         """Tell whether a decode's KV cache probably fits.
@@ -170,7 +170,7 @@
             return True
         return blocks <= self.count_free_blocks()
 
-    def read_wait_ms(self, now_ms: int) -> float:
+    def estimate_prefill_wait_ms(self, now_ms: int) -> float:
         """Return how long a prefill would wait before it begins.
 
         :param now_ms: the present
@@ -194,7 +194,7 @@
         self._note_read(estimate_ms, now_ms)
         return self.busy_until_ms
 
-    def count_read(self, estimate_ms: float, now_ms: int) -> None:
+    def add_chunked_prefill(self, estimate_ms: float, now_ms: int) -> None:
         """Count a prompt that this upstream reads for a decode of its own.
 
         :param estimate_ms: how long it takes by itself
@@ -203,7 +203,7 @@
         self.own_prefill_ms += estimate_ms
         self._note_read(estimate_ms, now_ms)
 
-    def drop_prefill(self, estimate_ms: float) -> None:
+    def cancel_prefill(self, estimate_ms: float) -> None:
         """Take out a prefill that ended before its result.
 
         :param estimate_ms: what it was thought to take
@@ -211,7 +211,7 @@
         self.own_prefills -= 1
         self.busy_until_ms = max(self.busy_until_ms - estimate_ms, 0.0)
 
-    def note_prefilled(
+    def record_prefilled(
         self,
         estimate_ms: float,
         planned_ms: float,
@@ -229,13 +229,13 @@
         :param now_ms: the present
         """
         self.own_prefills -= 1
-        self.resting_until_ms = 0
-        self.rests = 0
+        self.backoff_until_ms = 0
+        self.backoff_exponent = 0
         # The queue's end moves by as much as this prefill was late or early.
         drift_ms = now_ms - planned_ms
-        self.shifted_ms += drift_ms
+        self.drift_ms += drift_ms
         self.busy_until_ms = max(self.busy_until_ms + drift_ms, 0.0)
-        self.reads.shift(drift_ms)
+        self.prefill_budget.shift(drift_ms)
         self.speed.note(
             now_ms - started_ms,
             max(planned_ms - estimate_ms - started_ms, 0.0),
@@ -243,14 +243,14 @@
             tokens,
         )
 
-    def note_step(self, step_ms: float, now_ms: int) -> None:
+    def record_step(self, step_ms: float, now_ms: int) -> None:
         """Learn from the gaps between tokens of a running stream.
 
         :param step_ms: their mean since the last time
         :param now_ms: the present
         """
         self.step.note(step_ms)
-        self.event.note(step_ms)
+        self.step_floor.note(step_ms)
         self.step_seen_ms = now_ms
         self._own_step_ms = step_ms
 
@@ -271,7 +271,7 @@
         """
         more_ms = int(self.own_prefill_ms) - self._told_prefill_ms
         self._told_prefill_ms += more_ms
-        return min(more_ms, int(self.read_wait_ms(now_ms)))
+        return min(more_ms, int(self.estimate_prefill_wait_ms(now_ms)))
 
     def start_decode(self, blocks: int, now_ms: int) -> None:
         """Reserve a slot.
@@ -305,32 +305,36 @@
         self.own_blocks -= blocks
         other.start_decode(blocks, now_ms)
 
-    def note_full(self, now_ms: int) -> None:
+    def record_full(self, now_ms: int) -> None:
         """Take in the engine's own refusal.
 
         :param now_ms: the present
         """
         self.full_until_ms = now_ms + FULL_BACKOFF_MS
 
-    def note_refused_prefill(self, now_ms: int) -> None:
+    def record_prefill_refused(self, now_ms: int) -> None:
         """Take in that the engine refused to read a prompt.
 
         :param now_ms: the present
         """
-        if now_ms < self.resting_until_ms:
+        if now_ms < self.backoff_until_ms:
             # Prompts that were sent before the first refusal came.
             return
-        self.resting_until_ms = now_ms + (FULL_BACKOFF_MS << self.rests)
-        self.rests = min(self.rests + 1, MAX_BACKOFF_DOUBLINGS)
+        self.backoff_until_ms = now_ms + (
+            FULL_BACKOFF_MS << self.backoff_exponent
+        )
+        self.backoff_exponent = min(
+            self.backoff_exponent + 1, MAX_BACKOFF_DOUBLINGS
+        )
 
-    def is_resting(self, now_ms: int) -> bool:
+    def is_backing_off(self, now_ms: int) -> bool:
         """Tell whether the engine refused to read a prompt just now.
 
         :param now_ms: the present
         """
-        return now_ms < self.resting_until_ms
+        return now_ms < self.backoff_until_ms
 
-    def note_report(self, load: upstreams.EngineLoad, now_ms: int) -> None:
+    def record_load(self, load: upstreams.EngineLoad, now_ms: int) -> None:
         """Take in a lagging report.
 
         :param load: the report
@@ -338,12 +342,12 @@
         """
         self._raise_high(now_ms)
         known = max(self._high, self._high_before)
-        self.excess = max(load.running - known, 0)
-        self.excess_prefills = max(load.waiting - self.own_prefills, 0)
+        self.unattributed_decodes = max(load.running - known, 0)
+        self.unattributed_prefills = max(load.waiting - self.own_prefills, 0)
         self.total_blocks = load.total_blocks
         used = load.total_blocks - load.free_blocks
         known_blocks = self.own_blocks + self.peer_blocks
-        self.excess_blocks = max(used - known_blocks, 0)
+        self.unattributed_blocks = max(used - known_blocks, 0)
 
     def note_peer(self, vm: str, holding: hints.Holding, now_ms: int) -> None:
         """Take in what a peer holds here.
@@ -356,7 +360,7 @@
         if holding.prefill_ms:
             self._note_read(holding.prefill_ms, now_ms)
         if holding.prefill_ms or holding.decodes > before.decodes:
-            self.health.note_peer_start(now_ms)
+            self.health.record_peer_start(now_ms)
         if holding.decodes < before.decodes:
             self.full_until_ms = 0
         self.peers += holding.decodes - before.decodes
@@ -366,7 +370,7 @@
             # A peer's streams are as good as ours: with nine routers each
             # has two streams on an engine and alone would need seconds.
             self.step.note(holding.step_ms)
-            self.event.note(holding.step_ms)
+            self.step_floor.note(holding.step_ms)
             self.step_seen_ms = now_ms
         self._by_peer[vm] = holding
         self._raise_high(now_ms)
@@ -382,7 +386,7 @@
             self.peer_suspects -= holding.suspects
             self.peer_blocks -= holding.blocks
 
-    def fits_read(
+    def fits_prefill(
         self, read_ms: float, now_ms: int, yield_ms: int = 0
     ) -> bool:
         """Tell whether a read now keeps the pauses of all streams on time.
@@ -393,27 +397,29 @@
         """
         if not self.count_running():
             return True
-        event_ms = self.event.value
-        free_ms = now_ms - self.reads.read_open_ms(event_ms, now_ms)
-        return free_ms >= yield_ms and self.reads.fits(
+        event_ms = self.step_floor.value
+        free_ms = now_ms - self.prefill_budget.get_open_since_ms(
+            event_ms, now_ms
+        )
+        return free_ms >= yield_ms and self.prefill_budget.fits(
             read_ms, self.pause_ms, event_ms, now_ms
         )
 
-    def fits_alone(self, read_ms: float) -> bool:
+    def fits_prefill_alone(self, read_ms: float) -> bool:
         """Tell whether a read keeps pauses on time if none is near it.
 
         :param read_ms: how long the read takes by itself
         """
         return chunked_prefill.fits_gap_limit(
-            read_ms, self.pause_ms, self.event.value
+            read_ms, self.pause_ms, self.step_floor.value
         )
 
     def _note_read(self, read_ms: float, now_ms: int) -> None:
         self.busy_until_ms = max(self.busy_until_ms, float(now_ms)) + read_ms
-        self.reads.note(
+        self.prefill_budget.note(
             read_ms,
             self.pause_ms,
-            self.event.value,
+            self.step_floor.value,
             self.count_running(),
             now_ms,
         )
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -126,7 +126,7 @@
         self._part = 1.0
         self._part_until_ms = 0
 
-    def note_fleet(
+    def update_members(
         self, vms: collections.abc.Iterable[str], now_ms: int
     ) -> None:
         """Take over which VMs there are, as the store has it.
@@ -143,7 +143,7 @@
                 self._peers[name] = _Peer(UNKNOWN, now_ms)
         self._part_until_ms = 0
 
-    def change_accounts(
+    def update_accounts(
         self,
         accounts: collections.abc.Iterable[tables.ClientAccount],
         now_ms: int,
@@ -163,7 +163,7 @@
                     self._margin.read_tokens(account) * INITIAL_MARGIN_FRACTION
                 )
             bucket.level = min(bucket.level, bucket.burst)
-            bucket.ceiling = max(bucket.level, bucket.ceiling)
+            bucket.shared_level = max(bucket.level, bucket.shared_level)
 
     def _set_limits(
         self, bucket: usage_bucket.UsageBucket, account: tables.ClientAccount
@@ -176,7 +176,7 @@
             return
         free = 1 + margin.over_part / 2
         extra = margin.over_tokens * UPFRONT_MARGIN_FRACTION
-        due = margin.read_due(account)
+        due = margin.compute_limit(account)
         spread = (
             margin.read_tokens(account)
             - due * (margin.over_part / 2 + OVERRUN_RESERVE_FRACTION)
@@ -201,7 +201,7 @@
             return None
         part = self._read_part(now_ms)
         bucket.refill(part, now_ms)
-        usable = bucket.read_usable(part)
+        usable = bucket.compute_available(part)
         # What never fits is let through when all is there, as a debt.
         needed = min(tokens, bucket.burst * part)
         if usable < needed:
@@ -210,7 +210,7 @@
         self._spend(bucket, tokens)
         return None
 
-    def give_back(self, account: str, tokens: int, now_ms: int) -> None:
+    def refund(self, account: str, tokens: int, now_ms: int) -> None:
         """Give back tokens of a request that has not run.
 
         :param account: the account's name
@@ -239,7 +239,7 @@
             ),
         }
 
-    def list_silent(self, now_ms: int) -> frozenset[str]:
+    def list_unresponsive(self, now_ms: int) -> frozenset[str]:
         """Return the VMs that were heard before and are silent now.
 
         :param now_ms: the present
@@ -252,22 +252,28 @@
         )
 
     def make_usage(
-        self, mirrors: dict[str, int], now_ms: int, is_news: bool = False
+        self,
+        mirrors: dict[str, int],
+        now_ms: int,
+        has_other_changes: bool = False,
     ) -> Usage | None:
         """Return what the other VMs should hear now.
 
         :param mirrors: by kind, the revision up to which the store is known
         :param now_ms: the present
-        :param is_news: whether something besides the counts has changed
+        :param has_other_changes: whether something besides the counts has
+            changed
         :returns: a message, or none while nothing is due
         """
         pause_ms = HEARTBEAT_MS * self._read_scale()
         is_due = self._told_ms is None or now_ms - self._told_ms >= pause_ms
         changed = {
-            name for name, bucket in self._buckets.items() if bucket.untold
+            name
+            for name, bucket in self._buckets.items()
+            if bucket.unannounced
         }
         is_urgent = any(not self._may_wait(name) for name in changed)
-        if not is_urgent and not is_due and not is_news:
+        if not is_urgent and not is_due and not has_other_changes:
             return None
         is_whole = is_due and self._must_tell_all(now_ms)
         self._recent |= changed
@@ -281,7 +287,7 @@
             names = set(self._buckets)
         told = {name: self._buckets[name] for name in sorted(names)}
         for bucket in told.values():
-            bucket.told = bucket.spent
+            bucket.announced = bucket.spent
         return Usage(
             self._vm,
             self._incarnation,
@@ -294,7 +300,7 @@
             mirrors,
             now_ms - self._began_ms,
             is_whole=is_whole,
-            is_heartbeat=not is_urgent and not is_news,
+            is_heartbeat=not is_urgent and not has_other_changes,
         )
 
     def _may_wait(self, name: str) -> bool:
@@ -304,11 +310,11 @@
         more.
         """
         vms = len(self._peers) + 1
-        return vms > HEARTBEAT_SCALING_VMS and self._buckets[name].may_wait(
+        return vms > HEARTBEAT_SCALING_VMS and self._buckets[name].can_defer(
             vms
         )
 
-    def find_due_ms(self) -> int:
+    def compute_next_heartbeat_ms(self) -> int:
         """Return when the next heartbeat is due, whatever has changed."""
         if self._told_ms is None:
             return self._began_ms
@@ -320,7 +326,7 @@
             every = STARTUP_FULL_SYNC_INTERVAL if self._read_scale() > 1 else 1
         return self._heartbeats % every == 0
 
-    def note_usage(self, usage: Usage, now_ms: int) -> None:
+    def merge_usage(self, usage: Usage, now_ms: int) -> None:
         """Take in another VM's counts.
 
         :param usage: what it told; late and repeated ones do no harm
--- a/mulberryway/policy/usage_bucket.py
+++ b/mulberryway/policy/usage_bucket.py
@@ -18,10 +18,10 @@
         "rate",
         "burst",
         "level",
-        "ceiling",
+        "shared_level",
         "spent",
         "updated_ms",
-        "told",
+        "announced",
         "margin",
     )
 
@@ -31,20 +31,20 @@
         self.level = 0.0
         # What was left when VMs fell silent, or more by now: their part of
         # it is left to them.
-        self.ceiling = 0.0
+        self.shared_level = 0.0
         self.spent = 0
         self.updated_ms = now_ms
         # What of it the other VMs were told.
-        self.told = 0
+        self.announced = 0
         # What the account may get beyond its due in one window.
         self.margin = 0.0
 
     @property
-    def untold(self) -> int:
+    def unannounced(self) -> int:
         """Tokens given here of which the other VMs do not know; signed."""
-        return self.spent - self.told
+        return self.spent - self.announced
 
-    def may_wait(self, vms: int) -> bool:
+    def can_defer(self, vms: int) -> bool:
         """Tell whether what is untold may wait for the next heartbeat.
 
         It may while all VMs together would use but a small part of the
@@ -53,7 +53,7 @@
         :param vms: how many VMs there are
         """
         least = self.margin * UNANNOUNCED_MARGIN_FRACTION / vms
-        return abs(self.untold) <= least and self.level * 2 >= self.burst
+        return abs(self.unannounced) <= least and self.level * 2 >= self.burst
 
     def refill(self, part: float, now_ms: int) -> None:
         """Add what has come in since the last time.
@@ -66,11 +66,13 @@
         self.level = min(
             self.level + self.rate * part * passed_ms / MS_IN_S, self.burst
         )
-        self.ceiling = max(self.level, 0.0 if part >= 1 else self.ceiling)
+        self.shared_level = max(
+            self.level, 0.0 if part >= 1 else self.shared_level
+        )
 
-    def read_usable(self, part: float) -> float:
+    def compute_available(self, part: float) -> float:
         """Return how many tokens may be given here.
 
         :param part: the part of all rates that may be given here
         """
-        return self.level - self.ceiling * (1.0 - part)
+        return self.level - self.shared_level * (1.0 - part)
--- a/mulberryway/policy/usage_messages.py
+++ b/mulberryway/policy/usage_messages.py
@@ -24,7 +24,7 @@
         self.over_part = over_part
         self.over_tokens = over_tokens
 
-    def read_due(self, account: tables.ClientAccount) -> float:
+    def compute_limit(self, account: tables.ClientAccount) -> float:
         """Return what an account is due in one window.
 
         :param account: the account
@@ -38,7 +38,7 @@
         :param account: the account
         :returns: tokens
         """
-        return self.read_due(account) * self.over_part + self.over_tokens
+        return self.compute_limit(account) * self.over_part + self.over_tokens
 
 
 class AccountUsage:
--- a/mulberryway/relay/loop.py
+++ b/mulberryway/relay/loop.py
@@ -66,17 +66,17 @@
         self._epoll.close()
         os.close(self._wake_fd)
 
-    def post(self, act: Callback) -> None:
+    def post(self, callback: Callback) -> None:
         """Let the loop's thread do something soon; from any thread.
 
-        :param act: what to do; must not block
+        :param callback: what to do; must not block
         """
-        self._posted.append(act)
+        self._posted.append(callback)
         if not self._is_woken:
             self._is_woken = True
             os.eventfd_write(self._wake_fd, 1)
 
-    def add_tick(self, act: Callback, is_needed: Condition) -> None:
+    def add_periodic(self, act: Callback, is_needed: Condition) -> None:
         """Do something about every ``TICK_MS``; before the start only.
 
         :param act: what to do; must not block
--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -31,12 +31,12 @@
         self._is_chunked = False
         self._headers: list[tuple[str, str]] = []
 
-    def note_source(self, source: upstreams.TokenStream) -> None:
+    def set_source(self, source: upstreams.TokenStream) -> None:
         """Take over the head of the first engine that begins to answer.
 
         :param source: the engine's stream
         """
-        if self.begun:
+        if self.is_head_written:
             return
         self._headers = [
             (name, value)
@@ -46,7 +46,7 @@
         # Where the engine's own answer ends only with its connection, its
         # end is told in chunks all the same: a caller can then tell a whole
         # answer from a broken one.
-        self._is_chunked = self.head.http_11
+        self._is_chunked = self.head.is_http_11
 
     def add(self, tokens: list[bytes]) -> bytes:
         """Return some payload as one chunk, after the head at first.
@@ -57,14 +57,14 @@
         body = b"".join(tokens)
         if self._is_chunked and body:
             body = b"%x\r\n%b\r\n" % (len(body), body)
-        if self.begun:
+        if self.is_head_written:
             return body
-        self.begun = True
+        self.is_head_written = True
         return self._write_head() + body
 
     def end(self) -> bytes:
         """Return what closes a whole answer."""
-        closing = b"" if self.begun else self.add([])
+        closing = b"" if self.is_head_written else self.add([])
         return closing + LAST_CHUNK if self._is_chunked else closing
 
     def fail(self, fault: errors.Fault) -> bytes:
@@ -76,7 +76,7 @@
         :param fault: what went wrong
         :returns: the bytes
         """
-        return b"" if self.begun else super().fail(fault)
+        return b"" if self.is_head_written else super().fail(fault)
 
     def _write_head(self) -> bytes:
         headers = list(self._headers)
@@ -96,17 +96,17 @@
 
     __slots__ = ("_left", "_tail")
 
-    def change_source(self, source: upstreams.TokenStream) -> None:
+    def set_source(self, source: upstreams.TokenStream) -> None:
         """Begin to read from an engine.
 
         :param source: the engine's stream
         """
-        super().change_source(source)
+        super().set_source(source)
         self._left = None if source.chunked else source.length
         self._tail = b""
-        self.writer.note_source(source)
+        self.writer.set_source(source)
 
-    def ends_here(self) -> bool:
+    def may_end_on_close(self) -> bool:
         """Tell whether an answer may end with its engine's connection.
 
         One without a length has no other end.  What stood in the tail is
@@ -136,7 +136,7 @@
         out = [whole + mark] if mark else []
         if mark:
             self._note_numbers(whole + mark)
-        if self.is_ended and self._tail:
+        if self.is_complete and self._tail:
             out.append(self._tail)
             self._tail = b""
         return self.writer.add(out) if out else b""
@@ -144,13 +144,13 @@
     def _read_payload(self, data: bytes) -> bytes:
         if self.source is not None and self.source.chunked:
             payload = self.decoder.feed(data)
-            self.is_ended = self.decoder.ended
+            self.is_complete = self.decoder.ended
             return payload
         if self._left is None:
             return data
         payload = data[: self._left]
         self._left -= len(payload)
-        self.is_ended = not self._left
+        self.is_complete = not self._left
         return payload
 
     def _note_numbers(self, whole: bytes) -> None:
@@ -159,6 +159,6 @@
             # An answer without numbers still moves on.
             self.expected += whole.count(EVENT_END)
             return
-        if numbers[0] <= self.expected and self.writer.begun:
+        if numbers[0] <= self.expected and self.writer.is_head_written:
             raise events.InvalidStream("an event comes a second time")
         self.expected = numbers[-1]
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -43,8 +43,8 @@
 class Relay:
     """Carries lent connections until their answers end.
 
-    ``lend``, ``resume``, ``fail``, ``leave_source``, ``stay`` and ``cut`` may
-    be called on any thread; all else happens on the loop's.
+    ``lend``, ``resume``, ``fail``, ``try_close_source``, ``keep_source`` and
+    ``cut`` may be called on any thread; all else happens on the loop's.
 
     :param loop_: the event loop
     """
@@ -57,11 +57,11 @@
         self._recoverers = concurrent.futures.ThreadPoolExecutor(
             RECOVERY_THREADS, "recover"
         )
-        loop_.add_tick(
+        loop_.add_periodic(
             self._check_limits,
             lambda: bool(self._streams or self._farewells),
         )
-        loop_.add_tick(self._tell_tokens, lambda: bool(self._streams))
+        loop_.add_periodic(self._tell_tokens, lambda: bool(self._streams))
 
     @property
     def count(self) -> int:
@@ -95,7 +95,7 @@
         """
         self._loop.post(lambda: self._end_with(stream, fault))
 
-    def leave_source(self, stream: Stream, offset: int) -> bool:
+    def try_close_source(self, stream: Stream, offset: int) -> bool:
         """Close a silent engine's connection unless it has gone on.
 
         Waits for the loop, so it is not for the loop's own thread.
@@ -112,7 +112,7 @@
             # If the loop has taken it up, its result is what counts.
             return not left.cancel() and left.result()
 
-    def stay(self, stream: Stream, fault: errors.Fault) -> None:
+    def keep_source(self, stream: Stream, fault: errors.Fault) -> None:
         """Go on with a silent engine, because no other takes the stream.
 
         :param stream: the stream that ``replace`` was called for
@@ -122,15 +122,15 @@
 
     def cut(
         self,
-        chooses: collections.abc.Callable[[Stream], bool],
+        predicate: collections.abc.Callable[[Stream], bool],
         fault: errors.Fault,
     ) -> None:
         """End streams at once, visibly.
 
-        :param chooses: tells which streams
+        :param predicate: tells which streams
         :param fault: what their callers are told
         """
-        self._loop.post(lambda: self._cut(chooses, fault))
+        self._loop.post(lambda: self._cut(predicate, fault))
 
     def _begin(self, stream: Stream) -> None:
         self._streams.add(stream)
@@ -146,7 +146,9 @@
         source = stream.source
         if source is None:
             return
-        stream.limit_at_ms = self._loop.now_ms + stream.first_limit_ms
+        stream.token_deadline_ms = (
+            self._loop.now_ms + stream.first_token_timeout_ms
+        )
         source.connection.setblocking(False)
         self._loop.register(
             source.connection.fileno(),
@@ -170,7 +172,7 @@
             return
         if data:
             self._take(stream, data)
-        elif stream.ends_here():
+        elif stream.may_end_on_close():
             self._end_source(stream, b"")
         else:
             self._lose_source(
@@ -185,18 +187,20 @@
             self._lose_source(stream, str(error))
             return
         if stream.expected > before:
-            stream.limit_at_ms = self._loop.now_ms + stream.gap_limit_ms
-            stream.note_moved(self._loop.now_ms)
+            stream.token_deadline_ms = (
+                self._loop.now_ms + stream.token_timeout_ms
+            )
+            stream.record_progress(self._loop.now_ms)
             if not before:
                 stream.owner.note_first_token()
-        if stream.is_ended:
+        if stream.is_complete:
             self._end_source(stream, out)
         elif out:
             self._send(stream, out)
 
     def _end_source(self, stream: Stream, out: bytes) -> None:
-        stream.is_ended = True
-        stream.owner.note_source_end(stream.expected)
+        stream.is_complete = True
+        stream.owner.on_source_end(stream.expected)
         self._part(stream)
         out += stream.writer.end()
         if out:
@@ -216,11 +220,11 @@
                 self._lose_caller(stream)
                 return
             if sent == len(out):
-                if stream.is_ended:
+                if stream.is_complete:
                     self._close(stream, None)
                 return
             stream.pending += out[sent:]
-            stream.stalled_at_ms = self._loop.now_ms
+            stream.last_write_ms = self._loop.now_ms
             self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS | WRITE)
         if len(stream.pending) > MAX_WRITE_BUFFER_BYTES:
             self._pause(stream)
@@ -242,10 +246,10 @@
             self._lose_caller(stream)
             return
         del stream.pending[:sent]
-        stream.stalled_at_ms = self._loop.now_ms
+        stream.last_write_ms = self._loop.now_ms
         if stream.pending:
             return
-        if stream.is_ended:
+        if stream.is_complete:
             self._close(stream, None)
             return
         self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS)
@@ -259,7 +263,7 @@
 
     def _unpause(self, stream: Stream) -> None:
         stream.is_paused = False
-        stream.limit_at_ms = self._loop.now_ms + stream.gap_limit_ms
+        stream.token_deadline_ms = self._loop.now_ms + stream.token_timeout_ms
         if stream.source is not None:
             self._loop.modify(stream.source.connection.fileno(), READ)
 
@@ -269,19 +273,19 @@
         for stream in [
             stream
             for stream in self._streams
-            if stream.limit_at_ms <= now_ms
+            if stream.token_deadline_ms <= now_ms
             or stream.pending
-            or 0 < stream.ends_at_ms <= now_ms
+            or 0 < stream.deadline_ms <= now_ms
         ]:
-            if 0 < stream.ends_at_ms <= now_ms:
+            if 0 < stream.deadline_ms <= now_ms:
                 self._end_with(stream, _make_late())
-            elif stream.pending and stream.stalled_at_ms <= stall_ms:
+            elif stream.pending and stream.last_write_ms <= stall_ms:
                 self._lose_caller(stream)
             elif (
-                stream.limit_at_ms <= now_ms
+                stream.token_deadline_ms <= now_ms
                 and stream.source is not None
                 and not stream.is_paused
-                and not stream.is_replacing
+                and not stream.is_replacing_source
             ):
                 self._note_silence(stream)
         for connection in [
@@ -292,13 +296,15 @@
             self._end_farewell(connection)
 
     def _note_silence(self, stream: Stream) -> None:
-        if not stream.owner.may_leave():
-            stream.limit_at_ms = self._loop.now_ms + stream.gap_limit_ms
+        if not stream.owner.may_replace_source():
+            stream.token_deadline_ms = (
+                self._loop.now_ms + stream.token_timeout_ms
+            )
             return
         # The connection is open and silent: new ones may work, so this is the
         # engine's failure and not the caller's.
         fault = _make_lost("no token in time", errors.Code.UPSTREAM_TIMEOUT)
-        stream.is_replacing = True
+        stream.is_replacing_source = True
         self._submit(stream.owner.replace, stream, fault)
 
     def _leave_source(
@@ -310,10 +316,10 @@
         if not left.set_running_or_notify_cancel():
             return
         may_leave = not (
-            stream.is_closed or stream.is_ended or stream.expected != offset
+            stream.is_closed or stream.is_complete or stream.expected != offset
         )
         if may_leave:
-            stream.is_replacing = False
+            stream.is_replacing_source = False
             stream.is_paused = False
             stream.broken = None
             self._close_source(stream)
@@ -323,9 +329,11 @@
         if stream.is_closed:
             return
         broken, stream.broken = stream.broken, None
-        stream.is_replacing = False
+        stream.is_replacing_source = False
         if stream.source is not None:
-            stream.limit_at_ms = self._loop.now_ms + stream.gap_limit_ms
+            stream.token_deadline_ms = (
+                self._loop.now_ms + stream.token_timeout_ms
+            )
         elif broken is not None:
             self._submit(stream.owner.recover, stream, broken)
         else:
@@ -345,7 +353,7 @@
         self._close_source(stream)
         stream.is_paused = False
         fault = _make_lost(message, has_died=has_died)
-        if stream.is_replacing:
+        if stream.is_replacing_source:
             # The search for another engine is under way.
             stream.broken = fault
         else:
@@ -371,15 +379,15 @@
             seek(stream, fault)
         except Exception:
             LOG.exception("no other engine could be sought")
-            self.stay(stream, fault)
+            self.keep_source(stream, fault)
 
     def _resume(self, stream: Stream, source: upstreams.TokenStream) -> None:
         if stream.is_closed:
             # The caller went while another engine was sought.
             source.connection.close()
-            stream.owner.drop_source()
+            stream.owner.cancel_source()
             return
-        stream.change_source(source)
+        stream.set_source(source)
         self._read_from(stream)
 
     def _lose_caller(self, stream: Stream) -> None:
@@ -403,9 +411,9 @@
 
     def _end_with(self, stream: Stream, fault: errors.Fault) -> None:
         """Tell the caller, as far as its connection takes it, and close."""
-        if stream.is_closed or stream.is_ended:
+        if stream.is_closed or stream.is_complete:
             return
-        has_begun = stream.writer.begun
+        has_begun = stream.writer.is_head_written
         out = stream.writer.fail(fault)
         try:
             if stream.pending:
@@ -427,10 +435,10 @@
         self._loop.unregister(stream.caller.fileno())
         self._close_source(stream)
         if fault is not None:
-            stream.owner.drop_source()
+            stream.owner.cancel_source()
         is_lost = fault is not None and fault.step is errors.Step.CALLER
         stream.release(stream.writer.head.keep and not is_lost)
-        stream.owner.note_longest_gap(stream.longest_gap_ms)
+        stream.owner.on_longest_gap(stream.longest_gap_ms)
         stream.owner.close(stream.expected, fault)
 
     def _close_source(self, stream: Stream) -> None:
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -33,14 +33,14 @@
         """
 
     @abc.abstractmethod
-    def note_source_end(self, tokens: int) -> None:
+    def on_source_end(self, tokens: int) -> None:
         """Take notice that the engine has finished; its slot is free.
 
         :param tokens: how many tokens have come in all
         """
 
     @abc.abstractmethod
-    def drop_source(self) -> None:
+    def cancel_source(self) -> None:
         """Free what the engine holds, because nobody wants the rest.
 
         May be called more than once, also after ``recover`` has found
@@ -57,7 +57,7 @@
         :param fault: what befell the engine
         """
 
-    def may_leave(self) -> bool:
+    def may_replace_source(self) -> bool:
         """Tell whether a silent engine may be left for another one.
 
         Where none can take the stream, the silent one is waited for: what it
@@ -69,15 +69,15 @@
     def replace(self, stream: "Stream", fault: errors.Fault) -> None:
         """Find another engine for a silent one; on a thread of its own.
 
-        The silent engine is read from meanwhile.  ``Relay.leave_source`` is
-        called right before the stream begins elsewhere.  Ends in
-        ``Relay.resume`` or ``Relay.stay`` for the stream.
+        The silent engine is read from meanwhile.  ``Relay.try_close_source``
+        is called right before the stream begins elsewhere.  Ends in
+        ``Relay.resume`` or ``Relay.keep_source`` for the stream.
 
         :param stream: the stream; ``expected`` is the offset to resume at
         :param fault: what befell the engine
         """
 
-    def note_longest_gap(self, gap_ms: int) -> None:
+    def on_longest_gap(self, gap_ms: int) -> None:
         """Take notice of the longest pause, right before the end.
 
         :param gap_ms: the longest time between two pieces
@@ -101,8 +101,9 @@
     :param source: the engine's stream
     :param caller: the caller's socket
     :param release: gets whether the caller's connection can be used again
-    :param first_limit_ms: how long the first token may take from now on
-    :param gap_limit_ms: how long each further token may take
+    :param first_token_timeout_ms: how long the first token may take from now
+        on
+    :param token_timeout_ms: how long each further token may take
     :param key_digest: names the key that the request came with
     :param account: the client account
     """
@@ -113,21 +114,21 @@
         "source",
         "caller",
         "release",
-        "first_limit_ms",
-        "gap_limit_ms",
+        "first_token_timeout_ms",
+        "token_timeout_ms",
         "key_digest",
         "account",
         "expected",
         "pending",
-        "limit_at_ms",
-        "ends_at_ms",
-        "moved_at_ms",
+        "token_deadline_ms",
+        "deadline_ms",
+        "last_progress_ms",
         "longest_gap_ms",
-        "stalled_at_ms",
+        "last_write_ms",
         "is_paused",
-        "is_ended",
+        "is_complete",
         "is_closed",
-        "is_replacing",
+        "is_replacing_source",
         "broken",
         "decoder",
         "_splitter",
@@ -143,8 +144,8 @@
         source: upstreams.TokenStream,
         caller: socket.socket,
         release: collections.abc.Callable[[bool], None],
-        first_limit_ms: int,
-        gap_limit_ms: int,
+        first_token_timeout_ms: int,
+        token_timeout_ms: int,
         key_digest: str = "",
         account: str = "",
     ) -> None:
@@ -152,30 +153,30 @@
         self.writer = writer
         self.caller = caller
         self.release = release
-        self.first_limit_ms = first_limit_ms
-        self.gap_limit_ms = gap_limit_ms
+        self.first_token_timeout_ms = first_token_timeout_ms
+        self.token_timeout_ms = token_timeout_ms
         self.key_digest = key_digest
         self.account = account
         self.expected = 0
         self.pending = bytearray()
-        self.limit_at_ms = 0
+        self.token_deadline_ms = 0
         # When the whole answer is over at the latest; 0 for no end.
-        self.ends_at_ms = 0
+        self.deadline_ms = 0
         # When its last piece came, and the longest time between two.
-        self.moved_at_ms = 0
+        self.last_progress_ms = 0
         self.longest_gap_ms = 0
-        self.stalled_at_ms = 0
+        self.last_write_ms = 0
         self.is_paused = False
-        self.is_ended = False
+        self.is_complete = False
         self.is_closed = False
         # Whether another engine is sought while the silent one is read
         # from, and what broke that one off meanwhile.
-        self.is_replacing = False
+        self.is_replacing_source = False
         self.broken: errors.Fault | None = None
         self._first_id = b""
-        self.change_source(source)
+        self.set_source(source)
 
-    def change_source(self, source: upstreams.TokenStream) -> None:
+    def set_source(self, source: upstreams.TokenStream) -> None:
         """Begin to read from an engine.
 
         :param source: the engine's stream
@@ -186,17 +187,17 @@
         self._source_id = b""
         self._has_finish = False
 
-    def note_moved(self, now_ms: int) -> None:
+    def record_progress(self, now_ms: int) -> None:
         """Take notice that the answer has grown.
 
         :param now_ms: the present
         """
-        if self.moved_at_ms:
-            gap_ms = now_ms - self.moved_at_ms
+        if self.last_progress_ms:
+            gap_ms = now_ms - self.last_progress_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
-        self.moved_at_ms = now_ms
+        self.last_progress_ms = now_ms
 
-    def ends_here(self) -> bool:
+    def may_end_on_close(self) -> bool:
         """Tell whether an answer may end with its engine's connection."""
         return False
 
@@ -216,7 +217,7 @@
         for event in self._splitter.feed(data):
             if event == DONE_EVENT:
                 self._check_whole()
-                self.is_ended = True
+                self.is_complete = True
                 break
             if self._accept(event):
                 tokens.append(self._rename(event))
--- a/mulberryway/relay/watch.py
+++ b/mulberryway/relay/watch.py
@@ -15,18 +15,18 @@
     """One caller's socket under watch.
 
     :param connection: the socket
-    :param on_gone: called once, on the loop's thread
+    :param on_disconnect: called once, on the loop's thread
     """
 
-    __slots__ = ("connection", "on_gone", "fd", "is_over")
+    __slots__ = ("connection", "on_disconnect", "fd", "is_over")
 
     def __init__(
         self,
         connection: socket.socket,
-        on_gone: collections.abc.Callable[[], None],
+        on_disconnect: collections.abc.Callable[[], None],
     ) -> None:
         self.connection = connection
-        self.on_gone = on_gone
+        self.on_disconnect = on_disconnect
         self.fd = connection.fileno()
         self.is_over = False
 
@@ -85,4 +85,4 @@
         self._loop.unregister(watch.fd)
         if not watch.is_over:
             watch.is_over = True
-            watch.on_gone()
+            watch.on_disconnect()
--- a/mulberryway/relay/writers.py
+++ b/mulberryway/relay/writers.py
@@ -38,25 +38,25 @@
 class ReplyHead:
     """Writes the heads of HTTP replies for one request.
 
-    :param http_11: whether the caller speaks HTTP/1.1
+    :param is_http_11: whether the caller speaks HTTP/1.1
     :param keep: whether the connection stays open after a whole reply
     :param headers: pairs that every reply to this request carries
-    :param style: how faults are told
+    :param fault_format: how faults are told
     """
 
-    __slots__ = ("http_11", "keep", "headers", "style")
+    __slots__ = ("is_http_11", "keep", "headers", "fault_format")
 
     def __init__(
         self,
-        http_11: bool,
+        is_http_11: bool,
         keep: bool,
         headers: list[tuple[str, str]],
-        style: replies.FaultFormat = replies.NATIVE_FORMAT,
+        fault_format: replies.FaultFormat = replies.NATIVE_FORMAT,
     ) -> None:
-        self.http_11 = http_11
+        self.is_http_11 = is_http_11
         self.keep = keep
         self.headers = headers
-        self.style = style
+        self.fault_format = fault_format
 
     def write(self, status: int, headers: list[tuple[str, str]]) -> bytes:
         """Return a reply's head.
@@ -69,11 +69,11 @@
         lines += [f"{k}: {v}" for k, v in headers + self.headers]
         if not self.keep:
             lines.append("Connection: close")
-        elif not self.http_11:
+        elif not self.is_http_11:
             lines.append("Connection: Keep-Alive")
         return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
-    def write_whole(self, reply: replies.Reply) -> bytes:
+    def write_reply(self, reply: replies.Reply) -> bytes:
         """Return a whole reply.
 
         :param reply: the reply
@@ -89,17 +89,17 @@
 class Writer(abc.ABC):
     """Turns the events of one answer into the bytes of a reply.
 
-    ``begun`` tells whether the caller has seen a head; before that a fault
-    can still become an ordinary error reply.
+    ``is_head_written`` tells whether the caller has seen a head; before that a
+    fault can still become an ordinary error reply.
 
     :param head: writes the reply's head
     """
 
     def __init__(self, head: ReplyHead) -> None:
         self.head = head
-        self.begun = False
+        self.is_head_written = False
 
-    def note_source(self, source: upstreams.TokenStream) -> None:
+    def set_source(self, source: upstreams.TokenStream) -> None:
         """Take notice of the engine whose answer comes next.
 
         :param source: the engine's stream
@@ -123,10 +123,10 @@
 
         :param fault: what went wrong
         :returns: bytes; the connection has to be closed after them if
-            ``begun`` was true
+            ``is_head_written`` was true
         """
-        return self.head.write_whole(
-            replies.make_fault_reply(fault, style=self.head.style)
+        return self.head.write_reply(
+            replies.make_fault_reply(fault, style=self.head.fault_format)
         )
 
 
@@ -145,7 +145,7 @@
     def end(self) -> bytes:
         """Return the closing event and the last chunk."""
         closing = self._frame(DONE)
-        return closing + LAST_CHUNK if self.head.http_11 else closing
+        return closing + LAST_CHUNK if self.head.is_http_11 else closing
 
     def fail(self, fault: errors.Fault) -> bytes:
         """Return an error event, or an error reply before the head.
@@ -156,17 +156,17 @@
         :param fault: what went wrong
         :returns: the bytes
         """
-        if not self.begun:
+        if not self.is_head_written:
             return super().fail(fault)
         event = b"data: " + replies.describe_fault(fault) + EVENT_END
         return self._frame(event)
 
     def _frame(self, body: bytes) -> bytes:
-        if self.head.http_11:
+        if self.head.is_http_11:
             body = b"%x\r\n%b\r\n" % (len(body), body)
-        if self.begun:
+        if self.is_head_written:
             return body
-        self.begun = True
+        self.is_head_written = True
         return self._write_head() + body
 
     def _write_head(self) -> bytes:
@@ -174,7 +174,7 @@
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
         ]
-        if self.head.http_11:
+        if self.head.is_http_11:
             headers.append(("Transfer-Encoding", "chunked"))
         else:
             # An older caller knows the end of a body of unknown length only
@@ -207,13 +207,13 @@
     def end(self) -> bytes:
         """Return the whole reply."""
         values = [events.parse_json_event(event) for event in self._events]
-        self.begun = True
+        self.is_head_written = True
         reply = replies.Reply(
             200,
             [("Content-Type", replies.JSON_TYPE)],
             json.dumps(self._assemble(values)).encode(),
         )
-        return self.head.write_whole(reply)
+        return self.head.write_reply(reply)
 
     def _assemble(
         self, values: list[dict[str, typing.Any]]
--- a/mulberryway/replies.py
+++ b/mulberryway/replies.py
@@ -61,23 +61,27 @@
 class FaultFormat:
     """How faults are told to callers.
 
-    :param has_fractions: whether callers read fractions of a second in
-        ``Retry-After``; by RFC 9110 they need not
+    :param has_fractional_retry_after: whether callers read fractions of a
+        second in ``Retry-After``; by RFC 9110 they need not
     :param statuses: statuses that differ from :data:`STATUS`
-    :param repeats_by_status: whether callers look at nothing but the status
+    :param is_retried_by_status: whether callers look at nothing but the status
         before they repeat a request; else the body tells whether it has run
     """
 
-    __slots__ = ("has_fractions", "statuses", "repeats_by_status")
+    __slots__ = (
+        "has_fractional_retry_after",
+        "statuses",
+        "is_retried_by_status",
+    )
 
     def __init__(
         self,
-        has_fractions: bool = False,
+        has_fractional_retry_after: bool = False,
         statuses: dict[errors.Code, int] | None = None,
-        repeats_by_status: bool = False,
+        is_retried_by_status: bool = False,
     ) -> None:
-        self.has_fractions = has_fractions
-        self.repeats_by_status = repeats_by_status
+        self.has_fractional_retry_after = has_fractional_retry_after
+        self.is_retried_by_status = is_retried_by_status
         self.statuses = STATUS | (statuses or {})
 
 
@@ -131,7 +135,11 @@
     ):
         return MAY_HAVE_RUN_STATUS
     is_unrun = fault.run is errors.ExecutionStatus.NOT_RUN
-    if style.repeats_by_status and is_unrun and status in AMBIGUOUS_STATUSES:
+    if (
+        style.is_retried_by_status
+        and is_unrun
+        and status in AMBIGUOUS_STATUSES
+    ):
         return NOT_RUN_STATUS
     return status
 
@@ -175,7 +183,9 @@
         return Reply(answer.status, answer.headers, answer.body, close)
     headers = [("Content-Type", JSON_TYPE)]
     if fault.retry_after_ms is not None:
-        wait = _write_seconds(fault.retry_after_ms, style.has_fractions)
+        wait = _write_seconds(
+            fault.retry_after_ms, style.has_fractional_retry_after
+        )
         headers.append(("Retry-After", wait))
     if fault.code is errors.Code.UNAUTHENTICATED:
         headers.append(("WWW-Authenticate", "Bearer"))
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -78,19 +78,19 @@
     :param scheduler: decides about model requests
     :param allowances: the accounts' tokens
     :param entries: knows the VMs that take callers
-    :param may_repeat: takes one repeat out of a pool's budget for them
-    :param on_withdraw: called when new callers should no longer come
+    :param try_withdraw_retry: takes one repeat out of a pool's budget for them
+    :param on_drain: called when new callers should no longer come
     :param directory_: finds upstreams; by HTTP if none is given
     :param claim_store: grants calls that must run at most once; without
         one such calls are refused
     :param has_settled: whether accounts' tokens can be found from here; once
         true, it is not asked again
     :param on_ready: called once, when callers may come for the first time
-    :param interface_: how callers speak; the project's own way if none is
+    :param api: how callers speak; the project's own way if none is
         given
-    :param style: how faults are told to callers
-    :param cuts_withdrawn: whether a withdrawn key ends running streams too,
-        or only stops new requests
+    :param fault_format: how faults are told to callers
+    :param closes_revoked_streams: whether a withdrawn key ends running streams
+        too, or only stops new requests
     """
 
     def __init__(
@@ -102,15 +102,17 @@
         scheduler: policy.Scheduler,
         allowances: allowance.Allowances,
         entries: endpoints.EndpointDirectory,
-        may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
-        on_withdraw: collections.abc.Callable[[], None] = lambda: None,
+        try_withdraw_retry: collections.abc.Callable[
+            [str], bool
+        ] = lambda pool: True,
+        on_drain: collections.abc.Callable[[], None] = lambda: None,
         directory_: directory.UpstreamDirectory | None = None,
         claim_store: claims.ClaimStore | None = None,
         has_settled: collections.abc.Callable[[], bool] = lambda: True,
         on_ready: collections.abc.Callable[[], None] = lambda: None,
-        interface_: caller_api.CallerApi | None = None,
-        style: replies.FaultFormat = replies.NATIVE_FORMAT,
-        cuts_withdrawn: bool = True,
+        api: caller_api.CallerApi | None = None,
+        fault_format: replies.FaultFormat = replies.NATIVE_FORMAT,
+        closes_revoked_streams: bool = True,
     ) -> None:
         self.settings = settings_
         self.clock = clock_
@@ -131,15 +133,15 @@
         self._source = source
         self._allowances = allowances
         self._entries = entries
-        self._may_repeat = may_repeat
-        self._on_withdraw = on_withdraw
+        self._may_repeat = try_withdraw_retry
+        self._on_withdraw = on_drain
         self._claim_store = claim_store
         self._incarnation = incarnation
         self._has_settled = has_settled
         self._was_settled = False
         self._on_ready = on_ready
-        self._interface = interface_ or caller_api.NativeApi()
-        self._cuts_withdrawn = cuts_withdrawn
+        self._interface = api or caller_api.NativeApi()
+        self._cuts_withdrawn = closes_revoked_streams
         self._stop_at_ms: int | None = None
         self._has_begun = False
         self._is_withdrawn = False
@@ -150,13 +152,13 @@
             chain.Chain(self._interface.make_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}",
-            style,
+            fault_format,
         )
         self.server = http_server.HttpServer(
             settings_, self.gateway, self.relay
         )
         side = gateway.GatewayFactory(
-            chain.Chain(self._interface.make_side_filters(context)),
+            chain.Chain(self._interface.make_auxiliary_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}.side",
         )
@@ -191,17 +193,17 @@
         )
 
     @property
-    def is_refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         """Whether new requests are refused."""
         return self._is_refusing
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether callers should use another VM for their next request."""
         return self._is_withdrawn
 
     @property
-    def is_ending(self) -> bool:
+    def is_near_shutdown(self) -> bool:
         """Whether work that takes seconds could not end in time any more."""
         end = self._stop_at_ms
         return end is not None and end - self.clock.now_ms() < STREAM_CUTOFF_MS
@@ -333,8 +335,8 @@
         self.metrics.stop()
 
     def _change_tables(self, changed: tables.Tables) -> None:
-        self.scheduling.change_tables(changed)
-        self.directory.change_tables(changed)
+        self.scheduling.update_tables(changed)
+        self.directory.update_tables(changed)
         if not self._cuts_withdrawn:
             return
         self.relay.cut(
@@ -384,7 +386,7 @@
             ("started", "jobs on engines", lambda: self.scheduling.started),
             ("cancels_open", "cancels sent", lambda: self.cancelling.open),
         ):
-            self.metrics.observe(name, description, read)
+            self.metrics.register_gauge(name, description, read)
 
 
 def _is_withdrawn(changed: tables.Tables, stream: streams.Stream) -> bool:
--- a/mulberryway/server/gateway.py
+++ b/mulberryway/server/gateway.py
@@ -27,7 +27,7 @@
     :param clock_: where the time comes from
     :param owner: names this VM and incarnation, the first part of each
         request's id
-    :param style: how faults are told
+    :param fault_format: how faults are told
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         chain_: chain.Chain,
         clock_: clock.Clock,
         owner: str,
-        style: replies.FaultFormat = replies.NATIVE_FORMAT,
+        fault_format: replies.FaultFormat = replies.NATIVE_FORMAT,
     ) -> None:
         self.chain = chain_
         self.clock = clock_
-        self.style = style
+        self.fault_format = fault_format
         self._owner = owner
         self._numbers = itertools.count(1)
         self._lock = threading.Lock()
@@ -50,7 +50,7 @@
         """How many requests have begun and not ended."""
         return self._running
 
-    def note_begin(self) -> None:
+    def increment_running(self) -> None:
         """Count a request that has begun."""
         with self._lock:
             self._running += 1
@@ -93,7 +93,7 @@
             request_.response_protocol == "HTTP/1.1",
             can_keep and not request_.close_connection,
             [("X-Request-Id", self._id)],
-            factory.style,
+            factory.fault_format,
         )
 
     def respond(self) -> None:
@@ -109,15 +109,17 @@
 
     def _refuse(self, code: errors.Code, message: str) -> None:
         fault = errors.Fault(code, errors.Step.CALLER, message=message)
-        self._request.conn.has_unread = True
+        self._request.conn.has_unread_input = True
         self._write(replies.make_fault_reply(fault, close=True))
 
     def _answer(self, exchange: base.Exchange) -> None:
-        self._factory.note_begin()
-        exchange.add_finisher(lambda outcome: self._factory.note_end())
+        self._factory.increment_running()
+        exchange.add_completion_callback(
+            lambda outcome: self._factory.note_end()
+        )
         answer = self._factory.chain.handle(exchange)
         if answer.is_ok() and isinstance(answer.ok, base.StreamedAnswer):
-            self._request.conn.lent_stream = answer.ok.stream
+            self._request.conn.relayed_stream = answer.ok.stream
             self._request.close_connection = False
             return
         fault = None if answer.is_ok() else answer.error
@@ -126,17 +128,19 @@
                 self._write(answer.ok)
             else:
                 self._write(
-                    replies.make_fault_reply(fault, style=self._factory.style)
+                    replies.make_fault_reply(
+                        fault, style=self._factory.fault_format
+                    )
                 )
         finally:
-            exchange.finish(base.Outcome(fault, exchange.prompt_used, 0))
+            exchange.finish(base.Outcome(fault, exchange.prefilled_tokens, 0))
 
     def _write(self, reply: replies.Reply) -> None:
         request_ = self._request
         request_.sent_headers = True
         connection = request_.conn
-        connection.socket.settimeout(request_.server.request_limit_s)
-        data = self._head.write_whole(reply)
+        connection.socket.settimeout(request_.server.request_timeout_s)
+        data = self._head.write_reply(reply)
         if request_.method == b"HEAD":
             data = data.removesuffix(reply.body)
         connection.wfile.write(data)
--- a/mulberryway/server/http_server.py
+++ b/mulberryway/server/http_server.py
@@ -65,7 +65,7 @@
         )
         self.request_queue_size = settings_.router_backlog
         self.timeout = settings_.router_idle_ms / MS_IN_S
-        self.request_limit_s = settings_.router_body_ms / MS_IN_S
+        self.request_timeout_s = settings_.router_body_ms / MS_IN_S
         self.keep_alive_conn_limit = settings_.router_keep_alive
         self.max_request_header_size = settings_.router_header_bytes
         self.max_request_body_size = settings_.router_body_bytes
@@ -139,7 +139,7 @@
         except OSError:
             LOG.debug("a refused connection had nothing to read")
         request.Request(self, conn).simple_response("503 Service Unavailable")
-        conn.has_unread = False
+        conn.has_unread_input = False
         conn.close()
 
     def put_conn(self, conn: request.Connection) -> None:
@@ -147,7 +147,7 @@
 
         :param conn: the connection
         """
-        stream, conn.lent_stream = conn.lent_stream, None
+        stream, conn.relayed_stream = conn.relayed_stream, None
         if stream is not None:
             self._relay.lend(stream)
             return
--- a/mulberryway/server/request.py
+++ b/mulberryway/server/request.py
@@ -203,7 +203,7 @@
         """
         number = int(str(status)[:3])
         self.close_connection = True
-        self.conn.has_unread = True
+        self.conn.has_unread_input = True
         self.sent_headers = True
         fault = errors.Fault(
             ERROR_CODE_BY_STATUS.get(number, errors.Code.BAD_REQUEST),
@@ -215,7 +215,7 @@
         reply.status = number
         head = writers.ReplyHead(True, False, [])
         try:
-            self.conn.wfile.write(head.write_whole(reply))
+            self.conn.wfile.write(head.write_reply(reply))
         except OSError as error:
             if error.args[0] not in cheroot_errors.socket_errors_to_ignore:
                 raise
@@ -224,7 +224,7 @@
 class Connection(server.HTTPConnection):
     """A caller's connection, which can be lent to the relay.
 
-    ``lent_stream`` is set by the gateway and taken by the server when the
+    ``relayed_stream`` is set by the gateway and taken by the server when the
     worker thread puts the connection back; from then on no worker touches
     it.
     """
@@ -238,16 +238,16 @@
         makefile_: typing.Any = None,
     ) -> None:
         super().__init__(server_, sock, _make_file)
-        self.lent_stream: typing.Any = None
+        self.relayed_stream: typing.Any = None
         # Set when a request was answered before all of it was read.
-        self.has_unread = False
+        self.has_unread_input = False
 
     def communicate(self) -> bool:
         """Read one request and answer it.
 
         :returns: whether the connection stays open
         """
-        limit_s = time.monotonic() + self.server.request_limit_s
+        limit_s = time.monotonic() + self.server.request_timeout_s
         self.rfile._raw.limit_s = limit_s
         return super().communicate()
 
@@ -258,7 +258,7 @@
         and the reset overtakes the answer: the caller of an oversized
         request would see a broken connection instead of the reason.
         """
-        if self.has_unread:
+        if self.has_unread_input:
             self._discard_rest()
         super().close()
 
--- a/mulberryway/server/workers.py
+++ b/mulberryway/server/workers.py
@@ -25,19 +25,19 @@
     workers end after it.
 
     :param server: the HTTP server whose connections these are
-    :param most: how many threads there are at most
-    :param most_waiting: connections that wait for one at most
+    :param max_workers: how many threads there are at most
+    :param max_queued: connections that wait for one at most
     """
 
     # cheroot asks for the number of threads that a pool always keeps.
     min = 0
 
     def __init__(
-        self, server: typing.Any, most: int, most_waiting: int
+        self, server: typing.Any, max_workers: int, max_queued: int
     ) -> None:
         self._server = server
-        self._most = most
-        self._most_waiting = most_waiting
+        self._most = max_workers
+        self._most_waiting = max_queued
         self._lock = threading.Lock()
         self._workers: set[_Worker] = set()
         self._idle: list[_Worker] = []
--- a/mulberryway/tables/freshness.py
+++ b/mulberryway/tables/freshness.py
@@ -48,7 +48,7 @@
 
 def evaluate_freshness(
     confirmation: Confirmation,
-    quorum_ms: int | None,
+    quorum_at_ms: int | None,
     now_ms: int,
     fresh_ms: int,
     outage_ms: int,
@@ -68,7 +68,7 @@
     the first to answer may be one that was cut off as well.
 
     :param confirmation: the last one
-    :param quorum_ms: since when most VMs have answered; none if they
+    :param quorum_at_ms: since when most VMs have answered; none if they
         have not
     :param now_ms: the present
     :param fresh_ms: how long a confirmation, or an answer, is enough
@@ -78,7 +78,7 @@
     age_ms = now_ms - confirmation.at_ms
     if age_ms <= fresh_ms:
         return Freshness.CONFIRMED
-    has_quorum = quorum_ms is not None and now_ms - quorum_ms <= fresh_ms
+    has_quorum = quorum_at_ms is not None and now_ms - quorum_at_ms <= fresh_ms
     if has_quorum and age_ms <= outage_ms:
         return Freshness.OUTAGE
     return Freshness.PARTITIONED
--- a/mulberryway/tables/model.py
+++ b/mulberryway/tables/model.py
@@ -100,11 +100,11 @@
     :param block_tokens: tokens in one KV cache block
     :param link_bytes_per_s: rate of the link that KV caches cross
     :param kv_bytes_per_token: KV cache made for one prompt token
-    :param engine_tokens: tokens that one engine's memory holds; 0 where
+    :param kv_capacity_tokens: tokens that one engine's memory holds; 0 where
         only its reports tell
-    :param most_connections: what one upstream accepts from all VMs
+    :param max_connections: what one upstream accepts from all VMs
         together; 0 where nothing is known
-    :param switch_ms: how long an engine that changes its role is away
+    :param role_switch_ms: how long an engine that changes its role is away
     :param self_reading: whether its decode engines can read prompts
         themselves, more slowly than prefill engines do
     :param pause_ms: the longest pause between a stream's events that is on
@@ -117,9 +117,9 @@
         "name",
         "kind",
         "upstreams",
-        "engine_tokens",
-        "most_connections",
-        "switch_ms",
+        "kv_capacity_tokens",
+        "max_connections",
+        "role_switch_ms",
         "self_reading",
         "pause_ms",
         "hold_ms",
@@ -142,9 +142,9 @@
         block_tokens: int = 1024,
         link_bytes_per_s: int = 25_000_000_000,
         kv_bytes_per_token: int = 131_072,
-        engine_tokens: int = 0,
-        most_connections: int = 0,
-        switch_ms: int = 0,
+        kv_capacity_tokens: int = 0,
+        max_connections: int = 0,
+        role_switch_ms: int = 0,
         self_reading: bool = False,
         pause_ms: int = 0,
         hold_ms: int = 0,
@@ -159,9 +159,9 @@
         self.block_tokens = block_tokens
         self.link_bytes_per_s = link_bytes_per_s
         self.kv_bytes_per_token = kv_bytes_per_token
-        self.engine_tokens = engine_tokens
-        self.most_connections = most_connections
-        self.switch_ms = switch_ms
+        self.kv_capacity_tokens = kv_capacity_tokens
+        self.max_connections = max_connections
+        self.role_switch_ms = role_switch_ms
         self.self_reading = self_reading
         self.pause_ms = pause_ms
 
@@ -196,16 +196,16 @@
     :param host: the host name that it serves; empty for any
     :param shares: the pools among which its requests are divided; empty
         where all go to ``pool``
-    :param trusts_methods: whether a method that is safe by HTTP makes a
+    :param retries_safe_methods: whether a method that is safe by HTTP makes a
         call idempotent, whatever ``idempotent`` says
     :param is_public: whether it is open to callers without a key
     :param is_streaming: whether answers are streams of events
-    :param most_attempts: to how many upstreams one request may be sent
+    :param max_attempts: to how many upstreams one request may be sent
     :param target_ms: the answer, or a stream's first event, is on time
         within it; 0 where only ``timeout_ms`` counts
     :param target_gap_ms: the longest pause between a stream's events that
         is still on time; 0 for no target
-    :param rank: where not all can be served, lower ranks go first
+    :param priority: where not all can be served, lower ranks go first
     """
 
     __slots__ = (
@@ -213,13 +213,13 @@
         "path_prefix",
         "host",
         "shares",
-        "trusts_methods",
+        "retries_safe_methods",
         "is_public",
         "is_streaming",
-        "most_attempts",
+        "max_attempts",
         "target_ms",
         "target_gap_ms",
-        "rank",
+        "priority",
         "pool",
         "models",
         "idempotent",
@@ -238,25 +238,25 @@
         accounts: tuple[str, ...] = (),
         host: str = "",
         shares: tuple[WeightedPool, ...] = (),
-        trusts_methods: bool = True,
+        retries_safe_methods: bool = True,
         is_public: bool = False,
         is_streaming: bool = False,
-        most_attempts: int = DEFAULT_MAX_ATTEMPTS,
+        max_attempts: int = DEFAULT_MAX_ATTEMPTS,
         target_ms: int = 0,
         target_gap_ms: int = 0,
-        rank: int = 0,
+        priority: int = 0,
     ) -> None:
         self.name = name
         self.path_prefix = path_prefix
         self.host = host
         self.shares = shares
-        self.trusts_methods = trusts_methods
+        self.retries_safe_methods = retries_safe_methods
         self.is_public = is_public
         self.is_streaming = is_streaming
-        self.most_attempts = most_attempts
+        self.max_attempts = max_attempts
         self.target_ms = target_ms
         self.target_gap_ms = target_gap_ms
-        self.rank = rank
+        self.priority = priority
         self.pool = pool
         self.models = models
         self.idempotent = idempotent
@@ -273,7 +273,7 @@
     :param burst: tokens that may be used at once after a pause
     :param weight: its part of what is there when not all can be served
     :param plain_tokens: what a call is charged that names no tokens
-    :param rank: goes before the route's rank; none where that holds
+    :param priority: goes before the route's rank; none where that holds
     """
 
     __slots__ = (
@@ -283,7 +283,7 @@
         "burst",
         "weight",
         "plain_tokens",
-        "rank",
+        "priority",
     )
 
     def __init__(
@@ -294,7 +294,7 @@
         burst: int,
         weight: int = 1,
         plain_tokens: int = 0,
-        rank: int | None = None,
+        priority: int | None = None,
     ) -> None:
         self.name = name
         self.key_digests = key_digests
@@ -302,7 +302,7 @@
         self.burst = burst
         self.weight = weight
         self.plain_tokens = plain_tokens
-        self.rank = rank
+        self.priority = priority
 
 
 # For callers of public routes: no key, and nothing is charged.
--- a/mulberryway/tables/root.py
+++ b/mulberryway/tables/root.py
@@ -102,14 +102,14 @@
         """Return the digest over everything that the root says."""
         return digest_content(encode_content(self.encode()))
 
-    def list_rows(self) -> set[str]:
+    def list_row_segments(self) -> set[str]:
         """Return the digests of all segments that hold rows."""
         names = itertools.chain.from_iterable(self.shards.values())
         return set(names) - {EMPTY_DIGEST}
 
     def list_segments(self) -> set[str]:
         """Return the digests of all segments, the history included."""
-        return (self.list_rows() | {self.history}) - {EMPTY_DIGEST}
+        return (self.list_row_segments() | {self.history}) - {EMPTY_DIGEST}
 
     def find_edit(self, edit_id: str) -> EditRecord | None:
         """Return the mark of an edit, if it is one of the last.
@@ -120,7 +120,7 @@
             (mark for mark in self.marks if mark.edit_id == edit_id), None
         )
 
-    def add_mark(self, edit_id: str) -> tuple[EditRecord, ...]:
+    def append_edit(self, edit_id: str) -> tuple[EditRecord, ...]:
         """Return the marks of the root that an edit makes from this one.
 
         :param edit_id: the edit's own id
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -156,7 +156,7 @@
 
         :param root: the root
         """
-        return sorted(root.list_rows() - self._rows.keys())
+        return sorted(root.list_row_segments() - self._rows.keys())
 
     def join(self, root: roots.Root) -> model.Tables:
         """Put the tables of a root together; none may be missing.
@@ -164,7 +164,9 @@
         :param root: the root
         :returns: the tables with the root's revision
         """
-        parts = [self._rows[digest] for digest in sorted(root.list_rows())]
+        parts = [
+            self._rows[digest] for digest in sorted(root.list_row_segments())
+        ]
         return model.Tables(
             root.revision,
             _chain(part.routes for part in parts),
@@ -172,7 +174,7 @@
             _chain(part.accounts for part in parts),
         )
 
-    def keep_only(self, digests: collections.abc.Collection[str]) -> None:
+    def retain(self, digests: collections.abc.Collection[str]) -> None:
         """Forget all other segments.
 
         :param digests: the digests to keep
--- a/mulberryway/threads.py
+++ b/mulberryway/threads.py
@@ -42,7 +42,7 @@
 
     :param metrics_: the process's instruments
     """
-    metrics_.observe_many(
+    metrics_.register_counter(
         "threads.cpu_ms",
         "processor time of living threads, in milliseconds, by name",
         lambda: [
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -161,7 +161,7 @@
     :param models: names of the models that are loaded
     :param orders: how many orders it has accepted since its start; none
         where it does not tell
-    :param is_changing: whether it carries out an order now
+    :param is_executing_order: whether it carries out an order now
     :param role: the role that it has; empty where it does not tell
     """
 
@@ -173,7 +173,7 @@
         "total_blocks",
         "models",
         "orders",
-        "is_changing",
+        "is_executing_order",
         "role",
     )
 
@@ -186,7 +186,7 @@
         total_blocks: int,
         models: tuple[str, ...],
         orders: int | None = None,
-        is_changing: bool = False,
+        is_executing_order: bool = False,
         role: str = "",
     ) -> None:
         self.running = running
@@ -196,7 +196,7 @@
         self.total_blocks = total_blocks
         self.models = models
         self.orders = orders
-        self.is_changing = is_changing
+        self.is_executing_order = is_executing_order
         self.role = role
 
 
@@ -292,9 +292,9 @@
     address: str
     # Whether a decode without a prefill's result makes the engine read the
     # prompt itself, more slowly.
-    reads_prompts: bool = False
+    supports_chunked_prefill: bool = False
     # Whether a caller's request counts as run once its prompt was read.
-    prefill_runs: bool = True
+    counts_prefill_as_run: bool = True
 
     @abc.abstractmethod
     def prefill(
@@ -311,14 +311,16 @@
         """
 
     def prepare(
-        self, label: AttemptLabel, room: ReservationRequest | None = None
+        self,
+        label: AttemptLabel,
+        reservation: ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
         """Make sure that a decode which comes soon finds the engine there.
 
         It is cheaper to learn that before a prompt is read than after it.
 
         :param label: names the attempt
-        :param room: what to reserve; none for nothing
+        :param reservation: what to reserve; none for nothing
         :returns: nothing, or a fault: nothing of the request was sent.  Its
             step is ``RESERVE`` where the engine has no room.
         """
@@ -363,7 +365,7 @@
         """
 
     @abc.abstractmethod
-    def list_held(
+    def list_in_flight(
         self,
     ) -> expression.Result[list[InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -229,7 +229,7 @@
         body: bytes | None,
         timeout_ms: int,
         step: errors.Step,
-        is_fresh: bool = False,
+        needs_new_connection: bool = False,
         interrupt: "CallCanceller | None" = None,
     ) -> expression.Result[Response, errors.Fault]:
         """Make one call, exactly once.
@@ -240,14 +240,14 @@
         :param body: the body, if any
         :param timeout_ms: the longest wait for the whole reply
         :param step: the hop, for faults
-        :param is_fresh: whether the call needs a connection of its own: one
-            that was kept may be closed by the other end at this moment, and
-            then nobody knows whether the call ran
+        :param needs_new_connection: whether the call needs a connection of its
+            own: one that was kept may be closed by the other end at this
+            moment, and then nobody knows whether the call ran
         :param interrupt: ends the call from another thread
         :returns: the reply, or a fault that says whether it ran
         """
         deadline_s = time.monotonic() + timeout_ms / MS_IN_S
-        pool = self._make_pool() if is_fresh else self._find_pool()
+        pool = self._make_pool() if needs_new_connection else self._find_pool()
         response: urllib3.BaseHTTPResponse | None = None
         _CURRENT.interrupt = interrupt
         try:
@@ -272,7 +272,7 @@
             if interrupt is not None:
                 interrupt.detach()
         checked = self._check_echo(headers, whole, response, step)
-        if is_fresh:
+        if needs_new_connection:
             pool.close()
         return checked
 
@@ -280,7 +280,7 @@
         """Close the connections that are kept."""
         self._pool.close()
 
-    def retire(self) -> None:
+    def reset_pool(self) -> None:
         """Use none of the kept connections again."""
         with self._lock:
             before, self._pool = self._pool, self._make_pool()
@@ -304,7 +304,7 @@
         # Somebody else's answer, left on the connection or crossed in
         # between.  Nobody may get it, and this call's own is lost.
         self._abandon(response)
-        self.retire()
+        self.reset_pool()
         return expression.Error(
             errors.Fault(
                 errors.Code.UPSTREAM_FAILED,
@@ -323,7 +323,7 @@
             self.address
         )
         if fault.code is errors.Code.UPSTREAM_TIMEOUT:
-            self.retire()
+            self.reset_pool()
         return fault
 
     @staticmethod
@@ -335,7 +335,7 @@
 
     def _find_pool(self) -> urllib3.HTTPConnectionPool:
         if self._clock.now_ms() - self._made_ms > MAX_POOL_AGE_MS:
-            self.retire()
+            self.reset_pool()
         return self._pool
 
     def _make_pool(self) -> urllib3.HTTPConnectionPool:
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -68,16 +68,18 @@
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         super().__init__(host, int(port), timeout=CONNECT_TIMEOUT_MS / MS_IN_S)
-        self.made_s = 0.0
+        self.connected_s = 0.0
 
     def connect(self) -> None:
         """Make the connection, within the time that this may take."""
         super().connect()
-        self.made_s = time.monotonic()
+        self.connected_s = time.monotonic()
 
     def is_fresh(self) -> bool:
         """Tell whether the engine has surely not dropped it as idle."""
-        return time.monotonic() - self.made_s < MAX_UNUSED_AGE_MS / MS_IN_S
+        return (
+            time.monotonic() - self.connected_s < MAX_UNUSED_AGE_MS / MS_IN_S
+        )
 
     def is_closed(self) -> bool:
         """Tell whether the engine has closed it, or sent what nobody asked.
@@ -131,7 +133,7 @@
     timeout_ms: int,
     read_refusal: RejectionParser,
     interrupt: connections.CallCanceller | None = None,
-    made: DecodeConnection | None = None,
+    prepared_connection: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     """Send a decode call and return its stream once the head has come.
 
@@ -146,30 +148,32 @@
     :param timeout_ms: the longest wait for the reply's head
     :param read_refusal: tells what another status than 200 means
     :param interrupt: ends the call from another thread
-    :param made: a connection that was made before; a new one if it is not
-        fresh any more, or if none is given.  An engine that has closed a
-        fresh one counts as not reached.
+    :param prepared_connection: a connection that was made before; a new one if
+        it is not fresh any more, or if none is given.  An engine that has
+        closed a fresh one counts as not reached.
     :returns: the stream, or a fault that says whether it ran
     """
-    if made is None or not made.is_fresh():
-        if made is not None:
-            made.close()
+    if prepared_connection is None or not prepared_connection.is_fresh():
+        if prepared_connection is not None:
+            prepared_connection.close()
         connected = connect(address)
         if connected.is_error():
             return expression.Error(connected.error)
-        made = connected.ok
-    elif made.is_closed():
-        made.close()
+        prepared_connection = connected.ok
+    elif prepared_connection.is_closed():
+        prepared_connection.close()
         return expression.Error(
             connections.classify_failure(
                 ConnectionResetError(), errors.Step.DECODE, address, False
             )
         )
-    made.sock.settimeout(timeout_ms / MS_IN_S)
+    prepared_connection.sock.settimeout(timeout_ms / MS_IN_S)
     try:
-        return _exchange(made, address, request, read_refusal, interrupt)
+        return _exchange(
+            prepared_connection, address, request, read_refusal, interrupt
+        )
     except (OSError, http.client.HTTPException) as failure:
-        made.close()
+        prepared_connection.close()
         fault = connections.classify_failure(
             failure, errors.Step.DECODE, address
         )
--- a/mulberryway/upstreams/directory.py
+++ b/mulberryway/upstreams/directory.py
@@ -41,7 +41,7 @@
         """
 
     @abc.abstractmethod
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Forget upstreams that the tables no longer hold.
 
         :param changed: the new tables
@@ -111,7 +111,7 @@
             self._find(pool, upstream, http_service.HttpService),
         )
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Forget upstreams that the tables no longer hold.
 
         :param changed: the new tables
--- a/mulberryway/upstreams/http_engine.py
+++ b/mulberryway/upstreams/http_engine.py
@@ -117,7 +117,7 @@
             )
         )
 
-    def list_held(
+    def list_in_flight(
         self,
     ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -72,7 +72,9 @@
         attempt = history.Attempt(name, kind, key, self._vm, cluster.now_ms())
         attempt.path = f"/{kind.value}/{name}"
         attempt.sent = name.encode() * self._chance.randint(1, 40)
-        attempt.has_left = self._chance.random() < DISCONNECT_PROBABILITY
+        attempt.has_disconnected = (
+            self._chance.random() < DISCONNECT_PROBABILITY
+        )
         return attempt
 
     def _choose_key(self) -> str:
@@ -87,7 +89,7 @@
         if self._connection is None:
             self._connection = http.client.HTTPConnection(
                 hosted_fleet.HOST,
-                self._world.callers_ports[self._vm],
+                self._world.client_proxy_ports[self._vm],
                 timeout=CALL_TIMEOUT_S,
             )
         headers = {
@@ -102,7 +104,7 @@
             self._connection.request(
                 "POST", attempt.path, attempt.sent, headers
             )
-            if attempt.has_left:
+            if attempt.has_disconnected:
                 time.sleep(0.2 * self._chance.random())
                 self._move()
                 return
@@ -117,7 +119,7 @@
     ) -> None:
         attempt.status = reply.status
         attempt.seal = reply.headers.get("Server-Seal", "")
-        attempt.echoed = reply.headers.get("Attempt-Id", "")
+        attempt.echoed_id = reply.headers.get("Attempt-Id", "")
         attempt.retry_after = reply.headers.get("Retry-After", "")
         closes = reply.headers.get("Connection", "") == "close"
         try:
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -59,7 +59,7 @@
         self.over_part = over_part
         self.over_tokens = over_tokens
 
-    def read_most(self) -> float:
+    def compute_max_tokens(self) -> float:
         """Return the most that may run in one window."""
         due = self.rate * WINDOW_MS / 1_000 + self.burst
         return due * (1 + self.over_part) + self.over_tokens
@@ -73,7 +73,7 @@
         if attempt is None:
             yield f"{name} ran, and no caller sent it"
             continue
-        if len(runs) > attempt.kind.most_runs:
+        if len(runs) > attempt.kind.max_runs:
             yield f"{name} ran {len(runs)} times: {attempt.kind.value}"
         for run in runs:
             if run.account != seen.keys[attempt.key]:
@@ -109,7 +109,7 @@
     for one in seen.attempts:
         if one.status != 200:
             continue
-        if one.seal not in seals[one.name] or one.echoed != one.name:
+        if one.seal not in seals[one.name] or one.echoed_id != one.name:
             yield f"{one.name} got an answer that is not its own"
         if one.kind.is_stream:
             yield from _check_stream(one)
@@ -125,18 +125,18 @@
         for one in seen.attempts:
             if one.began_ms < due_ms or one.ended_ms >= again:
                 continue
-            if not seen.is_sound(
+            if not seen.is_vm_healthy(
                 one.vm, one.began_ms - SETTLE_MS, one.ended_ms
             ):
                 continue
-            if edit.what == "withdraw" and one.key == edit.name:
+            if edit.action == "withdraw" and one.key == edit.name:
                 if one.status == 200:
                     yield f"{one.name} was served with a withdrawn key"
-            if edit.what == "give" and one.key == edit.name:
+            if edit.action == "give" and one.key == edit.name:
                 if one.status == 401:
                     yield f"{one.name} was denied with a key that holds"
             if (
-                edit.what == "add"
+                edit.action == "add"
                 and one.kind is history.RequestKind.ADDED_ROUTE
             ):
                 if one.status == 404:
@@ -166,7 +166,7 @@
 def check_draining(seen: history.History) -> Violations:
     """An upstream that leaves gets no new work from sound VMs."""
     sent = {one.name: one for one in seen.attempts}
-    left = {one.name: one.at_ms for one in seen.edits if one.what == "leave"}
+    left = {one.name: one.at_ms for one in seen.edits if one.action == "leave"}
     for run in seen.runs:
         attempt, left_ms = sent.get(run.attempt), left.get(run.instance)
         if attempt is None or left_ms is None:
@@ -176,7 +176,7 @@
             or attempt.began_ms < left_ms
         ):
             continue
-        if seen.is_sound(attempt.vm, left_ms - SETTLE_MS, run.at_ms):
+        if seen.is_vm_healthy(attempt.vm, left_ms - SETTLE_MS, run.at_ms):
             yield f"{run.attempt} ran at {run.instance}, which had left"
 
 
@@ -185,16 +185,16 @@
     ran = _group_runs(seen)
     for one in seen.attempts:
         is_lost = one.status == 0 or one.is_cut
-        if not is_lost or one.has_left or one.name not in ran:
+        if not is_lost or one.has_disconnected or one.name not in ran:
             continue
         span = (one.began_ms - SETTLE_MS, one.ended_ms)
-        if not seen.are_upstreams_sound(*span):
+        if not seen.are_upstreams_healthy(*span):
             continue
         kinds = {
             window.kind
-            for window in seen.windows
+            for window in seen.fault_windows
             if window.target in (f"vm-{one.vm}", f"front-{one.vm}", "store")
-            and window.touches(*span)
+            and window.overlaps(*span)
         }
         if kinds <= {"vm_term", "vm_reload"}:
             yield f"{one.name} lost its answer, faults: {sorted(kinds)}"
@@ -204,23 +204,23 @@
     """Nobody waits long after the deadline for a final answer."""
     for one in seen.attempts:
         took_ms = one.ended_ms - one.began_ms
-        if one.has_left or took_ms <= DEADLINE_MS + DEADLINE_SLACK_MS:
+        if one.has_disconnected or took_ms <= DEADLINE_MS + DEADLINE_SLACK_MS:
             continue
-        if seen.is_sound(one.vm, one.began_ms - SETTLE_MS, one.ended_ms):
+        if seen.is_vm_healthy(one.vm, one.began_ms - SETTLE_MS, one.ended_ms):
             yield f"{one.name} was answered after {took_ms} ms"
 
 
 def check_recovery(seen: history.History) -> Violations:
     """Nothing ends by itself, nothing is held, and all is well again."""
-    for vm in seen.exits:
+    for vm in seen.unexpected_exits:
         yield f"{vm} ended by itself"
     if seen.held:
         yield f"engines still hold {seen.held} runs or KV caches"
     calm = [
         one
         for one in seen.attempts
-        if one.began_ms >= seen.calm_ms
-        and not one.has_left
+        if one.began_ms >= seen.recovered_ms
+        and not one.has_disconnected
         and _is_owed(seen, one)
     ]
     served = sum(one.status == 200 and not one.is_cut for one in calm)
@@ -242,8 +242,11 @@
             for at_ms, tokens in starts
             if first_ms <= at_ms < first_ms + WINDOW_MS
         )
-        if used > quota.read_most():
-            yield f"{quota.account} used {used} of {quota.read_most():.0f}"
+        if used > quota.compute_max_tokens():
+            yield (
+                f"{quota.account} used {used}"
+                f" of {quota.compute_max_tokens():.0f}"
+            )
             return
 
 
@@ -261,15 +264,15 @@
 )
 
 
-def find_violations(seen: history.History, quota: Quota) -> list[str]:
+def find_violations(recorded: history.History, quota: Quota) -> list[str]:
     """Hold a history against all promises.
 
-    :param seen: the history
+    :param recorded: the history
     :param quota: the account with a limit
     :returns: one sentence for each broken promise
     """
-    found = itertools.chain.from_iterable(one(seen) for one in CHECKS)
-    return [*found, *check_quota(seen, quota)]
+    found = itertools.chain.from_iterable(one(recorded) for one in CHECKS)
+    return [*found, *check_quota(recorded, quota)]
 
 
 def list_events(body: bytes) -> list[int]:
@@ -308,7 +311,7 @@
             one.at_ms
             for one in seen.edits
             if one.name == edit.name
-            and one.what != edit.what
+            and one.action != edit.action
             and one.at_ms > edit.at_ms
         ),
         default=float("inf"),
@@ -321,8 +324,8 @@
     return any(
         window.target == f"vm-{vm}"
         and window.kind in ("vm_kill", "vm_term")
-        and window.touches(from_ms, to_ms)
-        for window in seen.windows
+        and window.overlaps(from_ms, to_ms)
+        for window in seen.fault_windows
     )
 
 
@@ -333,7 +336,7 @@
     withdrawn = [
         edit.at_ms
         for edit in seen.edits
-        if edit.name == one.key and edit.what == "withdraw"
+        if edit.name == one.key and edit.action == "withdraw"
     ]
     return not withdrawn
 
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -50,20 +50,20 @@
         self.lock = threading.RLock()
         self.vm_locks = [threading.Lock() for _ in self.vms]
         # One fault may start an upstream while another one ends it.
-        self.life_locks = {
-            name: threading.RLock() for name in shape.list_upstreams()
+        self.upstream_locks = {
+            name: threading.RLock() for name in shape.list_upstream_names()
         }
-        self.told_to_end: set[int] = set()
+        self.expected_exits: set[int] = set()
         self.routes: list[dict] = []
         self.instances: dict[str, str] = {}
-        self.lives: dict[str, int] = {}
+        self.incarnation_counts: dict[str, int] = {}
         self._ending = threading.Event()
         self._watcher = threading.Thread(target=self._watch, daemon=True)
         self._start_proxy()
 
     def __enter__(self) -> "SoakCluster":
-        for name in self.shape.list_upstreams():
-            self.start_life(name)
+        for name in self.shape.list_upstream_names():
+            self.start_incarnation(name)
         self.start_vms()
         self._watcher.start()
         return self
@@ -78,7 +78,7 @@
         self, number: int, store_port: int | None = None
     ) -> processes.Process:
         """Start an entry VM that reaches the store by its tie."""
-        return super().start_vm(number, self.ties[number])
+        return super().start_vm(number, self.store_proxy_ports[number])
 
     def configure(self, keys=None, more=()) -> None:  # noqa: ANN001
         """Write a new version with the keys and routes of this moment."""
@@ -89,7 +89,7 @@
         """Let the store forget its history."""
         processes.call(self.store_port, "POST", "/standin/compact", {})
 
-    def change_pair(self, name: str, **faults: object) -> None:
+    def set_proxy_faults(self, name: str, **faults: object) -> None:
         """Switch faults of a proxy.
 
         :param name: the pair
@@ -97,16 +97,16 @@
         """
         processes.call(self.control, "POST", f"/standin/pairs/{name}", faults)
 
-    def start_life(self, name: str) -> None:
+    def start_incarnation(self, name: str) -> None:
         """Start an upstream's next life, unless it lives, and register it."""
-        with self.life_locks[name]:
+        with self.upstream_locks[name]:
             if self.is_alive(name):
                 return
             self._start_life(name)
 
     def is_alive(self, name: str) -> bool:
         """Tell whether an upstream's process runs."""
-        with self.life_locks[name]:
+        with self.upstream_locks[name]:
             instance = self.instances.get(name)
             return (
                 instance is not None
@@ -114,11 +114,13 @@
             )
 
     def _start_life(self, name: str) -> None:
-        number = self.lives[name] = self.lives.get(name, 0) + 1
+        number = self.incarnation_counts[name] = (
+            self.incarnation_counts.get(name, 0) + 1
+        )
         instance = f"{name}-life{number}"
         service, phase = parse_upstream_name(name)
         self.seen.services[instance] = service
-        port = self.up_ports[name]
+        port = self.upstream_ports[name]
         process = self.group.start(
             "standins.hosted_upstreams",
             f"--port={port}",
@@ -128,47 +130,47 @@
             f"--handle_ms={HANDLE_MS}",
             ports=[port],
         )
-        front = self.up_fronts[name]
+        front = self.upstream_proxy_ports[name]
         self.upstreams[instance] = (process, front, service, phase)
         self.instances[name] = instance
         self.register(instance)
 
-    def end_life(self, name: str) -> str:
+    def kill_incarnation(self, name: str) -> str:
         """Kill an upstream; its entry stays.
 
         :param name: the upstream
         :returns: the incarnation that has ended
         """
-        with self.life_locks[name]:
+        with self.upstream_locks[name]:
             instance = self.instances[name]
             self.upstreams[instance][0].kill()
         return instance
 
     def find_process(self, name: str) -> processes.Process:
         """Return the process of an upstream's present life."""
-        with self.life_locks[name]:
+        with self.upstream_locks[name]:
             return self.upstreams[self.instances[name]][0]
 
     def set_upstream_fault(self, name: str, **faults: int) -> None:
         """Switch faults of an upstream itself, not through its proxy."""
         try:
             processes.call(
-                self.up_ports[name], "POST", "/standin/faults", faults
+                self.upstream_ports[name], "POST", "/standin/faults", faults
             )
         except OSError:
             # It is down at this moment; its next life has no faults.
             return
 
-    def kill_vm(self, number: int) -> None:
+    def kill_and_restart_vm(self, number: int) -> None:
         """Kill a VM and start it again, and wait until it serves."""
         with self.vm_locks[number]:
             self._tell_to_end(number)
             self.vms[number].kill()
             time.sleep(DOWN_S)
             self.start_vm(number)
-        self.wait_vm(number)
+        self.wait_until_ready(number)
 
-    def end_vm(self, number: int) -> None:
+    def restart_vm_gracefully(self, number: int) -> None:
         """Stop a VM as planned and start it again."""
         vm = self._tell_to_end(number)
         vm.terminate()
@@ -179,9 +181,9 @@
             if self.vms[number] is vm:
                 vm.kill()
                 self.start_vm(number)
-        self.wait_vm(number)
+        self.wait_until_ready(number)
 
-    def wait_vm(self, number: int) -> None:
+    def wait_until_ready(self, number: int) -> None:
         """Wait until a VM says that it is ready."""
         processes.wait_until(
             lambda: self.is_ready(self.ports[number]), READY_S
@@ -205,33 +207,39 @@
 
     def count_held(self) -> int:
         """Return how many runs and KV caches engines hold now."""
-        names = [n for n in self.shape.list_upstreams() if n[0] != "s"]
+        names = [n for n in self.shape.list_upstream_names() if n[0] != "s"]
         states = [
-            processes.call(self.up_ports[name], "GET", "/standin/state").json()
+            processes.call(
+                self.upstream_ports[name], "GET", "/standin/state"
+            ).json()
             for name in names
         ]
         return sum(state["running"] + state["handles"] for state in states)
 
     def _start_proxy(self) -> None:
         count = len(self.vms)
-        names = self.shape.list_upstreams()
+        names = self.shape.list_upstream_names()
         ports = iter(processes.pick_ports(1 + 2 * count + 2 * len(names)))
         self.control = next(ports)
-        self.callers_ports = [next(ports) for _ in range(count)]
-        self.ties = [next(ports) for _ in range(count)]
-        self.up_fronts = {name: next(ports) for name in names}
-        self.up_ports = {name: next(ports) for name in names}
+        self.client_proxy_ports = [next(ports) for _ in range(count)]
+        self.store_proxy_ports = [next(ports) for _ in range(count)]
+        self.upstream_proxy_ports = {name: next(ports) for name in names}
+        self.upstream_ports = {name: next(ports) for name in names}
         pairs = [
             *(
-                (f"front-{n}", self.callers_ports[n], self.ports[n][0])
+                (f"front-{n}", self.client_proxy_ports[n], self.ports[n][0])
                 for n in range(count)
             ),
             *(
-                (f"tie-{n}", self.ties[n], self.store_port)
+                (f"tie-{n}", self.store_proxy_ports[n], self.store_port)
                 for n in range(count)
             ),
             *(
-                (f"up-{name}", self.up_fronts[name], self.up_ports[name])
+                (
+                    f"up-{name}",
+                    self.upstream_proxy_ports[name],
+                    self.upstream_ports[name],
+                )
                 for name in names
             ),
         ]
@@ -249,7 +257,7 @@
 
     def _tell_to_end(self, number: int) -> processes.Process:
         vm = self.vms[number]
-        self.told_to_end.add(vm.popen.pid)
+        self.expected_exits.add(vm.popen.pid)
         return vm
 
     def _watch(self) -> None:
@@ -257,9 +265,14 @@
         while not self._ending.wait(WATCH_S):
             for number, vm in enumerate(self.vms):
                 code = vm.popen.poll()
-                if code is not None and vm.popen.pid not in self.told_to_end:
-                    self.told_to_end.add(vm.popen.pid)
-                    self.seen.exits.append(f"vm-{number} (status {code})")
+                if (
+                    code is not None
+                    and vm.popen.pid not in self.expected_exits
+                ):
+                    self.expected_exits.add(vm.popen.pid)
+                    self.seen.unexpected_exits.append(
+                        f"vm-{number} (status {code})"
+                    )
 
 
 def parse_upstream_name(name: str) -> tuple[str, str]:
--- a/soak/history.py
+++ b/soak/history.py
@@ -27,7 +27,7 @@
         )
 
     @property
-    def most_runs(self) -> int:
+    def max_runs(self) -> int:
         """How often one attempt may run."""
         return (
             1
@@ -52,7 +52,7 @@
     :param began_ms: when it was sent
 
     ``status`` is 0 where no answer came; ``is_cut`` tells an answer that
-    ended early, ``has_left`` a caller that did not wait for it.
+    ended early, ``has_disconnected`` a caller that did not wait for it.
     """
 
     __slots__ = (
@@ -67,10 +67,10 @@
         "status",
         "body",
         "seal",
-        "echoed",
+        "echoed_id",
         "retry_after",
         "is_cut",
-        "has_left",
+        "has_disconnected",
     )
 
     def __init__(
@@ -87,10 +87,10 @@
         self.status = 0
         self.body = b""
         self.seal = ""
-        self.echoed = ""
+        self.echoed_id = ""
         self.retry_after = ""
         self.is_cut = False
-        self.has_left = False
+        self.has_disconnected = False
 
 
 class Run:
@@ -142,7 +142,7 @@
         self.from_ms = from_ms
         self.to_ms = to_ms
 
-    def touches(self, from_ms: int, to_ms: int) -> bool:
+    def overlaps(self, from_ms: int, to_ms: int) -> bool:
         """Tell whether it overlaps a time.
 
         :param from_ms: the time's beginning
@@ -154,16 +154,16 @@
 class Edit:
     """A change that the store has acknowledged.
 
-    :param what: ``give`` or ``withdraw`` a key, ``add`` a route, or
+    :param action: ``give`` or ``withdraw`` a key, ``add`` a route, or
         ``leave`` of an upstream
     :param name: the key, the route's prefix or the upstream's incarnation
     :param at_ms: when it was acknowledged
     """
 
-    __slots__ = ("what", "name", "at_ms")
+    __slots__ = ("action", "name", "at_ms")
 
-    def __init__(self, what: str, name: str, at_ms: int) -> None:
-        self.what = what
+    def __init__(self, action: str, name: str, at_ms: int) -> None:
+        self.action = action
         self.name = name
         self.at_ms = at_ms
 
@@ -181,11 +181,11 @@
         "services",
         "attempts",
         "runs",
-        "windows",
+        "fault_windows",
         "edits",
-        "exits",
+        "unexpected_exits",
         "held",
-        "calm_ms",
+        "recovered_ms",
     )
 
     def __init__(self, keys: dict[str, str], vms: int) -> None:
@@ -195,17 +195,17 @@
         self.services: dict[str, str] = {}
         self.attempts: list[Attempt] = []
         self.runs: list[Run] = []
-        self.windows: list[FaultWindow] = []
+        self.fault_windows: list[FaultWindow] = []
         self.edits: list[Edit] = []
         # VMs that ended though nobody had told them to.
-        self.exits: list[str] = []
+        self.unexpected_exits: list[str] = []
         # Runs and KV caches that engines still hold at the end.
         self.held = 0
         # From here on nothing goes wrong any more, and all have had time
         # to recover.
-        self.calm_ms = 0
+        self.recovered_ms = 0
 
-    def is_sound(self, vm: int, from_ms: int, to_ms: int) -> bool:
+    def is_vm_healthy(self, vm: int, from_ms: int, to_ms: int) -> bool:
         """Tell whether a VM was left alone by faults of its own.
 
         :param vm: its number
@@ -214,8 +214,8 @@
         """
         targets = {
             window.target
-            for window in self.windows
-            if window.touches(from_ms, to_ms)
+            for window in self.fault_windows
+            if window.overlaps(from_ms, to_ms)
         }
         if targets & {f"vm-{vm}", f"front-{vm}", "store"}:
             return False
@@ -226,13 +226,13 @@
             not targets & {f"vm-{other}", f"tie-{other}"} for other in others
         )
 
-    def are_upstreams_sound(self, from_ms: int, to_ms: int) -> bool:
+    def are_upstreams_healthy(self, from_ms: int, to_ms: int) -> bool:
         """Tell whether no upstream had a fault.
 
         :param from_ms: from when on
         :param to_ms: until when
         """
         return not any(
-            window.target.startswith("up-") and window.touches(from_ms, to_ms)
-            for window in self.windows
+            window.target.startswith("up-") and window.overlaps(from_ms, to_ms)
+            for window in self.fault_windows
         )
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -59,8 +59,12 @@
         self._actions: dict[
             str, collections.abc.Callable[[plan.ScheduledFault], None]
         ] = {
-            "vm_kill": lambda step: world_.kill_vm(int(step.target)),
-            "vm_term": lambda step: world_.end_vm(int(step.target)),
+            "vm_kill": lambda step: world_.kill_and_restart_vm(
+                int(step.target)
+            ),
+            "vm_term": lambda step: world_.restart_vm_gracefully(
+                int(step.target)
+            ),
             "vm_pause": self._pause_vm,
             "vm_reload": self._reload_vm,
             "all_kill": self._kill_all,
@@ -74,7 +78,7 @@
             "poison": self._poison,
         }
 
-    def play(self) -> None:
+    def inject_all(self) -> None:
         """Carry out all steps at their times, and wait for their ends."""
         began_ms = cluster.now_ms()
         with concurrent.futures.ThreadPoolExecutor(MOST_THREADS) as pool:
@@ -91,7 +95,7 @@
         window = history.FaultWindow(
             step.kind, get_target_name(step), cluster.now_ms(), 1 << 62
         )
-        self._world.seen.windows.append(window)
+        self._world.seen.fault_windows.append(window)
         try:
             self._find_action(step)(step)
         finally:
@@ -112,10 +116,10 @@
         place, _, how = step.kind.partition("_")
         on, off = PAIR_SWITCHES[how]
         name = f"{place}-{step.target}"
-        self._world.change_pair(name, **on)
+        self._world.set_proxy_faults(name, **on)
         _rest(step)
         if off:
-            self._world.change_pair(name, **off)
+            self._world.set_proxy_faults(name, **off)
 
     def _switch_store(self, step: plan.ScheduledFault) -> None:
         self._world.set_store_fault(STORE_SWITCHES[step.kind])
@@ -136,21 +140,23 @@
 
     def _reload_vm(self, step: plan.ScheduledFault) -> None:
         number = int(step.target)
-        self._world.write_settings(number, self._world.ties[number])
+        self._world.write_settings(
+            number, self._world.store_proxy_ports[number]
+        )
         self._world.vms[number].send_signal(signal.SIGHUP)
 
     def _kill_all(self, step: plan.ScheduledFault) -> None:
         numbers = range(len(self._world.vms))
         with concurrent.futures.ThreadPoolExecutor() as pool:
-            list(pool.map(self._world.kill_vm, numbers))
+            list(pool.map(self._world.kill_and_restart_vm, numbers))
 
     def _compact(self, step: plan.ScheduledFault) -> None:
         self._world.compact()
 
     def _kill_upstream(self, step: plan.ScheduledFault) -> None:
-        ended = self._world.end_life(step.target)
+        ended = self._world.kill_incarnation(step.target)
         _rest(step)
-        self._world.start_life(step.target)
+        self._world.start_incarnation(step.target)
         time.sleep(cluster.ENTRY_EXPIRY_S)
         self._world.drop("servers", ended)
 
@@ -169,9 +175,9 @@
         if self._world.instances[name] != instance:
             # It was killed meanwhile and has another life.
             return
-        self._world.end_life(name)
+        self._world.kill_incarnation(name)
         self._world.drop("servers", instance)
-        self._world.start_life(name)
+        self._world.start_incarnation(name)
 
     def _add_route(self, step: plan.ScheduledFault) -> None:
         with self._world.lock:
@@ -218,7 +224,7 @@
             number,
             cluster.now_ms(),
         )
-        attempt.has_left = True
+        attempt.has_disconnected = True
         self._world.seen.attempts.append(attempt)
         try:
             self._world.send(number, "/plain/p", attempt.name, body=b"poison")
@@ -229,10 +235,10 @@
         self._revive()
 
     def _revive(self) -> None:
-        for name in self._world.shape.list_upstreams():
+        for name in self._world.shape.list_upstream_names():
             if not self._world.is_alive(name):
                 ended = self._world.instances[name]
-                self._world.start_life(name)
+                self._world.start_incarnation(name)
                 self._world.drop("servers", ended)
 
     def _note(self, what: str, name: str) -> None:
@@ -258,4 +264,4 @@
 
 
 def _rest(step: plan.ScheduledFault) -> None:
-    time.sleep(step.for_ms / MS_IN_S)
+    time.sleep(step.duration_ms / MS_IN_S)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -98,7 +98,7 @@
         self.chains = chains
         self.length_ms = length_ms
 
-    def list_upstreams(self) -> list[str]:
+    def list_upstream_names(self) -> list[str]:
         """Return the names of all upstreams."""
         return [
             *(f"p{number}" for number in range(self.prefills)),
@@ -113,18 +113,18 @@
     :param at_ms: when it comes, from the plan's beginning
     :param kind: which one
     :param target: a VM's number or an upstream's name, as text
-    :param for_ms: how long it lasts, where that fits
+    :param duration_ms: how long it lasts, where that fits
     """
 
-    __slots__ = ("at_ms", "kind", "target", "for_ms")
+    __slots__ = ("at_ms", "kind", "target", "duration_ms")
 
     def __init__(
-        self, at_ms: int, kind: str, target: str, for_ms: int
+        self, at_ms: int, kind: str, target: str, duration_ms: int
     ) -> None:
         self.at_ms = at_ms
         self.kind = kind
         self.target = target
-        self.for_ms = for_ms
+        self.duration_ms = duration_ms
 
 
 def make_fault_schedule(seed: int, shape: SoakConfig) -> list[ScheduledFault]:
@@ -169,5 +169,5 @@
     chance: random.Random, shape: SoakConfig, kinds: tuple[str, ...]
 ) -> str:
     if kinds is UPSTREAM_FAULTS:
-        return chance.choice(shape.list_upstreams())
+        return chance.choice(shape.list_upstream_names())
     return str(chance.randrange(shape.vms))
--- a/soak/run.py
+++ b/soak/run.py
@@ -29,22 +29,22 @@
     """What came of a seed.
 
     :param seed: the seed
-    :param steps: its plan
+    :param faults: its plan
     :param seen: what was seen
     :param broken: one sentence for each broken promise
     """
 
-    __slots__ = ("seed", "steps", "seen", "broken")
+    __slots__ = ("seed", "faults", "seen", "broken")
 
     def __init__(
         self,
         seed: int,
-        steps: list[plan.ScheduledFault],
+        faults: list[plan.ScheduledFault],
         seen: history.History,
         broken: list[str],
     ) -> None:
         self.seed = seed
-        self.steps = steps
+        self.faults = faults
         self.seen = seen
         self.broken = broken
 
@@ -52,8 +52,8 @@
         """Return one line for people."""
         served = sum(one.status == 200 for one in self.seen.attempts)
         faults = ", ".join(
-            f"{step.kind}({step.target}) {step.at_ms}+{step.for_ms}"
-            for step in self.steps
+            f"{step.kind}({step.target}) {step.at_ms}+{step.duration_ms}"
+            for step in self.faults
         )
         return (
             f"seed {self.seed}: {len(self.broken)} broken, "
@@ -76,9 +76,9 @@
         crowd = callers.Callers(seed, world_)
         began_ms = cluster.now_ms()
         crowd.start()
-        injector.Injector(world_, steps).play()
+        injector.Injector(world_, steps).inject_all()
         ended_ms = max(cluster.now_ms(), began_ms + shape.length_ms)
-        world_.seen.calm_ms = ended_ms + plan.RECOVERY_MS
+        world_.seen.recovered_ms = ended_ms + plan.RECOVERY_MS
         left_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
         time.sleep(left_ms / MS_IN_S)
         world_.seen.attempts += crowd.stop()
@@ -98,7 +98,7 @@
             shutil.copy(file, folder)
     windows = [
         f"{window.from_ms} {window.to_ms} {window.kind} {window.target}"
-        for window in world_.seen.windows
+        for window in world_.seen.fault_windows
     ]
     (folder / "windows.txt").write_text("\n".join(windows), encoding="utf-8")
     attempts = [
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -30,17 +30,17 @@
     :param max_tokens: the most that the caller wants
     """
 
-    __slots__ = ("seed", "length", "stops")
+    __slots__ = ("seed", "length", "is_stopped_early")
 
     def __init__(self, model: str, prompt: str, max_tokens: int) -> None:
         digest = hashlib.sha256(f"{model}\0{prompt}".encode()).hexdigest()
         self.seed = digest[:SEED_DIGITS]
-        self.stops = SHORT_MARKER in prompt
+        self.is_stopped_early = SHORT_MARKER in prompt
         self.length = max_tokens
-        if self.stops:
+        if self.is_stopped_early:
             self.length = 1 + int(digest[-4:], 16) % max(max_tokens, 1)
 
-    def text_at(self, index: int) -> str:
+    def get_token_text(self, index: int) -> str:
         """Return one token's text.
 
         :param index: the token's place, from 0
@@ -50,11 +50,11 @@
 
     def finish_reason(self) -> str:
         """Return why the answer ends: ``stop`` or ``length``."""
-        return "stop" if self.stops else "length"
+        return "stop" if self.is_stopped_early else "length"
 
     def text(self) -> str:
         """Return the whole answer's text."""
-        return "".join(map(self.text_at, range(self.length)))
+        return "".join(map(self.get_token_text, range(self.length)))
 
 
 def count_prompt_tokens(prompt: str) -> int:
--- a/standins/engine_completion.py
+++ b/standins/engine_completion.py
@@ -108,7 +108,7 @@
         :param index: the token's place
         """
         self.record["tokens"] += 1
-        text = self.answer.text_at(index)
+        text = self.answer.get_token_text(index)
         if not self._call.stream:
             self._texts.append(text)
             return
@@ -145,7 +145,7 @@
             "cached_tokens": self.run.cached_tokens,
         }
 
-    def make_whole(self) -> dict[str, typing.Any]:
+    def make_full_response(self) -> dict[str, typing.Any]:
         """Return the reply to a call that does not stream."""
         choice = {
             "index": 0,
--- a/standins/engine_kv_transfer.py
+++ b/standins/engine_kv_transfer.py
@@ -20,16 +20,16 @@
     """Both ends: gives out this engine's handles, claims other engines'.
 
     :param model: the engine
-    :param pump: lets the model catch up and returns the time in ms
+    :param advance_model: lets the model catch up and returns the time in ms
     """
 
     def __init__(
         self,
         model: engine_model.EngineModel,
-        pump: collections.abc.Callable[[], float],
+        advance_model: collections.abc.Callable[[], float],
     ) -> None:
         self._model = model
-        self._pump = pump
+        self._pump = advance_model
         self._client: aiohttp.ClientSession | None = None
         # The event loop itself keeps only weak references to tasks.
         self._releases: set[asyncio.Task[bool]] = set()
@@ -52,7 +52,7 @@
         """
         return await self._ask("POST", params)
 
-    def release_later(self, params: dict[str, typing.Any]) -> None:
+    def release_in_background(self, params: dict[str, typing.Any]) -> None:
         """Let another engine free a result after its import.
 
         :param params: the call's ``kv_transfer_params``
@@ -80,7 +80,7 @@
             return False
 
     async def _claim(self, request: web.Request) -> web.Response:
-        run = self._model.claim_handle(
+        run = self._model.pin_handle(
             request.match_info["handle"], self._pump()
         )
         if run is None:
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -132,7 +132,7 @@
         self._let_go(run, now_ms)
         return True
 
-    def claim_handle(self, handle: str, now_ms: float) -> EngineRequest | None:
+    def pin_handle(self, handle: str, now_ms: float) -> EngineRequest | None:
         """Pin a prefill's result for an import; none once it has expired.
 
         :param handle: the handle's name
@@ -141,7 +141,7 @@
         """
         run = self._handles.get(handle)
         if run is not None:
-            run.ends_ms = now_ms + PIN_MS
+            run.due_ms = now_ms + PIN_MS
         return run
 
     def release_handle(self, handle: str, now_ms: float) -> None:
@@ -177,7 +177,7 @@
             self._loading.append((now_ms + self.shape.load_model_ms, argument))
         return True
 
-    def change_shape(self, name: str, value: float, now_ms: float) -> None:
+    def set_parameter(self, name: str, value: float, now_ms: float) -> None:
         """Change one of the engine's figures while it works.
 
         :param name: the attribute
@@ -195,15 +195,13 @@
         """
         return self._history.read(now_ms - self.shape.load_lag_ms)
 
-    def next_ms(self) -> float:
+    def get_next_event_ms(self) -> float:
         """Return when something happens next; infinite if nothing will."""
         return min(
-            self._prefills.next_ms(),
-            self._link.next_ms(),
+            self._prefills.get_next_event_ms(),
+            self._link.get_next_event_ms(),
             self._step_ms,
-            min(
-                (run.ends_ms for run in self._handles.values()), default=NEVER
-            ),
+            min((run.due_ms for run in self._handles.values()), default=NEVER),
             min((at_ms for at_ms, _ in self._loading), default=NEVER),
         )
 
@@ -214,7 +212,7 @@
         :returns: what happened, in order
         """
         found: list[ModelEvent] = []
-        while (at_ms := self.next_ms()) <= now_ms:
+        while (at_ms := self.get_next_event_ms()) <= now_ms:
             self._finish_loading(at_ms)
             self._end_prefill(at_ms, found)
             self._end_imports(at_ms, found)
@@ -262,13 +260,13 @@
         else:
             run.phase = RequestPhase.TRANSFER
             run.handle = f"{run.request_id}-{next(self._numbers)}"
-            run.ends_ms = at_ms + self.shape.handle_ms
+            run.due_ms = at_ms + self.shape.handle_ms
             self._handles[run.handle] = run
         found.append(ModelEvent(EventKind.PREFILLED, run, at_ms))
         self._snapshot(at_ms)
 
     def _end_imports(self, at_ms: float, found: list[ModelEvent]) -> None:
-        for run in self._link.end_transfers(at_ms):
+        for run in self._link.pop_finished(at_ms):
             self._join_batch(run, at_ms)
             found.append(ModelEvent(EventKind.IMPORTED, run, at_ms))
 
@@ -302,7 +300,7 @@
             self._step_ms = at_ms + self._step_length_ms()
 
     def _expire_handles(self, at_ms: float, found: list[ModelEvent]) -> None:
-        ended = [run for run in self._handles.values() if run.ends_ms <= at_ms]
+        ended = [run for run in self._handles.values() if run.due_ms <= at_ms]
         for run in ended:
             self._let_go(run, at_ms)
             found.append(ModelEvent(EventKind.EXPIRED, run, at_ms))
--- a/standins/engine_server.py
+++ b/standins/engine_server.py
@@ -85,7 +85,7 @@
                 self._tell(event, event.run.context)
         if self._timer is not None:
             self._timer.cancel()
-        next_ms = self.model.next_ms()
+        next_ms = self.model.get_next_event_ms()
         if next_ms < math.inf:
             self._timer = asyncio.get_running_loop().call_at(
                 next_ms / 1000, self._pump
@@ -232,7 +232,7 @@
                     exchange, engine_types.RejectReason.HANDLE_EXPIRED
                 )
             exchange.imported.add_done_callback(
-                lambda _: self._handles.release_later(call.params)
+                lambda _: self._handles.release_in_background(call.params)
             )
             self._pump()
             return await self._reply(request, call, exchange)
@@ -264,7 +264,7 @@
     ) -> web.StreamResponse:
         if not call.stream:
             if await exchange.finished:
-                return self._answer(exchange, exchange.make_whole())
+                return self._answer(exchange, exchange.make_full_response())
             return self._answer(exchange, {"error": "cancelled"}, 500)
         response = web.StreamResponse(
             headers={
@@ -302,6 +302,6 @@
         self._pump()
         self._refuse_status = int(faults.pop("refuse_status", 0))
         for name, value in faults.items():
-            self.model.change_shape(name, value, self._now_ms())
+            self.model.set_parameter(name, value, self._now_ms())
         self._pump()
         return serving.answer(vars(self.model.shape))
--- a/standins/engine_types.py
+++ b/standins/engine_types.py
@@ -87,7 +87,7 @@
         "decodes",
         "handle",
         "remaining_bytes",
-        "ends_ms",
+        "due_ms",
         "context",
     )
 
@@ -116,7 +116,7 @@
         self.decodes = False
         self.handle = ""
         self.remaining_bytes = 0.0
-        self.ends_ms = 0.0
+        self.due_ms = 0.0
         # Whatever the model's user wants to find again with an event.
         self.context: object = None
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -113,7 +113,9 @@
             if not self._take(verb):
                 return serving.make_error_response(429, "over the rate")
             response = await self._run(handler, request)
-            loses = verb in WRITES and faulty and self.faults.loses_reply()
+            loses = (
+                verb in WRITES and faulty and self.faults.consume_reply_drop()
+            )
             if loses and request.transport is not None:
                 request.transport.abort()
             return response
--- a/standins/platform_faults.py
+++ b/standins/platform_faults.py
@@ -57,7 +57,7 @@
         """
         return not self.kinds or kind in self.kinds
 
-    def loses_reply(self) -> bool:
+    def consume_reply_drop(self) -> bool:
         """Decide whether a write's reply is lost; counts the write."""
         if self.lost_writes > 0:
             self.lost_writes -= 1
--- a/standins/prefill_queue.py
+++ b/standins/prefill_queue.py
@@ -59,9 +59,9 @@
             self._current = None
             self._start(now_ms)
 
-    def next_ms(self) -> float:
+    def get_next_event_ms(self) -> float:
         """Return when the current prefill ends; infinite if there is none."""
-        return self._current.ends_ms if self._current else math.inf
+        return self._current.due_ms if self._current else math.inf
 
     def end(self, at_ms: float) -> engine_types.EngineRequest | None:
         """Take out the prefill that has ended, and start the next.
@@ -70,7 +70,7 @@
         :returns: the run, or none
         """
         run = self._current
-        if run is None or run.ends_ms > at_ms:
+        if run is None or run.due_ms > at_ms:
             return None
         self._cache.store(run.hashes, at_ms)
         self._current = None
@@ -87,5 +87,5 @@
         uncached = max(run.prompt_tokens - run.cached_tokens, 1)
         work_ms = uncached * self._shape.prefill_token_ms
         work_ms += self._shape.prefill_base_ms
-        run.ends_ms = now_ms + work_ms * self._shape.slow_factor
+        run.due_ms = now_ms + work_ms * self._shape.slow_factor
         self._current = run
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -37,7 +37,7 @@
 
     :param blocks: how many it holds
     :param lag_ms: how late its events are seen
-    :param gap_share: the share of events that are lost
+    :param loss_fraction: the share of events that are lost
     :param random_: decides which are lost
     """
 
@@ -45,12 +45,12 @@
         self,
         blocks: int,
         lag_ms: float,
-        gap_share: float,
+        loss_fraction: float,
         random_: random.Random,
     ) -> None:
         self.blocks = blocks
         self.lag_ms = lag_ms
-        self.gap_share = gap_share
+        self.loss_fraction = loss_fraction
         self._random = random_
         self._held: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
@@ -121,7 +121,7 @@
         now_ms: float,
     ) -> None:
         self._sequence += 1
-        if self._random.random() >= self.gap_share:
+        if self._random.random() >= self.loss_fraction:
             self._records.append(
                 CacheRecord(
                     self._sequence, now_ms + self.lag_ms, stored, removed
--- a/standins/proxy_faults.py
+++ b/standins/proxy_faults.py
@@ -57,14 +57,14 @@
             return 0.0
         return (self.delay_ms + self._random.random() * self.jitter_ms) / 1000
 
-    def drops_reply(self) -> bool:
+    def consume_reply_drop(self) -> bool:
         """Decide whether a reply is dropped; counts it."""
         if self.drop_replies > 0:
             self.drop_replies -= 1
             return True
         return False
 
-    def holds_reply(self) -> bool:
+    def consume_reply_hold(self) -> bool:
         """Decide whether a reply is held; counts it."""
         if self.hold_replies > 0:
             self.hold_replies -= 1
--- a/standins/proxy_pair.py
+++ b/standins/proxy_pair.py
@@ -155,10 +155,10 @@
             await self._disturb_reply(link)
 
     async def _disturb_reply(self, link: ProxiedConnection) -> None:
-        if self.faults.drops_reply():
+        if self.faults.consume_reply_drop():
             link.abort()
             raise ConnectionResetError
-        if self.faults.holds_reply():
+        if self.faults.consume_reply_hold():
             seen = self._replies
             async with self._changed:
                 await self._changed.wait_for(lambda: self._replies > seen)
--- a/standins/shared_link.py
+++ b/standins/shared_link.py
@@ -40,7 +40,7 @@
         if run in self._transfers:
             self._transfers.remove(run)
 
-    def next_ms(self) -> float:
+    def get_next_event_ms(self) -> float:
         """Return when the next transfer ends; infinite if there is none."""
         if not self._transfers:
             return math.inf
@@ -48,13 +48,13 @@
         rate = self._bytes_per_ms() / len(self._transfers)
         return self._moved_ms + max(least, 0.0) / rate
 
-    def end_transfers(self, at_ms: float) -> list[engine_types.EngineRequest]:
+    def pop_finished(self, at_ms: float) -> list[engine_types.EngineRequest]:
         """Take out the runs whose transfers have ended.
 
         :param at_ms: the present
         :returns: the runs
         """
-        if self.next_ms() > at_ms:
+        if self.get_next_event_ms() > at_ms:
             return []
         self.settle(at_ms)
         # Less than a byte is what rounding leaves of a whole transfer.
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -53,7 +53,7 @@
     def delete(self, kind, name, version, purpose):
         raise NotImplementedError
 
-    def watch(self, kind, from_version, silence_ms, purpose):
+    def watch(self, kind, from_version, idle_timeout_ms, purpose):
         raise NotImplementedError
 
     def list_vms(self, purpose):
@@ -91,7 +91,7 @@
     def list_members(self):
         return [vm.own for vm in self.fleet.vms]
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
 
@@ -125,7 +125,7 @@
         counts = [
             one
             for traffic in self.network.traffic.values()
-            for one in traffic.read_counts()
+            for one in traffic.get_counts()
         ]
         calls = sum(one.messages for one in counts if one.is_sent) // 2
         return calls, sum(one.payload_bytes for one in counts)
--- a/tests/allowance_simulation.py
+++ b/tests/allowance_simulation.py
@@ -76,14 +76,14 @@
     return allowance_times.AllowanceTimes(
         lease_ms=8_000,
         lease_margin_ms=100,
-        list_margin_ms=1_500,
+        absence_timeout_ms=1_500,
         loan_ms=800,
         loan_margin_ms=20,
         idle_ms=150,
-        use_ms=1_000,
-        refund_ms=3_000,
-        rebalance_ms=1_000,
-        settle_ms=20,
+        reservation_ttl_ms=1_000,
+        refund_window_ms=3_000,
+        min_uptime_ms=1_000,
+        startup_delay_ms=20,
         retry_ms=100,
     )
 
@@ -171,7 +171,7 @@
     def delete(self, kind, name, version, purpose):
         raise AssertionError("nothing is deleted")
 
-    def watch(self, kind, from_version, silence_ms, purpose):
+    def watch(self, kind, from_version, idle_timeout_ms, purpose):
         raise AssertionError("nothing is watched")
 
     def list_vms(self, purpose):
@@ -271,7 +271,7 @@
                 one.health = member.MemberStatus.DEAD
         return members
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
     def reserve(self):
@@ -327,16 +327,16 @@
         self.is_rush = False
         self.revision = 0
         self.rates = dict(ACCOUNTS)
-        self.most = dict(ACCOUNTS)
+        self.maximum = dict(ACCOUNTS)
         self.put_tables()
         self.vms = {}
         self.lists = []
         self.skew = self.random.choice((0, 1, 4))
-        self.is_quiet = True
+        self.is_reusable = True
         for number in range(VMS):
             self.start(f"vm{number}", 1)
         self.warm_up()
-        self.is_quiet = False
+        self.is_reusable = False
 
     def warm_up(self):
         """Let the VMs take all shares, and fill them."""
@@ -359,9 +359,9 @@
 
     def start(self, name, incarnation):
         self.vms[name] = SimVm(self, name, incarnation)
-        self.note_list()
+        self.update_vm_list()
 
-    def note_list(self, gone=()):
+    def update_vm_list(self, gone=()):
         listed = {vm for vm in self.vms if vm not in gone}
         self.lists.append((self.now_ms, listed))
 
@@ -390,7 +390,7 @@
         self.late.append((self.now_ms + delay_ms, message))
 
     def perhaps_pause(self, name):
-        if self.depth or self.is_quiet:
+        if self.depth or self.is_reusable:
             return
         # Between a check and its act a pause does the most harm.
         vm = self.vms.get(name)
@@ -432,7 +432,7 @@
             self.act(awake[0] if is_skewed else one, SimVm.reserve)
         for one in awake:
             self.act(one, SimVm.settle)
-        if not self.is_quiet:
+        if not self.is_reusable:
             self.perhaps_change(vm)
 
     def act(self, vm, do):
@@ -457,7 +457,7 @@
         elif self.chance(mode.crash / 2) and len(self.vms) > 2:
             # The VM dies; the platform drops it from its list.
             del self.vms[vm.name]
-            self.note_list()
+            self.update_vm_list()
         elif self.chance(mode.crash) and len(self.vms) < VMS:
             name = next(
                 n for n in map("vm{}".format, range(VMS)) if n not in self.vms
@@ -466,7 +466,7 @@
         elif self.chance(mode.crash / 2) and len(self.vms) > 2:
             vm.stop()
             del self.vms[vm.name]
-            self.note_list()
+            self.update_vm_list()
         if self.chance(mode.platform):
             self.is_platform_down = not self.is_platform_down
         if self.chance(mode.rates):
@@ -479,8 +479,8 @@
         rate, burst = ACCOUNTS[name]
         factor = self.random.choice((1, 2))
         self.rates[name] = (rate * factor, burst * factor)
-        most_rate, most_burst = self.most[name]
-        self.most[name] = (
+        most_rate, most_burst = self.maximum[name]
+        self.maximum[name] = (
             max(most_rate, rate * factor),
             max(most_burst, burst * factor),
         )
--- a/tests/claim_history.py
+++ b/tests/claim_history.py
@@ -116,9 +116,9 @@
         self.store = FaultyStore(seed, self.clock)
         self.make_shard = make_shard or self.make_small_shard
         self.adapt = adapt or (lambda store: None)
-        self.keepers = keepers
+        self.mirror_controllers = keepers
         self.network = peer_network.Network()
-        self.lives = collections.Counter()
+        self.incarnation_counts = collections.Counter()
         self.vms = {name: self.start(name) for name in VMS}
         self.calls = []
         self.open = []
@@ -133,12 +133,12 @@
         return claims.Shard(slots=3, slot_bytes=300)
 
     def start(self, name):
-        self.lives[name] += 1
+        self.incarnation_counts[name] += 1
         store = controller.ClaimStore(
             self.store,
             self.clock,
             name,
-            self.lives[name],
+            self.incarnation_counts[name],
             1,
             self.make_shard,
             FaultyPeers(self, name),
@@ -150,7 +150,7 @@
 
     def find_keeper(self, name):
         """Return any VM, as one whose view of the members is wrong does."""
-        if not self.keepers:
+        if not self.mirror_controllers:
             return None
         return self.random.choice([vm for vm in VMS if vm != name] + [None])
 
--- a/tests/configuration_fleet.py
+++ b/tests/configuration_fleet.py
@@ -94,7 +94,7 @@
         file.write_text(text)
         return str(file)
 
-    def operate(self, *words, admin=0, credential=CREDENTIAL):
+    def run_admin_command(self, *words, admin=0, credential=CREDENTIAL):
         """Run the operators' command; return its status and its answer."""
         done = subprocess.run(
             [
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -84,7 +84,7 @@
 
 def read_tables(world, root):
     cache = segments.SegmentCache()
-    for digest in root.list_rows():
+    for digest in root.list_row_segments():
         versions = world.store.history[("segments", digest)]
         value = next(one.value for one in versions if one.value)
         assert cache.add(digest, roots.encode_content(value["rows"]))
@@ -93,7 +93,7 @@
 
 def check_installs(world, chain):
     digests = {root.revision: root.digest() for _, root in chain}
-    for vm in world.lives:
+    for vm in world.incarnation_counts:
         last = 0
         for revision, digest in vm.installs:
             if revision <= last:
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -72,14 +72,16 @@
             world.clock,
             world.random,
         )
-        self.in_force = self.controller.in_force
-        self.in_force.subscribe(self.record)
+        self.active_tables = self.controller.active_tables
+        self.active_tables.subscribe(self.record)
         self.handler = configuration_handler.ConfigurationHandler(
             self.controller, world.clock
         )
 
     def record(self, tables):
-        self.installs.append((tables.revision, self.in_force.root.digest()))
+        self.installs.append(
+            (tables.revision, self.active_tables.root.digest())
+        )
 
 
 class PartitionableStore:
@@ -150,7 +152,7 @@
         self.store.now_ms = self.clock.now_ms
         self.cut, self.cut_ms = frozenset(), 0
         self.answers, self.edits, self.serving = [], {}, []
-        self.lost_segments, self.lives = [], []
+        self.lost_segments, self.incarnation_counts = [], []
         self.busy = set()
         self.depth = 0
         make = self.variant.get("editor", editor.Editor)
@@ -176,7 +178,7 @@
         self.store.lose_write = self.random.choice((0, 0.1))
         for _ in range(ACTIONS):
             self.act()
-            self.observe()
+            self.register_gauge()
         return self
 
     def act(self):
@@ -222,7 +224,7 @@
 
     def start_vm(self, name):
         self.vms[name] = Vm(self, name)
-        self.lives.append(self.vms[name])
+        self.incarnation_counts.append(self.vms[name])
 
     def restart_vm(self):
         name = self.random.choice(sorted(self.vms))
@@ -340,11 +342,11 @@
             )
         )
 
-    def observe(self):
+    def register_gauge(self):
         """Note what each VM would do with a request now."""
         now_ms = self.clock.now_ms()
         for name, vm in self.vms.items():
-            tables = vm.in_force.read_tables()
+            tables = vm.active_tables.read_tables()
             if tables is not None:
                 self.serving.append((now_ms, name, tables.revision))
         self.check_segments()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -81,7 +81,7 @@
         result = self._write(kind, name, None, version, purpose)
         return result.map(lambda stored: None)
 
-    def watch(self, kind, from_version, silence_ms, purpose):
+    def watch(self, kind, from_version, idle_timeout_ms, purpose):
         self.counts[purpose] += 1
         seen = from_version
         while True:
--- a/tests/hosted_fleet.py
+++ b/tests/hosted_fleet.py
@@ -40,7 +40,7 @@
         phases=("prefill", "decode"),
         engine_tokens=96_693,
     ):
-        self.engine_tokens = engine_tokens
+        self.kv_capacity_tokens = engine_tokens
         self.group = processes.Group()
         self.folder = tempfile.TemporaryDirectory()
         self.store, self.store_port = processes.start_standin(
@@ -151,7 +151,7 @@
         keys = KEYS if keys is None else keys
         engine = {
             "slots": 64,
-            "kv_capacity": self.engine_tokens,
+            "kv_capacity": self.kv_capacity_tokens,
             "kv_bytes": 163840,
             "link_mbps": 5400000.0,
             "handle_ttl_s": 0.5,
--- a/tests/peer_network.py
+++ b/tests/peer_network.py
@@ -37,7 +37,7 @@
         )
         buffer = TTransport.TMemoryBuffer()
         reader.peek_service()
-        kind = reader.read_method()
+        kind = reader.get_peeked_method()
         self.processors[target].process(
             reader, protocol.MultiplexedProtocol(buffer)
         )
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -157,9 +157,9 @@
             self.allowances,
             OneEntry(f"127.0.0.1:{self.settings.router_port}"),
             may_repeat,
-            on_withdraw=lambda: self.withdrawn.append(True),
+            on_drain=lambda: self.withdrawn.append(True),
             claim_store=claims,
-            cuts_withdrawn=cuts_withdrawn,
+            closes_revoked_streams=cuts_withdrawn,
         )
         self.port = self.settings.router_port
 
