--- a/tests/test_admin_processes.py
+++ b/tests/test_admin_processes.py
@@ -31,7 +31,7 @@
         self.file = file
 
     def check_in_force(self, *words):
-        status, answer = self.fleet.operate("wait", *words)
+        status, answer = self.fleet.run_admin_command("wait", *words)
         self.assertEqual(status, 0, answer)
         self.assertEqual(len(answer["vms"]), self.fleet.count)
 
@@ -49,27 +49,35 @@
     def test_commands(self):
         fleet = self.fleet
         self.check_in_force()
-        shown = fleet.operate("show")[1]
+        shown = fleet.run_admin_command("show")[1]
         self.assertNotIn("upstream-secret", shown["text"])
         # What is shown can be applied again and keeps the credential.
         file = fleet.write("same.toml", shown["text"])
-        self.assertEqual(fleet.operate("diff", file)[1]["lines"], [])
-        status, refused = fleet.operate("apply", file, "--revision=0")
+        self.assertEqual(fleet.run_admin_command("diff", file)[1]["lines"], [])
+        status, refused = fleet.run_admin_command(
+            "apply", file, "--revision=0"
+        )
         self.assertEqual(status, 1)
         self.assertEqual(refused["error"]["code"], "conflict")
         self.assertEqual(refused["error"]["run"], "not_run")
         revision = f"--revision={self.first}"
-        self.assertEqual(fleet.operate("apply", file, revision)[0], 0)
-        status, refused = fleet.operate("delete", "pools.lm-pool")
+        self.assertEqual(
+            fleet.run_admin_command("apply", file, revision)[0], 0
+        )
+        status, refused = fleet.run_admin_command("delete", "pools.lm-pool")
         self.assertEqual(refused["error"]["peer"], "routes.lm.pool")
         row = fleet.write("row.toml", ROW.format(rate=5))
-        put = fleet.operate("put", "accounts.new", row, "--digest=absent")
+        put = fleet.run_admin_command(
+            "put", "accounts.new", row, "--digest=absent"
+        )
         self.assertEqual(put[0], 0, put)
-        put = fleet.operate("put", "accounts.new", row, "--digest=absent")
+        put = fleet.run_admin_command(
+            "put", "accounts.new", row, "--digest=absent"
+        )
         self.assertEqual(put[1]["error"]["code"], "conflict")
-        status, answer = fleet.operate("status")
+        status, answer = fleet.run_admin_command("status")
         self.assertEqual(answer["pools"]["lm-pool"]["models"], ["m1"])
-        history = fleet.operate("history", admin=1)[1]["edits"][-2:]
+        history = fleet.run_admin_command("history", admin=1)[1]["edits"][-2:]
         self.assertEqual(
             [edit["revision"] for edit in history],
             [self.first + 1, self.first + 2],
@@ -81,7 +89,7 @@
         given twice by a repeated call would be one that nobody knows of.
         """
         fleet = self.fleet
-        given = fleet.operate("give-key", "tea", "--edit_id=k1")[1]
+        given = fleet.run_admin_command("give-key", "tea", "--edit_id=k1")[1]
         digest = samples.digest(given["key"])
         self.assertIn(digest, self.read_tables()["text"])
         self.check_in_force(str(given["revision"]))
@@ -90,9 +98,13 @@
             # No upstream runs; only the key's own refusal matters here.
             status = fleet.call_router(number, given["key"])
             self.assertNotEqual(status, refused)
-        status, repeated = fleet.operate("give-key", "tea", "--edit_id=k1")
+        status, repeated = fleet.run_admin_command(
+            "give-key", "tea", "--edit_id=k1"
+        )
         self.assertEqual(repeated["error"]["run"], "ran")
-        taken = fleet.operate("withdraw-key", "tea", digest[:8], admin=1)[1]
+        taken = fleet.run_admin_command(
+            "withdraw-key", "tea", digest[:8], admin=1
+        )[1]
         self.check_in_force(str(taken["revision"]))
         for number in range(fleet.count):
             status = fleet.call_router(number, given["key"])
@@ -108,7 +120,9 @@
         the tables or to change them.
         """
         for words in (("show",), ("delete", "routes.lm")):
-            status, answer = self.fleet.operate(*words, credential="guess")
+            status, answer = self.fleet.run_admin_command(
+                *words, credential="guess"
+            )
             self.assertEqual(answer["error"]["code"], "unauthenticated")
         self.assertIn("[routes.lm]", self.read_tables()["text"])
 
@@ -189,11 +203,11 @@
         refused = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
         self.assertEqual(refused.json()["error"]["run"], "not_run")
         self.check_in_force(str(accepted))
-        status, answer = self.fleet.operate("restore")
+        status, answer = self.fleet.run_admin_command("restore")
         self.assertEqual((status, answer["revision"]), (0, accepted + 1))
         self.check_in_force(str(accepted + 1))
         self.assertNotIn("[routes.member]", self.read_tables()["text"])
-        status, answer = self.fleet.operate("restore")
+        status, answer = self.fleet.run_admin_command("restore")
         self.assertEqual(answer["error"]["code"], "conflict")
         reply = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
         self.assertEqual(reply.json()["revision"], accepted + 2)
--- a/tests/test_allowance_history.py
+++ b/tests/test_allowance_history.py
@@ -35,7 +35,7 @@
     """Return the overrun of one schedule and the tokens it granted."""
     mode = mode or MODES[seed % len(MODES)]
     world = allowance_simulation.Simulation(seed, mode).run()
-    overrun = allowance_simulation.find_overrun(world.grants, world.most)
+    overrun = allowance_simulation.find_overrun(world.grants, world.maximum)
     return overrun, sum(tokens for _, _, tokens in world.grants)
 
 
--- a/tests/test_allowance_sockets.py
+++ b/tests/test_allowance_sockets.py
@@ -30,7 +30,7 @@
         self.client = peers.PeerClient(SECRET, clock_)
         self.state = allowance_state.AllowanceState(
             self.own,
-            allowance_times.AllowanceTimes(settle_ms=0, loan_ms=500),
+            allowance_times.AllowanceTimes(startup_delay_ms=0, loan_ms=500),
         )
         self.allowances = allowances.AllowancesController(
             self.state, source, self.client, clock_
@@ -52,7 +52,7 @@
     def list_members(self):
         return [one.copy() for one in self.members]
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
     def start(self):
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -27,7 +27,7 @@
 class AllowancesTest(unittest.TestCase):
     def setUp(self):
         self.world = CalmWorld(1, "calm")
-        self.world.is_quiet = True
+        self.world.is_reusable = True
         self.pass_time(3_000)
         self.vms = list(self.world.vms.values())
 
@@ -151,10 +151,10 @@
         record = self.make(is_listed=True)
         self.assertIs(self.decide(record, 0), NONE)
         for at_ms in (1_000, 30_000, 60_000):
-            self.keeper.note_list(set(), at_ms)
-            self.keeper.note_absent(3, record, set(), at_ms)
+            self.keeper.update_vm_list(set(), at_ms)
+            self.keeper.track_absence(3, record, set(), at_ms)
             self.assertIs(self.decide(record, at_ms), NONE)
-        self.keeper.note_list(set(), 61_000)
+        self.keeper.update_vm_list(set(), 61_000)
         self.assertIs(self.decide(record, 61_000), TAKE)
 
     def test_a_vm_that_came_back_is_not_followed(self):
@@ -164,9 +164,9 @@
         """
         record = self.make(is_listed=True)
         self.decide(record, 0)
-        self.keeper.note_list(set(), 1_000)
-        self.keeper.note_absent(3, record, set(), 1_000)
-        self.keeper.note_list(set(), 70_000)
+        self.keeper.update_vm_list(set(), 1_000)
+        self.keeper.track_absence(3, record, set(), 1_000)
+        self.keeper.update_vm_list(set(), 70_000)
         record.term += 1
         self.assertIs(self.decide(record, 71_000), NONE)
 
@@ -174,8 +174,8 @@
         record = self.make(is_listed=False)
         self.decide(record, 0)
         for at_ms in (1_000, 90_000):
-            self.keeper.note_list(set(), at_ms)
-            self.keeper.note_absent(3, record, set(), at_ms)
+            self.keeper.update_vm_list(set(), at_ms)
+            self.keeper.track_absence(3, record, set(), at_ms)
         self.assertIs(self.decide(record, 90_000), NONE)
 
     def test_a_lease_that_ended_is_followed(self):
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -108,7 +108,7 @@
         for book in books:
             book.change_vms(6)
             for n in range(20):
-                book.earn("lm", n)
+                book.deposit("lm", n)
             while book.spend("lm", 100):
                 spent += 1
         self.assertLessEqual(spent, 0.2 * 120 + 52)
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -39,7 +39,7 @@
             name,
             1,
             peers=peers.PeerClient("s", self.clock),
-            find_keeper=claim_coordination.make_coordinator_finder(
+            find_coordinator=claim_coordination.make_coordinator_finder(
                 name, lambda: self.members
             ),
         )
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -127,7 +127,7 @@
             result = claim_log.ClaimLog._send(log, append)
             if result.is_ok() or result.error.code is not errors.Code.CONFLICT:
                 return result
-            read = log._store.read(log._kind, str(append.place), "x")
+            read = log._store.read(log._kind, str(append.slot_index), "x")
             if read.is_ok():
                 append.version = read.ok.version
             return claim_log.ClaimLog._send(log, append)
@@ -164,14 +164,14 @@
                 self.limit = 150 + 150 * (next(limits) % 3)
 
             def is_newest_full(self):
-                newest = self._slots.get(self.newest_place())
+                newest = self._slots.get(self.newest_index())
                 if newest is None:
                     return False
                 size = sum(len(str(r.encode())) for r in newest.records)
                 return size >= self.limit
 
             def plan_append(self, records):
-                newest = self._slots.get(self.newest_place())
+                newest = self._slots.get(self.newest_index())
                 if newest is not None:
                     newest.is_full = self.is_newest_full()
                 return super().plan_append(records)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -105,7 +105,7 @@
     """What a watch reports to, as the configuration controller is."""
 
     def __init__(self):
-        self.in_force = tables_in_force.ActiveTables(
+        self.active_tables = tables_in_force.ActiveTables(
             clock.SystemClock(), 60_000, 60_000
         )
         self.revisions = []
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -137,9 +137,11 @@
     def pull(self, address):
         answered = super().pull(address)
         if answered:
-            root = self.in_force.root
+            root = self.active_tables.root
             size = len(self._peers.list_peers()) + 1
-            self.in_force.confirm(root.revision, self.clock.now_ms(), size)
+            self.active_tables.confirm(
+                root.revision, self.clock.now_ms(), size
+            )
         return answered
 
 
@@ -192,7 +194,7 @@
         with mock.patch.object(
             tables_in_force.ActiveTables,
             "_compare",
-            lambda self, root: tables_in_force.OfferResult.TAKEN,
+            lambda self, root: tables_in_force.OfferResult.INSTALLED,
         ):
             self.check_found({"revision fell on a VM"})
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -23,8 +23,8 @@
 class Sampler(threading.Thread):
     """Asks each VM again and again for its revision.
 
-    ``lives`` counts up with each restart of a VM, so that a sample belongs
-    to one life; a sample around a restart is thrown away.
+    ``incarnation_counts`` counts up with each restart of a VM, so that a
+    sample belongs to one life; a sample around a restart is thrown away.
     """
 
     def __init__(self, fleet):
@@ -33,16 +33,19 @@
         self.client = peers.PeerClient(
             "fleet secret", clock.SystemClock(), GUARD_MS
         )
-        self.lives = [0] * VMS
+        self.incarnation_counts = [0] * VMS
         self.samples = []
         self.stopping = threading.Event()
 
     def run(self):
         while not self.stopping.wait(0.05):
             for number in range(VMS):
-                life = self.lives[number]
+                life = self.incarnation_counts[number]
                 revision = self.read(number)
-                if revision is not None and life == self.lives[number]:
+                if (
+                    revision is not None
+                    and life == self.incarnation_counts[number]
+                ):
                     self.samples.append(((number, life), revision))
 
     def read(self, number):
@@ -110,7 +113,7 @@
         for operator in operators:
             operator.join()
         self.fleet.fault(outage=False, lost_share=0.0)
-        status, answer = self.fleet.operate("wait")
+        status, answer = self.fleet.run_admin_command("wait")
         self.assertEqual(status, 0, answer)
         sampler.stop()
         self.check_answers(operators)
@@ -132,7 +135,7 @@
                 # The first two carry the administration APIs' own routers.
                 number = VMS - 1
                 self.fleet.vms[number].kill()
-                sampler.lives[number] += 1
+                sampler.incarnation_counts[number] += 1
                 self.fleet.vms[number] = self.fleet.start_vm(number)
             time.sleep(0.2)
 
--- a/tests/test_configuration_rpc.py
+++ b/tests/test_configuration_rpc.py
@@ -75,15 +75,15 @@
         second = self.make_vm("b", down)
         self.others = [configuration_peers.PeerVm("a", "z", "r", self.address)]
         second.step()
-        tables = second.in_force.read_tables()
+        tables = second.active_tables.read_tables()
         self.assertEqual(tables.revision, 1)
         self.assertEqual(
             parse.encode_tables(tables),
             parse.encode_tables(samples.make_tables()),
         )
         self.assertLessEqual(
-            second.in_force.confirmation.at_ms,
-            self.first.in_force.confirmation.at_ms,
+            second.active_tables.confirmation.at_ms,
+            self.first.active_tables.confirmation.at_ms,
         )
 
     def test_start_alone_in_an_outage(self):
@@ -92,7 +92,7 @@
         """
         self.store.outage = True
         self.first.step()
-        self.assertIsNone(self.first.in_force.read_tables())
+        self.assertIsNone(self.first.active_tables.read_tables())
 
     def test_wrong_secret(self):
         """A stranger asks for the tables, in which upstreams' credentials
--- a/tests/test_decode_call.py
+++ b/tests/test_decode_call.py
@@ -26,7 +26,7 @@
             request,
             timeout_ms,
             decode_call.parse_rejection,
-            made=made,
+            prepared_connection=made,
         )
         return found.error
 
@@ -95,7 +95,7 @@
             made = decode_call.connect(f"{host}:{port}").ok
             listener.accept()[0].close()
             self.assertTrue(made.is_fresh())
-            made.made_s -= 1.0
+            made.connected_s -= 1.0
             self.assertFalse(made.is_fresh())
             fault = self.call(port, TIMEOUT_MS, made)
             self.assertIs(fault.code, errors.Code.UPSTREAM_TIMEOUT)
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -38,12 +38,12 @@
         """Guards against traffic that grows with the square of the fleet."""
         fleet = make_fleet()
         fleet.run(2_000, ITEMS_PER_S)
-        found = fleet.sum_up(2_000)
+        found = fleet.summarize(2_000)
         self.assertLess(found.worst_age_ms, FRESH_MS)
         self.assertLess(found.missed, 0.02)
         direct = model.SimulatedNetwork(VMS, ZONES, model.DirectNode)
         direct.run(2_000, ITEMS_PER_S)
-        before = direct.sum_up(2_000)
+        before = direct.summarize(2_000)
         self.assertLess(found.zone_bytes * 10, before.zone_bytes)
         self.assertLess(found.received * 2, before.received)
 
@@ -123,7 +123,7 @@
         gone = find_relay("z3")
         left = [one for one in fleet.receivers if one.name != gone]
         node = fleet.nodes["vm0"].disseminator
-        node.change_receivers(left)
+        node.set_receivers(left)
         self.assertNotIn(
             gone, [one.address for one in node.publish(b"x" * 20, 0)]
         )
@@ -135,7 +135,7 @@
         self.assertEqual(batch.add([b"a"], 0), [[b"a"]])
         self.assertEqual(batch.add([b"b"], 5), [])
         self.assertEqual(batch.add([b"c"], 10), [])
-        self.assertEqual(batch.take_due(20), [[b"b", b"c"]])
+        self.assertEqual(batch.pop_due(20), [[b"b", b"c"]])
         self.assertIsNone(batch.read_due_ms())
 
     def test_heartbeats_share_a_batch(self):
@@ -145,7 +145,7 @@
             one
             for now_ms in range(0, 1_000, 8)
             for one in batch.add([b"beat"], now_ms, is_deferrable=True)
-            + batch.take_due(now_ms)
+            + batch.pop_due(now_ms)
         ]
         self.assertLessEqual(len(sent), 10)
         self.assertGreaterEqual(sum(map(len, sent)), 110)
@@ -165,7 +165,7 @@
         batch = dissemination.RelayBatch()
         batch.add([b"a"], 0)
         items = [bytes(300)] * 9
-        batches = batch.add(items, 1) + batch.take_due(100)
+        batches = batch.add(items, 1) + batch.pop_due(100)
         self.assertEqual(sum(map(len, batches)), 9)
         self.assertLessEqual(max(sum(map(len, one)) for one in batches), 1_300)
 
@@ -177,5 +177,5 @@
         relay = dissemination.Receiver("r", "r", "z")
         for number in range(1, 1_001):
             box.send(b"item", relay, number, 0)
-        self.assertLessEqual(len(box.take_overdue(1_000)), 64)
+        self.assertLessEqual(len(box.pop_overdue(1_000)), 64)
         self.assertGreaterEqual(box.given_up, 900)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -62,7 +62,7 @@
             ]
             note = hints.Note("vm2", 1, number + 1, holdings, [], [])
             hearer.note(note, known.pools, now_ms)
-            hearer.sweep(known.pools, now_ms)
+            hearer.expire_peers(known.pools, now_ms)
         self.assertLessEqual(hearer.size, 4 * 11)
 
 
@@ -76,9 +76,9 @@
         }
         self.router = scheduler.FairScheduler("vm1", seed=1)
         self.router.change_pools(pools, 0)
-        self.router.take_hints(0)
+        self.router.drain_hints(0)
         for pool, name in itertools.product(pools, self.names):
-            self.router.note_probe(pool, name, True, 50)
+            self.router.record_probe(pool, name, True, 50)
 
     def test_what_is_too_much_for_one_note_is_told_in_several(self):
         """Guards against outcomes that are lost beyond a note's limit."""
@@ -87,7 +87,7 @@
                 gossip_messages.encode_note(note)
             ).note
             for now_ms in (100, 200, 300)
-            if (note := self.router.take_hints(now_ms)) is not None
+            if (note := self.router.drain_hints(now_ms)) is not None
         ]
         told = [
             holding.outcomes.probes_passed
@@ -98,20 +98,20 @@
 
     def test_a_changed_pace_goes_along_with_other_news(self):
         """Guards against a note for each stream and second of a fleet."""
-        while self.router.take_hints(100) is not None:
+        while self.router.drain_hints(100) is not None:
             pass
         self.router.submit(cases.make_job("j"), 100)
         (started,) = self.router.dispatch(100).assignments
-        self.router.note_prefilled("j", 100)
+        self.router.record_prefilled("j", 100)
         self.router.note_first_token("j", 110)
-        self.router.take_hints(120)
+        self.router.drain_hints(120)
         notes = []
         tokens = 0
         for step, now_ms in enumerate(range(200, 2_200, 20)):
             # A pace that changes by more than the part that is news.
             tokens += (8, 80)[step % 2]
             self.router.note_tokens("j", tokens, now_ms)
-            notes.append(self.router.take_hints(now_ms))
+            notes.append(self.router.drain_hints(now_ms))
         told = [
             note
             for note in filter(None, notes)
@@ -122,7 +122,7 @@
 
     def test_a_note_fits_a_datagram(self):
         """Guards against notes that are too large to be sent."""
-        payload = gossip_messages.encode_note(self.router.take_hints(100))
+        payload = gossip_messages.encode_note(self.router.drain_hints(100))
         self.assertLessEqual(len(payload), datagrams.MOST_PAYLOAD_BYTES)
 
 
@@ -132,7 +132,7 @@
 
     def test_failures_of_several_vms_count_in_a_row(self):
         """Guards against each VM learning of a resetting engine by itself."""
-        self.health.note_failure(False, 0)
+        self.health.record_failure(False, 0)
         self.health.note_peer(health.Outcomes(failed=1), 10)
         self.assertFalse(self.health.is_ejected(10))
         self.health.note_peer(health.Outcomes(failed=1), 20)
@@ -148,47 +148,47 @@
         """Guards against old streams that end well at an engine which resets
         all new connections.
         """
-        self.health.note_failure(True, 1_000)
-        self.health.note_success(started_ms=500)
+        self.health.record_failure(True, 1_000)
+        self.health.record_success(started_ms=500)
         self.assertTrue(self.health.is_ejected(1_100))
         self.assertEqual(self.health.take_news().succeeded, 0)
-        self.health.note_success(started_ms=1_050)
+        self.health.record_success(started_ms=1_050)
         self.assertFalse(self.health.is_ejected(1_100))
 
     def test_an_old_success_is_not_told_after_a_failure(self):
         """Guards against an ejection that ends by news from before it."""
-        self.health.note_success(started_ms=100)
+        self.health.record_success(started_ms=100)
         self.health.note_peer(health.Outcomes(unreached=1), 200)
         self.assertEqual(self.health.take_news().succeeded, 0)
 
     def test_a_probe_that_passes_ends_the_ejection_of_what_was_down(self):
-        self.health.note_failure(True, 0)
+        self.health.record_failure(True, 0)
         self.assertFalse(self.health.needs_probe(50))
         self.assertTrue(self.health.needs_probe(150))
-        self.health.note_probe(True, 150)
+        self.health.record_probe(True, 150)
         self.assertFalse(self.health.is_ejected(150))
         # On trial: one failure more ejects it, and for longer.
-        self.health.note_failure(False, 200)
+        self.health.record_failure(False, 200)
         self.assertTrue(self.health.is_ejected(1_500))
 
     def test_a_probe_says_nothing_of_requests_that_fail(self):
         """Guards against an engine that answers probes and resets requests."""
         for now_ms in range(3):
-            self.health.note_failure(False, now_ms)
-        self.health.note_probe(True, 600)
+            self.health.record_failure(False, now_ms)
+        self.health.record_probe(True, 600)
         self.assertTrue(self.health.is_ejected(700))
 
     def test_probes_that_fail_keep_requests_away(self):
-        self.health.note_failure(True, 0)
+        self.health.record_failure(True, 0)
         for now_ms in range(500, 5_000, 500):
             self.health.note_peer(health.Outcomes(probes_failed=1), now_ms)
             self.assertTrue(self.health.is_ejected(now_ms + 499))
 
     def test_one_request_probes_for_the_fleet(self):
         """Guards against a whole prompt of each VM as its probe."""
-        self.health.note_failure(True, 0)
+        self.health.record_failure(True, 0)
         # The other VM's ejection has ended a little sooner than this one's.
-        self.health.note_peer_start(900)
+        self.health.record_peer_start(900)
         self.assertTrue(self.health.is_ejected(1_500))
         self.health.note_peer(health.Outcomes(succeeded=1), 1_700)
         self.assertFalse(self.health.is_ejected(1_700))
@@ -198,7 +198,7 @@
         of an engine which still resets them.
         """
         for now_ms in range(3):
-            self.health.note_failure(False, now_ms)
+            self.health.record_failure(False, now_ms)
         self.assertFalse(self.health.admits(True, 900))
         self.assertTrue(self.health.admits(True, 1_300))
         self.assertFalse(self.health.admits(False, 1_300))
@@ -231,13 +231,13 @@
             act(at_ms)
 
     def tell(self, vm, now_ms):
-        note = self.routers[vm].take_hints(now_ms)
+        note = self.routers[vm].drain_hints(now_ms)
         if note is None:
             return
         others = [one for n, one in enumerate(self.routers) if n != vm]
         self.at(
             now_ms + NEWS_MS,
-            lambda at_ms: [one.note_hints(note, at_ms) for one in others],
+            lambda at_ms: [one.apply_hints(note, at_ms) for one in others],
         )
 
     def serve(self, now_ms, fails):
@@ -255,7 +255,7 @@
         self.tell(vm, now_ms)
 
         def end(at_ms):
-            router.note_prefilled(job_id, at_ms)
+            router.record_prefilled(job_id, at_ms)
             if fails(found[0].decode, vm):
                 router.finish(job_id, End.FAILED, found[0].decode, at_ms)
             else:
@@ -299,12 +299,12 @@
     def test_probes_are_listed_until_the_engine_answers(self):
         fleet = Fleet(2, 1, 2)
         router = fleet.routers[0]
-        router.note_probe("lm", "d0", True, 0)
+        router.record_probe("lm", "d0", True, 0)
         view = router._pools["lm"].members.find("d0")
-        view.health.note_failure(True, 0)
+        view.health.record_failure(True, 0)
         found = router.list_ejected(200)
         self.assertEqual(
             [(one.upstream, one.is_due) for one in found], [("d0", True)]
         )
-        router.note_probe("lm", "d0", True, 200)
+        router.record_probe("lm", "d0", True, 200)
         self.assertEqual(router.list_ejected(200), [])
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -34,7 +34,7 @@
     def test_a_vm_that_goes_moves_few_others(self):
         after = subsetting.Subsets(75, self.vms[1:])
         moved = sum(
-            after.find_cell(vm) != self.division.find_cell(vm)
+            after.find_subset(vm) != self.division.find_subset(vm)
             for vm in self.vms[1:]
         )
         self.assertLess(moved, 40)
@@ -69,35 +69,35 @@
 
     def test_a_batch_that_dies_ejects_once(self):
         for _ in range(20):
-            self.health.note_failure(True, 100)
+            self.health.record_failure(True, 100)
         self.assertTrue(self.health.is_ejected(1_000))
         self.assertFalse(self.health.is_ejected(1_500))
 
     def test_failing_probes_come_ever_more_seldom(self):
         now_ms, waits = 0, []
         for _ in range(8):
-            self.health.note_failure(True, now_ms)
+            self.health.record_failure(True, now_ms)
             begun = now_ms
             while self.health.is_ejected(now_ms):
                 now_ms += 50
             waits.append(now_ms - begun)
-            self.health.note_start(now_ms)
+            self.health.record_start(now_ms)
             self.assertTrue(self.health.is_ejected(now_ms))
         self.assertGreater(waits[3], 5 * waits[0])
         self.assertLess(waits[-1], 40_000)
-        self.health.note_success()
+        self.health.record_success()
         self.assertFalse(self.health.is_ejected(now_ms))
 
     def test_a_probe_whose_caller_goes_makes_room_for_another(self):
-        self.health.note_failure(True, 0)
-        self.health.note_start(2_000)
-        self.health.note_no_verdict()
+        self.health.record_failure(True, 0)
+        self.health.record_start(2_000)
+        self.health.record_inconclusive()
         self.assertFalse(self.health.is_ejected(2_001))
 
     def test_single_failures_do_not_eject(self):
         for now_ms in range(6):
-            self.health.note_failure(False, now_ms)
-            self.health.note_success()
+            self.health.record_failure(False, now_ms)
+            self.health.record_success()
         self.assertFalse(self.health.is_ejected(10))
 
 
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -27,7 +27,7 @@
 class PausedStreamTest(unittest.TestCase):
     """A prefill and two decode engines; both pause each of their streams."""
 
-    def play(self, fleet, seed):
+    def inject_all(self, fleet, seed):
         """Return the replies to streams of one round of changes."""
         chance = random.Random(seed)
         for name in DECODES:
@@ -86,7 +86,7 @@
             self.configure(fleet)
             time.sleep(SETTLE_S)
             for seed in range(SEEDS):
-                for reply in self.play(fleet, seed):
+                for reply in self.inject_all(fleet, seed):
                     with self.subTest(seed=seed):
                         self.assertEqual(reply.status, 200, reply.body)
                         self.assertFalse(reply.is_cut, reply.body)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -33,7 +33,7 @@
         self.is_needed = False
         self.ticked = threading.Event()
         self.loop = loop.EventLoop("test", clock.SystemClock())
-        self.loop.add_tick(self.ticked.set, lambda: self.is_needed)
+        self.loop.add_periodic(self.ticked.set, lambda: self.is_needed)
         self.loop.start()
         self.addCleanup(self.loop.stop)
 
@@ -113,7 +113,7 @@
         made = fleet_allowances.FleetAllowances(
             book, dict, lambda: True, self.clock
         )
-        made.send_all = lambda payload, is_urgent: self.sent.append(payload)
+        made.broadcast = lambda payload, is_urgent: self.sent.append(payload)
         return made
 
     def test_sleeps_until_the_next_heartbeat(self):
@@ -158,13 +158,13 @@
     def test_a_large_fleet_reads_datagrams_together(self):
         """Guards against a wakeup for each of a hundred datagrams a second."""
         made = self.make()
-        made.change_members([make_member(n) for n in range(79)])
+        made.update_members([make_member(n) for n in range(79)])
         self.assertEqual(
-            made.datagrams.gather_ms, dissemination.RECEIVE_BATCH_MS
+            made.datagrams.batch_delay_ms, dissemination.RECEIVE_BATCH_MS
         )
 
     def test_a_small_fleet_reads_each_at_once(self):
         """Guards against engines chosen by news that is older than needed."""
         made = self.make()
-        made.change_members([make_member(n) for n in range(9)])
-        self.assertEqual(made.datagrams.gather_ms, 0)
+        made.update_members([make_member(n) for n in range(9)])
+        self.assertEqual(made.datagrams.batch_delay_ms, 0)
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -23,7 +23,7 @@
 
     def test_listed(self):
         entry = self.read("# test | command | seen | issue", "", GOOD)[KNOWN]
-        self.assertTrue(entry.is_of_suite)
+        self.assertTrue(entry.is_suite_test)
         self.assertEqual(entry.command, "make test, no seed")
         self.assertEqual(entry.seen, "fails at times")
         self.assertEqual(entry.issue, 18)
@@ -31,7 +31,7 @@
     def test_played_day(self):
         name = "hunt of a-site.toml, LOST"
         entry = self.read(f"{name} | run SITE mix --seed 3 | cut | 21")[name]
-        self.assertFalse(entry.is_of_suite)
+        self.assertFalse(entry.is_suite_test)
 
     def test_many_entries(self):
         days = (
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -90,19 +90,19 @@
             "servers", mass_expiry.MassExpiryDetector(limits, self.outages)
         )
         self.is_reached = True
-        self.next_ms = 0
+        self.get_next_event_ms = 0
 
     def step(self, store, is_answered, now_ms, pause_ms):
         """Ask the store if it is time to, and give up what is due."""
         self.mirror.expire(now_ms)
-        if now_ms < self.next_ms:
+        if now_ms < self.get_next_event_ms:
             return
         self.is_reached = is_answered
         if not is_answered:
-            self.mirror.note_failure(now_ms, "refused")
-            self.next_ms = now_ms + pause_ms
+            self.mirror.record_failure(now_ms, "refused")
+            self.get_next_event_ms = now_ms + pause_ms
             return
-        self.mirror.note_answer(now_ms)
+        self.mirror.record_response(now_ms)
         events = store.list_events(self.mirror.revision)
         self.mirror.apply(events, store.revision, now_ms)
 
@@ -136,7 +136,7 @@
         self.fewest = len(self.live)
         self.told_ms = -TOLD_MS
 
-    def play(self):
+    def inject_all(self):
         for now_ms in range(0, END_MS, POLL_MS):
             is_away = self.from_ms <= now_ms < self.to_ms
             if now_ms >= self.leaves_ms and self.leaving in self.live:
@@ -157,21 +157,21 @@
         if now_ms - self.told_ms < TOLD_MS:
             return
         self.told_ms = now_ms
-        newest = max(self.vms, key=lambda vm: vm.mirror.changed)
+        newest = max(self.vms, key=lambda vm: vm.mirror.changed_revision)
         for vm in self.vms:
             for other in self.drawn.sample(self.vms, min(len(self.vms), 12)):
                 if other is not vm:
                     vm.outages.note_peer(other.name, other.is_reached, now_ms)
-            if vm.mirror.changed < newest.mirror.changed:
-                vm.mirror.adopt(
+            if vm.mirror.changed_revision < newest.mirror.changed_revision:
+                vm.mirror.replace_from_peer(
                     list(newest.mirror.objects.values()),
-                    newest.mirror.changed,
+                    newest.mirror.changed_revision,
                     now_ms,
                     [
                         mirrors.RetainedObject(
                             one.object, one.revision, now_ms, one.until_ms
                         )
-                        for one in newest.mirror.list_kept()
+                        for one in newest.mirror.list_retained()
                     ],
                 )
 
@@ -196,7 +196,7 @@
     def list_days(self, is_outage):
         for size, days in DAYS.items():
             for seed in range(days):
-                yield size, seed, Day(size, seed, is_outage).play()
+                yield size, seed, Day(size, seed, is_outage).inject_all()
 
     def test_server_that_leaves_beside_refusals_is_given_up_in_time(self):
         """Guards against requests for a server that has left, whatever kept
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -74,11 +74,11 @@
         found = outcome.Outcome(0, "a", "stream")
         found.first_ms = 1_100
         found.gaps_ms = [63.0] * 95 + [500.0] * 5
-        self.assertFalse(found.is_good())
+        self.assertFalse(found.meets_targets())
         found.is_whole = True
-        self.assertTrue(found.is_good())
+        self.assertTrue(found.meets_targets())
         found.gaps_ms[0] = 64.0
-        self.assertFalse(found.is_good())
+        self.assertFalse(found.meets_targets())
 
 
 class CallerTest(unittest.TestCase):
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -70,7 +70,7 @@
         ]
         found = losses.summarize(lines)
         self.assertEqual({losses.GAP_EXCEEDED: 1}, found.ends)
-        self.assertEqual({400: [2]}, found.pauses)
+        self.assertEqual({400: [2]}, found.gaps)
 
     def test_prompts_read_in_vain_by_cause(self):
         """A decode engine refuses a prompt that was read for it, and another
@@ -101,7 +101,7 @@
                 "no answer, prefill upstream_timeout": 3_000,
                 "decode upstream_refused, full": 2_000,
             },
-            losses.summarize(lines).in_vain,
+            losses.summarize(lines).wasted_tokens,
         )
 
     def test_failures_and_the_report(self):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,7 +73,7 @@
         fleet.run(30)
         first = fleet.vms[0]
         self.assertIs(fleet.see(first, "vm1").health, member.MemberStatus.DEAD)
-        self.assertIsNone(first.exchange.view.choose_target())
+        self.assertIsNone(first.exchange.view.choose_probe_target())
         fleet.network.down.discard("vm1:1")
         fleet.run(40)
         self.assertIs(
@@ -143,7 +143,7 @@
     def test_a_stopping_vm_is_left_out_within_a_few_periods(self):
         fleet = membership_fleet.Fleet(27)
         fleet.run(30)
-        fleet.vms[5].change_own(is_stopping=True)
+        fleet.vms[5].update_local(is_stopping=True)
         fleet.run(4)
         for vm in fleet.vms:
             self.assertTrue(fleet.see(vm, "vm5").is_stopping)
@@ -156,12 +156,12 @@
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
-        fleet.vms[5].change_own(is_starting=True)
+        fleet.vms[5].update_local(is_starting=True)
         fleet.run(4)
         for vm in fleet.vms[:5]:
             named = [one.address for one in vm.list_addresses("zone2")]
             self.assertNotIn("vm5:2", named)
-        fleet.vms[5].change_own(is_starting=False)
+        fleet.vms[5].update_local(is_starting=False)
         fleet.run(4)
         self.assertFalse(fleet.see(fleet.vms[0], "vm5").is_starting)
 
@@ -188,10 +188,10 @@
 
             def take(teller, vm=vm):
                 heard.add(vm.own.name)
-                vm.note_revision(teller.revision)
+                vm.announce_revision(teller.revision)
 
-            vm.subscribe_newer(take)
-        fleet.vms[2].note_revision(7)
+            vm.subscribe_newer_tables(take)
+        fleet.vms[2].announce_revision(7)
         fleet.run(4)
         self.assertEqual(len(heard), 8)
 
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -55,44 +55,52 @@
         """A slow answer of the store comes after a newer copy from another
         VM.  Taken over, it would bring a server back that has left.
         """
-        self.mirror.adopt([make(f"s{n}", n) for n in range(2, 7)], 12, 0)
+        self.mirror.replace_from_peer(
+            [make(f"s{n}", n) for n in range(2, 7)], 12, 0
+        )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.assertFalse(self.mirror.replace(rows, 11, 0))
         self.assertNotIn("s1", self.names())
 
     def test_adopts_only_what_is_newer(self):
-        self.assertFalse(self.mirror.adopt([], self.mirror.changed, 0))
+        self.assertFalse(
+            self.mirror.replace_from_peer([], self.mirror.changed_revision, 0)
+        )
         rows = [make(f"s{n}", n) for n in range(2, 10)]
-        self.assertTrue(self.mirror.adopt(rows, 20, 0))
+        self.assertTrue(self.mirror.replace_from_peer(rows, 20, 0))
         self.assertEqual(self.names(), [f"s{n}" for n in range(2, 10)])
 
     def test_changes_of_other_kinds_are_no_news(self):
         """The store's revision grows with every write of any kind.  Told to
         other VMs, it would make them fetch a copy that has not changed.
         """
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         self.assertFalse(self.mirror.apply([], 40, 0))
-        self.assertEqual(self.mirror.changed, before)
+        self.assertEqual(self.mirror.changed_revision, before)
         self.assertEqual(self.mirror.revision, 40)
 
     def test_removal_that_only_a_listing_shows_is_told(self):
         """Guards against a server that left while the store lost its history:
         VMs that do not watch would never hear of it.
         """
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         rows = [make(f"s{n}", n) for n in range(2, 7)]
         self.mirror.replace(rows, 12, 0)
-        self.assertGreater(self.mirror.changed, before)
+        self.assertGreater(self.mirror.changed_revision, before)
         other = mirrors.Mirror("servers")
-        other.adopt([make(f"s{n}", n) for n in range(1, 7)], before, 0)
-        taken = other.adopt(self.mirror.list_objects(), self.mirror.changed, 0)
+        other.replace_from_peer(
+            [make(f"s{n}", n) for n in range(1, 7)], before, 0
+        )
+        taken = other.replace_from_peer(
+            self.mirror.list_objects(), self.mirror.changed_revision, 0
+        )
         self.assertTrue(taken)
         self.assertNotIn("s1", {one.name for one in other.list_objects()})
 
     def test_listing_without_a_removal_is_no_news(self):
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         self.mirror.replace([make(f"s{n}", n) for n in range(1, 7)], 12, 0)
-        self.assertEqual(self.mirror.changed, before)
+        self.assertEqual(self.mirror.changed_revision, before)
 
     def test_removal_counts_at_once(self):
         self.mirror.apply([change("s1", 1, True)], 11, 0)
@@ -102,8 +110,8 @@
         """The store was away for all, and servers could not renew their
         entries.  Taken for gone at once, none would be left to use.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.assertEqual(len(self.names()), 6)
         self.assertFalse(self.mirror.expire(6_000))
@@ -114,8 +122,8 @@
         """Guards against a store that drops lapsed entries in several steps:
         the first few look like servers that leave.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         for number in range(1, 7):
             event = change(f"s{number}", number, True)
             self.mirror.apply([event], 10 + number, 5_000 + number)
@@ -125,8 +133,8 @@
         """Guards against a server that stands twice in the tables: its entry
         was removed and came back before the others lapsed.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(1, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 5_100)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
@@ -134,8 +142,8 @@
         self.assertEqual(self.names(), [f"s{n}" for n in range(1, 7)])
 
     def test_entry_that_came_back_stays(self):
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 6_000)
         self.mirror.expire(7_200)
@@ -146,8 +154,8 @@
         back by then, and the few that are missing look like servers that
         left.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         events = [change(f"s{n}", n, True) for n in range(1, 7)]
         back = [change(f"s{n}", 10 + n) for n in range(3, 7)]
         self.mirror.apply([*events, *back], 17, 5_000)
@@ -159,14 +167,14 @@
         its operators allow.
         """
         self.outages.note_peer("a2", True, 4_000)
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.assertEqual(self.names(), [])
 
     def test_removal_counts_after_an_absence_too_short_for_a_lapse(self):
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(2_900)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(2_900)
         self.lapse(6, 2_900)
         self.assertEqual(self.names(), [])
 
@@ -174,16 +182,16 @@
         """Guards against a VM that was started in the outage: its copy holds
         only the entries that are back.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.adopt([make("s1", 21)], 21, 5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.replace_from_peer([make("s1", 21)], 21, 5_000)
         self.assertEqual(len(self.names()), 6)
 
     def test_removal_long_ago_does_not_come_back_with_a_lapse(self):
         """Guards against servers that left early in an outage's wake and are
         brought back by a later lapse.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(1, 5_000)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
         self.mirror.apply(later, 12, 60_000)
@@ -676,15 +684,17 @@
 
 class OutagesTest(unittest.TestCase):
     def test_alone_it_is_shared(self):
-        self.assertTrue(store_reachability.StoreReachability().is_shared(0, 0))
+        self.assertTrue(
+            store_reachability.StoreReachability().is_fleet_wide(0, 0)
+        )
 
     def test_one_vm_that_is_served_tells(self):
         found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a3", True, 0)
-        self.assertFalse(found.is_shared(0, 100))
+        self.assertFalse(found.is_fleet_wide(0, 100))
         found.note_peer("a3", False, 100)
-        self.assertTrue(found.is_shared(0, 200))
+        self.assertTrue(found.is_fleet_wide(0, 200))
 
     def test_earlier_absence_says_nothing_of_this_one(self):
         """Guards against a VM's own trouble that is taken for an outage
@@ -693,7 +703,7 @@
         found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a2", True, 1_000)
-        self.assertFalse(found.is_shared(1_100, 1_200))
+        self.assertFalse(found.is_fleet_wide(1_100, 1_200))
 
     def test_few_watch_in_a_large_fleet(self):
         """Ninety VMs before a store whose rates are those of nine.  Were all
@@ -705,8 +715,8 @@
         other = next(vm for vm in vms if vm not in watchers)
         found = store_reachability.StoreReachability()
         found.note_peer(watchers[0], True, 0)
-        self.assertFalse(found.must_ask(other, vms, 100))
-        self.assertTrue(found.must_ask(watchers[0], vms, 100))
+        self.assertFalse(found.must_poll(other, vms, 100))
+        self.assertTrue(found.must_poll(watchers[0], vms, 100))
 
     def test_vm_that_hears_no_watcher_asks_itself(self):
         """Every watcher is cut off, dead, or turned away by the store.  The
@@ -716,10 +726,10 @@
         watchers = store_reachability.choose_watchers(vms)
         other = next(vm for vm in vms if vm not in watchers)
         found = store_reachability.StoreReachability()
-        self.assertTrue(found.must_ask(other, vms, 0))
+        self.assertTrue(found.must_poll(other, vms, 0))
         found.note_peer(watchers[0], True, 0)
         self.assertTrue(
-            found.must_ask(other, vms, store_reachability.PEER_REPORT_TTL_MS)
+            found.must_poll(other, vms, store_reachability.PEER_REPORT_TTL_MS)
         )
         found.note_peer(watchers[0], False, 6_000)
-        self.assertTrue(found.must_ask(other, vms, 6_100))
+        self.assertTrue(found.must_poll(other, vms, 6_100))
--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -58,4 +58,4 @@
     def test_first_event_is_owed_from_the_arrival_on(self):
         """Guards against requests that a failed try makes young again."""
         job = make_job(ARRIVED_MS + 500, ARRIVED_MS)
-        self.assertEqual(job.target_at_ms, ARRIVED_MS + TARGET_MS)
+        self.assertEqual(job.first_token_target_ms, ARRIVED_MS + TARGET_MS)
--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -64,13 +64,13 @@
         self.rig = router_fixture.RouterFixture(
             self.make_tables(),
             self.make_settings(),
-            may_repeat=self.may_repeat,
+            may_repeat=self.try_withdraw_retry,
             cuts_withdrawn=self.cuts_withdrawn,
         )
         self.rig.__enter__()
         self.addCleanup(self.rig.__exit__)
 
-    def may_repeat(self, pool):
+    def try_withdraw_retry(self, pool):
         return True
 
     def make_settings(self):
@@ -250,7 +250,7 @@
         return router_fixture.make_tables(
             map(router_fixture.make_upstream, self.roles, self.ports),
             timeout_ms=8_000,
-            most_attempts=2,
+            max_attempts=2,
         )
 
     def test_resumed_although_a_replacement_was_sought_before(self):
@@ -304,7 +304,7 @@
             router_fixture.expect_text(prompt, LONG),
         )
 
-    def withdraw_key(self):
+    def revoke_key(self):
         accounts = (
             router_fixture.make_account("tea-estate", router_fixture.KEY),
         )
@@ -320,7 +320,7 @@
         """Guards against answers cut for a key that held when they began,
         where a withdrawn key ends no running stream.
         """
-        self.check_whole(self.read_killed("key", self.withdraw_key), "key")
+        self.check_whole(self.read_killed("key", self.revoke_key), "key")
 
     def lapse(self):
         self.rig.allowances.has_lapsed = True
@@ -384,7 +384,7 @@
         super().setUp()
         self.repeats = []
 
-    def may_repeat(self, pool):
+    def try_withdraw_retry(self, pool):
         self.repeats.append(pool)
         return not self.is_budget_spent
 
@@ -467,7 +467,7 @@
         self.rig.source.change(self.make_tables())
         pool = self.rig.source.current.pools["lm-pool"]
         pool.slots = 1
-        self.rig.router.scheduling.change_tables(self.rig.source.current)
+        self.rig.router.scheduling.update_tables(self.rig.source.current)
         first = router_fixture.OpenStream(self.rig, "first", 200)
         first.read_event()
         second = router_fixture.OpenStream(self.rig, "second", 5)
@@ -493,7 +493,7 @@
         """
         pool = self.rig.source.current.pools["lm-pool"]
         pool.slots = 1
-        self.rig.router.scheduling.change_tables(self.rig.source.current)
+        self.rig.router.scheduling.update_tables(self.rig.source.current)
         first = router_fixture.OpenStream(self.rig, "first", 200)
         first.read_event()
         second = router_fixture.OpenStream(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -54,7 +54,7 @@
         first = self.plan(0, "load")
         self.assertEqual(len(first), 2)
         for order in first:
-            self.planner.note_given(order, 0)
+            self.planner.record_accepted(order, 0)
         self.assertEqual(self.plan(1_000, "load"), [])
         done = first[0].row.name
         self.loads["lm", done] = make_load("m")
@@ -84,8 +84,8 @@
     def test_roles_once_and_failures_later(self):
         first = self.plan(0, "role")
         self.assertEqual(len(first), 4)
-        self.planner.note_given(first[0], 0)
-        self.planner.note_failed(first[1], 0)
+        self.planner.record_accepted(first[0], 0)
+        self.planner.record_failed(first[1], 0)
         self.assertEqual(len(self.plan(1_000, "role")), 2)
         self.assertEqual(len(self.plan(orders.RETRY_MS, "role")), 3)
 
@@ -99,8 +99,8 @@
 
     def test_a_stale_read_brings_no_old_holder_back(self):
         lease = leader_lease.LeaderLease("a", 1)
-        lease.note_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
-        lease.note_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
+        lease.record_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
+        lease.record_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
         self.assertEqual((lease.fencing, lease.version), (5, 50))
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -109,7 +109,7 @@
         self.assertEqual(wire.connections, 1)
         counts = {
             (one.kind, one.is_sent): one
-            for one in self.client.traffic.read_counts()
+            for one in self.client.traffic.get_counts()
         }
         self.assertEqual(counts[("Probe:echo", True)].messages, 3)
         self.assertGreater(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -95,17 +95,17 @@
         talk, book = found.routes["r-1"], found.routes["r-2"]
         self.assertTrue(talk.idempotent)
         self.assertFalse(book.idempotent)
-        self.assertFalse(book.trusts_methods)
+        self.assertFalse(book.retries_safe_methods)
         self.assertEqual(found.find_route("/talk/x", "site.example"), talk)
         self.assertEqual((book.pool, book.shares), ("app", ()))
-        self.assertEqual(talk.most_attempts, 2)
+        self.assertEqual(talk.max_attempts, 2)
 
     def test_engine_shape(self):
         pool = read().pools["llm"]
         self.assertIs(pool.kind, tables.PoolKind.MODEL)
-        self.assertEqual(pool.engine_tokens, 96_693)
+        self.assertEqual(pool.kv_capacity_tokens, 96_693)
         self.assertEqual(pool.link_bytes_per_s, 675_000_000_000)
-        self.assertEqual(pool.switch_ms, 6_000)
+        self.assertEqual(pool.role_switch_ms, 6_000)
 
     def test_shortest_target_for_pauses_of_a_pools_routes(self):
         """Two routes lead to one pool, and one wants shorter pauses.  An
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -99,7 +99,7 @@
         )
         sent = json.loads(self.server.seen[2][2])
         self.assertEqual(sent["metadata"]["resourceVersion"], "6")
-        self.assertEqual(self.counts.read_counts()[("p", "ok")].calls, 4)
+        self.assertEqual(self.counts.get_counts()[("p", "ok")].calls, 4)
 
     def test_refusals(self):
         code, run = errors.Code, errors.ExecutionStatus
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -29,10 +29,10 @@
     def exchange(self):
         self.now_ms += 50
         for router in self.routers:
-            note = router.take_hints(self.now_ms)
+            note = router.drain_hints(self.now_ms)
             if note is not None:
                 for other in self.routers:
-                    other.note_hints(note, self.now_ms)
+                    other.apply_hints(note, self.now_ms)
 
     def send(self, router, digest):
         """Submit a request under a fresh id; return the id or the fault."""
@@ -53,7 +53,7 @@
         self.assertIsInstance(job_id, str, job_id)
         assignment = self.start(router)[job_id]
         blamed = "" if end is DONE else assignment.decode
-        router.note_prefilled(job_id, self.now_ms)
+        router.record_prefilled(job_id, self.now_ms)
         router.finish(job_id, end, blamed, self.now_ms)
         self.exchange()
         self.now_ms += 3_000
@@ -156,7 +156,7 @@
         self.run_one(second, "bad", DIED)
         self.now_ms = 10
         for upstream in ("lm/d0", "lm/d1"):
-            first.register.note_death("bad", upstream, True, self.now_ms)
+            first.register.record_crash("bad", upstream, True, self.now_ms)
         decided = first.dispatch(self.now_ms)
         self.assertEqual([r.job_id for r in decided.refusals], [waiting])
         self.assertEqual(decided.assignments, [])
@@ -182,11 +182,11 @@
         self.assertEqual(len(digests), 4)
 
     def test_one_death_seen_twice_is_one(self):
-        self.register.note_death("d", "lm/d0", False, 0)
-        self.register.note_death("d", "lm/d0", False, 400)
+        self.register.record_crash("d", "lm/d0", False, 0)
+        self.register.record_crash("d", "lm/d0", False, 400)
         self.assertIs(self.read("d", 1_000), poison.QuarantineState.SUSPECT)
         # Started again at once, the same upstream can die a second time.
-        self.register.note_death("d", "lm/d0", False, 1_100)
+        self.register.record_crash("d", "lm/d0", False, 1_100)
         self.assertIs(
             self.read("d", 1_100), poison.QuarantineState.QUARANTINED
         )
@@ -197,8 +197,8 @@
         all of them; so it runs again after a minute, alone.
         """
         for digest, proven in (("chance", False), ("bad", True)):
-            self.register.note_death(digest, "lm/d0", False, 0)
-            self.register.note_death(digest, "lm/d1", proven, 10_000)
+            self.register.record_crash(digest, "lm/d0", False, 0)
+            self.register.record_crash(digest, "lm/d1", proven, 10_000)
             self.assertIs(
                 self.read(digest, 11_000), poison.QuarantineState.QUARANTINED
             )
@@ -212,26 +212,26 @@
 
     def test_bounded_in_size_and_time(self):
         for number in range(poison.MAX_DIGESTS + 50):
-            self.register.note_death(f"d{number}", "lm/d0", False, number)
+            self.register.record_crash(f"d{number}", "lm/d0", False, number)
         self.assertEqual(len(self.register), poison.MAX_DIGESTS)
         self.assertIs(self.read("d0", 5_000), poison.QuarantineState.CLEAR)
         late = 5_000 + poison.QUARANTINE_MS
         self.assertIs(self.read("d4000", late), poison.QuarantineState.CLEAR)
 
     def test_a_repeat_renews_the_quarantine(self):
-        self.register.note_death("d", "lm/d0", False, 0)
-        self.register.note_death("d", "lm/d1", True, 6_000)
+        self.register.record_crash("d", "lm/d0", False, 0)
+        self.register.record_crash("d", "lm/d1", True, 6_000)
         almost = 6_000 + poison.QUARANTINE_MS - 1
-        self.register.note_repeat("d", almost)
+        self.register.renew_quarantine("d", almost)
         self.assertIs(
             self.read("d", almost + 10), poison.QuarantineState.QUARANTINED
         )
 
     def test_a_new_router_gets_all_that_is_known(self):
-        self.register.note_death("d", "lm/d0", False, 0)
-        self.register.note_death("d", "lm/d1", True, 6_000)
+        self.register.record_crash("d", "lm/d0", False, 0)
+        self.register.record_crash("d", "lm/d1", True, 6_000)
         other = poison.PoisonRegistry()
-        other.note_news(self.register.list_deaths(7_000), 100_000)
+        other.note_news(self.register.list_crashes(7_000), 100_000)
         self.assertIs(
             other.read_standing("d", 100_000),
             poison.QuarantineState.QUARANTINED,
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -38,7 +38,7 @@
     def list_ejected(self):
         return self.ejected
 
-    def note_probe(self, pool, upstream, has_passed):
+    def record_probe(self, pool, upstream, has_passed):
         self.noted.append((upstream, has_passed))
 
     def find_engine(self, pool, upstream):
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -33,10 +33,10 @@
     def note_tokens(self, tokens):
         pass
 
-    def note_source_end(self):
+    def on_source_end(self):
         pass
 
-    def drop_source(self):
+    def cancel_source(self):
         pass
 
     def recover(self, stream, fault):
@@ -56,7 +56,7 @@
         super().__init__()
         self.asked = 0
 
-    def may_leave(self):
+    def may_replace_source(self):
         self.asked += 1
         return False
 
@@ -70,18 +70,18 @@
     def __init__(self):
         super().__init__()
         self.relay = None
-        self.begun = threading.Event()
+        self.is_head_written = threading.Event()
         self.may_go_on = threading.Event()
-        self.has_left = queue.Queue()
+        self.has_disconnected = queue.Queue()
         self.recovered = threading.Event()
 
     def replace(self, stream, fault):
         offset = stream.expected
-        self.begun.set()
+        self.is_head_written.set()
         self.may_go_on.wait(GUARD_S)
-        has_left = self.relay.leave_source(stream, offset)
-        self.has_left.put(has_left)
-        self.relay.stay(stream, fault)
+        has_left = self.relay.try_close_source(stream, offset)
+        self.has_disconnected.put(has_left)
+        self.relay.keep_source(stream, fault)
 
     def recover(self, stream, fault):
         self.recovered.set()
@@ -135,11 +135,11 @@
         caller, engine = self.lend(owner, 50)
         engine.sendall(EVENT)
         caller.recv(65_536)
-        self.assertTrue(owner.begun.wait(GUARD_S))
+        self.assertTrue(owner.is_head_written.wait(GUARD_S))
         engine.sendall(EVENT.replace(b'"index": 0', b'"index": 1'))
         self.assertIn(b'"index": 1', caller.recv(65_536))
         owner.may_go_on.set()
-        self.assertFalse(owner.has_left.get(timeout=GUARD_S))
+        self.assertFalse(owner.has_disconnected.get(timeout=GUARD_S))
         engine.sendall(EVENT.replace(b'"index": 0', b'"index": 2'))
         self.assertIn(b'"index": 2', caller.recv(65_536))
 
@@ -150,7 +150,7 @@
         engine.sendall(EVENT)
         caller.recv(65_536)
         owner.may_go_on.set()
-        self.assertTrue(owner.has_left.get(timeout=GUARD_S))
+        self.assertTrue(owner.has_disconnected.get(timeout=GUARD_S))
         engine.settimeout(GUARD_S)
         self.assertEqual(engine.recv(1), b"")
 
@@ -160,8 +160,8 @@
         caller, engine = self.lend(owner, 50)
         engine.sendall(EVENT)
         caller.recv(65_536)
-        self.assertTrue(owner.begun.wait(GUARD_S))
-        owner.relay.leave_source = lambda stream, offset: False
+        self.assertTrue(owner.is_head_written.wait(GUARD_S))
+        owner.relay.try_close_source = lambda stream, offset: False
         engine.close()
         time.sleep(0.1)
         owner.may_go_on.set()
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -24,7 +24,7 @@
 
 class QueueTest(unittest.TestCase):
     def setUp(self):
-        self.fair = fair_queue.FairQueue(100, 1_000_000)
+        self.queue = fair_queue.FairQueue(100, 1_000_000)
 
     def test_tokens_count_not_requests(self):
         """One account sends few dear requests and another many cheap ones.
@@ -32,17 +32,17 @@
         tokens, and the cheap ones' callers would wait for it.
         """
         for number in range(4):
-            push(self.fair, f"d{number}", "dear", cost=1_000)
+            push(self.queue, f"d{number}", "dear", cost=1_000)
         for number in range(40):
-            push(self.fair, f"c{number}", "cheap", cost=100)
-        served = [serve(self.fair) for _ in range(22)]
+            push(self.queue, f"c{number}", "cheap", cost=100)
+        served = [serve(self.queue) for _ in range(22)]
         self.assertAlmostEqual(served.count("cheap"), 20, delta=1)
 
     def test_weights(self):
         for number in range(30):
-            push(self.fair, f"a{number}", "a", weight=2)
-            push(self.fair, f"b{number}", "b", weight=1)
-        served = [serve(self.fair) for _ in range(30)]
+            push(self.queue, f"a{number}", "a", weight=2)
+            push(self.queue, f"b{number}", "b", weight=1)
+        served = [serve(self.queue) for _ in range(30)]
         self.assertAlmostEqual(served.count("a"), 20, delta=1)
 
     def test_a_pause_earns_only_a_bounded_claim(self):
@@ -51,12 +51,12 @@
         as long as it was silent.
         """
         for number in range(300):
-            push(self.fair, f"a{number}", "a", cost=1_000)
-            serve(self.fair)
+            push(self.queue, f"a{number}", "a", cost=1_000)
+            serve(self.queue)
         for number in range(50):
-            push(self.fair, f"b{number}", "b", cost=1_000)
-            push(self.fair, f"c{number}", "a", cost=1_000)
-        served = [serve(self.fair) for _ in range(40)]
+            push(self.queue, f"b{number}", "b", cost=1_000)
+            push(self.queue, f"c{number}", "a", cost=1_000)
+        served = [serve(self.queue) for _ in range(40)]
         claim = fair_queue.MAX_CREDIT_TOKENS / 1_000
         self.assertGreaterEqual(served.count("a"), (40 - claim) / 2 - 1)
 
@@ -67,39 +67,39 @@
         """
         for number in range(50):
             self.assertTrue(
-                self.fair.has_room(cases.make_job(f"a{number}", "a"))
+                self.queue.has_room(cases.make_job(f"a{number}", "a"))
             )
-            push(self.fair, f"a{number}", "a")
-        self.assertFalse(self.fair.has_room(cases.make_job("x", "a")))
-        self.assertTrue(self.fair.has_room(cases.make_job("y", "b")))
+            push(self.queue, f"a{number}", "a")
+        self.assertFalse(self.queue.has_room(cases.make_job("x", "a")))
+        self.assertTrue(self.queue.has_room(cases.make_job("y", "b")))
 
     def test_bytes_are_limited_and_given_back(self):
-        push(self.fair, "a", "a", body_bytes=400_000)
+        push(self.queue, "a", "a", body_bytes=400_000)
         big = cases.make_job("b", "a", body_bytes=200_000)
-        self.assertFalse(self.fair.has_room(big))
-        self.assertIsNotNone(self.fair.remove("a"))
-        self.assertTrue(self.fair.has_room(big))
-        self.assertEqual((self.fair.bytes, self.fair.weight_waiting), (0, 0))
+        self.assertFalse(self.queue.has_room(big))
+        self.assertIsNotNone(self.queue.remove("a"))
+        self.assertTrue(self.queue.has_room(big))
+        self.assertEqual((self.queue.bytes, self.queue.weight_waiting), (0, 0))
 
     def test_late_jobs_come_out_once(self):
-        push(self.fair, "a", "a", latest_ms=10)
-        push(self.fair, "b", "a", latest_ms=20)
-        push(self.fair, "c", "b", latest_ms=30)
-        self.fair.remove("b")
-        self.assertEqual(self.fair.next_latest_ms(), 10)
-        late = [entry.job.job_id for entry in self.fair.pop_late(25)]
+        push(self.queue, "a", "a", latest_ms=10)
+        push(self.queue, "b", "a", latest_ms=20)
+        push(self.queue, "c", "b", latest_ms=30)
+        self.queue.remove("b")
+        self.assertEqual(self.queue.get_next_expiry_ms(), 10)
+        late = [entry.job.job_id for entry in self.queue.pop_expired(25)]
         self.assertEqual(late, ["a"])
-        self.assertEqual(self.fair.next_latest_ms(), 30)
+        self.assertEqual(self.queue.get_next_expiry_ms(), 30)
 
     def test_lanes_overtake(self):
         job = cases.make_job("long", "a")
-        self.fair.push(
+        self.queue.push(
             fair_queue.QueueEntry(job, fair_queue.Lane.LONG, 1, 1_000)
         )
-        push(self.fair, "short", "a", now_ms=5)
-        heads = self.fair.list_next(1)[0].list_heads()
+        push(self.queue, "short", "a", now_ms=5)
+        heads = self.queue.list_next(1)[0].list_heads()
         self.assertEqual([e.job.job_id for e in heads], ["long", "short"])
-        self.fair.move("short", fair_queue.Lane.SUSPECT)
-        self.fair.remove("long")
-        heads = self.fair.list_next(1)[0].list_heads()
+        self.queue.move("short", fair_queue.Lane.SUSPECT)
+        self.queue.remove("long")
+        heads = self.queue.list_next(1)[0].list_heads()
         self.assertEqual([e.job.job_id for e in heads], ["short"])
--- a/tests/test_raw_stream.py
+++ b/tests/test_raw_stream.py
@@ -42,7 +42,7 @@
         self.assertEqual(payload, b"".join(EVENTS))
         self.assertIn(b"Server-Seal: s-1", head)
         self.assertNotIn(b"timeout=5", head)
-        self.assertTrue(stream.is_ended)
+        self.assertTrue(stream.is_complete)
         self.assertEqual(stream.expected, 4)
 
     def test_event_in_pieces_waits_until_it_is_whole(self):
@@ -61,7 +61,7 @@
         source = upstreams.TokenStream(
             None, b"", True, "r", None, [("Server-Seal", "s-2")]
         )
-        stream.change_source(source)
+        stream.set_source(source)
         out += stream.take(make_chunk(EVENTS[2] + EVENTS[3]) + b"0\r\n\r\n")
         head, payload = self.read_payload(out + self.writer.end())
         self.assertEqual(payload, b"".join(EVENTS))
@@ -81,21 +81,21 @@
         body = b"".join(EVENTS)
         stream = self.make(chunked=False, length=len(body))
         out = stream.take(body + b"not of this answer")
-        self.assertTrue(stream.is_ended)
+        self.assertTrue(stream.is_complete)
         _, payload = self.read_payload(out + self.writer.end())
         self.assertEqual(payload, body)
 
     def test_end_by_the_connection(self):
         stream = self.make(chunked=False)
         stream.take(EVENTS[0])
-        self.assertTrue(stream.ends_here())
+        self.assertTrue(stream.may_end_on_close())
         stream.take(EVENTS[1][:5])
-        self.assertFalse(stream.ends_here())
+        self.assertFalse(stream.may_end_on_close())
 
     def test_chunked_answer_does_not_end_with_the_connection(self):
         stream = self.make()
         stream.take(make_chunk(EVENTS[0]))
-        self.assertFalse(stream.ends_here())
+        self.assertFalse(stream.may_end_on_close())
 
     def test_cut_answer_looks_cut(self):
         """The last engine is gone and none can go on.  An answer that ended
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -29,7 +29,7 @@
             decodes,
             kv_bytes_per_token=18_432,
             link_bytes_per_s=18_750_000_000,
-            engine_tokens=TOKENS,
+            kv_capacity_tokens=TOKENS,
             pause_ms=PAUSE_MS,
         )
         self.routers = [
@@ -55,7 +55,7 @@
             prompt_tokens=prompt,
             max_tokens=2_040,
             expected_tokens=840,
-            target_at_ms=now_ms + 900,
+            first_token_target_ms=now_ms + 900,
         )
         taken = self.routers[vm].submit(job, now_ms)
         assert taken.is_ok(), taken.error
@@ -66,17 +66,17 @@
 
     def tell(self, now_ms, vm=0):
         """Let all others hear what a VM has to tell."""
-        note = self.routers[vm].take_hints(now_ms)
+        note = self.routers[vm].drain_hints(now_ms)
         for other in self.routers:
             if note is not None and other is not self.routers[vm]:
-                other.note_hints(note, now_ms)
+                other.apply_hints(note, now_ms)
 
     def run_streams(self, count, now_ms=0):
         """Start streams one after another, and return when all have begun."""
         for _ in range(count):
             self.submit(now_ms)
             for one in self.start(now_ms):
-                self.routers[0].note_prefilled(one.job_id, now_ms + 215)
+                self.routers[0].record_prefilled(one.job_id, now_ms + 215)
             now_ms += 300
         return now_ms
 
@@ -108,15 +108,15 @@
     def test_streams_that_have_paused_too_long(self):
         budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
-        self.assertFalse(budget.is_broken(4_000, 1_100))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 1_100))
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_100)
-        self.assertTrue(budget.is_broken(4_000, 1_500))
-        self.assertFalse(budget.is_broken(4_000, 6_000))
+        self.assertTrue(budget.is_gap_exceeded(4_000, 1_500))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 6_000))
 
     def test_engine_without_streams_harms_nobody(self):
         budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(500.0, PAUSE_MS, EVENT_MS, 0, 1_000)
-        self.assertFalse(budget.is_broken(4_000, 1_600))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 1_600))
 
 
 class SpeedTest(unittest.TestCase):
@@ -185,9 +185,14 @@
         (one,) = rig.start(0)
         rig.tell(10)
         router = rig.routers[0]
-        router.note_unread(one.job_id, 400)
+        router.record_prefill_failed(one.job_id, 400)
         rig.tell(410)
-        reads = rig.routers[1]._set.find_any("lm").members.find("d0").reads
+        reads = (
+            rig.routers[1]
+            ._set.find_any("lm")
+            .members.find("d0")
+            .prefill_budget
+        )
         self.assertFalse(reads.fits(190.0, PAUSE_MS, EVENT_MS, 420))
 
     def test_long_prompts_keep_to_one_engine(self):
@@ -254,9 +259,9 @@
         router = rig.routers[0]
         for job_id in jobs:
             end_ms = started[job_id].ready_in_ms + 300
-            router.note_prefilled(job_id, end_ms)
+            router.record_prefilled(job_id, end_ms)
         view = router._set.find_any("lm").members.find("p0")
-        self.assertLess(view.read_wait_ms(end_ms), 30)
+        self.assertLess(view.estimate_prefill_wait_ms(end_ms), 30)
 
 
 class IdleTest(unittest.TestCase):
@@ -271,8 +276,8 @@
         rig.start(0, vm=1)
         pool = rig.routers[0]._set.find_any("lm")
         looks = []
-        count_free = pool.placer.count_free
-        pool.placer.count_free = lambda now_ms: (
+        count_free = pool.placer.estimate_free_slots
+        pool.placer.estimate_free_slots = lambda now_ms: (
             looks.append(now_ms) or count_free(now_ms)
         )
         rig.tell(10, vm=1)
@@ -292,7 +297,7 @@
         rig = Rig(decodes=1)
         rig.run_streams(9)
         pool = rig.routers[0]._set.find_any("lm")
-        self.assertLessEqual(pool.placer.count_free(3_000), 2)
+        self.assertLessEqual(pool.placer.estimate_free_slots(3_000), 2)
 
 
 class TargetTest(unittest.TestCase):
@@ -305,7 +310,7 @@
         pool = rig.routers[0]._set.find_any("lm")
         (view, *_) = pool.members.decodes
         for _ in range(20):
-            view.note_step(200.0, 1_000)
+            view.record_step(200.0, 1_000)
         self.assertFalse(pool.placer.slowness.is_slow(view, 1_000))
         view.pause_ms = 150
         self.assertTrue(pool.placer.slowness.is_slow(view, 1_000))
--- a/tests/test_reconciling.py
+++ b/tests/test_reconciling.py
@@ -21,7 +21,7 @@
         self.held = list(labels)
         self.cancelled = []
 
-    def list_held(self):
+    def list_in_flight(self):
         return expression.Ok(
             [upstreams.InFlightRequest(one, "decode", 1) for one in self.held]
         )
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -27,7 +27,7 @@
             errors.Code.DEADLINE_EXCEEDED,
         ):
             fault = make(code, errors.ExecutionStatus.NOT_RUN)
-            style = replies.FaultFormat(repeats_by_status=True)
+            style = replies.FaultFormat(is_retried_by_status=True)
             self.assertEqual(replies.choose_status(fault, style), 503)
             self.assertNotEqual(replies.choose_status(fault), 503)
 
@@ -38,7 +38,7 @@
             retry_after_ms=250,
         )
         own = dict(replies.make_fault_reply(fault).headers)
-        fine = replies.FaultFormat(has_fractions=True)
+        fine = replies.FaultFormat(has_fractional_retry_after=True)
         told = dict(replies.make_fault_reply(fault, style=fine).headers)
         self.assertEqual(own["Retry-After"], "1")
         self.assertEqual(told["Retry-After"], "0.250")
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -127,7 +127,7 @@
             self.submit(router, f"j{n}", 2 + n, prompt_tokens=60)
             found = self.start(router, 2 + n)[f"j{n}"]
             self.assertNotEqual(found.prefill, refusing)
-            router.note_prefilled(f"j{n}", 2 + n)
+            router.record_prefilled(f"j{n}", 2 + n)
 
     def test_a_prefill_engine_that_goes_on_refusing_is_ejected(self):
         """An engine's entry says prefill, and it has become a decode engine.
@@ -144,7 +144,7 @@
                 refused += 1
                 end, blame = End.REFUSED_BY_ENGINE, "p0"
             else:
-                router.note_prefilled(f"j{n}", now_ms)
+                router.record_prefilled(f"j{n}", now_ms)
                 end, blame = End.DONE, ""
             router.finish(f"j{n}", end, blame, now_ms)
         self.assertLessEqual(refused, 5)
@@ -159,9 +159,9 @@
             self.submit(router, f"j{n}", 10 * n, prompt_tokens=60)
             found = self.start(router, 10 * n)[f"j{n}"]
             if found.prefill == "p0":
-                router.note_unread(f"j{n}", 10 * n + 5)
+                router.record_prefill_failed(f"j{n}", 10 * n + 5)
             else:
-                router.note_prefilled(f"j{n}", 10 * n + 5)
+                router.record_prefilled(f"j{n}", 10 * n + 5)
             router.finish(f"j{n}", End.DONE, "", 10 * n + 8)
         view = router._pools["lm"].members.find("p0")
         self.assertEqual(view.own_prefills, 0)
@@ -171,19 +171,19 @@
         router = self.make(prefills=3)
         hashes = tuple(f"h{n}" for n in range(6))
         event = upstreams.CacheEvent(1, hashes, ())
-        router.note_cache_events("lm", "p2", [event], 0)
+        router.record_cache_events("lm", "p2", [event], 0)
         self.submit(router, "j", prompt_tokens=6 * 1_024, prefix_hashes=hashes)
         self.assertEqual(self.start(router)["j"].prefill, "p2")
 
     def test_a_report_counts_beyond_own_work(self):
         router = self.make(decodes=2, slots=4)
-        router.note_load("lm", "d0", cases.make_load(running=4), 0)
+        router.record_load("lm", "d0", cases.make_load(running=4), 0)
         for n in range(6):
             self.submit(router, f"j{n}", prompt_tokens=100, within_ms=30_000)
         started = self.start(router)
         self.assertEqual({one.decode for one in started.values()}, {"d1"})
         # The next report shows our own four; they are not others' work.
-        router.note_load("lm", "d1", cases.make_load(running=4), 300)
+        router.record_load("lm", "d1", cases.make_load(running=4), 300)
         router.finish(next(iter(started)), End.DONE, "", 310)
         self.assertEqual(len(self.start(router, 310)), 1)
 
@@ -201,9 +201,9 @@
         router = self.make(decodes=2, slots=1)
         self.submit(router, "j")
         first = self.start(router)["j"].decode
-        second = router.move_decode("j", first, 100)
+        second = router.reassign_decode("j", first, 100)
         self.assertNotIn(second, (None, first))
-        self.assertIsNone(router.move_decode("j", second, 110))
+        self.assertIsNone(router.reassign_decode("j", second, 110))
         router.finish("j", End.DONE, "", 500)
         views = router._pools["lm"].members.list_all()
         self.assertEqual([view.own for view in views], [0] * 4)
@@ -288,7 +288,7 @@
 class RoomTest(unittest.TestCase):
     def start(self, engine_tokens):
         router = scheduler.FairScheduler("vm1", seed=2)
-        pool = cases.make_reading_pool(1, 2, engine_tokens=engine_tokens)
+        pool = cases.make_reading_pool(1, 2, kv_capacity_tokens=engine_tokens)
         router.change_pools({"lm": pool}, 0)
         job = cases.make_job("j", prompt_tokens=500, max_tokens=100)
         self.assertTrue(router.submit(job, 0).is_ok())
@@ -298,15 +298,15 @@
         """Guards against prompts read for engines that others have filled
         since they were heard last.
         """
-        self.assertEqual(self.start(1_500).room_tokens, 500)
-        self.assertEqual(self.start(90_000).room_tokens, 0)
+        self.assertEqual(self.start(1_500).kv_tokens, 500)
+        self.assertEqual(self.start(90_000).kv_tokens, 0)
 
 
 class PeersTest(SchedulerCase):
     def exchange(self, sender, receiver, now_ms):
-        note = sender.take_hints(now_ms)
+        note = sender.drain_hints(now_ms)
         if note is not None:
-            receiver.note_hints(note, now_ms)
+            receiver.apply_hints(note, now_ms)
         return note
 
     def test_a_peers_slots_count_until_it_is_silent(self):
@@ -368,16 +368,16 @@
         two = self.make("vm2", decodes=1, slots=2)
         self.submit(one, "a")
         self.start(one)
-        old = one.take_hints(1)
+        old = one.drain_hints(1)
         one.finish("a", End.DONE, "", 10)
         self.exchange(one, two, 20)
-        two.note_hints(old, 30)
+        two.apply_hints(old, 30)
         view = two._pools["lm"].members.find("d0")
         self.assertEqual(view.peers, 0)
 
     def test_quiet_routers_say_little(self):
         router = self.make()
-        notes = [router.take_hints(at) for at in range(0, 10_000, 10)]
+        notes = [router.drain_hints(at) for at in range(0, 10_000, 10)]
         self.assertLessEqual(sum(note is not None for note in notes), 11)
 
 
@@ -403,6 +403,6 @@
         self.submit(router, "short", 5, prompt_tokens=60)
         started = self.start(router, 5)
         self.assertIn("short", started)
-        fair = router._pools["lm"].fair
+        fair = router._pools["lm"].queue
         lanes = fair.list_next(1)[0].lanes
         self.assertTrue(lanes[fair_queue.Lane.LONG])
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -58,7 +58,7 @@
         assert job_id not in self.ends, (job_id, how, self.ends[job_id])
         self.ends[job_id] = how
 
-    def play(self, act, number, later_ms):
+    def inject_all(self, act, number, later_ms):
         self.now_ms += later_ms
         getattr(self, f"do_{act}")(number)
 
@@ -102,7 +102,7 @@
         return names[number % len(names)] if names else "nobody"
 
     def do_prefilled(self, number):
-        self.scheduler.note_prefilled(self.pick(number), self.now_ms)
+        self.scheduler.record_prefilled(self.pick(number), self.now_ms)
 
     def do_first(self, number):
         self.scheduler.note_first_token(self.pick(number), self.now_ms)
@@ -129,7 +129,7 @@
 
     def do_load(self, number):
         load = cases.make_load(running=number % 6, waiting=number % 2)
-        self.scheduler.note_load("lm", "d0", load, self.now_ms)
+        self.scheduler.record_load("lm", "d0", load, self.now_ms)
 
     def do_note(self, number):
         self.sequence += 1
@@ -141,8 +141,8 @@
             [hints.AccountNote("lm", "b", 1, number, number % 3, 10)],
             [],
         )
-        self.scheduler.note_hints(note, self.now_ms)
-        self.scheduler.take_hints(self.now_ms)
+        self.scheduler.apply_hints(note, self.now_ms)
+        self.scheduler.drain_hints(self.now_ms)
 
     def settle(self):
         self.pools = POOLS[0]
@@ -164,12 +164,12 @@
         """
         ledger = Ledger()
         for act, number, later_ms in acts:
-            ledger.play(act, number, later_ms)
+            ledger.inject_all(act, number, later_ms)
         ledger.settle()
         for view in ledger.scheduler._pools["lm"].members.list_all():
             self.assertEqual(
                 (view.own, view.own_suspects, view.own_blocks), (0, 0, 0)
             )
             self.assertEqual(view.own_prefills, 0)
-        self.assertEqual(len(ledger.scheduler._pools["lm"].fair), 0)
-        self.assertEqual(ledger.scheduler._pools["lm"].fair.bytes, 0)
+        self.assertEqual(len(ledger.scheduler._pools["lm"].queue), 0)
+        self.assertEqual(ledger.scheduler._pools["lm"].queue.bytes, 0)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -42,7 +42,7 @@
         """Guards a burst's processor time against one round for each hint."""
         clock_ = clock.ManualClock()
         controller = self.make(clock_)
-        controller.note_hints([make_note(1, SLOTS)])
+        controller.apply_hints([make_note(1, SLOTS)])
         tickets = [
             controller.submit(cases.make_job(f"j{number}", str(number))).ok
             for number in range(3)
@@ -51,7 +51,7 @@
         before = self.scheduler.rounds
         for sequence in range(2, 402):
             clock_.advance_ms(1)
-            controller.note_hints([make_note(sequence, SLOTS)])
+            controller.apply_hints([make_note(sequence, SLOTS)])
         self.assertLessEqual(
             self.scheduler.rounds - before,
             400 / scheduling.GOSSIP_DISPATCH_INTERVAL_MS,
@@ -62,14 +62,14 @@
         controller = self.make(clock.SystemClock())
         controller.start()
         self.addCleanup(controller.stop)
-        controller.note_hints([make_note(1, SLOTS)])
+        controller.apply_hints([make_note(1, SLOTS)])
         job = cases.make_job("j", now_ms=controller.clock.now_ms())
         ticket = controller.submit(job).ok
         self.assertFalse(ticket.decided.is_set())
         # The second comes right after a round and has none of its own.
-        controller.note_hints([make_note(2, SLOTS)])
+        controller.apply_hints([make_note(2, SLOTS)])
         began_s = time.monotonic()
-        controller.note_hints([make_note(3, 0)])
+        controller.apply_hints([make_note(3, 0)])
         self.assertTrue(ticket.decided.wait(GUARD_S))
         self.assertLess(time.monotonic() - began_s, 0.5)
         self.assertTrue(ticket.decision.is_ok())
--- a/tests/test_series.py
+++ b/tests/test_series.py
@@ -18,8 +18,8 @@
         self.assertAlmostEqual(fit.intercept, 1)
         self.assertAlmostEqual(fit.slope_error, 0)
         self.assertAlmostEqual(fit.predict(10), 21)
-        self.assertEqual(fit.stretch(2), 1.0)
-        self.assertEqual(fit.stretch(40), 10.0)
+        self.assertEqual(fit.extrapolation_factor(2), 1.0)
+        self.assertEqual(fit.extrapolation_factor(40), 10.0)
 
     def test_scatter_shows_in_the_error(self):
         fit = series.fit_line(make_series([(1, 1), (2, 4), (3, 2), (4, 5)]))
--- a/tests/test_service_forward.py
+++ b/tests/test_service_forward.py
@@ -32,7 +32,7 @@
     def find_engine(self, pool, upstream):
         raise AssertionError("no model request is sent")
 
-    def change_tables(self, changed):
+    def update_tables(self, changed):
         raise AssertionError("the router's own task")
 
     def find_service(self, pool, upstream):
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -25,7 +25,7 @@
         leaving=leaving,
         kv_bytes_per_token=163_840,
         link_bytes_per_s=675_000_000_000,
-        engine_tokens=TOKENS,
+        kv_capacity_tokens=TOKENS,
         self_reading=self_reading,
         pause_ms=GAP_MS,
     )
@@ -54,7 +54,7 @@
             prompt_tokens=prompt,
             max_tokens=9_620,
             expected_tokens=ANSWER,
-            target_at_ms=now_ms + target_ms,
+            first_token_target_ms=now_ms + target_ms,
         )
         return self.scheduler.submit(job, now_ms)
 
@@ -87,7 +87,7 @@
         for _ in range(20):
             one.submit(0)
         started = one.start(0)
-        other.scheduler.note_hints(one.scheduler.take_hints(1), 2)
+        other.scheduler.apply_hints(one.scheduler.drain_hints(1), 2)
         for _ in range(20):
             other.submit(3)
         self.assertEqual(len(started) + len(other.start(3)), len(started))
@@ -173,7 +173,7 @@
         """
         planner = role_planner.RolePlanner()
         for order in self.plan(planner, prefills=4, decodes=3):
-            planner.note_failed(order, 0)
+            planner.record_failed(order, 0)
         self.assertEqual(self.plan(planner, 12_000, prefills=4, decodes=3), [])
         again = self.plan(planner, 20_000, prefills=4, decodes=3)
         self.assertEqual(len(again), 2)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,7 +21,7 @@
     attempt.path = f"/{kind.value}/{name}"
     attempt.status = status
     attempt.seal = "s"
-    attempt.echoed = name
+    attempt.echoed_id = name
     attempt.body = f"POST {attempt.path} ".encode()
     if kind.is_stream:
         attempt.body = make_stream(range(1, checks.EVENTS + 1))
@@ -44,9 +44,9 @@
     seen.services = {"s0-life1": "app", "d0-life1": "llm"}
     seen.attempts = list(attempts)
     seen.runs = list(runs)
-    seen.windows = list(windows)
+    seen.fault_windows = list(windows)
     seen.edits = list(edits)
-    seen.calm_ms = 1 << 60
+    seen.recovered_ms = 1 << 60
     return seen
 
 
@@ -98,7 +98,7 @@
         self.find("without a time", [make_attempt(status=429)])
 
     def test_answer_of_another_request(self):
-        self.find("not its own", [make_attempt(echoed="b")], [make_run()])
+        self.find("not its own", [make_attempt(echoed_id="b")], [make_run()])
 
     def test_short_answer_that_looks_whole(self):
         body = make_stream(range(1, 9))
@@ -155,18 +155,18 @@
 
     def test_calm_in_which_too_little_is_served(self):
         seen = make_history([make_attempt(status=502)])
-        seen.calm_ms = 0
+        seen.recovered_ms = 0
         found = checks.find_violations(seen, QUOTA)
         self.assertIn("after all faults 0 of 1 were served", found)
 
     def test_end_of_its_own_and_held_memory(self):
         seen = make_history([])
-        seen.exits.append("vm-0")
+        seen.unexpected_exits.append("vm-0")
         seen.held = 2
         self.assertEqual(len(checks.find_violations(seen, QUOTA)), 2)
 
     def test_account_over_its_rate(self):
-        count = int(QUOTA.read_most() / 200) + 1
+        count = int(QUOTA.compute_max_tokens() / 200) + 1
         sent = [make_attempt(f"q{n}", key="k-small") for n in range(count)]
         for one in sent:
             one.body = f"POST {one.path} ".encode()
@@ -186,7 +186,7 @@
 
         def describe():
             return [
-                (step.at_ms, step.kind, step.target, step.for_ms)
+                (step.at_ms, step.kind, step.target, step.duration_ms)
                 for step in plan.make_fault_schedule(5, shape)
             ]
 
@@ -196,7 +196,7 @@
         shape = plan.SoakConfig()
         for seed in range(200):
             for step in plan.make_fault_schedule(seed, shape):
-                self.assertLessEqual(step.at_ms + step.for_ms, 10_000)
+                self.assertLessEqual(step.at_ms + step.duration_ms, 10_000)
 
     def test_every_fault_is_drawn(self):
         kinds = {
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -60,13 +60,15 @@
             **values,
         )
 
-    def list_held(self, port):
+    def list_in_flight(self, port):
         return processes.call(port, "GET", "/v1/requests").json()["requests"]
 
     def check_empty(self):
         ports = (self.prefill_port, self.decode_port)
         self.assertTrue(
-            processes.wait_until(lambda: not any(map(self.list_held, ports)))
+            processes.wait_until(
+                lambda: not any(map(self.list_in_flight, ports))
+            )
         )
 
     def test_prefill_and_decode_give_the_known_bytes(self):
@@ -135,7 +137,7 @@
         The slot must come back without any further order.
         """
         sock = self.begin_stream("r5")
-        self.assertEqual(len(self.list_held(self.decode_port)), 1)
+        self.assertEqual(len(self.list_in_flight(self.decode_port)), 1)
         sock.close()
         self.check_empty()
 
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -93,10 +93,10 @@
         model.submit_prefill(run, 0.0)
         model.advance(500.0)
         self.assertIn(run, model.held)
-        self.assertIsNotNone(model.claim_handle(run.handle, 500.0))
+        self.assertIsNotNone(model.pin_handle(run.handle, 500.0))
         handle = run.handle
         model.release_handle(handle, 501.0)
-        self.assertIsNone(model.claim_handle(handle, 502.0))
+        self.assertIsNone(model.pin_handle(handle, 502.0))
         model.submit_prefill(make_run("b"), 1_000.0)
         model.advance(FAR_MS)
         self.assertEqual(model.held, {})
@@ -120,7 +120,7 @@
             self.assertTrue(model.cancel(run, 101.0))
             self.assertFalse(model.cancel(run, 101.0))
         self.assertEqual(model.free_blocks, model.shape.total_blocks)
-        self.assertEqual(model.next_ms(), engine_model.NEVER)
+        self.assertEqual(model.get_next_event_ms(), engine_model.NEVER)
 
     def test_load_report_lags(self):
         model = self.make("decode")
--- a/tests/test_standin_faultproxy.py
+++ b/tests/test_standin_faultproxy.py
@@ -42,23 +42,23 @@
     def send(self, connection, body=b"x"):
         connection.request("POST", "/bookings", body)
 
-    def ask(self, connection, body=b"x"):
+    def submit_request(self, connection, body=b"x"):
         self.send(connection, body)
         return connection.getresponse().read()
 
     def test_cut_ends_open_connections(self):
         connection = self.open()
-        self.ask(connection)
+        self.submit_request(connection)
         self.fault(cut=True)
         with self.assertRaises((OSError, http.client.HTTPException)):
-            self.ask(connection)
-        self.ask(self.open())
+            self.submit_request(connection)
+        self.submit_request(self.open())
 
     def test_refused_connections_never_reach_the_target(self):
         before = self.count_bookings()
         self.fault(refuse=True)
         with self.assertRaises((OSError, http.client.HTTPException)):
-            self.ask(self.open())
+            self.submit_request(self.open())
         self.fault(refuse=False)
         self.assertEqual(self.count_bookings(), before)
 
@@ -68,21 +68,21 @@
         """
         for direction, runs in (("up", 0), ("down", 1)):
             connection = self.open(timeout_s=0.5)
-            self.ask(connection)
+            self.submit_request(connection)
             before = self.count_bookings()
             self.fault(silent=[direction])
             with self.assertRaises(TimeoutError):
-                self.ask(connection)
+                self.submit_request(connection)
             self.assertEqual(self.count_bookings(), before + runs)
-            self.ask(self.open())
+            self.submit_request(self.open())
 
     def test_stall_ends(self):
         connection = self.open(timeout_s=0.3)
         self.fault(stall_down=True)
         with self.assertRaises(TimeoutError):
-            self.ask(connection)
+            self.submit_request(connection)
         self.fault(stall_down=False)
-        self.ask(self.open())
+        self.submit_request(self.open())
 
     def test_reply_is_lost_after_the_effect(self):
         """The service books and the answer is lost on its way.  The caller
@@ -91,9 +91,9 @@
         before = self.count_bookings()
         self.fault(drop_replies=1)
         with self.assertRaises((OSError, http.client.HTTPException)):
-            self.ask(self.open())
+            self.submit_request(self.open())
         self.assertEqual(self.count_bookings(), before + 1)
-        self.ask(self.open())
+        self.submit_request(self.open())
 
     def test_held_reply_comes_after_the_next(self):
         """Two answers come in the other order than their requests.  Each
@@ -110,12 +110,12 @@
                 == 0
             )
         )
-        self.ask(self.open(), b"next")
+        self.submit_request(self.open(), b"next")
         self.assertIn(b"booking", late.getresponse().read())
 
     def test_half_close_is_seen_as_the_end(self):
         connection = self.open()
-        self.ask(connection)
+        self.submit_request(connection)
         self.fault(half_close="down")
         self.assertEqual(connection.sock.recv(1), b"")
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -40,7 +40,7 @@
     book = usage.ReplicatedRateLimiter(
         vm, incarnation, margin, now_ms, has_others
     )
-    book.change_accounts([account], now_ms)
+    book.update_accounts([account], now_ms)
     return book
 
 
@@ -52,7 +52,7 @@
             continue
         for receiver, other in books.items():
             if receiver != sender and not drops(sender, receiver):
-                other.note_usage(message, now_ms)
+                other.merge_usage(message, now_ms)
 
 
 class UsageBookTest(unittest.TestCase):
@@ -75,8 +75,8 @@
         ]
         for now_ms in range(0, 10_001, 500):
             for other in others:
-                message = other.make_usage({}, now_ms, is_news=True)
-                book.note_usage(message, now_ms)
+                message = other.make_usage({}, now_ms, has_other_changes=True)
+                book.merge_usage(message, now_ms)
         book.make_usage({}, 10_000)
         return book
 
@@ -101,7 +101,7 @@
 
     def test_account_without_a_rate_has_no_limit(self):
         book = usage.ReplicatedRateLimiter("a1", 1, MARGIN, 0)
-        book.change_accounts([tables.ClientAccount("b", (), 0, 0)], 0)
+        book.update_accounts([tables.ClientAccount("b", (), 0, 0)], 0)
         self.assertIsNone(book.take("b", 10_000_000, 0))
 
     def test_refusal_tells_when_tokens_are_there(self):
@@ -133,7 +133,7 @@
         newer = one.make_usage({}, 10_100)
         left = other.describe("a", 10_100)["left"]
         for message in (newer, older, newer):
-            other.note_usage(message, 10_100)
+            other.merge_usage(message, 10_100)
         self.assertEqual(left - other.describe("a", 10_100)["left"], 4_000)
 
     def test_silent_vm_keeps_its_part(self):
@@ -160,7 +160,7 @@
         given = 0
         for name in names:
             book = make_book(name, now_ms=50_000, has_others=True)
-            book.note_fleet(names, 50_000)
+            book.update_members(names, 50_000)
             while book.take("a", 100, 50_000) is None:
                 given += 100
         margin = MARGIN.read_tokens(ACCOUNT)
@@ -176,7 +176,7 @@
         given = 0
         for name in names:
             book = make_book(name, now_ms=50_000, has_others=True)
-            book.note_fleet(names, 50_000)
+            book.update_members(names, 50_000)
             while book.take("a", 20, 50_000) is None:
                 given += 20
         margin = MARGIN.read_tokens(ACCOUNT)
@@ -194,7 +194,7 @@
         for _ in range(20):
             while books["a1"].take("a", 100, cut_ms) is None:
                 given += 100
-            books["a1"].change_accounts([ACCOUNT], cut_ms)
+            books["a1"].update_accounts([ACCOUNT], cut_ms)
         self.assertLessEqual(given, BURST * 0.65)
 
     def test_vm_that_begins_cut_off_takes_a_part(self):
@@ -215,7 +215,7 @@
         old = make_book("a1")
         new = make_book("a2", now_ms=20_000)
         old.take("a", 100, 20_000)
-        new.note_usage(old.make_usage({}, 20_010), 20_010)
+        new.merge_usage(old.make_usage({}, 20_010), 20_010)
         self.assertIsNone(new.take("a", 5_000, 20_020))
 
     def test_vm_that_begins_takes_over_whole_counts_only(self):
@@ -226,12 +226,12 @@
         partial = old.make_usage({}, 20_010)
         self.assertFalse(partial.is_whole)
         new = make_book("a2", now_ms=20_000)
-        new.note_usage(partial, 20_010)
+        new.merge_usage(partial, 20_010)
         self.assertIsNotNone(new.take("a", 9_000, 20_020))
-        old.note_usage(new.make_usage({}, 20_020), 20_020)
+        old.merge_usage(new.make_usage({}, 20_020), 20_020)
         whole = old.make_usage({}, 20_400)
         self.assertTrue(whole.is_whole)
-        new.note_usage(whole, 20_410)
+        new.merge_usage(whole, 20_410)
         self.assertIsNone(new.take("a", 9_000, 20_420))
 
     def list_heartbeats(self, book, since_ms, count):
@@ -247,7 +247,7 @@
         accounts = [
             tables.ClientAccount(f"a{n}", (), RATE, BURST) for n in range(16)
         ]
-        book.change_accounts(accounts, 0)
+        book.update_accounts(accounts, 0)
         told = self.list_heartbeats(book, usage.STARTUP_FULL_SYNC_MS, 20)
         self.assertTrue(all(one.is_heartbeat for one in told))
         whole = [one for one in told if len(one.accounts) == 17]
@@ -269,7 +269,7 @@
                     continue
                 whole[name] += message.is_whole
                 for other in fleet.values():
-                    other.note_usage(message, now_ms)
+                    other.merge_usage(message, now_ms)
         self.assertGreaterEqual(min(whole[name] for name in fleet), 2)
 
     def test_tokens_that_came_back_are_told_once(self):
@@ -277,8 +277,8 @@
         book = make_book("a1")
         self.list_heartbeats(book, 0, 2)
         book.take("a", 100, 400)
-        book.change_accounts([tables.ClientAccount("a", (), 0, 0)], 400)
-        book.give_back("a", 100, 400)
+        book.update_accounts([tables.ClientAccount("a", (), 0, 0)], 400)
+        book.refund("a", 100, 400)
         book.make_usage({}, 410)
         self.assertIsNone(book.make_usage({}, 420))
 
@@ -347,14 +347,16 @@
         for now_ms in range(100, 900, 25):
             accounts = [usage.AccountUsage(f"c{n}", 1, 1) for n in range(16)]
             message = usage.Usage("a1", 1, now_ms, accounts, {}, now_ms)
-            book.note_usage(message, now_ms)
+            book.merge_usage(message, now_ms)
         self.assertLessEqual(len(counted), 2)
 
     def test_vms_that_are_silent_are_named(self):
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         tell(books, 0)
-        self.assertEqual(books["a1"].list_silent(500), frozenset())
-        self.assertEqual(books["a1"].list_silent(2_000), frozenset(["a2"]))
+        self.assertEqual(books["a1"].list_unresponsive(500), frozenset())
+        self.assertEqual(
+            books["a1"].list_unresponsive(2_000), frozenset(["a2"])
+        )
 
 
 class World:
@@ -364,7 +366,7 @@
         self.random = random.Random(seed)
         self.knows = knows
         self.now_ms = 0
-        self.lives = collections.Counter()
+        self.incarnation_counts = collections.Counter()
         self.books = {f"a{n}": self.make_book(f"a{n}") for n in range(vms)}
         self.cut = set()
         self.down = {}
@@ -374,7 +376,7 @@
         for _ in range(steps):
             self.now_ms += self.random.choice((10, 20, 40))
             self.change_faults()
-            self.ask()
+            self.submit_request()
             if self.knows:
                 live = {
                     name: book
@@ -388,10 +390,10 @@
         for name, until_ms in list(self.down.items()):
             if until_ms <= self.now_ms:
                 del self.down[name]
-                self.lives[name] += 1
+                self.incarnation_counts[name] += 1
                 self.books[name] = self.make_book(name)
                 if self.knows:
-                    self.books[name].note_fleet(self.books, self.now_ms)
+                    self.books[name].update_members(self.books, self.now_ms)
         dice = self.random.random()
         if dice < 0.004:
             self.cut ^= {self.random.choice(list(self.books))}
@@ -403,9 +405,11 @@
             self.down.update(dict.fromkeys(self.books, self.now_ms + 1_000))
 
     def make_book(self, name):
-        return make_book(name, self.now_ms, 1 + self.lives[name], self.knows)
+        return make_book(
+            name, self.now_ms, 1 + self.incarnation_counts[name], self.knows
+        )
 
-    def ask(self):
+    def submit_request(self):
         # The account asks all VMs at once for several times its rate.
         for name, book in self.books.items():
             if name in self.down:
@@ -438,13 +442,13 @@
         return make_book(
             name,
             self.now_ms,
-            1 + self.lives[name],
+            1 + self.incarnation_counts[name],
             self.knows,
             WIDE_MARGIN,
             WIDE_ACCOUNT,
         )
 
-    def ask(self):
+    def submit_request(self):
         # Requests of 10,000 tokens, fourteen times the account's rate.
         for name, book in self.books.items():
             if name in self.down or self.random.random() > 0.175:
@@ -465,13 +469,13 @@
         return make_book(
             name,
             self.now_ms,
-            1 + self.lives[name],
+            1 + self.incarnation_counts[name],
             self.knows,
             LARGE_MARGIN,
             LARGE_ACCOUNT,
         )
 
-    def ask(self):
+    def submit_request(self):
         # Some four times the account's rate, each request at a random VM.
         for name in self.random.choices(list(self.books), k=2):
             if name in self.down:
@@ -484,7 +488,7 @@
         for _ in range(steps):
             self.now_ms += self.random.choice((10, 20, 40))
             self.change_faults()
-            self.ask()
+            self.submit_request()
             self.exchange()
         return self.find_most()
 
@@ -504,13 +508,13 @@
                     and receiver not in self.down
                     and not self.drops(sender, receiver)
                 ):
-                    book.note_usage(message, self.now_ms)
+                    book.merge_usage(message, self.now_ms)
 
 
 class PlainWorld(LargeWorld):
     """The same fleet with small requests, which may be told of later."""
 
-    def ask(self):
+    def submit_request(self):
         # Some four times the account's rate.
         for name in self.random.choices(list(self.books), k=40):
             if name in self.down:
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -18,7 +18,7 @@
     """A connection whose request lasts until a test ends it."""
 
     def __init__(self, ends=True):
-        self.begun = threading.Event()
+        self.is_head_written = threading.Event()
         self.may_end = threading.Event()
         if ends:
             self.may_end.set()
@@ -27,7 +27,7 @@
         self.socket = mock.Mock()
 
     def communicate(self):
-        self.begun.set()
+        self.is_head_written.set()
         self.may_end.wait(GUARD_S)
         if self.error is not None:
             raise self.error
@@ -68,9 +68,9 @@
         with self.assertRaises(queue.Full):
             self.put(pool)
         self.assertEqual(pool.count(), 2)
-        self.assertFalse(first[2].begun.is_set())
+        self.assertFalse(first[2].is_head_written.is_set())
         first[0].may_end.set()
-        self.assertTrue(first[2].begun.wait(GUARD_S))
+        self.assertTrue(first[2].is_head_written.wait(GUARD_S))
 
     def test_idle_workers_end(self):
         """Guards against a burst's threads that are kept for ever."""
--- a/tools/known_failures.py
+++ b/tools/known_failures.py
@@ -35,7 +35,7 @@
         self.issue = issue
 
     @property
-    def is_of_suite(self) -> bool:
+    def is_suite_test(self) -> bool:
         """Whether the suite runs it."""
         return self.test.startswith(TEST_PREFIX)
 
