--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -464,10 +464,10 @@
         if outcome.first_ms is None:
             outcome.first_ms = outcome.last_ms
             flight.announced = event.at_ms
-            scheduler.note_first_token(flight.job.job_id, int(self.now_ms))
+            scheduler.record_first_token(flight.job.job_id, int(self.now_ms))
         elif event.at_ms - flight.announced >= TOKEN_COUNT_INTERVAL_MS:
             flight.announced = event.at_ms
-            scheduler.note_tokens(
+            scheduler.record_tokens(
                 flight.job.job_id, outcome.tokens, int(self.now_ms)
             )
 
@@ -475,7 +475,7 @@
         flight.outcome.is_whole = True
         job_id, now_ms = flight.job.job_id, int(self.now_ms)
         scheduler = self._schedulers[flight.router]
-        scheduler.note_tokens(job_id, flight.outcome.tokens, now_ms)
+        scheduler.record_tokens(job_id, flight.outcome.tokens, now_ms)
         scheduler.finish(job_id, jobs.JobOutcome.DONE, "", now_ms)
         del self._flights[job_id]
         self._pump(flight.router)
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -168,13 +168,13 @@
             self._scheduler.record_prefill_failed(job_id, self.clock.now_ms())
             self._dispatch()
 
-    def note_first_token(self, job_id: str) -> None:
+    def record_first_token(self, job_id: str) -> None:
         """Tell that a started job's first token has come.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_first_token(job_id, self.clock.now_ms())
+            self._scheduler.record_first_token(job_id, self.clock.now_ms())
 
     def finish(
         self, job_id: str, end: jobs.JobOutcome, upstream: str = ""
@@ -228,14 +228,14 @@
                 pool, upstream, events, self.clock.now_ms()
             )
 
-    def note_tokens(self, job_id: str, tokens: int) -> None:
+    def record_tokens(self, job_id: str, tokens: int) -> None:
         """Tell how many tokens of a running job have come so far.
 
         :param job_id: the job
         :param tokens: all tokens so far
         """
         with self._lock:
-            self._scheduler.note_tokens(job_id, tokens, self.clock.now_ms())
+            self._scheduler.record_tokens(job_id, tokens, self.clock.now_ms())
 
     def reassign_decode(
         self, job_id: str, refused: str, is_unreached: bool = False
@@ -252,14 +252,16 @@
                 job_id, refused, self.clock.now_ms(), is_unreached
             )
 
-    def has_room(self, pool: str, besides: str) -> bool:
+    def has_decode_capacity(self, pool: str, besides: str) -> bool:
         """Tell whether another engine probably has room for a decode.
 
         :param pool: the pool's name
         :param besides: the upstream that does not count
         """
         with self._lock:
-            return self._scheduler.has_room(pool, besides, self.clock.now_ms())
+            return self._scheduler.has_decode_capacity(
+                pool, besides, self.clock.now_ms()
+            )
 
     def list_ejected(self) -> list[probes.EjectedUpstream]:
         """Return the engines that get no requests, and which need a probe."""
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -109,22 +109,22 @@
         finally:
             self._parts.callers.end(watch_)
 
-    def note_first_token(self) -> None:
+    def on_first_token(self) -> None:
         """Tell the scheduler and the metrics."""
         parts = self._parts
         if self._attempt is not None:
-            parts.scheduling.note_first_token(self._attempt.job_id)
+            parts.scheduling.record_first_token(self._attempt.job_id)
         took_ms = parts.clock.now_ms() - self._exchange.arrived_ms
         parts.metrics.first_token.record(took_ms)
         self._exchange.first_ms = took_ms
 
-    def note_tokens(self, tokens: int) -> None:
+    def on_tokens(self, tokens: int) -> None:
         """Tell the scheduler how far the answer is.
 
         :param tokens: how many tokens have come so far
         """
         if self._attempt is not None:
-            self._parts.scheduling.note_tokens(self._attempt.job_id, tokens)
+            self._parts.scheduling.record_tokens(self._attempt.job_id, tokens)
 
     def on_longest_gap(self, gap_ms: int) -> None:
         """Keep it for the request's log line.
@@ -138,7 +138,7 @@
 
         :param tokens: how many tokens have come in all
         """
-        self.note_tokens(tokens)
+        self.on_tokens(tokens)
         self._end_attempt(jobs.JobOutcome.DONE)
 
     def cancel_source(self) -> None:
@@ -210,7 +210,7 @@
             route.is_idempotent(exchange)
             and self._count_attempts() < exchange.route.max_attempts
             and not exchange.has_gone.is_set()
-            and self._parts.scheduling.has_room(
+            and self._parts.scheduling.has_decode_capacity(
                 exchange.pool.name, self._name_decode()
             )
         )
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -38,7 +38,7 @@
         with self._lock:
             self._budget.deposit(pool, self._clock.now_ms())
 
-    def spend(self, pool: str) -> bool:
+    def try_withdraw(self, pool: str) -> bool:
         """Take one repeat out.
 
         :param pool: the pool that it is for
@@ -46,7 +46,7 @@
         """
         with self._lock:
             self._budget.change_vms(self._count_vms())
-            return self._budget.spend(pool, self._clock.now_ms())
+            return self._budget.try_withdraw(pool, self._clock.now_ms())
 
 
 class RetryBudgetDeposit(base.Filter):
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -291,7 +291,7 @@
             self.scheduler,
             self.allowances,
             _AllEntries(self),
-            self.budget.spend,
+            self.budget.try_withdraw,
             on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             on_ready=lambda: self.members.update_local(is_starting=False),
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -68,14 +68,14 @@
         return
 
     @abc.abstractmethod
-    def note_first_token(self, job_id: str, now_ms: int) -> None:
+    def record_first_token(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's first token has come.
 
         :param job_id: the job
         :param now_ms: the present
         """
 
-    def note_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
+    def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
         """Tell how many tokens of a running job have come so far.
 
         Called now and then while a stream runs, and before ``finish``; a
@@ -109,7 +109,9 @@
         """
         return None
 
-    def has_room(self, pool: str, excluded: str, now_ms: int) -> bool:
+    def has_decode_capacity(
+        self, pool: str, excluded: str, now_ms: int
+    ) -> bool:
         """Tell whether another upstream probably has room for a decode.
 
         :param pool: the pool's name
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -128,7 +128,7 @@
             running.prefilling = False
             running.prefill.prefills -= 1
 
-    def note_first_token(self, job_id: str, now_ms: int) -> None:
+    def record_first_token(self, job_id: str, now_ms: int) -> None:
         """Take no notice.
 
         :param job_id: the job
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -64,7 +64,7 @@
         reader.health.record_success(job.started_ms)
 
     @staticmethod
-    def note_first_token(job: running_jobs.RunningJob) -> bool:
+    def record_first_token(job: running_jobs.RunningJob) -> bool:
         """Learn that a decode engine works, before its stream ends.
 
         :param job: the job
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -197,7 +197,7 @@
         if job.attempt == 0:
             self.budget.deposit()
             return None
-        if self.budget.spend():
+        if self.budget.try_withdraw():
             return None
         return admission.make_rejection(
             errors.Code.OVERLOADED,
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -23,7 +23,7 @@
         """Count a first attempt."""
         self._saved = min(self._saved + REPEATS_PER_FIRST, MAX_BALANCE)
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one repeat out.
 
         :returns: false if none is left; the repeat must not run
@@ -39,7 +39,7 @@
 
     __slots__ = ()
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Let a repeat through."""
         return True
 
@@ -86,7 +86,7 @@
         """
         self._read(self._firsts, pool, now_ms).append(now_ms)
 
-    def spend(self, pool: str, now_ms: int) -> bool:
+    def try_withdraw(self, pool: str, now_ms: int) -> bool:
         """Take one repeat out.
 
         :param pool: the pool that it is for
--- a/mulberryway/policy/running_jobs.py
+++ b/mulberryway/policy/running_jobs.py
@@ -47,7 +47,7 @@
         """Tell whether it runs as the only suspect on its upstreams."""
         return self.entry.lane is fair_queue.Lane.SUSPECT
 
-    def note_first_token(self, now_ms: int) -> None:
+    def record_first_token(self, now_ms: int) -> None:
         """Begin to measure the gaps between tokens.
 
         :param now_ms: the present
@@ -57,7 +57,7 @@
         self._seen_tokens = 1
         self._seen_ms = now_ms
 
-    def note_tokens(self, tokens: int, now_ms: int) -> float | None:
+    def record_tokens(self, tokens: int, now_ms: int) -> float | None:
         """Count tokens.
 
         :param tokens: all tokens so far
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -164,7 +164,7 @@
             self._tell_views(pool, job)
             self._set.find_endings(pool).record_prefill_failed(job, now_ms)
 
-    def note_first_token(self, job_id: str, now_ms: int) -> None:
+    def record_first_token(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's first token has come.
 
         :param job_id: the job
@@ -172,12 +172,12 @@
         """
         job = self._running.get(job_id)
         if job is not None:
-            job.note_first_token(now_ms)
+            job.record_first_token(now_ms)
             pool = job.entry.job.pool
-            if self._set.find_endings(pool).note_first_token(job):
+            if self._set.find_endings(pool).record_first_token(job):
                 self._tell_views(pool, job)
 
-    def note_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
+    def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
         """Tell how many tokens of a running job have come so far.
 
         :param job_id: the job
@@ -185,7 +185,7 @@
         :param now_ms: the present
         """
         job = self._running.get(job_id)
-        gap_ms = job.note_tokens(tokens, now_ms) if job is not None else None
+        gap_ms = job.record_tokens(tokens, now_ms) if job is not None else None
         if job is not None and gap_ms is not None:
             decode = job.placement.decode
             if decode is not None:
@@ -287,7 +287,9 @@
         if view is not None:
             view.prefixes.note_events(events)
 
-    def has_room(self, pool: str, excluded: str, now_ms: int) -> bool:
+    def has_decode_capacity(
+        self, pool: str, excluded: str, now_ms: int
+    ) -> bool:
         """Tell whether another upstream probably has room for a decode.
 
         :param pool: the pool's name
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -192,7 +192,7 @@
             )
             stream.record_progress(self._loop.now_ms)
             if not before:
-                stream.owner.note_first_token()
+                stream.owner.on_first_token()
         if stream.is_complete:
             self._end_source(stream, out)
         elif out:
@@ -345,7 +345,7 @@
         self._told_ms = self._loop.now_ms
         for stream in self._streams:
             if stream.source is not None and stream.expected:
-                stream.owner.note_tokens(stream.expected)
+                stream.owner.on_tokens(stream.expected)
 
     def _lose_source(
         self, stream: Stream, message: str, has_died: bool = False
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -22,11 +22,11 @@
     """
 
     @abc.abstractmethod
-    def note_first_token(self) -> None:
+    def on_first_token(self) -> None:
         """Take notice that the engine's first token has come."""
 
     @abc.abstractmethod
-    def note_tokens(self, tokens: int) -> None:
+    def on_tokens(self, tokens: int) -> None:
         """Take notice, about once a second, of how far the answer is.
 
         :param tokens: how many tokens have come so far
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -109,20 +109,20 @@
             book.change_vms(6)
             for n in range(20):
                 book.deposit("lm", n)
-            while book.spend("lm", 100):
+            while book.try_withdraw("lm", 100):
                 spent += 1
         self.assertLessEqual(spent, 0.2 * 120 + 52)
         self.assertGreater(spent, 40)
 
     def test_window_moves_on(self):
         book = retries.FleetRetryBudget(0.0, 10_000, 10)
-        while book.spend("lm", 0):
+        while book.try_withdraw("lm", 0):
             continue
-        self.assertFalse(book.spend("lm", 9_999))
-        self.assertTrue(book.spend("lm", 10_000))
+        self.assertFalse(book.try_withdraw("lm", 9_999))
+        self.assertTrue(book.try_withdraw("lm", 10_000))
 
     def test_pools_have_budgets_of_their_own(self):
         book = retries.FleetRetryBudget(0.0, 10_000, 10)
-        while book.spend("lm", 0):
+        while book.try_withdraw("lm", 0):
             continue
-        self.assertTrue(book.spend("app", 0))
+        self.assertTrue(book.try_withdraw("app", 0))
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -103,14 +103,14 @@
         self.router.submit(cases.make_job("j"), 100)
         (started,) = self.router.dispatch(100).assignments
         self.router.record_prefilled("j", 100)
-        self.router.note_first_token("j", 110)
+        self.router.record_first_token("j", 110)
         self.router.drain_hints(120)
         notes = []
         tokens = 0
         for step, now_ms in enumerate(range(200, 2_200, 20)):
             # A pace that changes by more than the part that is news.
             tokens += (8, 80)[step % 2]
-            self.router.note_tokens("j", tokens, now_ms)
+            self.router.record_tokens("j", tokens, now_ms)
             notes.append(self.router.drain_hints(now_ms))
         told = [
             note
@@ -259,7 +259,7 @@
             if fails(found[0].decode, vm):
                 router.finish(job_id, End.FAILED, found[0].decode, at_ms)
             else:
-                router.note_first_token(job_id, at_ms)
+                router.record_first_token(job_id, at_ms)
                 router.finish(job_id, End.DONE, "", at_ms + 5)
             self.at(at_ms + 10, lambda later_ms: self.tell(vm, later_ms))
 
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -27,10 +27,10 @@
     def __init__(self):
         self.closed = threading.Event()
 
-    def note_first_token(self):
+    def on_first_token(self):
         pass
 
-    def note_tokens(self, tokens):
+    def on_tokens(self, tokens):
         pass
 
     def on_source_end(self):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -20,7 +20,7 @@
 
     def spend_all(self, budget):
         count = 0
-        while budget.spend("app"):
+        while budget.try_withdraw("app"):
             count += 1
         return count
 
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -105,7 +105,7 @@
         self.scheduler.record_prefilled(self.pick(number), self.now_ms)
 
     def do_first(self, number):
-        self.scheduler.note_first_token(self.pick(number), self.now_ms)
+        self.scheduler.record_first_token(self.pick(number), self.now_ms)
 
     def do_finish(self, number):
         job_id = self.pick(number)
