--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -17,7 +17,7 @@
 from mulberryway import tables
 from mulberryway.policy import allowance
 from tests import allowance_fleet
-from tests import allowance_history
+from tests import allowance_simulation
 
 __all__ = ["measure"]
 
@@ -35,7 +35,7 @@
 STEP_MS = 250
 
 
-class Run:
+class AllowanceSimulation:
     """One run of callers against one way of counting."""
 
     def __init__(
@@ -53,7 +53,7 @@
         ]
         current = tables.Tables(1, (), (), tuple(self.accounts))
         self.fleet = allowance_fleet.Fleet(
-            vms, allowance_history.SimSource(current), is_split
+            vms, allowance_simulation.SimSource(current), is_split
         )
         self.ideal = allowance_fleet.IdealAllowances(
             self.accounts, self.fleet.clock
@@ -75,7 +75,7 @@
             while arrivals[0][0] < now_ms + STEP_MS:
                 at_ms, number = heapq.heappop(arrivals)
                 self.finish(at_ms)
-                self.ask(at_ms, number)
+                self.submit_request(at_ms, number)
                 heapq.heappush(arrivals, (at_ms + self.wait(), number))
         return self.report(calls, start)
 
@@ -88,7 +88,7 @@
         mean_ms = 1_000 * tokens_per_request / (RATE * LOAD)
         return max(round(self.random.expovariate(1 / mean_ms)), 1)
 
-    def ask(self, at_ms: int, number: int) -> None:
+    def submit_request(self, at_ms: int, number: int) -> None:
         self.set_clock(at_ms)
         account = self.accounts[number].name
         is_home = self.random.random() < self.skew
@@ -151,7 +151,8 @@
                 100 * self.counts["ideal refused"] / asked, 3
             ),
             "overrun_tokens": max(
-                allowance_history.find_overrun(self.grants, limits) / 1_000, 0
+                allowance_simulation.find_overrun(self.grants, limits) / 1_000,
+                0,
             ),
             "peer_calls_per_request": round(
                 (now_messages - messages) / asked, 3
@@ -171,14 +172,16 @@
 def measure() -> dict[str, typing.Any]:
     """Return the runs by name."""
     runs = {
-        "split, even, 9 VMs": Run(9, 5, 0.0, is_split=True),
-        "shares, even, 9 VMs": Run(9, 5, 0.0),
-        "split, skewed, 9 VMs": Run(9, 5, 0.9, is_split=True),
-        "shares, skewed, 9 VMs": Run(9, 5, 0.9),
-        "shares, even, 3 VMs": Run(3, 5, 0.0),
-        "shares, even, 27 VMs, 15 accounts": Run(27, 15, 0.0),
-        "shares, even, 81 VMs, 45 accounts": Run(81, 45, 0.0),
-        "shares, skewed, 81 VMs, 45 accounts": Run(81, 45, 0.9),
+        "split, even, 9 VMs": AllowanceSimulation(9, 5, 0.0, is_split=True),
+        "shares, even, 9 VMs": AllowanceSimulation(9, 5, 0.0),
+        "split, skewed, 9 VMs": AllowanceSimulation(9, 5, 0.9, is_split=True),
+        "shares, skewed, 9 VMs": AllowanceSimulation(9, 5, 0.9),
+        "shares, even, 3 VMs": AllowanceSimulation(3, 5, 0.0),
+        "shares, even, 27 VMs, 15 accounts": AllowanceSimulation(27, 15, 0.0),
+        "shares, even, 81 VMs, 45 accounts": AllowanceSimulation(81, 45, 0.0),
+        "shares, skewed, 81 VMs, 45 accounts": AllowanceSimulation(
+            81, 45, 0.9
+        ),
     }
     found = {name: run.run() for name, run in runs.items()}
     _keep(found)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -3,7 +3,7 @@
 import pathlib
 import sys
 
-from benchmarks import capacity_lines
+from benchmarks import capacity_rows
 from benchmarks import capacity_tables
 from benchmarks import series
 
@@ -15,7 +15,7 @@
 
 
 def render_table(
-    lines: list[capacity_lines.Line], folder: pathlib.Path = series.FOLDER
+    lines: list[capacity_rows.Row], folder: pathlib.Path = series.FOLDER
 ) -> str:
     """Return a table in Markdown.
 
@@ -30,19 +30,19 @@
     return "\n".join([head, *(_render_line(line, folder) for line in lines)])
 
 
-def _render_line(line: capacity_lines.Line, folder: pathlib.Path) -> str:
+def _render_line(line: capacity_rows.Row, folder: pathlib.Path) -> str:
     measured = [series.read_series(name, folder) for name in line.names]
     fits = [series.fit_line(one) for one in measured]
     first = measured[0]
     sizes = [x for x, _ in first.points]
     return (
         f"| {line.role} | {line.quantity} "
-        f"| {_round(line.work_out(*fits))} | {line.limit} "
+        f"| {_round(line.compute(*fits))} | {line.limit} "
         f"| {', '.join(line.names)}: {_round(min(sizes))} to "
         f"{_round(max(sizes))} {first.x_unit} "
         f"| {_round(fits[0].slope)} ± {_round(fits[0].slope_error)} "
         f"{first.y_unit} for each of {first.x_unit} "
-        f"| {_round(fits[0].stretch(line.size))} times "
+        f"| {_round(fits[0].extrapolation_factor(line.size))} times "
         f"| {line.mechanism} |"
     )
 
@@ -53,7 +53,7 @@
 
 def render_page(
     page: str,
-    tables: dict[str, list[capacity_lines.Line]],
+    tables: dict[str, list[capacity_rows.Row]],
     folder: pathlib.Path,
 ) -> str:
     """Put freshly worked out tables into the page's text.
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -21,7 +21,7 @@
 from mulberryway import settings
 from mulberryway.controllers import configuration_service
 from mulberryway.controllers import membership
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http
 from mulberryway.peers.gen.membership import Membership
 from mulberryway.policy import member
@@ -39,7 +39,7 @@
 
     def __init__(self, settings_: settings.Settings) -> None:
         self.clock = clock.SystemClock()
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         store = http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -85,7 +85,7 @@
     def read_usage(self) -> dict[str, typing.Any]:
         """Return calls, bytes, processor time and memory so far."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        calls = self.counts.read_counts()
+        calls = self.counts.get_counts()
         return {
             "platform_calls": {
                 f"{purpose} {outcome}": count.calls
@@ -105,7 +105,7 @@
         return sum(
             count.payload_bytes
             for end in (self.client, self.server)
-            for count in end.traffic.read_counts()
+            for count in end.traffic.get_counts()
             if count.kind.startswith(service)
         )
 
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -2,12 +2,12 @@
 
 import itertools
 
-from benchmarks import decisions_fleet as fleet
+from benchmarks import decisions_simulation as fleet
 from benchmarks import decisions_workloads as workloads
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
-__all__ = ["measure_decode_limit", "share_out"]
+__all__ = ["measure_decode_limit", "compute_max_min_shares"]
 
 
 def measure_decode_limit(
@@ -23,7 +23,7 @@
     :param length_ms: for how long it is fed
     :returns: tokens a second
     """
-    shape = engine_shape.Shape()
+    shape = engine_types.EngineParameters()
     if slow:
         shape.slow_factor = fleet.SLOW_FACTOR
     engine = engine_model.EngineModel(shape, "decode", ("m",))
@@ -32,10 +32,10 @@
     for _ in range(shape.slots):
         _feed(engine, next(source), next(numbers), 0.0)
     tokens = 0
-    while (now_ms := engine.next_ms()) < length_ms:
+    while (now_ms := engine.get_next_event_ms()) < length_ms:
         for event in engine.advance(now_ms):
-            tokens += event.kind is engine_shape.EventKind.TOKEN
-            if event.kind is engine_shape.EventKind.FINISHED:
+            tokens += event.kind is engine_types.EventKind.TOKEN
+            if event.kind is engine_types.EventKind.FINISHED:
                 _feed(engine, next(source), next(numbers), now_ms)
     return tokens * 1_000 / length_ms
 
@@ -46,14 +46,16 @@
     number: int,
     now_ms: float,
 ) -> None:
-    run = engine_shape.Run(
+    run = engine_types.EngineRequest(
         str(number), "ideal", "m", (), 1, arrival.output_tokens
     )
     if engine.submit_decode(run, now_ms) is not None:
         raise RuntimeError("the ideal feed was refused")
 
 
-def share_out(demands: dict[str, float], capacity: float) -> dict[str, float]:
+def compute_max_min_shares(
+    demands: dict[str, float], capacity: float
+) -> dict[str, float]:
     """Return each account's due: its demand, or an equal part of what is left.
 
     :param demands: tokens a second by account
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_simulation.py
@@ -15,28 +15,28 @@
 from mulberryway import tables
 from mulberryway.policy import base
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.upstreams import base as upstreams
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
-__all__ = ["Fleet", "Outcome"]
+__all__ = ["Simulation", "Outcome"]
 
-HOP_MS = 1
-NOTE_MS = 2
+NETWORK_DELAY_MS = 1
+GOSSIP_DELAY_MS = 2
 REPORT_MS = 500
-COUNT_MS = 1_000
+TOKEN_COUNT_INTERVAL_MS = 1_000
 MOST_ATTEMPTS = 3
 # A refused decode may look for another slot while the prefill's result
 # lives (800 ms).
-MOVE_WITHIN_MS = 650
-MOVE_PAUSE_MS = 30
+DECODE_RETRY_TIMEOUT_MS = 650
+DECODE_RETRY_DELAY_MS = 30
 FIRST_TOKEN_MS = 1_100
 SLOW_FACTOR = 2.2
 SLOW_FROM_MS = 20_000
 PREFILL_MS_PER_TOKEN = 0.08
 
-Kind = engine_shape.EventKind
+Kind = engine_types.EventKind
 
 
 class Outcome:
@@ -66,7 +66,7 @@
         self.prefilled = 0
         self.wasted = 0
 
-    def is_good(self, first_token_ms: int, gap_ms: int) -> bool:
+    def meets_targets(self, first_token_ms: int, gap_ms: int) -> bool:
         """Tell whether both latency targets were met by a whole answer.
 
         :param first_token_ms: the target for the first token
@@ -91,25 +91,23 @@
         "outcome",
         "assignment",
         "handle",
-        "told",
+        "announced",
         "prefilled_ms",
         "is_prefilled",
     )
 
-    def __init__(
-        self, router: int, job: messages.Job, outcome: Outcome
-    ) -> None:
+    def __init__(self, router: int, job: jobs.Job, outcome: Outcome) -> None:
         self.router = router
         self.job = job
         self.outcome = outcome
-        self.assignment: messages.Assignment | None = None
+        self.assignment: jobs.Assignment | None = None
         self.handle = ""
-        self.told = 0.0
+        self.announced = 0.0
         self.prefilled_ms = 0.0
         self.is_prefilled = False
 
 
-class Fleet:
+class Simulation:
     """Some routers before one pool.
 
     :param deployment: sizes
@@ -210,7 +208,7 @@
         for name, engine in self._engines.items():
             load = engine.report_load(self.now_ms)
             shape = engine.shape
-            scheduler.note_load(
+            scheduler.record_load(
                 "lm",
                 name,
                 upstreams.EngineLoad(
@@ -229,7 +227,7 @@
             )
             if records:
                 self._sequences[key] = records[-1].sequence
-                scheduler.note_cache_events(
+                scheduler.record_cache_events(
                     "lm",
                     name,
                     [
@@ -243,7 +241,7 @@
     def _arrive(self, outcome: Outcome) -> None:
         arrival = outcome.arrival
         router = int(arrival.router * len(self._schedulers))
-        job = messages.Job(
+        job = jobs.Job(
             str(arrival.number),
             arrival.account,
             1,
@@ -279,7 +277,7 @@
             for name in (assignment.prefill, assignment.decode):
                 self.last_start_ms[name] = self.now_ms
             self._at(
-                self.now_ms + HOP_MS,
+                self.now_ms + NETWORK_DELAY_MS,
                 lambda one=flight: self._start_prefill(one),
             )
         self._tell(router)
@@ -296,18 +294,18 @@
         self._at(at_ms, lambda: self._pump(router))
 
     def _tell(self, router: int) -> None:
-        note = self._schedulers[router].take_hints(int(self.now_ms))
+        note = self._schedulers[router].drain_hints(int(self.now_ms))
         if note is None or not self._notes:
             return
         for peer in range(len(self._schedulers)):
             if peer != router:
                 self._at(
-                    self.now_ms + NOTE_MS,
+                    self.now_ms + GOSSIP_DELAY_MS,
                     lambda peer=peer, note=note: self._hear(peer, note),
                 )
 
     def _hear(self, router: int, note: hints.Note) -> None:
-        self._schedulers[router].note_hints(note, int(self.now_ms))
+        self._schedulers[router].apply_hints(note, int(self.now_ms))
         self._pump(router)
 
     def _start_prefill(self, flight: _Flight) -> None:
@@ -321,8 +319,10 @@
         if refused is not None:
             self._retry(flight, name)
 
-    def _make_run(self, flight: _Flight, name: str) -> engine_shape.Run:
-        run = engine_shape.Run(
+    def _make_run(
+        self, flight: _Flight, name: str
+    ) -> engine_types.EngineRequest:
+        run = engine_types.EngineRequest(
             name,
             f"vm{flight.router}",
             "m",
@@ -339,9 +339,9 @@
         scheduler = self._schedulers[flight.router]
         if not flight.is_prefilled:
             flight.is_prefilled = True
-            scheduler.note_prefilled(flight.job.job_id, int(self.now_ms))
+            scheduler.record_prefilled(flight.job.job_id, int(self.now_ms))
         source = self._advance(prefill)
-        if source.claim_handle(flight.handle, self.now_ms) is None:
+        if source.pin_handle(flight.handle, self.now_ms) is None:
             self._waste(flight)
             self._retry(flight, "")
             return
@@ -351,7 +351,7 @@
         self._follow(name)
         if refused is None:
             return
-        if self.now_ms - flight.prefilled_ms < MOVE_WITHIN_MS:
+        if self.now_ms - flight.prefilled_ms < DECODE_RETRY_TIMEOUT_MS:
             self._move_decode(flight, prefill, name)
             return
         source.release_handle(flight.handle, self.now_ms)
@@ -364,13 +364,13 @@
     ) -> None:
         assert flight.assignment is not None
         scheduler = self._schedulers[flight.router]
-        other = scheduler.move_decode(
+        other = scheduler.reassign_decode(
             flight.job.job_id, refused, int(self.now_ms)
         )
-        pause_ms = MOVE_PAUSE_MS
+        pause_ms = DECODE_RETRY_DELAY_MS
         if other is not None:
             flight.assignment.decode = other
-            pause_ms = HOP_MS
+            pause_ms = NETWORK_DELAY_MS
         self._tell(flight.router)
         self._at(
             self.now_ms + pause_ms,
@@ -378,10 +378,10 @@
         )
 
     def _waste(self, flight: _Flight) -> None:
-        flight.outcome.wasted += int(flight.told)
+        flight.outcome.wasted += int(flight.announced)
 
     def _retry(self, flight: _Flight, blamed: str) -> None:
-        end = messages.JobEnd.REFUSED_BY_ENGINE
+        end = jobs.JobOutcome.REFUSED_BY_ENGINE
         job = flight.job
         self._schedulers[flight.router].finish(
             job.job_id, end, blamed, int(self.now_ms)
@@ -390,7 +390,7 @@
         if job.attempt + 1 >= MOST_ATTEMPTS:
             flight.outcome.refused_ms = self.now_ms
             return
-        again = messages.Job(
+        again = jobs.Job(
             f"{flight.outcome.arrival.number}.{job.attempt + 1}",
             job.account,
             job.weight,
@@ -403,7 +403,7 @@
             job.arrived_ms,
             job.deadline,
             job.attempt + 1,
-            job.avoid | frozenset((blamed,)),
+            job.excluded_upstreams | frozenset((blamed,)),
         )
         self._submit(_Flight(flight.router, again, flight.outcome))
 
@@ -414,7 +414,7 @@
         return engine
 
     def _follow(self, name: str) -> None:
-        due = self._engines[name].next_ms()
+        due = self._engines[name].get_next_event_ms()
         if due < self._engine_due[name] or (
             self._engine_due[name] <= self.now_ms
         ):
@@ -428,7 +428,7 @@
             self._engine_due[name] = float("inf")
         self._follow(name)
 
-    def _take(self, name: str, event: engine_shape.ModelEvent) -> None:
+    def _take(self, name: str, event: engine_types.ModelEvent) -> None:
         flight = event.run.context
         assert isinstance(flight, _Flight)
         if event.kind is Kind.TOKEN:
@@ -437,10 +437,10 @@
             flight.handle = event.run.handle
             flight.prefilled_ms = event.at_ms
             computed = event.run.prompt_tokens - event.run.cached_tokens
-            flight.told = computed
+            flight.announced = computed
             flight.outcome.prefilled += computed
             self._at(
-                self.now_ms + 2 * HOP_MS,
+                self.now_ms + 2 * NETWORK_DELAY_MS,
                 lambda: self._start_decode(flight, name),
             )
         elif event.kind is Kind.IMPORTED:
@@ -450,24 +450,24 @@
             self._follow(source)
         elif event.kind is Kind.FINISHED:
             self._at(
-                self.now_ms + HOP_MS,
+                self.now_ms + NETWORK_DELAY_MS,
                 lambda: self._finish(flight, event.at_ms),
             )
 
     def _take_token(
-        self, flight: _Flight, event: engine_shape.ModelEvent
+        self, flight: _Flight, event: engine_types.ModelEvent
     ) -> None:
         outcome = flight.outcome
         outcome.tokens += 1
-        outcome.last_ms = event.at_ms + HOP_MS
+        outcome.last_ms = event.at_ms + NETWORK_DELAY_MS
         scheduler = self._schedulers[flight.router]
         if outcome.first_ms is None:
             outcome.first_ms = outcome.last_ms
-            flight.told = event.at_ms
-            scheduler.note_first_token(flight.job.job_id, int(self.now_ms))
-        elif event.at_ms - flight.told >= COUNT_MS:
-            flight.told = event.at_ms
-            scheduler.note_tokens(
+            flight.announced = event.at_ms
+            scheduler.record_first_token(flight.job.job_id, int(self.now_ms))
+        elif event.at_ms - flight.announced >= TOKEN_COUNT_INTERVAL_MS:
+            flight.announced = event.at_ms
+            scheduler.record_tokens(
                 flight.job.job_id, outcome.tokens, int(self.now_ms)
             )
 
@@ -475,15 +475,15 @@
         flight.outcome.is_whole = True
         job_id, now_ms = flight.job.job_id, int(self.now_ms)
         scheduler = self._schedulers[flight.router]
-        scheduler.note_tokens(job_id, flight.outcome.tokens, now_ms)
-        scheduler.finish(job_id, messages.JobEnd.DONE, "", now_ms)
+        scheduler.record_tokens(job_id, flight.outcome.tokens, now_ms)
+        scheduler.finish(job_id, jobs.JobOutcome.DONE, "", now_ms)
         del self._flights[job_id]
         self._pump(flight.router)
 
     def _slow_down(self) -> None:
         name = next(n for n in self._engines if n.startswith("d"))
         engine = self._advance(name)
-        engine.change_shape("slow_factor", SLOW_FACTOR, self.now_ms)
+        engine.set_parameter("slow_factor", SLOW_FACTOR, self.now_ms)
 
 
 def make_pool(deployment: workloads.Deployment) -> tables.Pool:
@@ -524,7 +524,7 @@
     return tables.Pool(pool.name, pool.kind, rows, pool.models)
 
 
-def _make_shape() -> engine_shape.Shape:
-    shape = engine_shape.Shape()
+def _make_shape() -> engine_types.EngineParameters:
+    shape = engine_types.EngineParameters()
     shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
     return shape
--- a/benchmarks/decisions_workloads.py
+++ b/benchmarks/decisions_workloads.py
@@ -5,7 +5,14 @@
 import math
 import random
 
-__all__ = ["DEPLOYMENTS", "LOADS", "Arrival", "Deployment", "Load", "arrive"]
+__all__ = [
+    "DEPLOYMENTS",
+    "WORKLOADS",
+    "Arrival",
+    "Deployment",
+    "Workload",
+    "generate_arrivals",
+]
 
 TOKEN_MS = 37.0
 OUTPUT_MEDIAN = 220
@@ -65,7 +72,7 @@
 )
 
 
-class Load:
+class Workload:
     """One kind of demand.
 
     :param name: what it is called in the table
@@ -75,7 +82,7 @@
         the others
     :param slow: one decode engine works at less than half its speed
     :param long_part: part of the prompts that have 4,000 to 9,000 tokens
-    :param sticky: an account's callers all use one VM for a while
+    :param has_vm_affinity: an account's callers all use one VM for a while
     """
 
     __slots__ = (
@@ -85,7 +92,7 @@
         "bursts",
         "slow",
         "long_part",
-        "sticky",
+        "has_vm_affinity",
     )
 
     def __init__(
@@ -96,7 +103,7 @@
         bursts: bool = False,
         slow: bool = False,
         long_part: float = 0.0,
-        sticky: bool = False,
+        has_vm_affinity: bool = False,
     ) -> None:
         self.name = name
         self.factor = factor
@@ -104,17 +111,19 @@
         self.bursts = bursts
         self.slow = slow
         self.long_part = long_part
-        self.sticky = sticky
+        self.has_vm_affinity = has_vm_affinity
 
 
-LOADS = (
-    Load("below", 0.7),
-    Load("saturation", 1.0),
-    Load("bursts", 0.75, bursts=True),
-    Load("skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), sticky=True),
-    Load("slow upstream", 0.6, slow=True),
-    Load("long and short", 0.75, long_part=0.15),
-    Load("1.5 saturation", 1.5),
+WORKLOADS = (
+    Workload("below", 0.7),
+    Workload("saturation", 1.0),
+    Workload("bursts", 0.75, bursts=True),
+    Workload(
+        "skewed", 1.3, (0.7, 0.12, 0.1, 0.05, 0.03), has_vm_affinity=True
+    ),
+    Workload("slow upstream", 0.6, slow=True),
+    Workload("long and short", 0.75, long_part=0.15),
+    Workload("1.5 saturation", 1.5),
 )
 
 
@@ -167,8 +176,8 @@
         self.tokens = 0
 
 
-def arrive(
-    deployment: Deployment, load: Load, length_ms: int, seed: int
+def generate_arrivals(
+    deployment: Deployment, load: Workload, length_ms: int, seed: int
 ) -> list[Arrival]:
     """Return all arrivals of one load.
 
@@ -190,7 +199,7 @@
         found.append(maker.make(len(found), at_ms))
 
 
-def _read_burst(load: Load, at_ms: float) -> float:
+def _read_burst(load: Workload, at_ms: float) -> float:
     if not load.bursts:
         return 1.0
     # 5 s of 20 at 2.8 times the rest keep the mean at one.
@@ -209,7 +218,7 @@
 
 
 class _Maker:
-    def __init__(self, load: Load, random_: random.Random) -> None:
+    def __init__(self, load: Workload, random_: random.Random) -> None:
         self._load = load
         self._random = random_
         self._bounds = list(itertools.accumulate(load.shares))
@@ -222,7 +231,7 @@
         index = bisect.bisect(self._bounds, random_.random())
         account = f"account{min(index, len(self._bounds) - 1)}"
         router = random_.random()
-        if self._load.sticky:
+        if self._load.has_vm_affinity:
             window = int(at_ms // WINDOW_MS)
             router = random.Random(f"{account}/{window}").random()
         output = _clip_lognormal(
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -30,7 +30,7 @@
 FAILED = 1
 
 
-class Seen:
+class ResponseCounts:
     """What one sort of call got.
 
     :param whole: answers that were complete and right
@@ -56,7 +56,9 @@
         self._running = running
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self.seen: dict[tuple[str, str], Seen] = collections.defaultdict(Seen)
+        self.seen: dict[tuple[str, str], ResponseCounts] = (
+            collections.defaultdict(ResponseCounts)
+        )
         self.after_withdrawal: collections.Counter[str] = collections.Counter()
 
     def run(self) -> list[str]:
@@ -111,18 +113,20 @@
         time.sleep(EDIT_AFTER_S)
         route = {"path_prefix": "/status", "pool": "member-api"}
         file = self._running.write("route.toml", route)
-        self._running.operate("put", "routes.status", file)
+        self._running.run_admin_command("put", "routes.status", file)
         edited = time.monotonic()
-        self._running.operate("wait")
+        self._running.run_admin_command("wait")
         notes = [
             "a new route was in force on all VMs after "
             f"{time.monotonic() - edited:.2f} s, the command included"
         ]
         time.sleep(max(WITHDRAW_AFTER_S - (time.monotonic() - began), 0))
         digest = deployment.tables.digest_key(WITHDRAWN)
-        self._running.operate("withdraw-key", "tea-estate", digest[:12])
+        self._running.run_admin_command(
+            "withdraw-key", "tea-estate", digest[:12]
+        )
         withdrawn = time.monotonic()
-        self._running.operate("wait")
+        self._running.run_admin_command("wait")
         notes.append(
             "a withdrawn key was refused everywhere after "
             f"{time.monotonic() - withdrawn:.2f} s, the command included"
@@ -205,7 +209,7 @@
 
     def _book(self, port: int, account: str, key: str, name: str) -> None:
         now_ms = clock.SystemClock().wall_ms()
-        once = claim_records.make_key(now_ms, secrets.randbits(74))
+        once = claim_records.make_uuid7(now_ms, secrets.randbits(74))
         headers = {**_authorize(key), "Idempotency-Key": once}
         first, repeat = (
             processes.call(port, "POST", "/bookings", {"pen": name}, headers)
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -12,7 +12,7 @@
 
 __all__ = [
     "DirectNode",
-    "Fleet",
+    "SimulatedNetwork",
     "GossipNode",
     "Node",
     "RelayNode",
@@ -40,7 +40,9 @@
     :param own: the VM
     """
 
-    def __init__(self, fleet: "Fleet", own: dissemination.Receiver) -> None:
+    def __init__(
+        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+    ) -> None:
         self.fleet = fleet
         self.own = own
         self.seen: set[bytes] = set()
@@ -104,7 +106,9 @@
 class RelayNode(Node):
     """Runs the product's own disseminator."""
 
-    def __init__(self, fleet: "Fleet", own: dissemination.Receiver) -> None:
+    def __init__(
+        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+    ) -> None:
         super().__init__(fleet, own)
         self.disseminator = dissemination.Disseminator(own)
 
@@ -181,7 +185,7 @@
         self.missed = missed
 
 
-class Fleet:
+class SimulatedNetwork:
     """VMs in zones, and the datagrams between them.
 
     :param vms: how many
@@ -209,7 +213,7 @@
         self.nodes = {one.name: kind(self, one) for one in self.receivers}
         for node in self.nodes.values():
             if isinstance(node, RelayNode):
-                node.disseminator.change_receivers(self.receivers)
+                node.disseminator.set_receivers(self.receivers)
         # VMs that neither send nor receive, and pairs cut one way.
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
@@ -277,7 +281,7 @@
                 next_ms += self.random.expovariate(per_s / 1_000)
             self._deliver()
 
-    def sum_up(self, duration_ms: int) -> Summary:
+    def summarize(self, duration_ms: int) -> Summary:
         """Return what the run came to.
 
         :param duration_ms: how long it lasted
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -10,7 +10,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway import peers
-from mulberryway.admin import messages
+from mulberryway.admin import responses
 from mulberryway.admin import submission as submissions
 from mulberryway.peers.gen.configuration import Configuration
 from mulberryway.peers.gen.configuration import ttypes
@@ -24,10 +24,10 @@
 THREADS = 16
 # Two more VMs than the own one hear of an edit before the operator does, so
 # that neither one VM's death nor an outage keeps it from the others.
-TOLD_OTHERS = 2
+ANNOUNCE_FANOUT = 2
 POLL_MS = 100
 # A VM may have the word of others that had not heard of an edit yet.
-SPREAD_MS = 3_000
+PROPAGATION_MARGIN_MS = 3_000
 
 
 class Fleet:
@@ -36,7 +36,7 @@
     :param client: calls the routers
     :param own_address: the peers' side of this VM's router
     :param clock_: where the time comes from
-    :param fresh_ms: after how long a VM that nobody reaches refuses
+    :param staleness_limit_ms: after how long a VM that nobody reaches refuses
     :param rng: for the choice of VMs
     """
 
@@ -45,13 +45,13 @@
         client: peers.PeerClient,
         own_address: str,
         clock_: clock.Clock,
-        fresh_ms: int,
+        staleness_limit_ms: int,
         rng: random.Random,
     ) -> None:
         self._client = client
         self._own_address = own_address
         self._clock = clock_
-        self._fresh_ms = fresh_ms
+        self._fresh_ms = staleness_limit_ms
         self._random = rng
         self._pool = concurrent.futures.ThreadPoolExecutor(THREADS, "fleet")
         self._known: list[ttypes.Member] = []
@@ -82,7 +82,7 @@
         # Other zones first: a zone may be lost in this very moment.
         others.sort(key=lambda member: member.zone == own_zone)
         told = [self._own_address]
-        told += [member.address for member in others[:TOLD_OTHERS]]
+        told += [member.address for member in others[:ANNOUNCE_FANOUT]]
         calls = [
             self._pool.submit(
                 self._client.call,
@@ -104,11 +104,11 @@
                 root.revision,
             )
 
-    def read_states(self) -> list[messages.VmState]:
+    def fetch_vm_states(self) -> list[responses.VmState]:
         """Ask each VM that this VM's router knows for its tables."""
         return self._ask(self._list_members())
 
-    def read_newest(
+    def fetch_newest_state(
         self,
     ) -> expression.Result[submissions.NewState, errors.Fault]:
         """Return the newest root that a VM has in force, with its rows."""
@@ -134,7 +134,7 @@
         if not content:
             return expression.Error(_no_vm())
         root = roots.Root.decode(json.loads(content))
-        missing = root.list_rows()
+        missing = root.list_row_segments()
         rows: list[segments.Segment] = []
         while missing:
             reply = self._client.call(
@@ -154,7 +154,7 @@
 
     def wait_in_force(
         self, revision: int, timeout_ms: int
-    ) -> messages.FleetAnswer:
+    ) -> responses.RolloutResponse:
         """Wait until no VM serves with tables older than a revision.
 
         A VM that cannot be reached counts as refusing when it has been out
@@ -168,7 +168,7 @@
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
         members = {one.name: one for one in self._list_members()}
         reached_ms = dict.fromkeys(members, self._clock.now_ms())
-        states: dict[str, messages.VmState] = {}
+        states: dict[str, responses.VmState] = {}
         waiting = list(members)
         while True:
             # Of 410 VMs, those that have it need not be asked again.
@@ -187,20 +187,20 @@
             ]
             is_done = bool(members) and not waiting
             if is_done or deadline.has_passed(now_ms):
-                return messages.FleetAnswer(
+                return responses.RolloutResponse(
                     revision, is_done, waiting, list(states.values())
                 )
             self._clock.sleep_ms(POLL_MS)
 
     def _is_settled(
-        self, state: messages.VmState, revision: int, reached_ms: int
+        self, state: responses.VmState, revision: int, reached_ms: int
     ) -> bool:
         if state.is_reached:
             return state.revision >= revision or not state.is_serving
         silent_ms = self._clock.now_ms() - reached_ms
-        return silent_ms > self._fresh_ms + SPREAD_MS
+        return silent_ms > self._fresh_ms + PROPAGATION_MARGIN_MS
 
-    def _ask(self, members: list[ttypes.Member]) -> list[messages.VmState]:
+    def _ask(self, members: list[ttypes.Member]) -> list[responses.VmState]:
         replies = self._pool.map(
             lambda member: self._read_state(member.address), members
         )
@@ -246,10 +246,10 @@
 def _make_state(
     member: ttypes.Member,
     reply: expression.Result[ttypes.RootReply, errors.Fault],
-) -> messages.VmState:
+) -> responses.VmState:
     if reply.is_error():
-        return messages.VmState(member.name, member.zone, False)
-    return messages.VmState(
+        return responses.VmState(member.name, member.zone, False)
+    return responses.VmState(
         member.name,
         member.zone,
         True,
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -12,28 +12,28 @@
 from mulberryway.controllers import allowance_slots
 from mulberryway.controllers import allowance_state
 from mulberryway.controllers import allowances
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claims
 from mulberryway.controllers import configuration_service
 from mulberryway.controllers import dissemination
 from mulberryway.controllers import engine_reports
 from mulberryway.controllers import membership
-from mulberryway.controllers import notes
 from mulberryway.controllers import orders
-from mulberryway.controllers import owners
+from mulberryway.controllers import owner_liveness
 from mulberryway.controllers import probing
 from mulberryway.controllers import reconciling
-from mulberryway.objects import counts
+from mulberryway.controllers import scheduler_gossip
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http as platform_http
 from mulberryway.peers import datagrams
 from mulberryway.peers import server as peer_server
 from mulberryway.peers.gen.allowances import Allowances
 from mulberryway.peers.gen.claims import Claims
 from mulberryway.peers.gen.membership import Membership
-from mulberryway.policy import issuer
+from mulberryway.policy import fairness
+from mulberryway.policy import leader_lease
 from mulberryway.policy import member
 from mulberryway.policy import scheduler
-from mulberryway.policy import weighing
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
@@ -58,7 +58,7 @@
     ) -> None:
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
-        self.platform_counts = counts.CallCounts()
+        self.platform_counts = call_metrics.InMemoryCallCounter()
         self.store = platform_http.HttpObjectStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -69,7 +69,7 @@
             settings_.peers_secret, self.clock, settings_.peers_timeout_ms
         )
         own = f"{settings_.vm_address}:{settings_.peers_port}"
-        self.incarnation = membership.find_incarnation(
+        self.incarnation = membership.choose_incarnation(
             settings_.vm_name,
             [seed for seed in settings_.peers_seeds if seed != own],
             self.client,
@@ -85,7 +85,7 @@
             settings_.vm_name,
             self.incarnation,
             peers=self.client,
-            find_keeper=claim_keeping.make_finder(
+            find_coordinator=claim_coordination.make_coordinator_finder(
                 settings_.vm_name, self.members.list_members
             ),
         )
@@ -105,7 +105,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = notes.NotesController(
+        self.notes = scheduler_gossip.SchedulerGossipController(
             self.router.scheduling,
             self.members,
             self.configuration.source,
@@ -119,7 +119,7 @@
             self.directory,
             self.clock,
         )
-        self.reports = engine_reports.EngineReports(
+        self.reports = engine_reports.EngineReportController(
             self.notes,
             self.router.scheduling,
             self.directory,
@@ -127,12 +127,12 @@
             settings_.vm_name,
             self.clock,
         )
-        self.reconciling = reconciling.Reconciling(
+        self.reconciling = reconciling.ReconcileController(
             settings_.vm_name,
             self.incarnation,
-            self.reports.list_engines,
+            self.reports.list_assigned_engines,
             self.router.scheduling.is_running,
-            owners.MemberOwners(
+            owner_liveness.MembershipLivenessChecker(
                 self.members.list_members, self.store, self.clock
             ),
             self.router.metrics,
@@ -162,7 +162,7 @@
             },
             self.clock,
         )
-        self.datagrams = datagrams.Datagrams(
+        self.datagrams = datagrams.DatagramTransport(
             settings_.vm_address,
             settings_.peers_port,
             settings_.peers_secret,
@@ -221,7 +221,7 @@
     def _find_engine(
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
-        return directory.find_by_name(
+        return directory.find_engine_by_name(
             self.configuration.source.read_tables(),
             self.directory,
             pool,
@@ -230,7 +230,7 @@
 
     def _may_issue_orders(self) -> bool:
         alive = self.members.list_alive()
-        return self.settings.vm_name in issuer.choose_candidates(alive)
+        return self.settings.vm_name in leader_lease.choose_candidates(alive)
 
     def _make_members(self) -> membership.MembershipController:
         settings_ = self.settings
@@ -265,14 +265,14 @@
             scheduler.FairScheduler(
                 settings_.vm_name,
                 self.incarnation,
-                weighing.find_weighing(settings_.policy_weighing),
+                fairness.find_fairness_mode(settings_.policy_weighing),
                 seed=random.SystemRandom().getrandbits(32),
             ),
             self.allowances,
             self.members,
-            on_withdraw=lambda: self.members.change_own(is_stopping=True),
+            on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             claim_store=self.claims,
-            has_settled=self.shares.is_complete,
-            on_ready=lambda: self.members.change_own(is_starting=False),
+            has_settled=self.shares.has_all_holders,
+            on_ready=lambda: self.members.update_local(is_starting=False),
         )
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -9,9 +9,9 @@
 from mulberryway.controllers import allowance_state
 from mulberryway.controllers import base
 from mulberryway.objects import base as platform
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import member
+from mulberryway.policy import slot_lease_manager
 
 __all__ = ["AllowanceSlotsController", "KIND", "MemberSource"]
 
@@ -20,10 +20,10 @@
 PREFIX = "group-"
 STEP_MS = 1_000
 # Bounds what one VM asks of the platform: a few objects in each step.
-MOST_GROUPS_PER_STEP = 16
+MAX_GROUPS_PER_STEP = 16
 # A stop does not wait longer for a platform that is down.  What could not be
 # released passes on when the platform's list drops the VM.
-RELEASE_MS = 5_000
+RELEASE_TIMEOUT_MS = 5_000
 
 
 class MemberSource(typing.Protocol):
@@ -32,7 +32,7 @@
     def list_members(self) -> list[member.Member]:
         """Return copies of all known VMs, this one included."""
 
-    def change_own(
+    def update_local(
         self, is_stopping: bool | None = None, holdings: bytes | None = None
     ) -> None:
         """Change what this VM tells of itself."""
@@ -79,10 +79,10 @@
         now_ms = self.clock.now_ms()
         members = self._membership.list_members()
         self._note_members(members, now_ms)
-        if now_ms - self._start_ms >= self._times.settle_ms:
+        if now_ms - self._start_ms >= self._times.startup_delay_ms:
             self._read_own_records()
             due = self._list_due(now_ms)
-            for group in due[:MOST_GROUPS_PER_STEP]:
+            for group in due[:MAX_GROUPS_PER_STEP]:
                 self._settle(group)
         self._tell_holdings()
 
@@ -93,14 +93,14 @@
             slots = list(self._state.keeper.holdings)
             for slot in slots:
                 self._state.keeper.give_up(slot)
-        end = clock.Deadline(self.clock.now_ms() + RELEASE_MS)
+        end = clock.Deadline(self.clock.now_ms() + RELEASE_TIMEOUT_MS)
         for group in {slot // self._state.parts for slot in slots}:
             if not end.has_passed(self.clock.now_ms()):
                 self._settle(group)
         self._tell_holdings()
 
     def _note_members(self, members: list[member.Member], now_ms: int) -> None:
-        able = [one for one in members if one.takes_callers]
+        able = [one for one in members if one.accepts_callers]
         since = self._alive_since
         self._alive_since = {
             (one.name, one.incarnation): since.get(
@@ -112,7 +112,7 @@
         holders = {
             slot: one.peer
             for one in members
-            if one.health is not member.Health.DEAD
+            if one.health is not member.MemberStatus.DEAD
             and one.name != self._state.keeper.vm
             for slot in allowance_state.unpack_holdings(one.holdings)
         }
@@ -166,7 +166,7 @@
         if holding is None:
             return self._is_wanted(slot, now_ms)
         left_ms = holding.until_ms - now_ms
-        is_old = left_ms <= self._times.renew_ms
+        is_old = left_ms <= self._times.renew_before_ms
         return is_old or not self._is_wanted(slot, now_ms)
 
     def _is_wanted(self, slot: int, now_ms: int) -> bool:
@@ -186,7 +186,7 @@
             for (name, _), since_ms in self._alive_since.items()
             if name == best
         )
-        is_settled = lived_ms >= self._times.rebalance_ms
+        is_settled = lived_ms >= self._times.min_uptime_ms
         return not (is_settled and now_ms >= self._next_move_ms)
 
     def _settle(self, group: int) -> None:
@@ -226,7 +226,7 @@
 
     def _decide(
         self, group: int, records: dict[int, allowance_slots.SlotRecord]
-    ) -> dict[int, allowance_keeper.Decision]:
+    ) -> dict[int, slot_lease_manager.LeaseAction]:
         first = group * self._state.parts
         decisions = {}
         with self._state.lock:
@@ -239,11 +239,11 @@
                     self._is_wanted(slot, now_ms),
                     now_ms,
                 )
-                if decision is allowance_keeper.Decision.RELEASE:
+                if decision is slot_lease_manager.LeaseAction.RELEASE:
                     # Never spend from a slot that others may have already.
                     self._state.keeper.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
-                if decision is not allowance_keeper.Decision.NONE:
+                if decision is not slot_lease_manager.LeaseAction.NONE:
                     decisions[part] = decision
         return decisions
 
@@ -251,7 +251,7 @@
         self,
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, allowance_keeper.Decision],
+        decisions: dict[int, slot_lease_manager.LeaseAction],
     ) -> dict[int, allowance_slots.SlotRecord]:
         with self._state.lock:
             made = {
@@ -266,7 +266,7 @@
         self,
         group: int,
         written: dict[int, allowance_slots.SlotRecord],
-        decisions: dict[int, allowance_keeper.Decision],
+        decisions: dict[int, slot_lease_manager.LeaseAction],
         sent_ms: int,
     ) -> None:
         with self._state.lock:
@@ -301,10 +301,12 @@
             return
         with self._state.lock:
             keeper = self._state.keeper
-            keeper.note_list(self._listed, self._listed_ms)
+            keeper.update_vm_list(self._listed, self._listed_ms)
             for part, record in records.items():
                 slot = group * self._state.parts + part
-                keeper.note_absent(slot, record, self._listed, self._listed_ms)
+                keeper.track_absence(
+                    slot, record, self._listed, self._listed_ms
+                )
 
     def _tell_holdings(self) -> None:
         with self._state.lock:
@@ -312,7 +314,7 @@
         holdings = allowance_state.pack_holdings(slots)
         if holdings != self._told:
             self._told = holdings
-            self._membership.change_own(holdings=holdings)
+            self._membership.update_local(holdings=holdings)
 
 
 def _read_records(
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -18,8 +18,8 @@
 from mulberryway.peers.gen.allowances import ttypes
 from mulberryway.policy import allowance
 from mulberryway.policy import allowance_borrower
-from mulberryway.policy import allowance_shares
 from mulberryway.policy import allowance_slots
+from mulberryway.policy import leased_rate_limiter
 
 __all__ = ["AllowancesController", "AllowanceService"]
 
@@ -31,7 +31,7 @@
 CLOSE_MS = 200
 # A holder that did not answer is not asked again for a while: each request
 # would wait for it in turn.
-SILENT_MS = 2_000
+UNRESPONSIVE_BACKOFF_MS = 2_000
 
 
 class AllowanceService(service.Iface):
@@ -60,7 +60,7 @@
             loan = lender.lend(
                 loan_id, request.account, request.need, request.wish, now_ms
             )
-            left = lender.read_left(request.account, now_ms)
+            left = lender.read_lendable(request.account, now_ms)
         return ttypes.Loan(loan.tokens, loan.length_ms, left)
 
     def close(self, borrower: str, closings: list[ttypes.Closing]) -> None:
@@ -116,7 +116,7 @@
         """
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            self._state.book.note_demand(account, tokens, now_ms)
+            self._state.book.record_demand(account, tokens, now_ms)
             reservation = self._state.book.reserve(account, tokens, now_ms)
         if reservation is None:
             reservation = self._reserve_borrowed(account, tokens)
@@ -133,7 +133,7 @@
         with self._state.lock:
             now_ms = self.clock.now_ms()
             return isinstance(
-                reservation, allowance_shares.ShareReservation
+                reservation, leased_rate_limiter.LeasedReservation
             ) and self._state.book.is_usable(reservation, now_ms)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
@@ -142,7 +142,7 @@
         :param reservation: what was taken
         :param used: tokens that the caller received or that were computed
         """
-        if isinstance(reservation, allowance_shares.ShareReservation):
+        if isinstance(reservation, leased_rate_limiter.LeasedReservation):
             with self._state.lock:
                 now_ms = self.clock.now_ms()
                 self._state.book.settle(reservation, used, now_ms)
@@ -160,7 +160,7 @@
 
     def _reserve_borrowed(
         self, account: str, tokens: int
-    ) -> allowance_shares.ShareReservation | None:
+    ) -> leased_rate_limiter.LeasedReservation | None:
         # One thread asks for an account at a time.  Many that ask at once
         # would each get a part of what one of them needs.
         end = clock.Deadline(self.clock.now_ms() + BORROW_MS)
@@ -177,7 +177,7 @@
 
     def _ask_holders(
         self, account: str, tokens: int, end: clock.Deadline
-    ) -> allowance_shares.ShareReservation | None:
+    ) -> leased_rate_limiter.LeasedReservation | None:
         for peer in self._list_holders(account):
             is_more = True
             while is_more and not end.has_passed(self.clock.now_ms()):
@@ -199,7 +199,7 @@
     def _list_holders(self, account: str) -> list[str]:
         """Return whom to ask, those who had most left before the others."""
         parts = self._state.parts
-        group = allowance_slots.find_group(account, self._state.groups)
+        group = allowance_slots.compute_group(account, self._state.groups)
         now_ms = self.clock.now_ms()
         with self._state.lock:
             holders = {
@@ -219,7 +219,7 @@
         self,
         peer: str,
         account: str,
-        ask: allowance_shares.Ask,
+        ask: leased_rate_limiter.BorrowPlan,
         end: clock.Deadline,
     ) -> bool:
         """Ask a VM for a loan; tell whether it has more to lend."""
@@ -237,14 +237,16 @@
         )
         with self._state.lock:
             if not answer.is_ok():
-                self._silent[peer] = self.clock.now_ms() + SILENT_MS
+                self._silent[peer] = (
+                    self.clock.now_ms() + UNRESPONSIVE_BACKOFF_MS
+                )
                 borrower.cancel(number, peer)
                 return False
             loan = answer.ok
             self._left[(account, peer)] = loan.left
             borrower.add(
                 number,
-                allowance_borrower.Borrowed(
+                allowance_borrower.BorrowedLoan(
                     number,
                     peer,
                     account,
@@ -258,7 +260,7 @@
     def _send_closings(self, is_all: bool) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            closings = self._state.borrower.take_closings(now_ms, is_all)
+            closings = self._state.borrower.collect_closings(now_ms, is_all)
         by_peer: dict[str, list[ttypes.Closing]] = {}
         for one in closings:
             message = ttypes.Closing(one.number, one.returned)
@@ -295,7 +297,7 @@
     def _refuse(self, account: str, tokens: int) -> errors.Fault:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            wait_ms = self._state.book.note_refused(account, tokens, now_ms)
+            wait_ms = self._state.book.record_refusal(account, tokens, now_ms)
         return errors.Fault(
             errors.Code.OVER_ALLOWANCE,
             errors.Step.ADMISSION,
@@ -306,8 +308,8 @@
     def _take_tables(self, current: tables.Tables) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            self._state.lender.change_accounts(current.accounts, now_ms)
-            self._state.book.forget_accounts()
+            self._state.lender.update_accounts(current.accounts, now_ms)
+            self._state.book.prune_accounts()
             for memory in (self._asking, self._left):
                 gone = [
                     key
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -11,7 +11,7 @@
 from mulberryway.controllers import base
 from mulberryway.controllers import configuration_peers
 from mulberryway.controllers import configuration_watch
-from mulberryway.controllers import fleet_peak
+from mulberryway.controllers import peak_fleet_size
 from mulberryway.controllers import tables_in_force
 from mulberryway.objects import base as platform
 from mulberryway.objects import roots as root_store
@@ -23,16 +23,16 @@
 
 LOG = logging.getLogger(__name__)
 
-READ = "configuration_read"
+READ_PURPOSE = "configuration_read"
 PERIOD_MS = 1_000
 # The chosen VMs ask the platform this often, so that confirmations spread.
-CONFIRM_MS = 2_000
+CONFIRM_INTERVAL_MS = 2_000
 # A VM whose confirmation is older than passing on explains asks the
 # platform itself.  Each waits longer the more VMs there are, so that a cut
 # between VMs costs the platform at most some twenty reads a second.
-OLD_MS = 8_000
+STALE_CONFIRMATION_MS = 8_000
 READ_SPACING_MS = 50
-ASKED_PEERS = 3
+PEER_SAMPLE_SIZE = 3
 # With an old confirmation, most VMs are asked within this many steps; with
 # 410 VMs that is 41 questions a second until the platform answers again.
 QUORUM_STEPS = 5
@@ -57,7 +57,7 @@
         rng: random.Random,
     ) -> None:
         super().__init__("configuration", clock_, PERIOD_MS)
-        self.in_force = tables_in_force.TablesInForce(
+        self.active_tables = tables_in_force.ActiveTables(
             clock_,
             settings_.configuration_fresh_ms,
             settings_.configuration_outage_ms,
@@ -72,7 +72,7 @@
         self._next_read_ms = 0
         self._last_judged: freshness.Freshness | None = None
         self._heard_ms: dict[str, int] = {}
-        self._fleet = fleet_peak.FleetPeak()
+        self._fleet = peak_fleet_size.PeakFleetSize()
 
     def step(self) -> None:
         """Follow news, ask a peer or the platform, and judge freshness."""
@@ -83,7 +83,7 @@
         if self._must_read_platform(peers):
             self.read_platform()
         self._ask_peers(peers)
-        self.in_force.note_quorum(self._find_quorum())
+        self.active_tables.set_quorum_time(self._find_quorum())
         self._report()
 
     def note_news(self, address: str, revision: int) -> None:
@@ -92,13 +92,13 @@
         :param address: the VM's ``host:port``
         :param revision: its root's revision
         """
-        if revision <= self.in_force.root.revision:
+        if revision <= self.active_tables.root.revision:
             return
         with self._lock:
             self._news.add(address)
         self.wake()
 
-    def take_accepted(
+    def install_accepted(
         self, content: bytes, new_segments: dict[str, bytes]
     ) -> bool:
         """Take over a root that the administration API hands over.
@@ -122,9 +122,9 @@
             found = {digest: new_segments[digest] for digest in known}
             return found | self._fetch(rest, "")
 
-        self.in_force.offer(root, fetch)
+        self.active_tables.offer(root, fetch)
         self.wake()
-        return self.in_force.root.revision >= root.revision
+        return self.active_tables.root.revision >= root.revision
 
     def list_members(self) -> list[configuration_peers.PeerVm]:
         """Return the VMs that are known, this one first."""
@@ -144,7 +144,7 @@
             for peer in self._peers.list_peers()
             if peer.region == region
         ]
-        return configuration_watch.is_chosen(
+        return configuration_watch.is_selected_watcher(
             self._settings.vm_name,
             names,
             self._settings.configuration_watchers,
@@ -156,13 +156,17 @@
         :returns: whether it confirmed or brought a root
         """
         asked_ms = self.clock.now_ms()
-        found = self._store.read(root_store.KIND, root_store.NAME, READ)
+        found = self._store.read(
+            root_store.KIND, root_store.NAME, READ_PURPOSE
+        )
         if found.is_error():
             return False
         revision = self.offer_value(found.ok.value)
         if revision is None:
             return False
-        return self.in_force.confirm(revision, asked_ms, self._fleet.most)
+        return self.active_tables.confirm(
+            revision, asked_ms, self._fleet.maximum
+        )
 
     def offer_value(self, value: dict[str, object]) -> int | None:
         """Offer a root as the platform holds it.
@@ -184,7 +188,7 @@
         :returns: whether it answered
         """
         asked_ms = self.clock.now_ms()
-        known = self.in_force.root.revision
+        known = self.active_tables.root.revision
         answer = self._peers.read_root(address, known)
         if answer.is_error():
             return False
@@ -193,12 +197,12 @@
         if reply.content:
             revision = self._offer_content(reply.content, address)
         if revision is not None and reply.age_ms >= 0:
-            self.in_force.confirm(
+            self.active_tables.confirm(
                 revision,
                 asked_ms - reply.age_ms,
-                max(reply.fleet_size, self._fleet.most),
+                max(reply.fleet_size, self._fleet.maximum),
             )
-        is_known = 0 < reply.revision <= self.in_force.root.revision
+        is_known = 0 < reply.revision <= self.active_tables.root.revision
         if is_known and reply.is_witness:
             self._heard_ms[address] = asked_ms
         return True
@@ -215,10 +219,13 @@
             return None
 
     def _offer(self, root: roots.Root, address: str) -> int | None:
-        offer = self.in_force.offer(
+        offer = self.active_tables.offer(
             root, lambda missing: self._fetch(missing, address)
         )
-        good = (tables_in_force.Offer.TAKEN, tables_in_force.Offer.KNOWN)
+        good = (
+            tables_in_force.OfferResult.INSTALLED,
+            tables_in_force.OfferResult.UNCHANGED,
+        )
         return root.revision if offer in good else None
 
     def _fetch(self, missing: list[str], address: str) -> dict[str, bytes]:
@@ -244,30 +251,32 @@
         now_ms = self.clock.now_ms()
         if now_ms < self._next_read_ms:
             return False
-        age_ms = self.in_force.age_ms()
-        is_old = age_ms is None or age_ms > OLD_MS
+        age_ms = self.active_tables.age_ms()
+        is_old = age_ms is None or age_ms > STALE_CONFIRMATION_MS
         if self.is_watcher():
-            self._next_read_ms = now_ms + CONFIRM_MS
+            self._next_read_ms = now_ms + CONFIRM_INTERVAL_MS
             return True
         if is_old:
-            spacing_ms = max(CONFIRM_MS, READ_SPACING_MS * len(peers))
+            spacing_ms = max(CONFIRM_INTERVAL_MS, READ_SPACING_MS * len(peers))
             self._next_read_ms = now_ms + self._random.randint(
                 spacing_ms // 2, spacing_ms * 3 // 2
             )
         return is_old
 
     def _ask_peers(self, peers: list[configuration_peers.PeerVm]) -> None:
-        age_ms = self.in_force.age_ms()
-        if age_ms is not None and age_ms <= OLD_MS:
-            asked = self._random.sample(peers, min(ASKED_PEERS, len(peers)))
+        age_ms = self.active_tables.age_ms()
+        if age_ms is not None and age_ms <= STALE_CONFIRMATION_MS:
+            asked = self._random.sample(
+                peers, min(PEER_SAMPLE_SIZE, len(peers))
+            )
             any(self.pull(peer.address) for peer in asked)
             return
         shuffled = self._random.sample(peers, len(peers))
         longest_ago = sorted(
             shuffled, key=lambda peer: self._heard_ms.get(peer.address, 0)
         )
-        needed = freshness.count_needed(self._fleet.most)
-        count = ASKED_PEERS + needed // QUORUM_STEPS
+        needed = freshness.count_quorum_peers(self._fleet.maximum)
+        count = PEER_SAMPLE_SIZE + needed // QUORUM_STEPS
         for peer in longest_ago[:count]:
             self.pull(peer.address)
 
@@ -280,14 +289,14 @@
             for address, at_ms in self._heard_ms.items()
             if at_ms >= limit_ms
         }
-        confirmation = self.in_force.confirmation
+        confirmation = self.active_tables.confirmation
         if confirmation is None:
             return None
         # A VM that was started during a cut has a small fleet confirmed;
         # what it has seen alive since counts too.
-        fleet_size = max(confirmation.fleet_size, self._fleet.most)
-        needed = freshness.count_needed(fleet_size)
-        if not self.in_force.is_witness():
+        fleet_size = max(confirmation.fleet_size, self._fleet.maximum)
+        needed = freshness.count_quorum_peers(fleet_size)
+        if not self.active_tables.is_witness():
             needed += 1
         times = sorted(self._heard_ms.values(), reverse=True)
         if needed == 0:
@@ -300,12 +309,12 @@
         return sorted(news)
 
     def _report(self) -> None:
-        judged = self.in_force.judge()
+        judged = self.active_tables.judge()
         if judged is not self._last_judged:
             LOG.warning(
                 "tables are %s: revision %d, confirmed %s ms ago",
                 judged.value,
-                self.in_force.root.revision,
-                self.in_force.age_ms(),
+                self.active_tables.root.revision,
+                self.active_tables.age_ms(),
             )
         self._last_judged = judged
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -10,7 +10,7 @@
 __all__ = ["ConfigurationHandler"]
 
 # Well under the transport's limit on a frame; the asker asks again.
-MOST_REPLY_BYTES = 500_000
+MAX_REPLY_BYTES = 500_000
 
 
 class ConfigurationHandler(Configuration.Iface):
@@ -31,7 +31,7 @@
 
         :param known_revision: the revision that the asker holds
         """
-        in_force = self._controller.in_force
+        in_force = self._controller.active_tables
         # Read in this order: a root taken in between has a younger
         # confirmation, which must not be told of the older root.
         confirmation = in_force.confirmation
@@ -47,7 +47,7 @@
             roots.encode_content(root.encode()) if is_newer else b"",
             age_ms,
             fleet_size,
-            judged is not freshness.Freshness.CUT_OFF,
+            judged is not freshness.Freshness.PARTITIONED,
             in_force.is_witness(),
         )
 
@@ -59,11 +59,11 @@
         found: list[ttypes.Segment] = []
         size = 0
         for digest in digests:
-            content = self._controller.in_force.find_segment(digest)
+            content = self._controller.active_tables.find_segment(digest)
             if content is None:
                 continue
             size += len(content)
-            if found and size > MOST_REPLY_BYTES:
+            if found and size > MAX_REPLY_BYTES:
                 break
             found.append(ttypes.Segment(digest, content))
         return found
@@ -76,7 +76,7 @@
         :param content: the root as canonical JSON
         :param segments: what is new in it
         """
-        return self._controller.take_accepted(
+        return self._controller.install_accepted(
             content, {one.digest: one.content for one in segments}
         )
 
--- a/mulberryway/controllers/configuration_watch.py
+++ b/mulberryway/controllers/configuration_watch.py
@@ -11,15 +11,15 @@
 from mulberryway.objects import base as platform
 from mulberryway.objects import roots
 
-__all__ = ["RootWatch", "WatchTarget", "is_chosen"]
+__all__ = ["RootWatch", "WatchTarget", "is_selected_watcher"]
 
 LOG = logging.getLogger(__name__)
 
-WATCH = "configuration_watch"
+WATCH_PURPOSE = "configuration_watch"
 PERIOD_MS = 500
 
 
-def is_chosen(
+def is_selected_watcher(
     name: str, others: collections.abc.Collection[str], count: int
 ) -> bool:
     """Tell whether a VM is among those that watch, by rendezvous hashing.
@@ -66,7 +66,7 @@
     :param target: what to report to
     :param store: the platform
     :param clock_: where the time comes from
-    :param silence_ms: the longest wait for a line
+    :param idle_timeout_ms: the longest wait for a line
     """
 
     def __init__(
@@ -74,24 +74,24 @@
         target: WatchTarget,
         store: platform.ObjectStore,
         clock_: clock.Clock,
-        silence_ms: int,
+        idle_timeout_ms: int,
     ) -> None:
         super().__init__("root-watch", clock_, PERIOD_MS)
         self._target = target
         self._store = store
-        self._silence_ms = silence_ms
+        self._silence_ms = idle_timeout_ms
 
     def step(self) -> None:
         """Watch until the watch ends or another VM is chosen."""
         if not self._target.is_watcher():
             return
-        found = self._store.read(roots.KIND, roots.NAME, WATCH)
+        found = self._store.read(roots.KIND, roots.NAME, WATCH_PURPOSE)
         version = 0
         if found.is_ok():
             version = found.ok.version
             self._take(found.ok.value)
         events = self._store.watch(
-            roots.KIND, version, self._silence_ms, WATCH
+            roots.KIND, version, self._silence_ms, WATCH_PURPOSE
         )
         for event in events:
             if event.is_error():
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -9,7 +9,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.controllers import base
-from mulberryway.peers import note_messages
+from mulberryway.peers import gossip_messages
 from mulberryway.policy import allowance
 from mulberryway.policy import usage
 
@@ -21,10 +21,10 @@
 IDLE_MS = 250
 # A VM that asks the store tells at least this often that it is reached, or
 # all others would take it for away and ask themselves.
-WATCHER_MS = 1_500
+WATCHER_HEARTBEAT_MS = 1_500
 # A refusal tells when to come back; within it the others' counts arrive too.
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 5_000
+MIN_RETRY_MS = 200
+MAX_RETRY_MS = 5_000
 
 
 class FleetAllowances(base.Controller, allowance.Allowances):
@@ -36,19 +36,19 @@
         if it is not asked
     :param clock_: where the time comes from
 
-    ``send_all`` is set by whoever can send to the other VMs.
+    ``broadcast`` is set by whoever can send to the other VMs.
     """
 
     def __init__(
         self,
-        book: usage.UsageBook,
+        book: usage.ReplicatedRateLimiter,
         read_mirrors: collections.abc.Callable[[], dict[str, int]],
         is_store_reached: collections.abc.Callable[[], bool | None],
         clock_: clock.Clock,
     ) -> None:
         super().__init__("fleet-allowances", clock_, PERIOD_MS)
         self._book = book
-        self.send_all: collections.abc.Callable[[bytes, bool], None] = (
+        self.broadcast: collections.abc.Callable[[bytes, bool], None] = (
             lambda payload, is_urgent: None
         )
         self._read_mirrors = read_mirrors
@@ -66,7 +66,7 @@
         self._stepped_ms = self.clock.now_ms()
         self._tell()
         with self._lock:
-            due_ms = self._book.find_due_ms()
+            due_ms = self._book.compute_next_heartbeat_ms()
         left_ms = due_ms - self.clock.now_ms()
         self.period_ms = min(max(left_ms, 1), IDLE_MS)
 
@@ -77,7 +77,7 @@
         # store tell it at once, the others with their next heartbeat.
         now_ms = self.clock.now_ms()
         has_changed = (mirrors, is_reached) != self._told
-        is_due = now_ms - self._told_ms >= WATCHER_MS
+        is_due = now_ms - self._told_ms >= WATCHER_HEARTBEAT_MS
         is_news = (has_changed or is_due) and is_reached is not None
         self._told = mirrors, is_reached
         with self._lock:
@@ -85,8 +85,8 @@
         if message is not None:
             self._told_ms = now_ms
             message.is_store_reached = is_reached
-            self.send_all(
-                note_messages.write_usage(message), not message.is_heartbeat
+            self.broadcast(
+                gossip_messages.encode_usage(message), not message.is_heartbeat
             )
 
     def take(self, told: usage.Usage) -> None:
@@ -95,28 +95,28 @@
         :param told: its counts
         """
         with self._lock:
-            self._book.note_usage(told, self.clock.now_ms())
+            self._book.merge_usage(told, self.clock.now_ms())
 
-    def note_fleet(self, vms: list[str]) -> None:
+    def update_members(self, vms: list[str]) -> None:
         """Take over which VMs there are.
 
         :param vms: their names
         """
         with self._lock:
-            self._book.note_fleet(vms, self.clock.now_ms())
+            self._book.update_members(vms, self.clock.now_ms())
 
-    def list_silent(self) -> frozenset[str]:
+    def list_unresponsive(self) -> frozenset[str]:
         """Return the VMs that were heard before and are silent now."""
         with self._lock:
-            return self._book.list_silent(self.clock.now_ms())
+            return self._book.list_unresponsive(self.clock.now_ms())
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Take over rates and bursts.
 
         :param changed: the new tables
         """
         with self._lock:
-            self._book.change_accounts(
+            self._book.update_accounts(
                 changed.accounts.values(), self.clock.now_ms()
             )
         # VMs that do not watch the store wait for what this one knows.
@@ -143,7 +143,7 @@
             errors.Step.ADMISSION,
             account,
             message="the account has used its rate and burst",
-            retry_after_ms=min(max(wait_ms, LEAST_RETRY_MS), MOST_RETRY_MS),
+            retry_after_ms=min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS),
         )
         fault.inputs = inputs | {"tokens": tokens}
         return expression.Error(fault)
@@ -158,7 +158,5 @@
         if unused <= 0:
             return
         with self._lock:
-            self._book.give_back(
-                reservation.account, unused, self.clock.now_ms()
-            )
+            self._book.refund(reservation.account, unused, self.clock.now_ms())
         self.wake()
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -6,21 +6,21 @@
 
 from mulberryway import logs
 from mulberryway import metrics
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
 
-__all__ = ["KeptReport", "report"]
+__all__ = ["RetainedObjectReport", "report"]
 
 LOG = logging.getLogger(__name__)
 
 # Names in one log line, whose length is bounded so.
-MOST_NAMED = 8
+MAX_LOGGED_NAMES = 8
 
-Kept = collections.abc.Sequence[mirrors.KeptObject]
+Kept = collections.abc.Sequence[mirrors.RetainedObject]
 Fields = dict[str, typing.Any]
 
 
-class KeptReport:
+class RetainedObjectReport:
     """Counts one kind's removals that take effect late, and logs them.
 
     :param kind: the plural kind
@@ -34,7 +34,7 @@
     __slots__ = ("kind", "kept", "expired", "delay_ms", "_detector")
 
     def __init__(
-        self, kind: str, detector: lapses.LapseDetector | None
+        self, kind: str, detector: mass_expiry.MassExpiryDetector | None
     ) -> None:
         self.kind = kind
         self.kept = 0
@@ -42,7 +42,7 @@
         self.delay_ms = 0
         self._detector = detector
 
-    def note_kept(self, kept: Kept, now_ms: int) -> None:
+    def report_retained(self, kept: Kept, now_ms: int) -> None:
         """Tell of objects that are kept from now on.
 
         :param kept: the objects, at least one
@@ -51,14 +51,14 @@
         first = kept[0]
         LOG.warning(
             "removed objects are kept for a while",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 **self._describe(kept),
                 keeps_ms=first.until_ms - now_ms,
                 **self._describe_absence(first.absence, now_ms),
             ),
         )
 
-    def note_expired(self, expired: Kept, now_ms: int) -> None:
+    def report_expired(self, expired: Kept, now_ms: int) -> None:
         """Tell of objects that count no longer.
 
         :param expired: the objects, at least one
@@ -68,7 +68,7 @@
         self.delay_ms += sum(now_ms - one.noticed_ms for one in expired)
         LOG.warning(
             "kept objects are given up",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 **self._describe(expired),
                 kept_ms=now_ms - min(one.noticed_ms for one in expired),
                 overdue_ms=now_ms - min(one.until_ms for one in expired),
@@ -78,20 +78,20 @@
     def _describe(self, kept: Kept) -> Fields:
         return {
             "kind": self.kind,
-            "objects": [one.object.name for one in kept[:MOST_NAMED]],
+            "objects": [one.object.name for one in kept[:MAX_LOGGED_NAMES]],
             "count": len(kept),
             "revision": max(one.revision for one in kept),
         }
 
     def _describe_absence(
-        self, absence: lapses.Absence | None, now_ms: int
+        self, absence: mass_expiry.UnreachablePeriod | None, now_ms: int
     ) -> Fields:
         if absence is None or self._detector is None:
             return {"cause": "many went at once, here or at another VM"}
         ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
         return {
             "cause": "the store was away",
-            "absence_ms": absence.read_length_ms(now_ms),
+            "absence_ms": absence.compute_duration_ms(now_ms),
             "ended_ms": now_ms - ended_ms,
             "failure": absence.reason,
             **self._detector.describe_peers(absence, now_ms),
@@ -99,7 +99,7 @@
 
 
 def report(
-    reports: collections.abc.Collection[KeptReport],
+    reports: collections.abc.Collection[RetainedObjectReport],
     metrics_: metrics.Metrics,
 ) -> None:
     """Let removals that take effect late appear among a process's metrics.
@@ -107,17 +107,17 @@
     :param reports: of all kinds
     :param metrics_: the process's instruments
     """
-    metrics_.observe(
+    metrics_.register_gauge(
         "mirrors.kept",
         "objects that count although the store has removed them",
         lambda: sum(one.kept for one in reports),
     )
-    metrics_.observe_many(
+    metrics_.register_counter(
         "mirrors.deferred",
         "removals that took effect late, by kind",
         lambda: [({"kind": one.kind}, one.expired) for one in reports],
     )
-    metrics_.observe_many(
+    metrics_.register_counter(
         "mirrors.deferred_ms",
         "how late removals took effect, added up, by kind",
         lambda: [({"kind": one.kind}, one.delay_ms) for one in reports],
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -10,28 +10,28 @@
 from mulberryway.objects import base as platform
 from mulberryway.peers import client
 from mulberryway.peers.gen.membership import Membership as service
-from mulberryway.policy import entry
-from mulberryway.policy import hint_board
+from mulberryway.policy import broadcast_queue
+from mulberryway.policy import endpoints
 from mulberryway.policy import member
 from mulberryway.policy import membership
 
-__all__ = ["MembershipController", "find_incarnation"]
+__all__ = ["MembershipController", "choose_incarnation"]
 
 # A new piece of urgent news goes to this many VMs at once, and each of them
 # does the same: with 410 VMs everybody has it after about five hops.
 FAN_OUT = 3
 # A flood of news must not turn into a flood of messages: what comes within
 # this pause goes out with the next regular probe at the latest.
-URGENT_PAUSE_MS = 50
+URGENT_MIN_INTERVAL_MS = 50
 # All VMs together read the platform's list this often; each of n reads it
 # every n times this, so the platform's load does not grow with the fleet.
-LIST_MS = 10_000
+LIST_INTERVAL_MS = 10_000
 # A VM that knows nobody has nothing else to go by.
-ALONE_LIST_MS = 5_000
+ISOLATED_LIST_INTERVAL_MS = 5_000
 DEAD_PROBE_PERIODS = 10
 
 
-def find_incarnation(
+def choose_incarnation(
     name: str,
     seeds: collections.abc.Iterable[str],
     peers: client.PeerClient,
@@ -64,7 +64,7 @@
     return max([clock_.wall_ms(), *(number + 1 for number in known)])
 
 
-class MembershipController(base.Controller, entry.EntryDirectory):
+class MembershipController(base.Controller, endpoints.EndpointDirectory):
     """Probes other VMs, answers their probes, and spreads hints.
 
     :param own: this VM
@@ -136,12 +136,12 @@
                     sorted(
                         one.name
                         for one in self._view.list_members()
-                        if one.health is not member.Health.DEAD
+                        if one.health is not member.MemberStatus.DEAD
                     )
                 )
             return self._alive
 
-    def list_addresses(self, caller_zone: str) -> list[entry.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         """Return addresses in the order in which a caller should try them.
 
         :param caller_zone: the caller's zone; empty if not known
@@ -150,24 +150,24 @@
         with self._lock:
             self._expire()
             now_ms = self.clock.now_ms()
-            self._view.note_heard(
+            self._view.record_heartbeat(
                 self.own.name,
                 self.exchange.streams,
                 self.exchange.revision,
                 now_ms,
             )
-            return entry.choose_addresses(
+            return endpoints.choose_endpoints(
                 self._view.list_members(), caller_zone, self._random, now_ms
             )
 
-    def note_streams(self, streams: int) -> None:
+    def set_streams(self, streams: int) -> None:
         """Tell how many requests run here, for other VMs' entry answers.
 
         :param streams: running requests
         """
         self.exchange.streams = streams
 
-    def note_revision(self, revision: int) -> None:
+    def announce_revision(self, revision: int) -> None:
         """Tell which tables this VM has; a newer one is told to others.
 
         :param revision: the root's revision
@@ -178,7 +178,7 @@
         if is_newer:
             self._hurry()
 
-    def subscribe_newer(
+    def subscribe_newer_tables(
         self, on_newer: membership_exchange.OnNewerTables
     ) -> None:
         """Call a function when a VM is heard of that has newer tables.
@@ -188,7 +188,7 @@
         """
         self.exchange.on_newer.append(on_newer)
 
-    def change_own(
+    def update_local(
         self,
         is_stopping: bool | None = None,
         holdings: bytes | None = None,
@@ -201,7 +201,7 @@
         :param is_starting: whether it cannot serve callers yet
         """
         with self._lock:
-            self._view.change_own(is_stopping, holdings, is_starting)
+            self._view.update_local(is_stopping, holdings, is_starting)
         self._hurry()
 
     def publish(
@@ -215,7 +215,7 @@
         :param ttl_ms: how long it matters, in milliseconds
         """
         now_ms = self.clock.now_ms()
-        hint = hint_board.Hint(
+        hint = broadcast_queue.Hint(
             kind, key, payload, self.clock.wall_ms(), now_ms + ttl_ms
         )
         with self._lock:
@@ -233,7 +233,7 @@
         """
         self.exchange.on_hint.setdefault(kind, []).append(on_hint)
 
-    def change_seeds(self, seeds: tuple[str, ...]) -> None:
+    def update_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take over other addresses to begin with.
 
         :param seeds: addresses ``host:port`` of peers
@@ -245,8 +245,8 @@
         self._steps += 1
         with self._lock:
             is_urgent, self._is_urgent = self._is_urgent, False
-            target = self._view.choose_target()
-            others = self._view.choose_some(FAN_OUT if is_urgent else 0)
+            target = self._view.choose_probe_target()
+            others = self._view.sample_alive(FAN_OUT if is_urgent else 0)
         for one in others:
             self.exchange.probe_peer(one.peer, one.name)
         if target is None:
@@ -269,7 +269,7 @@
     def _hurry(self) -> None:
         self._is_urgent = True
         now_ms = self.clock.now_ms()
-        if now_ms - self._urgent_ms >= URGENT_PAUSE_MS:
+        if now_ms - self._urgent_ms >= URGENT_MIN_INTERVAL_MS:
             self._urgent_ms = now_ms
             self.wake()
 
@@ -282,7 +282,7 @@
         if self.exchange.probe_peer(target.peer, target.name):
             return
         with self._lock:
-            helpers = self._view.choose_some(
+            helpers = self._view.sample_alive(
                 membership.INDIRECT_PROBES, target.name
             )
         answers = (
@@ -300,7 +300,7 @@
         if self._steps % DEAD_PROBE_PERIODS:
             return
         with self._lock:
-            dead = self._view.choose_dead()
+            dead = self._view.sample_dead()
         if dead is not None:
             self.exchange.probe_peer(dead.peer, dead.name)
         elif self._seeds:
@@ -312,7 +312,11 @@
             return
         with self._lock:
             count = len(self._view.list_members())
-        pause_ms = ALONE_LIST_MS if count == 1 else LIST_MS * count
+        pause_ms = (
+            ISOLATED_LIST_INTERVAL_MS
+            if count == 1
+            else LIST_INTERVAL_MS * count
+        )
         # Spread, else VMs that started together would read together.
         spread_ms = self._random.randint(pause_ms // 2, pause_ms * 3 // 2)
         self._next_list_ms = now_ms + spread_ms
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -12,13 +12,13 @@
 from mulberryway.peers import membership_messages
 from mulberryway.peers.gen.membership import Membership as service
 from mulberryway.peers.gen.membership import ttypes
-from mulberryway.policy import hint_board
+from mulberryway.policy import broadcast_queue
 from mulberryway.policy import member
 from mulberryway.policy import membership
 
 __all__ = ["MembershipExchange", "OnHint", "OnNewerTables"]
 
-OnHint = collections.abc.Callable[[hint_board.Hint], None]
+OnHint = collections.abc.Callable[[broadcast_queue.Hint], None]
 OnNewerTables = collections.abc.Callable[[member.Member], None]
 
 
@@ -40,7 +40,7 @@
     ) -> None:
         self.lock = threading.RLock()
         self.view = view
-        self.board = hint_board.HintBoard()
+        self.board = broadcast_queue.BroadcastQueue()
         self.revision = 0
         self.streams = 0
         self.on_hint: dict[str, list[OnHint]] = {}
@@ -104,7 +104,9 @@
         pack_member = membership_messages.pack_member
         with self.lock:
             now_ms = self._clock.now_ms()
-            notes = self.board.take(self.view.count_sends(), now_ms)
+            notes = self.board.take(
+                self.view.compute_retransmit_limit(), now_ms
+            )
             return ttypes.News(
                 pack_member(self.view.own),
                 self.revision,
@@ -120,7 +122,7 @@
     def _choose_members(self, receiver: str) -> list[member.Member]:
         news = self.view.take_news()
         known = self.view.find(receiver)
-        if known is None or known.health is member.Health.ALIVE:
+        if known is None or known.health is member.MemberStatus.ALIVE:
             return news
         # A VM that is wrongly thought dead has to hear so, else it cannot
         # deny it: after a lost link nobody passes that old news on.
@@ -130,7 +132,7 @@
         self._apply([news.sender, *news.members])
         now_ms = self._clock.now_ms()
         with self.lock:
-            self.view.note_heard(
+            self.view.record_heartbeat(
                 news.sender.name, news.streams, news.revision, now_ms
             )
             sender = self.view.find(news.sender.name)
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -10,7 +10,7 @@
 from mulberryway import tables
 from mulberryway.controllers import base
 from mulberryway.objects import base as platform
-from mulberryway.policy import issuer
+from mulberryway.policy import leader_lease
 from mulberryway.policy import orders
 from mulberryway.upstreams import base as upstreams
 
@@ -24,7 +24,7 @@
 PERIOD_MS = 1_000
 # Orders in one step: the lease is renewed between steps, and a step that lasts
 # too long loses it.
-MOST_ORDERS = 50
+MAX_ORDERS_PER_STEP = 50
 
 EngineFinder = collections.abc.Callable[[str, str], upstreams.Engine | None]
 LoadReader = collections.abc.Callable[
@@ -66,7 +66,7 @@
         self._find_engine = find_engine
         self._read_loads = read_loads
         self._is_candidate = is_candidate
-        self._lease = issuer.IssuerLease(vm, incarnation)
+        self._lease = leader_lease.LeaderLease(vm, incarnation)
         self._planner = planner or orders.OrderPlanner()
         self._fencing = 0
 
@@ -83,7 +83,7 @@
             self._fencing = self._lease.fencing
             self._planner.forget()
         planned = self._planner.plan(tables_.pools, self._read_loads(), now_ms)
-        for order in planned[:MOST_ORDERS]:
+        for order in planned[:MAX_ORDERS_PER_STEP]:
             self._give(order)
 
     def _is_idle(self, tables_: tables.Tables) -> bool:
@@ -95,10 +95,10 @@
 
     def _keep_lease(self) -> None:
         act = self._lease.decide(self._is_candidate(), self.clock.now_ms())
-        if act is issuer.LeaseAct.READ:
+        if act is leader_lease.LeaseAction.READ:
             self._read()
             act = self._lease.decide(True, self.clock.now_ms())
-        if act is issuer.LeaseAct.WRITE:
+        if act is leader_lease.LeaseAction.WRITE:
             self._write()
 
     def _read(self) -> None:
@@ -106,9 +106,9 @@
         now_ms = self.clock.now_ms()
         if result.is_ok():
             record = _unpack(result.ok.value)
-            self._lease.note_read(record, result.ok.version, now_ms)
+            self._lease.record_read(record, result.ok.version, now_ms)
         elif result.error.code is errors.Code.NOT_FOUND:
-            self._lease.note_read(None, 0, now_ms)
+            self._lease.record_read(None, 0, now_ms)
 
     def _write(self) -> None:
         sent_ms = self.clock.now_ms()
@@ -120,15 +120,17 @@
             result = self._store.create(KIND, NAME, value, PURPOSE)
         if result.is_ok():
             self._note_written(record, result.ok.version, sent_ms)
-        elif result.error.run is errors.Run.MAY_HAVE_RUN:
+        elif result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN:
             self._read_back(record, sent_ms)
         elif result.error.code is errors.Code.CONFLICT:
             # Somebody else wrote: whatever we held, it is theirs now.
             self._lease.lose()
         elif result.error.code is errors.Code.NOT_FOUND:
-            self._lease.note_gone()
+            self._lease.record_deleted()
 
-    def _read_back(self, record: issuer.LeaseRecord, sent_ms: int) -> None:
+    def _read_back(
+        self, record: leader_lease.LeaseRecord, sent_ms: int
+    ) -> None:
         # The write may have taken effect although its reply was lost.  The
         # object tells, for each write differs from all others.
         result = self._store.read(KIND, NAME, PURPOSE)
@@ -139,10 +141,10 @@
             self._note_written(record, result.ok.version, sent_ms)
         else:
             now_ms = self.clock.now_ms()
-            self._lease.note_read(found, result.ok.version, now_ms)
+            self._lease.record_read(found, result.ok.version, now_ms)
 
     def _note_written(
-        self, record: issuer.LeaseRecord, version: int, sent_ms: int
+        self, record: leader_lease.LeaseRecord, version: int, sent_ms: int
     ) -> None:
         now_ms = self.clock.now_ms()
         if record.fencing != self._fencing:
@@ -156,13 +158,13 @@
         expected = None
         if self._planner.needs_state:
             state = engine.report_load()
-            if state.is_error() or state.ok.is_changing:
-                self._planner.note_failed(order, self.clock.now_ms())
+            if state.is_error() or state.ok.is_executing_order:
+                self._planner.record_failed(order, self.clock.now_ms())
                 return
             expected = state.ok.orders
             if state.ok.role == order.argument:
                 # The tables lag behind the engine.
-                self._planner.note_given(order, self.clock.now_ms())
+                self._planner.record_accepted(order, self.clock.now_ms())
                 return
         sent = upstreams.Order(
             order.verb,
@@ -182,7 +184,7 @@
         now_ms = self.clock.now_ms()
         LOG.info(
             "an order was given",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 result.error if result.is_error() else None,
                 pool=order.pool,
                 upstream=order.row.name,
@@ -193,15 +195,15 @@
             ),
         )
         if result.is_ok():
-            self._planner.note_given(order, now_ms)
+            self._planner.record_accepted(order, now_ms)
             return
-        self._planner.note_failed(order, now_ms)
+        self._planner.record_failed(order, now_ms)
         if result.error.code is errors.Code.UPSTREAM_REFUSED:
             LOG.warning("an order was fenced off: %r", result.error)
             self._lease.lose()
 
 
-def _pack(record: issuer.LeaseRecord) -> dict[str, typing.Any]:
+def _pack(record: leader_lease.LeaseRecord) -> dict[str, typing.Any]:
     return {
         "holder": record.holder,
         "incarnation": record.incarnation,
@@ -210,8 +212,8 @@
     }
 
 
-def _unpack(value: dict[str, typing.Any]) -> issuer.LeaseRecord:
-    return issuer.LeaseRecord(
+def _unpack(value: dict[str, typing.Any]) -> leader_lease.LeaseRecord:
+    return leader_lease.LeaseRecord(
         str(value["holder"]),
         int(value["incarnation"]),
         int(value["fencing"]),
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -11,23 +11,23 @@
 from mulberryway.controllers import base
 from mulberryway.policy import base as policy
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import probes
 from mulberryway.upstreams import base as upstreams
 
-__all__ = ["Scheduling", "Ticket"]
+__all__ = ["SchedulingController", "Ticket"]
 
 IDLE_MS = 1_000
 MS_IN_S = 1_000
 # A decision that is this late has been lost; the guard keeps a worker from
 # waiting for ever for what will not come.
-OVERDUE_MS = 2_000
+DECISION_GRACE_MS = 2_000
 # Other routers' hints come by the hundred a second in a large fleet, and with
 # jobs waiting a dispatch takes longer than reading a hint.  Hints that come
 # within this time share one.
-HINTED_MS = 20
+GOSSIP_DISPATCH_INTERVAL_MS = 20
 
-Decision = expression.Result[messages.Assignment, errors.Fault]
+Decision = expression.Result[jobs.Assignment, errors.Fault]
 
 
 class Ticket:
@@ -38,13 +38,13 @@
 
     __slots__ = ("job", "decided", "decision")
 
-    def __init__(self, job: messages.Job) -> None:
+    def __init__(self, job: jobs.Job) -> None:
         self.job = job
         self.decided = threading.Event()
         self.decision: Decision | None = None
 
 
-class Scheduling(base.Controller):
+class SchedulingController(base.Controller):
     """Holds the lock around a scheduler, which has none of its own.
 
     Every change that may let a job start is followed at once by a dispatch
@@ -90,7 +90,9 @@
         """Dispatch, and sleep until the scheduler wants to be asked again."""
         with self._lock:
             wake_ms = self._dispatch()
-            longest_ms = HINTED_MS if self._tickets else IDLE_MS
+            longest_ms = (
+                GOSSIP_DISPATCH_INTERVAL_MS if self._tickets else IDLE_MS
+            )
         now_ms = self.clock.now_ms()
         self.period_ms = (
             longest_ms
@@ -98,9 +100,7 @@
             else min(max(wake_ms - now_ms, 1), longest_ms)
         )
 
-    def submit(
-        self, job: messages.Job
-    ) -> expression.Result[Ticket, errors.Fault]:
+    def submit(self, job: jobs.Job) -> expression.Result[Ticket, errors.Fault]:
         """Take a job in, or refuse it at once.
 
         :param job: the job
@@ -125,7 +125,7 @@
         :returns: where it runs, or why not
         """
         job = ticket.job
-        left_ms = job.deadline.left_ms(self.clock.now_ms()) + OVERDUE_MS
+        left_ms = job.deadline.left_ms(self.clock.now_ms()) + DECISION_GRACE_MS
         if not ticket.decided.wait(left_ms / MS_IN_S):
             self.give_up(
                 ticket,
@@ -150,34 +150,34 @@
             ticket.decided.set()
             self._dispatch()
 
-    def note_prefilled(self, job_id: str) -> None:
+    def record_prefilled(self, job_id: str) -> None:
         """Tell that a started job's prefill has ended well.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_prefilled(job_id, self.clock.now_ms())
+            self._scheduler.record_prefilled(job_id, self.clock.now_ms())
             self._dispatch()
 
-    def note_unread(self, job_id: str) -> None:
+    def record_prefill_failed(self, job_id: str) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_unread(job_id, self.clock.now_ms())
+            self._scheduler.record_prefill_failed(job_id, self.clock.now_ms())
             self._dispatch()
 
-    def note_first_token(self, job_id: str) -> None:
+    def record_first_token(self, job_id: str) -> None:
         """Tell that a started job's first token has come.
 
         :param job_id: the job
         """
         with self._lock:
-            self._scheduler.note_first_token(job_id, self.clock.now_ms())
+            self._scheduler.record_first_token(job_id, self.clock.now_ms())
 
     def finish(
-        self, job_id: str, end: messages.JobEnd, upstream: str = ""
+        self, job_id: str, end: jobs.JobOutcome, upstream: str = ""
     ) -> None:
         """Let a started job's reservations go; further calls do nothing.
 
@@ -193,7 +193,7 @@
             self._dispatch()
         self.on_change()
 
-    def note_load(
+    def record_load(
         self, pool: str, upstream: str, load: upstreams.EngineLoad
     ) -> None:
         """Take in a load report.
@@ -204,7 +204,7 @@
         """
         with self._lock:
             self._loads[pool, upstream] = load
-            self._scheduler.note_load(
+            self._scheduler.record_load(
                 pool, upstream, load, self.clock.now_ms()
             )
             self._dispatch()
@@ -214,7 +214,7 @@
         with self._lock:
             return dict(self._loads)
 
-    def note_cache_events(
+    def record_cache_events(
         self, pool: str, upstream: str, events: list[upstreams.CacheEvent]
     ) -> None:
         """Take in cache events.
@@ -224,20 +224,20 @@
         :param events: the events in order
         """
         with self._lock:
-            self._scheduler.note_cache_events(
+            self._scheduler.record_cache_events(
                 pool, upstream, events, self.clock.now_ms()
             )
 
-    def note_tokens(self, job_id: str, tokens: int) -> None:
+    def record_tokens(self, job_id: str, tokens: int) -> None:
         """Tell how many tokens of a running job have come so far.
 
         :param job_id: the job
         :param tokens: all tokens so far
         """
         with self._lock:
-            self._scheduler.note_tokens(job_id, tokens, self.clock.now_ms())
+            self._scheduler.record_tokens(job_id, tokens, self.clock.now_ms())
 
-    def move_decode(
+    def reassign_decode(
         self, job_id: str, refused: str, is_unreached: bool = False
     ) -> str | None:
         """Find another slot for a job whose prefill has ended.
@@ -248,25 +248,27 @@
         :returns: the upstream to try, its slot reserved; or none
         """
         with self._lock:
-            return self._scheduler.move_decode(
+            return self._scheduler.reassign_decode(
                 job_id, refused, self.clock.now_ms(), is_unreached
             )
 
-    def has_room(self, pool: str, besides: str) -> bool:
+    def has_decode_capacity(self, pool: str, besides: str) -> bool:
         """Tell whether another engine probably has room for a decode.
 
         :param pool: the pool's name
         :param besides: the upstream that does not count
         """
         with self._lock:
-            return self._scheduler.has_room(pool, besides, self.clock.now_ms())
+            return self._scheduler.has_decode_capacity(
+                pool, besides, self.clock.now_ms()
+            )
 
-    def list_ejected(self) -> list[probes.Ejected]:
+    def list_ejected(self) -> list[probes.EjectedUpstream]:
         """Return the engines that get no requests, and which need a probe."""
         with self._lock:
             return self._scheduler.list_ejected(self.clock.now_ms())
 
-    def note_probe(self, pool: str, upstream: str, has_passed: bool) -> None:
+    def record_probe(self, pool: str, upstream: str, has_passed: bool) -> None:
         """Take in what a probe of this VM found.
 
         :param pool: the pool's name
@@ -274,18 +276,18 @@
         :param has_passed: whether the engine answered
         """
         with self._lock:
-            self._scheduler.note_probe(
+            self._scheduler.record_probe(
                 pool, upstream, has_passed, self.clock.now_ms()
             )
             self._dispatch()
         self.on_change()
 
-    def take_hints(self) -> hints.Note | None:
+    def drain_hints(self) -> hints.Note | None:
         """Return what the routers that share upstreams should hear now."""
         with self._lock:
-            return self._scheduler.take_hints(self.clock.now_ms())
+            return self._scheduler.drain_hints(self.clock.now_ms())
 
-    def note_hints(self, notes: list[hints.Note]) -> None:
+    def apply_hints(self, notes: list[hints.Note]) -> None:
         """Take in what other routers told; what waits may start a bit later.
 
         :param notes: their notes in the order of arrival
@@ -293,17 +295,17 @@
         with self._lock:
             now_ms = self.clock.now_ms()
             for note in notes:
-                self._scheduler.note_hints(note, now_ms)
-            if now_ms - self._dispatched_ms >= HINTED_MS:
+                self._scheduler.apply_hints(note, now_ms)
+            if now_ms - self._dispatched_ms >= GOSSIP_DISPATCH_INTERVAL_MS:
                 self._dispatch()
 
-    def note_deaths(self, deaths: list[hints.Death]) -> None:
+    def record_crashes(self, deaths: list[hints.Death]) -> None:
         """Take in deaths under requests that any VM told of.
 
         :param deaths: the deaths
         """
         with self._lock:
-            self._scheduler.note_deaths(deaths, self.clock.now_ms())
+            self._scheduler.record_crashes(deaths, self.clock.now_ms())
 
     def is_quarantined(self, digest: str) -> bool:
         """Tell whether a request may not run, because upstreams died of it.
@@ -313,14 +315,14 @@
         with self._lock:
             return self._scheduler.is_quarantined(digest, self.clock.now_ms())
 
-    def note_death(self, digest: str, upstream: str) -> None:
+    def record_crash(self, digest: str, upstream: str) -> None:
         """Tell that a plain service's server died under a request.
 
         :param digest: names the request
         :param upstream: ``pool/name`` of the server
         """
         with self._lock:
-            self._scheduler.note_death(digest, upstream, self.clock.now_ms())
+            self._scheduler.record_crash(digest, upstream, self.clock.now_ms())
         self.on_change()
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
@@ -331,7 +333,7 @@
         with self._lock:
             self._scheduler.change_vms(vms, self.clock.now_ms())
 
-    def change_tables(self, changed: tables.Tables) -> None:
+    def update_tables(self, changed: tables.Tables) -> None:
         """Take over new tables.
 
         :param changed: the tables
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -12,7 +12,7 @@
 from mulberryway.tables import root as roots
 from mulberryway.tables import segments
 
-__all__ = ["Offer", "TablesInForce"]
+__all__ = ["OfferResult", "ActiveTables"]
 
 LOG = logging.getLogger(__name__)
 
@@ -21,17 +21,17 @@
 ]
 
 
-class Offer(enum.Enum):
+class OfferResult(enum.Enum):
     """What became of a root that was offered."""
 
-    TAKEN = "taken"
-    KNOWN = "known"
-    OLD = "old"
+    INSTALLED = "taken"
+    UNCHANGED = "known"
+    STALE = "old"
     INCOMPLETE = "incomplete"
-    DIFFERENT = "different"
+    CONFLICTING = "different"
 
 
-class TablesInForce(tables.TableSource):
+class ActiveTables(tables.TableSource):
     """Takes newer roots, refuses older ones, and knows their age.
 
     :param clock_: where the time comes from
@@ -59,7 +59,7 @@
 
     def read_tables(self) -> tables.Tables | None:
         """Return the tables, or none while they must not be used."""
-        if self.judge() is freshness.Freshness.CUT_OFF:
+        if self.judge() is freshness.Freshness.PARTITIONED:
             return None
         return self._tables
 
@@ -105,10 +105,10 @@
         """Decide whether the tables may be used now."""
         confirmation = self._confirmation
         if confirmation is None:
-            return freshness.Freshness.CUT_OFF
+            return freshness.Freshness.PARTITIONED
         # Both times are compared with the clock at each request: a VM that
         # was paused must not go on by what it knew before the pause.
-        return freshness.judge_freshness(
+        return freshness.evaluate_freshness(
             confirmation,
             self._quorum_ms,
             self._clock.now_ms(),
@@ -116,7 +116,7 @@
             self._outage_ms,
         )
 
-    def note_quorum(self, at_ms: int | None) -> None:
+    def set_quorum_time(self, at_ms: int | None) -> None:
         """Tell since when most VMs have said that they know no newer root.
 
         :param at_ms: the time of the oldest question that is needed for a
@@ -131,7 +131,7 @@
         """
         return self._cache.find(digest)
 
-    def offer(self, root: roots.Root, fetch: Fetch) -> Offer:
+    def offer(self, root: roots.Root, fetch: Fetch) -> OfferResult:
         """Take a root over if it is newer than the one in force.
 
         A root comes from watches whose events may be crossed, platform
@@ -147,19 +147,19 @@
             self._newest_seen = max(self._newest_seen, root.revision)
             offer = self._compare(root)
             missing = self._cache.list_missing(root)
-        if offer is not Offer.TAKEN:
+        if offer is not OfferResult.INSTALLED:
             return offer
         # Fetching may take seconds; meanwhile another thread may take a
         # newer root, so everything is compared again.
         fetched = fetch(missing) if missing else {}
         with self._lock:
             offer = self._compare(root)
-            if offer is not Offer.TAKEN:
+            if offer is not OfferResult.INSTALLED:
                 return offer
             if not self._fill(root, fetched):
-                return Offer.INCOMPLETE
+                return OfferResult.INCOMPLETE
             self._install(root)
-        return Offer.TAKEN
+        return OfferResult.INSTALLED
 
     def confirm(self, revision: int, at_ms: int, fleet_size: int) -> bool:
         """Note that the platform held no newer root at a time.
@@ -185,22 +185,22 @@
             self._confirmation = freshness.Confirmation(at_ms, fleet_size)
             return True
 
-    def _compare(self, root: roots.Root) -> Offer:
+    def _compare(self, root: roots.Root) -> OfferResult:
         if root.revision < self._root.revision:
             LOG.warning(
                 "an old root was refused: revision %d, in force %d",
                 root.revision,
                 self._root.revision,
             )
-            return Offer.OLD
+            return OfferResult.STALE
         if root.revision > self._root.revision:
-            return Offer.TAKEN
+            return OfferResult.INSTALLED
         if root.digest() == self._root.digest():
-            return Offer.KNOWN
+            return OfferResult.UNCHANGED
         # The platform lost an accepted root, or somebody wrote to it by
         # hand.  Taking the other one would revert what was accepted.
         LOG.error("two roots of revision %d", root.revision)
-        return Offer.DIFFERENT
+        return OfferResult.CONFLICTING
 
     def _fill(
         self, root: roots.Root, fetched: collections.abc.Mapping[str, bytes]
@@ -219,7 +219,7 @@
         taken = self._cache.join(root)
         self._tables = taken
         self._root = root
-        self._cache.keep_only(root.list_rows())
+        self._cache.retain(root.list_row_segments())
         LOG.info("revision %d is in force on this VM", root.revision)
         for on_change in self._subscribers:
             on_change(taken)
--- a/mulberryway/filters/authenticate.py
+++ b/mulberryway/filters/authentication.py
@@ -7,13 +7,13 @@
 from mulberryway.filters import base
 from mulberryway.filters import credentials
 
-__all__ = ["Authenticate", "check_key"]
+__all__ = ["Authentication", "revalidate_key"]
 
 SCHEME = "bearer "
 RETRY_AFTER_MS = 1_000
 
 
-class Authenticate(base.Filter):
+class Authentication(base.Filter):
     """Checks the key of every request and takes it out of the request.
 
     A connection says nothing about its next request: keys are withdrawn
@@ -21,22 +21,23 @@
 
     :param source: the tables in force
     :param scheme: the word before the key in ``Authorization``
-    :param cleans_whole: whether the key is sought in all of the request; if
-        not, the body goes on unchanged and only headers are looked at
+    :param scrubs_whole_request: whether the key is sought in all of the
+        request; if not, the body goes on unchanged and only headers are looked
+        at
     """
 
     def __init__(
         self,
         source: tables.TableSource,
         scheme: str = SCHEME,
-        cleans_whole: bool = True,
+        scrubs_whole_request: bool = True,
     ) -> None:
         self._source = source
         self._scheme = scheme
-        self._cleans_whole = cleans_whole
+        self._cleans_whole = scrubs_whole_request
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a request with a known key go on, without the key.
 
@@ -57,23 +58,23 @@
         key = _read_key(exchange, self._scheme)
         digest = tables.digest_key(key)
         account = found.find_account(digest) if key else None
-        if account is None and is_open(found, exchange):
-            account = tables.ANYBODY
+        if account is None and has_public_route(found, exchange):
+            account = tables.ANONYMOUS_ACCOUNT
         if account is None:
             return expression.Error(_refuse())
         exchange.tables = found
         exchange.key_digest = digest
         exchange.account = account
         if not self._cleans_whole:
-            credentials.drop_headers(exchange, key)
+            credentials.strip_key_headers(exchange, key)
             return proceed(exchange)
-        cleaned = credentials.Cleaner(key).clean(exchange)
+        cleaned = credentials.CredentialScrubber(key).scrub(exchange)
         if cleaned.is_error():
             return expression.Error(cleaned.error)
         return proceed(exchange)
 
 
-def check_key(
+def revalidate_key(
     source: tables.TableSource, exchange: base.Exchange, step: errors.Step
 ) -> expression.Result[None, errors.Fault]:
     """Check again that a request's key still belongs to its account.
@@ -87,7 +88,7 @@
     :returns: nothing, or ``UNAUTHENTICATED``
     """
     found = source.read_tables()
-    if found is not None and is_open(found, exchange):
+    if found is not None and has_public_route(found, exchange):
         return expression.Ok(None)
     account = (
         None if found is None else found.find_account(exchange.key_digest)
@@ -97,7 +98,7 @@
     return expression.Ok(None)
 
 
-def is_open(found: tables.Tables, exchange: base.Exchange) -> bool:
+def has_public_route(found: tables.Tables, exchange: base.Exchange) -> bool:
     """Tell whether a request needs no key.
 
     :param found: the tables in force
--- a/mulberryway/filters/model_parts.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -11,23 +11,28 @@
 from mulberryway import traces
 from mulberryway.controllers import cancelling
 from mulberryway.controllers import scheduling
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.relay import pump
 from mulberryway.relay import watch
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory
 
-__all__ = ["Parts", "Source", "make_gone", "sort_end"]
+__all__ = [
+    "ModelDependencies",
+    "SourceResult",
+    "make_disconnect_fault",
+    "classify_job_end",
+]
 
-Source = expression.Result[upstreams.TokenStream, errors.Fault]
-ENDS = {
-    errors.Code.UPSTREAM_TIMEOUT: messages.JobEnd.TIMED_OUT,
-    errors.Code.UPSTREAM_REFUSED: messages.JobEnd.REFUSED_BY_ENGINE,
-    errors.Code.UPSTREAM_UNREACHABLE: messages.JobEnd.UNREACHED,
+SourceResult = expression.Result[upstreams.TokenStream, errors.Fault]
+JOB_END_BY_CODE = {
+    errors.Code.UPSTREAM_TIMEOUT: jobs.JobOutcome.TIMED_OUT,
+    errors.Code.UPSTREAM_REFUSED: jobs.JobOutcome.REFUSED_BY_ENGINE,
+    errors.Code.UPSTREAM_UNREACHABLE: jobs.JobOutcome.UNREACHED,
 }
 
 
-def sort_end(fault: errors.Fault) -> messages.JobEnd:
+def classify_job_end(fault: errors.Fault) -> jobs.JobOutcome:
     """Return how an attempt ended that an upstream did not answer whole.
 
     :param fault: what befell it
@@ -35,18 +40,18 @@
         from one that answered with an error
     """
     if fault.has_died:
-        return messages.JobEnd.DIED
-    return ENDS.get(fault.code, messages.JobEnd.FAILED)
+        return jobs.JobOutcome.DIED
+    return JOB_END_BY_CODE.get(fault.code, jobs.JobOutcome.FAILED)
 
 
-class Parts:
+class ModelDependencies:
     """What all model requests share.
 
     :param vm: the VM's name
     :param incarnation: which life of the VM's router this is
     :param gap_ms: the longest wait for a further token
-    :param may_repeat: takes a repeat out of a pool's budget for them
-    :param choice_ms: for how long a chosen upstream may be used without a
+    :param try_withdraw_retry: takes a repeat out of a pool's budget for them
+    :param choice_ttl_ms: for how long a chosen upstream may be used without a
         look at the tables; shorter than upstreams that leave serve on
     :param cuts_withdrawn: whether a withdrawn key ends running streams
     """
@@ -64,8 +69,8 @@
         "callers",
         "tracer",
         "metrics",
-        "may_repeat",
-        "choice_ms",
+        "try_withdraw_retry",
+        "choice_ttl_ms",
         "cuts_withdrawn",
     )
 
@@ -76,15 +81,15 @@
         gap_ms: int,
         clock_: clock.Clock,
         source: tables.TableSource,
-        scheduling_: scheduling.Scheduling,
-        cancelling_: cancelling.Cancelling,
+        scheduling_: scheduling.SchedulingController,
+        cancelling_: cancelling.CancelController,
         directory_: directory.UpstreamDirectory,
         relay: pump.Relay,
-        callers: watch.CallerWatch,
+        callers: watch.DisconnectMonitor,
         tracer: traces.Tracer,
         metrics_: metrics.Metrics,
-        may_repeat: collections.abc.Callable[[str], bool],
-        choice_ms: int,
+        try_withdraw_retry: collections.abc.Callable[[str], bool],
+        choice_ttl_ms: int,
         cuts_withdrawn: bool,
     ) -> None:
         self.vm = vm
@@ -99,12 +104,12 @@
         self.callers = callers
         self.tracer = tracer
         self.metrics = metrics_
-        self.may_repeat = may_repeat
-        self.choice_ms = choice_ms
+        self.try_withdraw_retry = try_withdraw_retry
+        self.choice_ttl_ms = choice_ttl_ms
         self.cuts_withdrawn = cuts_withdrawn
 
 
-def make_gone() -> errors.Fault:
+def make_disconnect_fault() -> errors.Fault:
     """Return the fault of a request whose caller has gone."""
     return errors.Fault(
         errors.Code.CANCELLED,
--- a/mulberryway/filters/model_job.py
+++ b/mulberryway/filters/model_job.py
@@ -10,22 +10,22 @@
 from mulberryway import tables
 from mulberryway.filters import base
 from mulberryway.filters import route
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 
-__all__ = ["JobMaker"]
+__all__ = ["JobBuilder"]
 
 LOG = logging.getLogger(__name__)
 
 # How long callers wait for a stream's next event, and for its first: the
 # longest of a time, of the target for the first, and of that for pauses.
-LEAST_PATIENCE_MS = 2_000
-PATIENCE_TARGETS = 4
-PATIENCE_GAPS = 8
+MIN_CALLER_TIMEOUT_MS = 2_000
+CALLER_TIMEOUT_TARGETS = 4
+CALLER_TIMEOUT_GAPS = 8
 # Of it so much may go by in the queue and the prefill.
-WAIT_PART = 0.55
+QUEUE_TIME_FRACTION = 0.55
 
 
-class JobMaker:
+class JobBuilder:
     """Makes the jobs of one request.
 
     :param exchange: the request
@@ -44,7 +44,7 @@
         avoid: frozenset[str],
         limit: clock.Deadline,
         since_ms: int,
-    ) -> messages.Job:
+    ) -> jobs.Job:
         """Return the job of one try.
 
         :param number: 0 at first
@@ -54,7 +54,7 @@
             arrival of the request, or when a begun stream lost its engine
         """
         exchange = self._exchange
-        return messages.Job(
+        return jobs.Job(
             f"{exchange.request_id}-{number}",
             exchange.account.name,
             exchange.account.weight,
@@ -73,8 +73,8 @@
             since_ms + exchange.route.target_ms
             if exchange.route.target_ms
             else 0,
-            route.is_repeatable(exchange)
-            and number + 1 < exchange.route.most_attempts,
+            route.is_idempotent(exchange)
+            and number + 1 < exchange.route.max_attempts,
         )
 
     def _limit_start(
@@ -90,11 +90,11 @@
         if not row.is_streaming or not row.target_ms:
             return limit
         patience_ms = max(
-            LEAST_PATIENCE_MS,
-            row.target_ms * PATIENCE_TARGETS,
-            row.target_gap_ms * PATIENCE_GAPS,
+            MIN_CALLER_TIMEOUT_MS,
+            row.target_ms * CALLER_TIMEOUT_TARGETS,
+            row.target_gap_ms * CALLER_TIMEOUT_GAPS,
         )
-        start_ms = since_ms + int(patience_ms * WAIT_PART)
+        start_ms = since_ms + int(patience_ms * QUEUE_TIME_FRACTION)
         return clock.Deadline(min(limit.at_ms, start_ms))
 
     def _choose_avoided(self, avoid: frozenset[str]) -> frozenset[str]:
@@ -120,8 +120,8 @@
 
     def log_decision(
         self,
-        job: messages.Job,
-        decision: expression.Result[messages.Assignment, errors.Fault],
+        job: jobs.Job,
+        decision: expression.Result[jobs.Assignment, errors.Fault],
         waited_ms: int,
     ) -> None:
         """Tell what was decided for a job, and what decided.
@@ -143,13 +143,13 @@
         if decision.is_error():
             LOG.info(
                 "no engine was chosen",
-                extra=logs.describe(decision.error, **fields),
+                extra=logs.make_extra(decision.error, **fields),
             )
             return
         chosen = decision.ok
         LOG.info(
             "engines were chosen",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 prefill=chosen.prefill,
                 decode=chosen.decode,
                 **fields,
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -11,33 +11,33 @@
 from mulberryway import traces
 from mulberryway.controllers import scheduling
 from mulberryway.filters import attempt as attempts
-from mulberryway.filters import authenticate
+from mulberryway.filters import authentication
 from mulberryway.filters import base
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import model_engines
 from mulberryway.filters import model_job
-from mulberryway.filters import model_parts
-from mulberryway.filters import model_search
+from mulberryway.filters import retry_state
 from mulberryway.filters import route
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.relay import stream as streams
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import connections
 
-__all__ = ["ModelRun"]
+__all__ = ["ModelRequest"]
 
 LOG = logging.getLogger(__name__)
 
 # How long a stream that has lost its engine may seek another.
-RESUME_MS = 5_000
+RESUME_TIMEOUT_MS = 5_000
 # When a caller should come again whose request no engine took: by then a
 # stream or two has ended on each engine.
 RETRY_AFTER_MS = 1_000
 # An engine that makes no token for so many times the pause that is on time
 # has probably fallen silent; callers leave after eight of them or two
 # seconds, so there is time for another engine.
-GAPS_TO_LEAVE = 4
-LEAST_GAP_MS = 1_000
-MOVABLE = frozenset(
+STALL_TIMEOUT_GAPS = 4
+MIN_STALL_TIMEOUT_MS = 1_000
+RETRIABLE_CODES = frozenset(
     (
         errors.Code.UPSTREAM_UNREACHABLE,
         errors.Code.UPSTREAM_TIMEOUT,
@@ -46,7 +46,7 @@
     )
 )
 
-Source = model_parts.Source
+SourceResult = model_dependencies.SourceResult
 
 
 class _Replacement:
@@ -67,7 +67,7 @@
         self.fault = fault
 
 
-class ModelRun(streams.StreamOwner):
+class ModelRequest(streams.StreamOwner):
     """One model request from its admission to its end.
 
     :param exchange: the request
@@ -75,11 +75,13 @@
     """
 
     def __init__(
-        self, exchange: base.Exchange, parts: model_parts.Parts
+        self,
+        exchange: base.Exchange,
+        parts: model_dependencies.ModelDependencies,
     ) -> None:
         self._exchange = exchange
         self._parts = parts
-        self._tries = model_search.Tries(exchange.arrived_ms)
+        self._tries = retry_state.RetryState(exchange.arrived_ms)
         self._avoid: frozenset[str] = frozenset()
         self._ticket: scheduling.Ticket | None = None
         self._attempt: attempts.Attempt | None = None
@@ -88,11 +90,11 @@
         self._replacement: _Replacement | None = None
         self._is_closed = False
         self._decode_span = traces.NO_SPAN
-        self._jobs = model_job.JobMaker(exchange, parts.clock)
-        self._engines = model_engines.EngineSteps(exchange, parts)
+        self._jobs = model_job.JobBuilder(exchange, parts.clock)
+        self._engines = model_engines.EngineCalls(exchange, parts)
         self._lock = threading.Lock()
 
-    def begin(self) -> Source:
+    def begin(self) -> SourceResult:
         """Find engines for the request and begin its decode.
 
         The caller is watched meanwhile.
@@ -100,53 +102,55 @@
         :returns: the stream, or a fault
         """
         watch_ = self._parts.callers.begin(
-            self._exchange.connection, self.drop_source
+            self._exchange.connection, self.cancel_source
         )
         try:
             return self._find_source(0, self._exchange.deadline)
         finally:
             self._parts.callers.end(watch_)
 
-    def note_first_token(self) -> None:
+    def on_first_token(self) -> None:
         """Tell the scheduler and the metrics."""
         parts = self._parts
         if self._attempt is not None:
-            parts.scheduling.note_first_token(self._attempt.job_id)
+            parts.scheduling.record_first_token(self._attempt.job_id)
         took_ms = parts.clock.now_ms() - self._exchange.arrived_ms
         parts.metrics.first_token.record(took_ms)
         self._exchange.first_ms = took_ms
 
-    def note_tokens(self, tokens: int) -> None:
+    def on_tokens(self, tokens: int) -> None:
         """Tell the scheduler how far the answer is.
 
         :param tokens: how many tokens have come so far
         """
         if self._attempt is not None:
-            self._parts.scheduling.note_tokens(self._attempt.job_id, tokens)
+            self._parts.scheduling.record_tokens(self._attempt.job_id, tokens)
 
-    def note_longest_gap(self, gap_ms: int) -> None:
+    def on_longest_gap(self, gap_ms: int) -> None:
         """Keep it for the request's log line.
 
         :param gap_ms: the longest time between two pieces
         """
         self._exchange.gap_ms = gap_ms
 
-    def note_source_end(self, tokens: int) -> None:
+    def on_source_end(self, tokens: int) -> None:
         """Give the decode slot back.
 
         :param tokens: how many tokens have come in all
         """
-        self.note_tokens(tokens)
-        self._end_attempt(messages.JobEnd.DONE)
+        self.on_tokens(tokens)
+        self._end_attempt(jobs.JobOutcome.DONE)
 
-    def drop_source(self) -> None:
+    def cancel_source(self) -> None:
         """Let everything go, because the caller has gone or was cut off."""
         self._exchange.has_gone.set()
         with self._lock:
             ticket = self._ticket
             held = [one for one in (self._attempt, self._next) if one]
         if ticket is not None:
-            self._parts.scheduling.give_up(ticket, model_parts.make_gone())
+            self._parts.scheduling.give_up(
+                ticket, model_dependencies.make_disconnect_fault()
+            )
         for attempt in held:
             attempt.free()
 
@@ -160,10 +164,12 @@
         self._begin_search(stream.expected)
         if fault.has_died and self._attempt is not None:
             address = self._attempt.decode.address
-            fault.has_died = not connections.listens(address)
+            fault.has_died = not connections.is_accepting_connections(address)
         self._note_failure(fault)
-        self._end_attempt(model_parts.sort_end(fault), self._name_decode())
-        result: Source = expression.Error(fault)
+        self._end_attempt(
+            model_dependencies.classify_job_end(fault), self._name_decode()
+        )
+        result: SourceResult = expression.Error(fault)
         if self._may_move(fault):
             result = self._find_next_source(stream.expected)
         if result.is_ok():
@@ -185,7 +191,7 @@
         self._begin_search(offset)
         if not self._may_move(fault):
             self._log_stay(fault)
-            self._parts.relay.stay(stream, fault)
+            self._parts.relay.keep_source(stream, fault)
             return
         self._avoid = self._avoid | {self._name_decode()}
         self._replacement = _Replacement(stream, offset, fault)
@@ -195,16 +201,16 @@
             self._parts.relay.resume(stream, result.ok)
             return
         self._log_stay(result.error)
-        self._parts.relay.stay(stream, self._word_last(result.error))
+        self._parts.relay.keep_source(stream, self._word_last(result.error))
 
-    def may_leave(self) -> bool:
+    def may_replace_source(self) -> bool:
         """Tell whether another engine can probably take the stream."""
         exchange = self._exchange
         return (
-            route.is_repeatable(exchange)
-            and self._count_attempts() < exchange.route.most_attempts
+            route.is_idempotent(exchange)
+            and self._count_attempts() < exchange.route.max_attempts
             and not exchange.has_gone.is_set()
-            and self._parts.scheduling.has_room(
+            and self._parts.scheduling.has_decode_capacity(
                 exchange.pool.name, self._name_decode()
             )
         )
@@ -216,23 +222,23 @@
         :param fault: why the answer is not whole; none if it is
         """
         self._is_closed = True
-        how = messages.JobEnd.DONE
+        how = jobs.JobOutcome.DONE
         if fault is not None:
-            how = messages.JobEnd.CANCELLED
+            how = jobs.JobOutcome.CANCELLED
         self._end_search()
         self._end_attempt(how)
         exchange = self._exchange
         exchange.finish(
-            base.Outcome(fault, exchange.prompt_used + tokens, tokens)
+            base.Outcome(fault, exchange.prefilled_tokens + tokens, tokens)
         )
 
-    def limit_first_ms(self) -> int:
+    def compute_first_token_timeout_ms(self) -> int:
         """Return how long the first token may take from now on."""
-        return model_engines.share_ms(
+        return model_engines.compute_attempt_timeout_ms(
             self._exchange.deadline, self._parts.clock.now_ms()
         )
 
-    def read_gap_limit_ms(self) -> int:
+    def compute_token_timeout_ms(self) -> int:
         """Return how long a further token may take.
 
         Where another engine can go on, a silent one is left soon enough for
@@ -241,9 +247,9 @@
         """
         exchange = self._exchange
         target_ms = exchange.route.target_gap_ms
-        if not target_ms or not route.is_repeatable(exchange):
+        if not target_ms or not route.is_idempotent(exchange):
             return self._parts.gap_ms
-        return max(target_ms * GAPS_TO_LEAVE, LEAST_GAP_MS)
+        return max(target_ms * STALL_TIMEOUT_GAPS, MIN_STALL_TIMEOUT_MS)
 
     def _leave_silent(self) -> bool:
         """Leave a silent engine right before its stream begins elsewhere.
@@ -259,7 +265,7 @@
         if chosen is None or before is None:
             return False
         is_same = chosen.decode_name == before.decode_name
-        if is_same or not self._parts.relay.leave_source(
+        if is_same or not self._parts.relay.try_close_source(
             replacement.stream, replacement.offset
         ):
             return False
@@ -267,13 +273,16 @@
         with self._lock:
             self._attempt, self._next = chosen, None
         self._note_failure(replacement.fault)
-        before.end(model_parts.sort_end(replacement.fault), before.decode_name)
+        before.end(
+            model_dependencies.classify_job_end(replacement.fault),
+            before.decode_name,
+        )
         return True
 
     def _log_stay(self, fault: errors.Fault) -> None:
         LOG.info(
             "a silent engine is waited for",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 decode=self._name_decode(),
@@ -290,16 +299,16 @@
         if offset:
             self._tries.begin_search(self._parts.clock.now_ms())
 
-    def _find_next_source(self, offset: int) -> Source:
+    def _find_next_source(self, offset: int) -> SourceResult:
         """Find engines for the rest of a stream.
 
         :param offset: how much of it the caller has
         """
-        resume_ms = self._parts.clock.now_ms() + RESUME_MS
+        resume_ms = self._parts.clock.now_ms() + RESUME_TIMEOUT_MS
         limit = clock.Deadline(max(self._exchange.deadline.at_ms, resume_ms))
         return self._find_source(offset, limit)
 
-    def _find_source(self, offset: int, limit: clock.Deadline) -> Source:
+    def _find_source(self, offset: int, limit: clock.Deadline) -> SourceResult:
         while True:
             result = self._try_once(offset, limit)
             if self._exchange.has_gone.is_set():
@@ -312,7 +321,7 @@
             ):
                 return expression.Error(self._word_last(result.error))
 
-    def _try_once(self, offset: int, limit: clock.Deadline) -> Source:
+    def _try_once(self, offset: int, limit: clock.Deadline) -> SourceResult:
         return self._queue(limit).bind(
             lambda attempt: self._run_attempt(attempt, offset, limit)
         )
@@ -326,7 +335,7 @@
         job = self._jobs.make(
             tries.number, self._avoid, limit, tries.search.since_ms
         )
-        tries.note_try()
+        tries.record_attempt()
         with self._exchange.span.begin(parts.tracer, errors.Step.QUEUE):
             submitted = parts.scheduling.submit(job)
             if submitted.is_error():
@@ -334,7 +343,9 @@
             with self._lock:
                 self._ticket = submitted.ok
             if self._exchange.has_gone.is_set():
-                parts.scheduling.give_up(submitted.ok, model_parts.make_gone())
+                parts.scheduling.give_up(
+                    submitted.ok, model_dependencies.make_disconnect_fault()
+                )
             decision = parts.scheduling.wait(submitted.ok)
         waited_ms = parts.clock.now_ms() - began_ms
         parts.metrics.queue_wait.record(waited_ms)
@@ -343,7 +354,7 @@
         return decision.bind(lambda found: self._take(job, found))
 
     def _take(
-        self, job: messages.Job, assignment: messages.Assignment
+        self, job: jobs.Job, assignment: jobs.Assignment
     ) -> expression.Result[attempts.Attempt, errors.Fault]:
         """Turn a decision into an attempt, if the key still holds."""
         parts = self._parts
@@ -353,7 +364,7 @@
             for name in (assignment.prefill, assignment.decode)
         ]
         if held.is_error() or None in engines:
-            parts.scheduling.finish(job.job_id, messages.JobEnd.CANCELLED)
+            parts.scheduling.finish(job.job_id, jobs.JobOutcome.CANCELLED)
             if held.is_error():
                 return expression.Error(held.error)
             return expression.Error(
@@ -365,7 +376,7 @@
                 )
             )
         attempt = attempts.Attempt(
-            upstreams.RunLabel(job.job_id, parts.vm, parts.incarnation),
+            upstreams.AttemptLabel(job.job_id, parts.vm, parts.incarnation),
             job.job_id,
             engines[0],
             engines[1],
@@ -379,7 +390,7 @@
                 self._attempt = attempt
             else:
                 # A stream that has left its engine cannot go back to it.
-                attempt.require_room(self._exchange.estimate)
+                attempt.require_reservation(self._exchange.estimate)
                 self._next = attempt
         return expression.Ok(attempt)
 
@@ -388,23 +399,28 @@
         charge = self._exchange.charge
         held: expression.Result[None, errors.Fault] = expression.Ok(None)
         is_owed = (
-            self._tries.search.has_begun and not self._parts.cuts_withdrawn
+            self._tries.search.has_partial_answer
+            and not self._parts.cuts_withdrawn
         )
         if not is_owed:
-            held = authenticate.check_key(
+            held = authentication.revalidate_key(
                 self._parts.source, self._exchange, errors.Step.QUEUE
             )
         # What has begun was granted its tokens, and has used some of them.
-        if held.is_error() or charge is None or self._tries.search.has_begun:
+        if (
+            held.is_error()
+            or charge is None
+            or self._tries.search.has_partial_answer
+        ):
             return held
         return charge.confirm()
 
     def _run_attempt(
         self, attempt: attempts.Attempt, offset: int, limit: clock.Deadline
-    ) -> Source:
+    ) -> SourceResult:
         if self._exchange.has_gone.is_set():
-            attempt.end(messages.JobEnd.CANCELLED)
-            return expression.Error(model_parts.make_gone())
+            attempt.end(jobs.JobOutcome.CANCELLED)
+            return expression.Error(model_dependencies.make_disconnect_fault())
         result = self._engines.run(attempt, offset, limit, self._leave_silent)
         if result.is_error():
             fault = result.error
@@ -416,9 +432,9 @@
             is_cancelled = (
                 not self._is_wanted() or fault.code is errors.Code.CANCELLED
             )
-            end = messages.JobEnd.CANCELLED
+            end = jobs.JobOutcome.CANCELLED
             if not is_cancelled:
-                end = model_parts.sort_end(fault)
+                end = model_dependencies.classify_job_end(fault)
                 self._avoid = self._avoid | {blame}
             attempt.end(end, blame)
         return result
@@ -428,14 +444,14 @@
 
         :param fault: what befell the last one
         """
-        if fault.code not in MOVABLE:
+        if fault.code not in RETRIABLE_CODES:
             return False
         obstacle = self._find_obstacle(fault)
         if not obstacle:
             return True
         LOG.info(
             "no other engine is tried",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
                 obstacle=obstacle,
@@ -455,16 +471,19 @@
         # Nothing of the request was sent, so nothing is repeated.
         is_unsent = fault.step is errors.Step.RESERVE
         if not (
-            fault.run is errors.Run.NOT_RUN or route.is_repeatable(exchange)
+            fault.run is errors.ExecutionStatus.NOT_RUN
+            or route.is_idempotent(exchange)
         ):
             return "the request may run once only"
-        if self._count_attempts() >= exchange.route.most_attempts:
+        if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
         if self._tries.search.is_over():
             return "too many tries have failed"
         if not self._is_wanted():
             return "the caller has gone"
-        if not is_unsent and not self._parts.may_repeat(exchange.pool.name):
+        if not is_unsent and not self._parts.try_withdraw_retry(
+            exchange.pool.name
+        ):
             return "the budget for repeats is spent"
         return ""
 
@@ -472,12 +491,12 @@
         return not (self._is_closed or self._exchange.has_gone.is_set())
 
     def _count_attempts(self) -> int:
-        return self._tries.count_attempts(len(self._engines.sent_to))
+        return self._tries.count_sent_attempts(len(self._engines.sent_to))
 
     def _note_failure(self, fault: errors.Fault) -> None:
-        if fault.run is not errors.Run.NOT_RUN:
+        if fault.run is not errors.ExecutionStatus.NOT_RUN:
             self._engines.has_run = True
-        self._tries.note_failure(fault)
+        self._tries.record_failure(fault)
         self._parts.metrics.attempts.add(
             1,
             {
@@ -488,7 +507,7 @@
         )
         LOG.info(
             "an attempt failed",
-            extra=logs.describe(fault, request_id=self._exchange.request_id),
+            extra=logs.make_extra(fault, request_id=self._exchange.request_id),
         )
 
     def _word_last(self, fault: errors.Fault) -> errors.Fault:
@@ -497,19 +516,27 @@
         The last attempt may have been refused before it ran, but an earlier
         one may have run.
         """
-        if self._engines.has_run and fault.run is errors.Run.NOT_RUN:
-            fault.run = errors.Run.MAY_HAVE_RUN
-        if fault.run is errors.Run.NOT_RUN and fault.retry_after_ms is None:
+        if (
+            self._engines.has_run
+            and fault.run is errors.ExecutionStatus.NOT_RUN
+        ):
+            fault.run = errors.ExecutionStatus.MAY_HAVE_RUN
+        if (
+            fault.run is errors.ExecutionStatus.NOT_RUN
+            and fault.retry_after_ms is None
+        ):
             fault.retry_after_ms = RETRY_AFTER_MS
         return fault
 
-    def _drop_result(self, result: Source) -> Source:
+    def _drop_result(self, result: SourceResult) -> SourceResult:
         if result.is_ok():
             result.ok.connection.close()
-        self._end_attempt(messages.JobEnd.CANCELLED)
-        return expression.Error(self._word_last(model_parts.make_gone()))
+        self._end_attempt(jobs.JobOutcome.CANCELLED)
+        return expression.Error(
+            self._word_last(model_dependencies.make_disconnect_fault())
+        )
 
-    def _end_attempt(self, how: messages.JobEnd, blame: str = "") -> None:
+    def _end_attempt(self, how: jobs.JobOutcome, blame: str = "") -> None:
         with self._lock:
             attempt = self._attempt
         if blame:
@@ -523,11 +550,11 @@
             ticket, attempt = self._ticket, self._next
         if self._replacement is None:
             return
-        gone = model_parts.make_gone()
+        gone = model_dependencies.make_disconnect_fault()
         if ticket is not None:
             self._parts.scheduling.give_up(ticket, gone)
         if attempt is not None:
-            attempt.end(messages.JobEnd.CANCELLED)
+            attempt.end(jobs.JobOutcome.CANCELLED)
 
     def _name_decode(self) -> str:
         return "" if self._attempt is None else self._attempt.decode_name
--- a/mulberryway/filters/observe.py
+++ b/mulberryway/filters/observe.py
@@ -9,12 +9,12 @@
 from mulberryway import traces
 from mulberryway.filters import base
 
-__all__ = ["Observe"]
+__all__ = ["RequestTelemetry"]
 
 LOG = logging.getLogger(__name__)
 
 
-class Observe(base.Filter):
+class RequestTelemetry(base.Filter):
     """Begins a request's span and tells how the request ended.
 
     :param tracer: makes spans
@@ -33,7 +33,7 @@
         self._clock = clock_
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Begin the span; it ends with the request.
 
@@ -45,7 +45,9 @@
             errors.Step.CALLER, exchange.find_header("traceparent")
         )
         exchange.span.note("request_id", exchange.request_id)
-        exchange.add_finisher(lambda outcome: self._end(exchange, outcome))
+        exchange.add_completion_callback(
+            lambda outcome: self._end(exchange, outcome)
+        )
         return proceed(exchange)
 
     def _end(self, exchange: base.Exchange, outcome: base.Outcome) -> None:
@@ -72,7 +74,7 @@
         found = getattr(exchange, "tables", None)
         LOG.info(
             "a request ended",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 fault,
                 request_id=exchange.request_id,
                 account=labels["account"],
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -7,10 +7,10 @@
 from mulberryway.filters import base
 from mulberryway.policy import retries
 
-__all__ = ["Budget", "CountRequests"]
+__all__ = ["SharedRetryBudget", "RetryBudgetDeposit"]
 
 
-class Budget:
+class SharedRetryBudget:
     """Holds the lock around a budget, which has none of its own.
 
     :param budget: what may be spent
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        budget: retries.FleetBudget,
+        budget: retries.FleetRetryBudget,
         clock_: clock.Clock,
         count_vms: collections.abc.Callable[[], int],
     ) -> None:
@@ -30,15 +30,15 @@
         self._count_vms = count_vms
         self._lock = threading.Lock()
 
-    def earn(self, pool: str) -> None:
+    def deposit(self, pool: str) -> None:
         """Count a request.
 
         :param pool: the pool that it is for
         """
         with self._lock:
-            self._budget.earn(pool, self._clock.now_ms())
+            self._budget.deposit(pool, self._clock.now_ms())
 
-    def spend(self, pool: str) -> bool:
+    def try_withdraw(self, pool: str) -> bool:
         """Take one repeat out.
 
         :param pool: the pool that it is for
@@ -46,20 +46,20 @@
         """
         with self._lock:
             self._budget.change_vms(self._count_vms())
-            return self._budget.spend(pool, self._clock.now_ms())
+            return self._budget.try_withdraw(pool, self._clock.now_ms())
 
 
-class CountRequests(base.Filter):
+class RetryBudgetDeposit(base.Filter):
     """Counts each request for the pool that it goes to.
 
     :param budget: where it is counted
     """
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: SharedRetryBudget) -> None:
         self._budget = budget
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Count a request and let it go on.
 
@@ -67,5 +67,5 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers
         """
-        self._budget.earn(exchange.pool.name)
+        self._budget.deposit(exchange.pool.name)
         return proceed(exchange)
--- a/mulberryway/filters/route.py
+++ b/mulberryway/filters/route.py
@@ -8,28 +8,30 @@
 from mulberryway import tables
 from mulberryway.filters import base
 
-__all__ = ["FindRoute", "is_repeatable"]
+__all__ = ["RouteMatcher", "is_idempotent"]
 
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-ONCE_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 
 
-class FindRoute(base.Filter):
+class RouteMatcher(base.Filter):
     """Joins a request with the tables by its path and its account.
 
-    :param needs_id: whether calls that may run only once must bring an id
-        by which a repeat at another VM is recognised
+    :param requires_idempotency_key: whether calls that may run only once must
+        bring an id by which a repeat at another VM is recognised
     :param random_: chooses among the pools of a divided route
     """
 
     def __init__(
-        self, needs_id: bool = True, random_: random.Random | None = None
+        self,
+        requires_idempotency_key: bool = True,
+        random_: random.Random | None = None,
     ) -> None:
-        self._needs_id = needs_id
+        self._needs_id = requires_idempotency_key
         self._random = random_ or random.Random()
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Let a request go on that some route serves.
 
@@ -50,8 +52,8 @@
         exchange.deadline.at_ms = exchange.arrived_ms + route.timeout_ms
         if (
             self._needs_id
-            and not is_repeatable(exchange)
-            and not exchange.find_header(ONCE_HEADER)
+            and not is_idempotent(exchange)
+            and not exchange.find_header(IDEMPOTENCY_KEY_HEADER)
         ):
             return _refuse(
                 errors.Code.REQUEST_ID_REQUIRED,
@@ -68,7 +70,7 @@
         )[0]
 
 
-def is_repeatable(exchange: base.Exchange) -> bool:
+def is_idempotent(exchange: base.Exchange) -> bool:
     """Tell whether a request may run more than once.
 
     :param exchange: the request, its route known
@@ -76,7 +78,7 @@
     """
     row = exchange.route
     return row.idempotent or (
-        row.trusts_methods and exchange.method in SAFE_METHODS
+        row.retries_safe_methods and exchange.method in SAFE_METHODS
     )
 
 
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -9,15 +9,15 @@
 from mulberryway import metrics
 from mulberryway import replies
 from mulberryway.filters import base
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 
 __all__ = [
-    "Entry",
-    "Health",
+    "DiscoveryEndpoint",
+    "HealthEndpoint",
     "Lifecycle",
-    "RefuseLongWork",
-    "RefuseWhenStopping",
-    "ShowMetrics",
+    "LateStreamRejection",
+    "ShutdownRejection",
+    "MetricsEndpoint",
 ]
 
 JSON_HEADERS = [("Content-Type", replies.JSON_TYPE)]
@@ -36,21 +36,21 @@
 
     @property
     @abc.abstractmethod
-    def is_refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         """Whether new requests are refused."""
 
     @property
     @abc.abstractmethod
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether callers should use another VM for their next request."""
 
     @property
     @abc.abstractmethod
-    def is_ending(self) -> bool:
+    def is_near_shutdown(self) -> bool:
         """Whether work that takes seconds could not end in time any more."""
 
 
-class Health(base.Filter):
+class HealthEndpoint(base.Filter):
     """Answers ``/healthz`` and ``/readyz``; needs no key.
 
     :param lifecycle: tells whether new callers should come
@@ -60,7 +60,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer checks, and let all else go on.
 
@@ -76,7 +76,7 @@
         return proceed(exchange)
 
 
-class ShowMetrics(base.Filter):
+class MetricsEndpoint(base.Filter):
     """Answers ``/metrics`` with counters and histograms as text.
 
     :param metrics_: the process's instruments
@@ -86,7 +86,7 @@
         self._metrics = metrics_
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer collectors, and let all else go on.
 
@@ -102,7 +102,7 @@
         )
 
 
-class RefuseWhenStopping(base.Filter):
+class ShutdownRejection(base.Filter):
     """Refuses new requests truthfully once callers have had time to go.
 
     :param lifecycle: tells how far a stop has come
@@ -112,7 +112,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Refuse or go on.
 
@@ -120,7 +120,7 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers, or ``STOPPING``
         """
-        if not self._lifecycle.is_refusing:
+        if not self._lifecycle.is_rejecting:
             return proceed(exchange)
         # The caller's next request has to go to another VM, and with an
         # open connection it would come here.
@@ -135,7 +135,7 @@
         )
 
 
-class RefuseLongWork(base.Filter):
+class LateStreamRejection(base.Filter):
     """Keeps a stopping VM's last seconds for work that ends within them.
 
     A stream that begins late in a stop would be cut, while another VM could
@@ -149,7 +149,7 @@
         self._lifecycle = lifecycle
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Refuse streams near the end of a stop, and let all else go on.
 
@@ -157,9 +157,11 @@
         :param proceed: the rest of the chain
         :returns: what the chain answers, or ``STOPPING``
         """
-        if self._lifecycle.is_leaving:
+        if self._lifecycle.is_draining:
             exchange.head.keep = False
-        if not (self._lifecycle.is_ending and exchange.route.is_streaming):
+        if not (
+            self._lifecycle.is_near_shutdown and exchange.route.is_streaming
+        ):
             return proceed(exchange)
         return expression.Error(
             errors.Fault(
@@ -171,7 +173,7 @@
         )
 
 
-class Entry(base.Filter):
+class DiscoveryEndpoint(base.Filter):
     """Answers ``GET /v1/entry`` with the addresses to use; needs no key.
 
     :param directory: knows the VMs that take new callers
@@ -180,14 +182,14 @@
     """
 
     def __init__(
-        self, directory: entry.EntryDirectory, zone: str, ttl_ms: int
+        self, directory: endpoints.EndpointDirectory, zone: str, ttl_ms: int
     ) -> None:
         self._directory = directory
         self._zone = zone
         self._ttl_ms = ttl_ms
 
     def handle(
-        self, exchange: base.Exchange, proceed: base.Proceed
+        self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
         """Answer a question for addresses, and let all else go on.
 
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -26,13 +26,13 @@
 from mulberryway.controllers import mirror_exchange
 from mulberryway.controllers import mirrored_tables
 from mulberryway.controllers import mirrors
-from mulberryway.controllers import notes
 from mulberryway.controllers import orders
 from mulberryway.controllers import probing
 from mulberryway.controllers import registration
 from mulberryway.controllers import reloading
+from mulberryway.controllers import scheduler_gossip
 from mulberryway.filters import repeats
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.peers import datagrams
 from mulberryway.peers import server as peer_server
 from mulberryway.peers.gen.membership import Membership
@@ -41,16 +41,16 @@
 from mulberryway.platform import interface
 from mulberryway.platform import store
 from mulberryway.platform import tables as platform_tables
-from mulberryway.policy import entry
-from mulberryway.policy import issuer
-from mulberryway.policy import lapses
+from mulberryway.policy import endpoints
+from mulberryway.policy import fairness
+from mulberryway.policy import leader_lease
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import member
-from mulberryway.policy import outages
 from mulberryway.policy import retries
+from mulberryway.policy import role_planner
 from mulberryway.policy import scheduler
-from mulberryway.policy import shaping
+from mulberryway.policy import store_reachability
 from mulberryway.policy import usage
-from mulberryway.policy import weighing
 from mulberryway.upstreams import base as upstreams
 from mulberryway.upstreams import directory as directory_
 
@@ -64,9 +64,9 @@
 # of a pool has a target; at eight of these a caller leaves.
 TOKEN_GAP_MS = 300
 US_IN_MS = 1_000
-STYLE = replies.Style(
-    has_fractions=True,
-    repeats_by_status=True,
+FAULT_FORMAT = replies.FaultFormat(
+    has_fractional_retry_after=True,
+    is_retried_by_status=True,
     statuses={
         # Callers take other refusals of this sort for the end of the matter,
         # though a request that only ran beside a poisonous one may run later.
@@ -75,20 +75,20 @@
 )
 
 
-class _AllEntries(entry.EntryDirectory):
+class _AllEntries(endpoints.EndpointDirectory):
     """Tells callers of all VMs that take callers."""
 
     def __init__(self, assembly: "HostedAssembly") -> None:
         self._assembly = assembly
 
-    def list_addresses(self, caller_zone: str) -> list[entry.EntryAddress]:
+    def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         """Return the addresses of all VMs that take callers.
 
         :param caller_zone: not looked at: callers choose by chance
         """
-        return entry.list_entries(
+        return endpoints.list_endpoints(
             self._assembly.members.list_members(),
-            self._assembly.allowances.list_silent(),
+            self._assembly.allowances.list_unresponsive(),
         )
 
 
@@ -109,7 +109,7 @@
         self.settings = settings_
         self.clock = clock_ or clock.SystemClock()
         self.incarnation = self.clock.wall_ms()
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         self.store = store.PlatformStore(
             settings_.platform_url,
             settings_.platform_timeout_ms,
@@ -123,14 +123,14 @@
         self.source = mirrored_tables.MirroredTables(
             platform_tables.TablesReader()
         )
-        self.outages = outages.Outages()
-        self.keepers = self._make_keepers()
-        self.exchange = mirror_exchange.MirrorExchange(
-            self.keepers, self.client, self.clock, self._list_peers
+        self.outages = store_reachability.StoreReachability()
+        self.mirror_controllers = self._make_keepers()
+        self.exchange = mirror_exchange.MirrorSyncController(
+            self.mirror_controllers, self.client, self.clock, self._list_peers
         )
         self.directory = directory.PlatformDirectory(self.clock)
-        self.budget = repeats.Budget(
-            retries.FleetBudget(
+        self.budget = repeats.SharedRetryBudget(
+            retries.FleetRetryBudget(
                 settings_.retries_part,
                 settings_.retries_window_ms,
                 settings_.retries_slack,
@@ -138,7 +138,7 @@
             self.clock,
             self.members.count_members,
         )
-        self.book = usage.UsageBook(
+        self.book = usage.ReplicatedRateLimiter(
             settings_.vm_name,
             self.incarnation,
             usage.Margin(
@@ -158,7 +158,7 @@
         self.scheduler = self._make_scheduler()
         self._wire_router()
         self._wire_peers()
-        self.reloading = reloading.Reloading(
+        self.reloading = reloading.SettingsReloadController(
             file, self._change_settings, self.clock
         )
 
@@ -166,7 +166,7 @@
         """Begin to serve peers, then callers; returns at once."""
         LOG.info(
             "the entry VM starts",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 incarnation=self.incarnation,
                 address=self.settings.router_address,
                 peers=self.members.own.peer,
@@ -174,7 +174,7 @@
         )
         self.peer_server.start()
         self.datagrams.start()
-        for keeper in self.keepers.values():
+        for keeper in self.mirror_controllers.values():
             keeper.start()
         self.exchange.start()
         self.members.start()
@@ -194,7 +194,7 @@
         """
         LOG.info(
             "the entry VM stops",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 running=self.router.running,
                 grace_ms=self.settings.router_grace_ms,
             ),
@@ -217,7 +217,7 @@
         self.peer_server.stop()
         LOG.info(
             "the entry VM has stopped",
-            extra=logs.describe(cut=self.router.running),
+            extra=logs.make_extra(cut=self.router.running),
         )
 
     def _make_members(self) -> membership.MembershipController:
@@ -242,22 +242,22 @@
             settings_.peers_period_ms,
         )
 
-    def _make_keepers(self) -> dict[str, mirrors.MirrorKeeper]:
+    def _make_keepers(self) -> dict[str, mirrors.MirrorController]:
         source = self.source
-        source.configuration = mirrors.MirrorKeeper(
-            platform_tables.CONFIGURATION,
+        source.configuration = mirrors.MirrorController(
+            platform_tables.CONFIGURATION_KIND,
             self.store,
             self.clock,
             source.refresh,
             is_watcher=self._must_watch,
         )
-        source.servers = mirrors.MirrorKeeper(
-            platform_tables.SERVERS,
+        source.servers = mirrors.MirrorController(
+            platform_tables.SERVERS_KIND,
             self.store,
             self.clock,
             source.refresh,
-            lapses.LapseDetector(
-                lapses.Limits(
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(
                     self.settings.upstreams_heartbeat_ms,
                     self.settings.upstreams_drain_ms,
                 ),
@@ -275,10 +275,10 @@
         return scheduler.FairScheduler(
             settings_.vm_name,
             self.incarnation,
-            weighing.find_weighing(settings_.policy_weighing),
+            fairness.find_fairness_mode(settings_.policy_weighing),
             seed=random.SystemRandom().getrandbits(32),
             token_gap_ms=TOKEN_GAP_MS,
-            budget=retries.NoBudget,
+            budget=retries.UnlimitedRetryBudget,
             prefill_rate=settings_.policy_prefill_us / US_IN_MS,
         )
 
@@ -291,19 +291,19 @@
             self.scheduler,
             self.allowances,
             _AllEntries(self),
-            self.budget.spend,
-            on_withdraw=lambda: self.members.change_own(is_stopping=True),
+            self.budget.try_withdraw,
+            on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
-            on_ready=lambda: self.members.change_own(is_starting=False),
-            interface_=interface.PlatformInterface(self.budget),
-            style=STYLE,
+            on_ready=lambda: self.members.update_local(is_starting=False),
+            api=interface.PlatformInterface(self.budget),
+            fault_format=FAULT_FORMAT,
             # Here a key that was taken away binds the requests that come
             # after it; a stream that runs is owed to its caller.
-            cuts_withdrawn=False,
+            closes_revoked_streams=False,
         )
         self.counts.report(self.router.metrics)
         kept_objects.report(
-            [keeper.kept for keeper in self.keepers.values()],
+            [keeper.kept for keeper in self.mirror_controllers.values()],
             self.router.metrics,
         )
         self.dissemination = dissemination.DisseminationController(
@@ -311,7 +311,7 @@
         )
         self.dissemination.report(self.router.metrics)
         threads.report(self.router.metrics)
-        self.notes = notes.NotesController(
+        self.notes = scheduler_gossip.SchedulerGossipController(
             self.router.scheduling,
             self.members,
             self.source,
@@ -325,7 +325,7 @@
             self.directory,
             self.clock,
         )
-        self.allowances.send_all = self.dissemination.publish
+        self.allowances.broadcast = self.dissemination.publish
         self.notes.on_usage = self._take_usage
         self.source.subscribe(self._change_tables)
 
@@ -338,12 +338,12 @@
             {
                 MEMBERSHIP: Membership.Processor(self.members.exchange),
                 MIRRORS: Mirrors.Processor(
-                    mirrors.MirrorHandler(self.keepers)
+                    mirrors.MirrorHandler(self.mirror_controllers)
                 ),
             },
             self.clock,
         )
-        self.datagrams = datagrams.Datagrams(
+        self.datagrams = datagrams.DatagramTransport(
             settings_.vm_address,
             settings_.peers_port,
             settings_.peers_secret,
@@ -351,11 +351,11 @@
             self.clock,
         )
         self.dissemination.datagrams = self.datagrams
-        self.registration = registration.Registration(
+        self.registration = registration.RegistrationController(
             self.members.own,
             self.store,
             self.clock,
-            self.allowances.note_fleet,
+            self.allowances.update_members,
         )
         self.orders = orders.OrdersController(
             settings_.vm_name,
@@ -366,7 +366,7 @@
             dict,
             self._may_issue_orders,
             self.clock,
-            shaping.ShapePlanner(),
+            role_planner.RolePlanner(),
         )
 
     def _list_peers(self) -> list[str]:
@@ -374,13 +374,13 @@
         alive = [
             one.peer
             for one in self.members.list_members()
-            if one.health is not member.Health.DEAD
+            if one.health is not member.MemberStatus.DEAD
             and one.name != self.settings.vm_name
         ]
         return alive or list(_list_seeds(self.settings))
 
     def _must_watch(self) -> bool:
-        return self.outages.must_ask(
+        return self.outages.must_poll(
             self.settings.vm_name,
             self.members.list_alive(),
             self.clock.now_ms(),
@@ -389,24 +389,27 @@
     def _is_store_reached(self) -> bool | None:
         if not self._must_watch():
             return None
-        return all(one.is_reached for one in self.keepers.values())
+        return all(one.is_reached for one in self.mirror_controllers.values())
 
     def _find_engine(
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
-        return directory_.find_by_name(
+        return directory_.find_engine_by_name(
             self.source.read_tables(), self.directory, pool, upstream
         )
 
     def _may_issue_orders(self) -> bool:
-        candidates = issuer.choose_candidates(self.members.list_alive())
+        candidates = leader_lease.choose_candidates(self.members.list_alive())
         return self.settings.vm_name in candidates
 
     def _change_settings(self, changed: settings.Settings) -> None:
-        self.members.change_seeds(_list_seeds(changed))
+        self.members.update_seeds(_list_seeds(changed))
 
     def _read_mirrors(self) -> dict[str, int]:
-        return {kind: keeper.revision for kind, keeper in self.keepers.items()}
+        return {
+            kind: keeper.revision
+            for kind, keeper in self.mirror_controllers.items()
+        }
 
     def _take_usage(self, told: usage.Usage, address: str) -> None:
         self.allowances.take(told)
@@ -426,7 +429,7 @@
             self.exchange.note_peer(address, told.mirrors)
 
     def _change_tables(self, changed: tables.Tables) -> None:
-        self.allowances.change_tables(changed)
+        self.allowances.update_tables(changed)
 
 
 def _list_seeds(settings_: settings.Settings) -> tuple[str, ...]:
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -10,7 +10,7 @@
 from mulberryway import errors
 
 __all__ = [
-    "Changes",
+    "ChangeBatch",
     "EventType",
     "ListedVm",
     "Listing",
@@ -94,7 +94,7 @@
         self.revision = revision
 
 
-class Changes:
+class ChangeBatch:
     """What has changed in a kind since a revision.
 
     :param events: the changes in order
@@ -129,7 +129,7 @@
     @abc.abstractmethod
     def poll(
         self, kind: str, revision: int, wait_ms: int, purpose: str
-    ) -> expression.Result[Changes, errors.Fault]:
+    ) -> expression.Result[ChangeBatch, errors.Fault]:
         """Wait for changes of a kind after a revision.
 
         :param kind: the plural kind
@@ -220,7 +220,7 @@
 
     @abc.abstractmethod
     def watch(
-        self, kind: str, from_version: int, silence_ms: int, purpose: str
+        self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[expression.Result[WatchEvent, errors.Fault]]:
         """Yield changes of a kind until the watch ends or falls silent.
 
@@ -230,7 +230,7 @@
 
         :param kind: the plural kind
         :param from_version: report what came after this version
-        :param silence_ms: the longest wait for a line, in milliseconds
+        :param idle_timeout_ms: the longest wait for a line, in milliseconds
         :param purpose: what the call is counted under
         :returns: events; a fault is the last item
         """
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -12,8 +12,8 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.objects import base
-from mulberryway.objects import counts
-from mulberryway.objects import decoding
+from mulberryway.objects import call_metrics
+from mulberryway.objects import codec
 
 __all__ = ["HttpObjectStore"]
 
@@ -61,7 +61,7 @@
         url: str,
         timeout_ms: int,
         clock_: clock.Clock,
-        counter: counts.CallCounter,
+        counter: call_metrics.CallCounter,
     ) -> None:
         self._url = url.rstrip("/")
         self._peer = urllib.parse.urlsplit(url).netloc
@@ -77,7 +77,7 @@
         reply = self._exchange("GET", _path(kind, name), None, purpose)
         return reply.bind(
             lambda body: self._read(
-                "GET", lambda: decoding.read_object(kind, body)
+                "GET", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -88,7 +88,7 @@
         reply = self._exchange("GET", _path(kind), None, purpose)
         return reply.bind(
             lambda body: self._read(
-                "GET", lambda: decoding.read_list(kind, body)
+                "GET", lambda: codec.decode_list(kind, body)
             )
         )
 
@@ -100,7 +100,7 @@
         reply = self._exchange("POST", _path(kind), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "POST", lambda: decoding.read_object(kind, body)
+                "POST", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -118,7 +118,7 @@
         reply = self._exchange("PUT", _path(kind, name), body, purpose)
         return reply.bind(
             lambda body: self._read(
-                "PUT", lambda: decoding.read_object(kind, body)
+                "PUT", lambda: codec.decode_object(kind, body)
             )
         )
 
@@ -131,7 +131,7 @@
         return reply.map(lambda body: None)
 
     def watch(
-        self, kind: str, from_version: int, silence_ms: int, purpose: str
+        self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[
         expression.Result[base.WatchEvent, errors.Fault]
     ]:
@@ -144,7 +144,7 @@
             }
         )
         opened = self._send(
-            "GET", f"{_path(kind)}?{query}", None, silence_ms, purpose
+            "GET", f"{_path(kind)}?{query}", None, idle_timeout_ms, purpose
         )
         if opened.is_error():
             yield expression.Error(opened.error)
@@ -152,10 +152,10 @@
         self._counter.count_call(purpose, "ok", 0, 0)
         response = opened.ok
         try:
-            for line in self._read_lines(response, silence_ms):
+            for line in self._read_lines(response, idle_timeout_ms):
                 event = line.bind(
                     lambda text: self._read(
-                        "GET", lambda: decoding.read_event(kind, text)
+                        "GET", lambda: codec.decode_event(kind, text)
                     )
                 )
                 yield event
@@ -172,7 +172,7 @@
         """Return the platform's list of VMs; see the base class."""
         reply = self._exchange("GET", NODES, None, purpose)
         return reply.bind(
-            lambda body: self._read("GET", lambda: decoding.read_vms(body))
+            lambda body: self._read("GET", lambda: codec.decode_vms(body))
         )
 
     def _exchange(
@@ -185,7 +185,7 @@
         with TRACER.start_as_current_span("platform") as span:
             span.set_attribute("purpose", purpose)
             deadline = clock.Deadline(self._clock.now_ms() + self._timeout_ms)
-            data = None if body is None else decoding.encode(body)
+            data = None if body is None else codec.encode_body(body)
             opened = self._send(verb, target, data, self._timeout_ms, purpose)
             reply = opened.bind(
                 lambda response: self._read_body(verb, response, deadline)
@@ -339,7 +339,9 @@
             errors.Code.PLATFORM_UNAVAILABLE,
             errors.Step.PLATFORM,
             self._peer,
-            errors.Run.MAY_HAVE_RUN if may_have_run else errors.Run.NOT_RUN,
+            errors.ExecutionStatus.MAY_HAVE_RUN
+            if may_have_run
+            else errors.ExecutionStatus.NOT_RUN,
             message,
         )
 
--- a/mulberryway/objects/roots.py
+++ b/mulberryway/objects/roots.py
@@ -13,14 +13,14 @@
 from mulberryway.tables import root as roots
 from mulberryway.tables import segments
 
-__all__ = ["KIND", "NAME", "HeldRoot", "RootStore"]
+__all__ = ["KIND", "NAME", "VersionedRoot", "RootStore"]
 
 KIND = "roots"
 NAME = "root"
 PURPOSE = "configuration_edit"
 
 
-class HeldRoot:
+class VersionedRoot:
     """A root and the platform's version of it.
 
     :param version: the platform's version; 0 if there is none yet
@@ -52,17 +52,17 @@
         self._cache = segments.SegmentCache()
         self._history: segments.Segment | None = None
 
-    def read_root(self) -> expression.Result[HeldRoot, errors.Fault]:
+    def read_root(self) -> expression.Result[VersionedRoot, errors.Fault]:
         """Return the platform's root, or the empty one before the first."""
         found = self._store.read(KIND, NAME, PURPOSE)
         if found.is_ok():
             return _decode_root(found.ok)
         if found.error.code is errors.Code.NOT_FOUND:
-            return expression.Ok(HeldRoot(0, roots.Root.make_empty()))
+            return expression.Ok(VersionedRoot(0, roots.Root.make_empty()))
         return expression.Error(found.error)
 
     def write_root(
-        self, held: HeldRoot, root: roots.Root
+        self, held: VersionedRoot, root: roots.Root
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         """Put a root in the place of exactly the one that is held.
 
@@ -96,7 +96,7 @@
             return self._fill(root).map(
                 lambda cache: [
                     segments.Segment(digest, cache.find(digest))
-                    for digest in sorted(root.list_rows())
+                    for digest in sorted(root.list_row_segments())
                 ]
             )
 
@@ -108,7 +108,7 @@
             if content.is_error():
                 return expression.Error(content.error)
             self._cache.add(digest, content.ok)
-        self._cache.keep_only(root.list_rows())
+        self._cache.retain(root.list_row_segments())
         return expression.Ok(self._cache)
 
     def read_history(
@@ -118,19 +118,19 @@
 
         :param root: the root whose history is wanted
         """
-        if root.history == roots.EMPTY:
+        if root.history == roots.EMPTY_DIGEST:
             return expression.Ok([])
         kept = self._history
         if kept is not None and kept.digest == root.history:
             return expression.Ok(_read_entries(kept.content))
         content = self._segments.read(root.history)
         return content.map(
-            lambda text: self.keep_history(
+            lambda text: self.cache_history(
                 segments.Segment(root.history, text)
             )
         )
 
-    def keep_history(
+    def cache_history(
         self, segment: segments.Segment
     ) -> list[dict[str, typing.Any]]:
         """Remember a history, so that the next edit need not read it.
@@ -148,9 +148,9 @@
 
 def _decode_root(
     stored: base.StoredObject,
-) -> expression.Result[HeldRoot, errors.Fault]:
+) -> expression.Result[VersionedRoot, errors.Fault]:
     try:
         root = roots.Root.decode(stored.value)
     except errors.TablesError as error:
         return expression.Error(error.fault)
-    return expression.Ok(HeldRoot(stored.version, root))
+    return expression.Ok(VersionedRoot(stored.version, root))
--- a/mulberryway/peers/datagrams.py
+++ b/mulberryway/peers/datagrams.py
@@ -17,7 +17,7 @@
 from mulberryway import clock
 from mulberryway.peers import traffic
 
-__all__ = ["Datagrams", "MOST_PAYLOAD_BYTES"]
+__all__ = ["DatagramTransport", "MOST_PAYLOAD_BYTES"]
 
 LOG = logging.getLogger(__name__)
 
@@ -29,19 +29,19 @@
 # Several notes may come while the one thread is at work on another.
 RECEIVE_BUFFER_BYTES = 1 << 20
 # Bounds what is read together, so that the thread looks whether to stop.
-MOST_TOGETHER = 256
+MAX_BATCH = 256
 CONTEXT = b"mulberryway datagrams 1"
 KIND = "Datagram"
 
 
-class Datagrams:
+class DatagramTransport:
     """Sends and receives signed datagrams on one port.
 
     :param host: the IP number to listen on
     :param port: the port; the same number as that of the peers' server
     :param secret: the fleet's secret
-    ``gather_ms`` is for how long datagrams may wait to be read together: each
-    wakeup of the thread takes processor time of its own.
+    ``batch_delay_ms`` is for how long datagrams may wait to be read together:
+    each wakeup of the thread takes processor time of its own.
 
     :param on_payload: gets each genuine payload and the ``host:port`` that
         it came from, on a thread of its own
@@ -60,7 +60,7 @@
         self._key = hashlib.sha256(CONTEXT + secret.encode()).digest()
         self._on_payload = on_payload
         self._clock = clock_
-        self.gather_ms = 0
+        self.batch_delay_ms = 0
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
@@ -113,13 +113,13 @@
     def _run(self) -> None:
         while not self._is_stopping:
             has_received = self._receive(0)
-            if has_received and self.gather_ms and not self._is_stopping:
+            if has_received and self.batch_delay_ms and not self._is_stopping:
                 self._receive_more()
-                self._clock.sleep_ms(self.gather_ms)
+                self._clock.sleep_ms(self.batch_delay_ms)
 
     def _receive_more(self) -> None:
         """Take what has come meanwhile, without waiting."""
-        for _ in range(MOST_TOGETHER):
+        for _ in range(MAX_BATCH):
             if not self._receive(socket.MSG_DONTWAIT):
                 return
 
--- a/mulberryway/platform/interface.py
+++ b/mulberryway/platform/interface.py
@@ -3,9 +3,9 @@
 import collections.abc
 
 from mulberryway.filters import admission
-from mulberryway.filters import authenticate
+from mulberryway.filters import authentication
 from mulberryway.filters import base
-from mulberryway.filters import interface
+from mulberryway.filters import caller_api
 from mulberryway.filters import model_forward
 from mulberryway.filters import observe
 from mulberryway.filters import repeats
@@ -14,22 +14,22 @@
 from mulberryway.filters import status
 from mulberryway.platform import callers
 from mulberryway.platform import wire
-from mulberryway.policy import choosing
+from mulberryway.policy import server_selection
 
 __all__ = ["PlatformInterface"]
 
 
-class PlatformInterface(interface.Interface):
+class PlatformInterface(caller_api.CallerApi):
     """Requests that pass as they came, told apart by their headers.
 
     :param budget: counts requests, and repeats against them
     """
 
-    def __init__(self, budget: repeats.Budget) -> None:
+    def __init__(self, budget: repeats.SharedRetryBudget) -> None:
         self._budget = budget
 
     def make_filters(
-        self, context: interface.Context
+        self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
@@ -37,41 +37,41 @@
         """
         settings_, parts = context.settings, context.parts
         return [
-            observe.Observe(parts.tracer, parts.metrics, parts.clock),
-            status.RefuseWhenStopping(context.lifecycle),
-            authenticate.Authenticate(
-                context.source, wire.SCHEME, cleans_whole=False
+            observe.RequestTelemetry(parts.tracer, parts.metrics, parts.clock),
+            status.ShutdownRejection(context.lifecycle),
+            authentication.Authentication(
+                context.source, wire.SCHEME, scrubs_whole_request=False
             ),
-            route.FindRoute(needs_id=False),
-            callers.ReadRequest(),
-            repeats.CountRequests(self._budget),
-            status.RefuseLongWork(context.lifecycle),
-            admission.Admission(context.allowances, charges_whole=True),
+            route.RouteMatcher(requires_idempotency_key=False),
+            callers.RequestParser(),
+            repeats.RetryBudgetDeposit(self._budget),
+            status.LateStreamRejection(context.lifecycle),
+            admission.Admission(context.allowances, charges_maximum=True),
             model_forward.ModelForward(parts, model_forward.make_raw_stream),
             service_forward.ServiceForward(
                 parts.directory,
-                choosing.ServerChooser(settings_.vm_zone),
+                server_selection.ServerSelector(settings_.vm_zone),
                 parts.tracer,
                 parts.clock,
                 context.source,
                 parts.callers,
-                parts.may_repeat,
+                parts.try_withdraw_retry,
                 parts.scheduling,
             ),
         ]
 
-    def make_side_filters(
-        self, context: interface.Context
+    def make_auxiliary_filters(
+        self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for what the platform and collectors ask.
 
         :param context: what they are made from
         """
         return [
-            callers.AnswerPlatform(
+            callers.PlatformEndpoints(
                 context.lifecycle,
                 context.entries,
                 context.settings.router_entry_ttl_ms,
             ),
-            *super().make_side_filters(context),
+            *super().make_auxiliary_filters(context),
         ]
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -2,18 +2,18 @@
 
 from mulberryway import errors
 from mulberryway import tables
-from mulberryway.policy import messages
-from mulberryway.policy import meters
-from mulberryway.policy import neighbours
+from mulberryway.policy import fair_queue
+from mulberryway.policy import job_placement
+from mulberryway.policy import jobs
+from mulberryway.policy import peer_accounts
 from mulberryway.policy import placements
-from mulberryway.policy import placing
-from mulberryway.policy import queue
+from mulberryway.policy import pool_stats
 
 __all__ = ["Admission"]
 
 # A wait is a rough guess; who would be refused on it in vain would have been
 # served, so only a wait that is clearly too long counts.
-CLEARLY = 1.5
+WAIT_TOLERANCE = 1.5
 
 
 class Admission:
@@ -26,24 +26,24 @@
     :param fair: the pool's queue
     :param placer: the pool's placer
     :param peers: what peers told
-    :param measured: the pool's meters
+    :param stats: the pool's meters
     """
 
     __slots__ = ("_fair", "_placer", "_peers", "_meters")
 
     def __init__(
         self,
-        fair: queue.FairQueue,
-        placer: placing.Placer,
-        peers: neighbours.Neighbours,
-        measured: meters.Meters,
+        fair: fair_queue.FairQueue,
+        placer: job_placement.Placer,
+        peers: peer_accounts.PeerAccounts,
+        stats: pool_stats.PoolStats,
     ) -> None:
         self._fair = fair
         self._placer = placer
         self._peers = peers
-        self._meters = measured
+        self._meters = stats
 
-    def check_room(self, job: messages.Job) -> errors.Fault | None:
+    def check_capacity(self, job: jobs.Job) -> errors.Fault | None:
         """Refuse what does not fit into the waiting room.
 
         :param job: the job
@@ -51,16 +51,16 @@
         """
         if self._fair.has_room(job):
             return None
-        return make_refusal(
+        return make_rejection(
             errors.Code.OVERLOADED,
             job,
             "too much is waiting",
-            self._meters.hint_retry_ms(self._meters.hold_ms.value / 4),
+            self._meters.clamp_retry_ms(self._meters.hold_ms.value / 4),
         )
 
-    def read_latest_ms(
+    def compute_latest_start_ms(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         best: placements.Placement,
         pool: tables.Pool,
     ) -> int:
@@ -80,15 +80,15 @@
         needed_ms = (
             best.prefill_ms
             + carry_ms
-            + self._placer.slowness.read_step_ms()
-            + placements.HOPS_MS
-            + placements.SAFETY_MS
+            + self._placer.slowness.get_median_step_ms()
+            + placements.NETWORK_OVERHEAD_MS
+            + placements.DEADLINE_MARGIN_MS
         )
         return int(job.deadline.at_ms - needed_ms)
 
-    def check_time(
+    def check_deadline(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         best: placements.Placement,
         latest_ms: int,
         now_ms: int,
@@ -102,7 +102,7 @@
         :returns: the fault, or none
         """
         if now_ms > latest_ms:
-            return make_refusal(
+            return make_rejection(
                 errors.Code.DEADLINE_EXCEEDED,
                 job,
                 "the prompt takes longer than the deadline allows",
@@ -111,38 +111,38 @@
         wait_ms = max(queue_ms, self._estimate_slot_wait_ms(job, now_ms))
         if now_ms + wait_ms <= latest_ms:
             return None
-        fault = make_refusal(
+        fault = make_rejection(
             errors.Code.OVERLOADED,
             job,
             "the first token could not come in time",
-            self._meters.hint_retry_ms(wait_ms),
+            self._meters.clamp_retry_ms(wait_ms),
         )
         fault.inputs = {
             "wait_ms": round(wait_ms),
             "left_ms": latest_ms - now_ms,
             "waiting": len(self._fair),
-            "free_slots": self._placer.count_free(now_ms),
+            "free_slots": self._placer.estimate_free_slots(now_ms),
         }
         return fault
 
-    def _estimate_slot_wait_ms(self, job: messages.Job, now_ms: int) -> float:
+    def _estimate_slot_wait_ms(self, job: jobs.Job, now_ms: int) -> float:
         # In virtual time a job waits until the account's start is reached;
         # virtual time moves by the pool's speed over the waiting weights.
         # This takes constant time however many jobs or accounts wait.
-        if self._placer.count_free(now_ms) > len(self._fair):
+        if self._placer.estimate_free_slots(now_ms) > len(self._fair):
             return 0.0
         state = self._fair.find_account(job.account, job.weight)
         own = sum(estimate_lane_cost(lane) for lane in state.lanes)
-        start = self._fair.read_start(job.account) + own / state.weight
-        ahead = max(start - self._fair.now_virtual, 0.0)
-        weights = self._fair.weight_waiting + self._peers.read_weight_waiting(
+        start = self._fair.get_virtual_start(job.account) + own / state.weight
+        ahead = max(start - self._fair.virtual_time, 0.0)
+        weights = self._fair.weight_waiting + self._peers.sum_waiting_weight(
             now_ms
         )
-        speed = self._meters.read_tokens_per_ms(self._placer.count_slots())
-        return ahead * max(weights, state.weight) / speed / CLEARLY
+        speed = self._meters.estimate_throughput(self._placer.count_slots())
+        return ahead * max(weights, state.weight) / speed / WAIT_TOLERANCE
 
 
-def estimate_lane_cost(lane: dict[str, queue.Entry]) -> float:
+def estimate_lane_cost(lane: dict[str, fair_queue.QueueEntry]) -> float:
     """Return about what the jobs of a lane cost together.
 
     :param lane: the lane
@@ -153,9 +153,9 @@
     return first.cost * len(lane) if first is not None else 0.0
 
 
-def make_refusal(
+def make_rejection(
     code: errors.Code,
-    job: messages.Job,
+    job: jobs.Job,
     message: str,
     retry_after_ms: int | None = None,
 ) -> errors.Fault:
@@ -171,7 +171,7 @@
         code,
         errors.Step.QUEUE,
         job.pool,
-        errors.Run.NOT_RUN,
+        errors.ExecutionStatus.NOT_RUN,
         message,
         retry_after_ms,
     )
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -5,22 +5,22 @@
 import itertools
 
 from mulberryway import tables
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import allowance_times
+from mulberryway.policy import slot_lease_manager
 from mulberryway.policy import token_bucket
 
-__all__ = ["Lender", "Loan", "Share"]
+__all__ = ["Lender", "Loan", "SlotBucket"]
 
 # A loan may take this part of what is there beyond the borrower's need, so
 # that one caller's VM does not empty a share before the others come.
-WISH_DIVISOR = 4
+SURPLUS_LOAN_DIVISOR = 4
 # An account whose burst lasts only a moment gets shorter loans, else its
 # tokens would be out on loan most of the time.
-SHORTEST_LOAN_MS = 200
+MIN_LOAN_MS = 200
 
 
-class Share:
+class SlotBucket:
     """One account's tokens in one slot, for as long as the slot is held.
 
     :param slot: the slot
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        share: Share | None,
+        share: SlotBucket | None,
         tokens: int,
         length_ms: int,
         lapse_ms: int,
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        keeper: allowance_keeper.SlotKeeper,
+        keeper: slot_lease_manager.SlotLeaseManager,
         times: allowance_times.AllowanceTimes,
         groups: int,
         parts: int,
@@ -101,7 +101,7 @@
         self._accounts: dict[str, tables.ClientAccount] = {}
         self._since_ms: dict[str, int] = {}
         self._gone_ms: dict[str, int] = {}
-        self._shares: dict[tuple[str, int], Share] = {}
+        self._shares: dict[tuple[str, int], SlotBucket] = {}
         self._loans: dict[LoanId, Loan] = {}
         self._numbers = itertools.count(1)
         self._open: list[tuple[int, LoanId]] = []
@@ -109,7 +109,7 @@
             collections.deque()
         )
 
-    def change_accounts(
+    def update_accounts(
         self, accounts: dict[str, tables.ClientAccount], now_ms: int
     ) -> None:
         """Go over to other rates and bursts.
@@ -147,7 +147,7 @@
         """
         return self._accounts.get(name)
 
-    def list_shares(self, account: str, now_ms: int) -> list[Share]:
+    def list_buckets(self, account: str, now_ms: int) -> list[SlotBucket]:
         """Return the account's shares that may be used now.
 
         :param account: the client account
@@ -156,7 +156,9 @@
         """
         if account not in self._accounts:
             return []
-        first = allowance_slots.find_group(account, self._groups) * self._parts
+        first = (
+            allowance_slots.compute_group(account, self._groups) * self._parts
+        )
         holdings = (
             self._keeper.find(slot, now_ms)
             for slot in range(first, first + self._parts)
@@ -189,19 +191,19 @@
         if known is not None:
             return known
         self.expire(now_ms)
-        shares = self.list_shares(account, now_ms)
+        shares = self.list_buckets(account, now_ms)
         if not shares:
             return Loan(None, 0, 0, now_ms)
         return self._lend(loan_id, shares[0], need, wish, now_ms)
 
-    def read_left(self, account: str, now_ms: int) -> int:
+    def read_lendable(self, account: str, now_ms: int) -> int:
         """Return the most tokens that one more loan could have.
 
         :param account: the client account
         :param now_ms: the present
         :returns: tokens
         """
-        shares = self.list_shares(account, now_ms)
+        shares = self.list_buckets(account, now_ms)
         return shares[0].bucket.read_level(now_ms) if shares else 0
 
     def close(self, loan_id: LoanId, returned: int, now_ms: int) -> None:
@@ -234,7 +236,7 @@
             loan = self._loans[loan_id]
             if loan.stamp is None:
                 self._end(loan, 0, now_ms)
-            forget_ms = now_ms + self._times.refund_ms
+            forget_ms = now_ms + self._times.refund_window_ms
             self._ended.append((forget_ms, loan_id))
         while self._ended and self._ended[0][0] <= now_ms:
             del self._loans[self._ended.popleft()[1]]
@@ -252,12 +254,14 @@
         :returns: loans that end by themselves if nobody confirms them
         """
         loans = []
-        for share in self.list_shares(account, now_ms):
+        for share in self.list_buckets(account, now_ms):
             part = min(share.bucket.read_level(now_ms), tokens)
             if part > 0 and share.bucket.lend(part, now_ms):
                 loan_id = ("", next(self._numbers))
-                lapse_ms = now_ms + self._times.use_ms
-                loan = Loan(share, part, self._times.use_ms, lapse_ms)
+                lapse_ms = now_ms + self._times.reservation_ttl_ms
+                loan = Loan(
+                    share, part, self._times.reservation_ttl_ms, lapse_ms
+                )
                 self._keep(loan_id, loan)
                 tokens -= part
                 loans.append(loan)
@@ -298,11 +302,18 @@
             loan.share.bucket.refund(returned, loan.stamp, now_ms)
 
     def _lend(
-        self, loan_id: LoanId, share: Share, need: int, wish: int, now_ms: int
+        self,
+        loan_id: LoanId,
+        share: SlotBucket,
+        need: int,
+        wish: int,
+        now_ms: int,
     ) -> Loan:
         bucket = share.bucket
         level = bucket.read_level(now_ms)
-        extra = min(max(wish - need, 0), max(level - need, 0) // WISH_DIVISOR)
+        extra = min(
+            max(wish - need, 0), max(level - need, 0) // SURPLUS_LOAN_DIVISOR
+        )
         tokens = min(need + extra, level)
         length_ms = self._choose_length(bucket)
         lapse_ms = now_ms + length_ms + self._times.loan_margin_ms
@@ -320,7 +331,7 @@
     def _choose_length(self, bucket: token_bucket.TokenBucket) -> int:
         half_ms = bucket.burst * 500 // max(bucket.rate, 1)
         longest_ms = self._times.loan_ms
-        return min(max(half_ms, min(SHORTEST_LOAN_MS, longest_ms)), longest_ms)
+        return min(max(half_ms, min(MIN_LOAN_MS, longest_ms)), longest_ms)
 
     def _end(self, loan: Loan, returned: int, now_ms: int) -> None:
         loan.share.bucket.end_loan(loan.tokens, returned, now_ms)
@@ -328,7 +339,7 @@
 
     def _find_share(
         self, account: str, holding: allowance_slots.Holding
-    ) -> Share:
+    ) -> SlotBucket:
         key = (account, holding.slot)
         share = self._shares.get(key)
         if share is None or share.holding is not holding:
@@ -337,11 +348,11 @@
             bucket = token_bucket.TokenBucket(
                 row.rate, row.burst, self._parts, start_ms
             )
-            share = Share(holding.slot, holding, bucket)
+            share = SlotBucket(holding.slot, holding, bucket)
             self._shares[key] = share
         return share
 
-    def _is_held(self, share: Share | None) -> bool:
+    def _is_held(self, share: SlotBucket | None) -> bool:
         if share is None:
             return False
         return self._keeper.holdings.get(share.slot) is share.holding
--- a/mulberryway/policy/hint_board.py
+++ b/mulberryway/policy/broadcast_queue.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-__all__ = ["Hint", "HintBoard"]
+__all__ = ["Hint", "BroadcastQueue"]
 
 # A board is bounded in number and size, so that no flood of notes eats a
 # VM's 15 KB/s or its memory: the oldest are forgotten first.
@@ -22,7 +22,14 @@
     :param until_ms: when it is forgotten, by this VM's clock
     """
 
-    __slots__ = ("kind", "key", "payload", "number", "until_ms", "sends")
+    __slots__ = (
+        "kind",
+        "key",
+        "payload",
+        "number",
+        "until_ms",
+        "transmissions",
+    )
 
     def __init__(
         self, kind: str, key: str, payload: bytes, number: int, until_ms: int
@@ -32,10 +39,10 @@
         self.payload = payload
         self.number = number
         self.until_ms = until_ms
-        self.sends = 0
+        self.transmissions = 0
 
 
-class HintBoard:
+class BroadcastQueue:
     """The notes that this VM knows, and how often it passed each on."""
 
     def __init__(self) -> None:
@@ -69,11 +76,13 @@
         live = (
             hint
             for hint in self._hints.values()
-            if hint.sends < most_sends and hint.until_ms > now_ms
+            if hint.transmissions < most_sends and hint.until_ms > now_ms
         )
-        chosen = sorted(live, key=lambda hint: hint.sends)[:MOST_IN_MESSAGE]
+        chosen = sorted(live, key=lambda hint: hint.transmissions)[
+            :MOST_IN_MESSAGE
+        ]
         for hint in chosen:
-            hint.sends += 1
+            hint.transmissions += 1
         return chosen
 
     def list_kind(self, kind: str, now_ms: int) -> list[Hint]:
--- a/mulberryway/policy/claim_keepers.py
+++ b/mulberryway/policy/claim_coordinators.py
@@ -9,10 +9,10 @@
 
 from mulberryway.policy import member
 
-__all__ = ["choose_keeper"]
+__all__ = ["choose_coordinator"]
 
 
-def choose_keeper(
+def choose_coordinator(
     shard: int, members: collections.abc.Iterable[member.Member]
 ) -> member.Member | None:
     """Return the VM that writes a shard, by rendezvous hashing.
@@ -27,7 +27,7 @@
     :returns: one that takes callers, or none
     """
     return max(
-        (one for one in members if one.takes_callers),
+        (one for one in members if one.accepts_callers),
         key=lambda one: _weigh(shard, one.name),
         default=None,
     )
