--- a/mulberryway/policy/placing.py
+++ b/mulberryway/policy/job_placement.py
@@ -7,15 +7,15 @@
 import random
 
 from mulberryway import tables
-from mulberryway.policy import beside
+from mulberryway.policy import aggregated_serving
+from mulberryway.policy import fair_queue
 from mulberryway.policy import health
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import placements
-from mulberryway.policy import queue
-from mulberryway.policy import shifting
-from mulberryway.policy import slowness
+from mulberryway.policy import pool_upstreams
+from mulberryway.policy import slow_upstreams
 from mulberryway.policy import transfers
-from mulberryway.policy import views
+from mulberryway.policy import upstream_view
 
 __all__ = ["Placer"]
 
@@ -27,12 +27,12 @@
 LAST_CHANCE_MS = 100
 # Choices within this time are equal; chance decides, so that routers which
 # see the same do not all go to the same upstream.
-EQUAL_MS = 3.0
+READY_TIE_MS = 3.0
 # Streams that other VMs may have started at an engine unheard.
 UNSEEN_STREAMS = 2
 # How many are looked at when nothing is known of the others' choices since
 # the last report: with two, the best-looking one draws no crowd.
-BLIND_CHOICES = 2
+UNINFORMED_CHOICES = 2
 
 
 class Placer:
@@ -45,22 +45,24 @@
 
     def __init__(
         self,
-        members: shifting.Members,
+        members: pool_upstreams.PoolUpstreams,
         random_: random.Random,
         token_gap_ms: int,
     ) -> None:
         self._members = members
         self._random = random_
         self._gap_ms = token_gap_ms
-        self._links = transfers.Links()
-        self.slowness = slowness.Slowness(members, token_gap_ms)
-        self._usual_blocks = health.Average(0.0)
+        self._links = transfers.TransferLinks()
+        self.slowness = slow_upstreams.SlowUpstreamDetector(
+            members, token_gap_ms
+        )
+        self._usual_blocks = health.Ewma(0.0)
         # How long a stream usually holds its memory; set by the pool.
-        self.stream_ms = 0.0
-        self.is_blind = False
+        self.typical_stream_ms = 0.0
+        self.is_without_peer_state = False
 
     def estimate(
-        self, job: messages.Job, pool: tables.Pool, now_ms: int
+        self, job: jobs.Job, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill that a job could get now.
 
@@ -81,7 +83,7 @@
 
     def choose(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.QueueEntry,
         pool: tables.Pool,
         now_ms: int,
         yield_ms: int = 0,
@@ -97,19 +99,24 @@
         """
         apart = self._choose_apart(entry, pool, now_ms)
         placement = apart
-        if apart is None or not beside.is_on_time(apart, entry.job):
+        if apart is None or not aggregated_serving.meets_target(
+            apart, entry.job
+        ):
             alone = self._choose_alone(entry, pool, apart, now_ms, yield_ms)
             if alone is not None and (
-                apart is None or beside.saves_time(alone, apart, entry.job)
+                apart is None
+                or aggregated_serving.prefers_aggregated(
+                    alone, apart, entry.job
+                )
             ):
                 placement = alone
         if placement is None:
             return None
         left_ms = entry.job.deadline.at_ms - placement.first_token_ms
-        return placement if left_ms >= placements.SAFETY_MS else None
+        return placement if left_ms >= placements.DEADLINE_MARGIN_MS else None
 
     def _choose_apart(
-        self, entry: queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill, with a decode elsewhere."""
         options = self._list_prefills(entry, pool, now_ms)
@@ -120,7 +127,7 @@
             [
                 option
                 for option in options
-                if option.ready_ms <= best_ms + EQUAL_MS
+                if option.ready_ms <= best_ms + READY_TIE_MS
             ]
         )
         decode = self._choose_decode(entry, placement, pool, now_ms)
@@ -131,7 +138,7 @@
 
     def _choose_alone(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.QueueEntry,
         pool: tables.Pool,
         apart: placements.Placement | None,
         now_ms: int,
@@ -140,15 +147,15 @@
         """Return a decode engine that reads the prompt itself."""
         if not pool.self_reading:
             return None
-        blocks = placements.count_blocks(entry.job, pool)
+        blocks = placements.estimate_kv_blocks(entry.job, pool)
         options = [
             self._plan_prefill(view, entry.job, pool, now_ms)
             for view in self._list_open(entry, blocks, now_ms)
         ]
-        placement = beside.choose_reader(
+        placement = aggregated_serving.choose_aggregated(
             options,
             apart is None and not self._reads_apart(now_ms),
-            self.stream_ms,
+            self.typical_stream_ms,
             yield_ms,
             self._random,
             now_ms,
@@ -159,21 +166,22 @@
             placement.first_token_ms = (
                 placement.ready_ms
                 + placement.prefill.step.value
-                + placements.HOPS_MS
+                + placements.NETWORK_OVERHEAD_MS
             )
         return placement
 
     def _reads_apart(self, now_ms: int) -> bool:
         """Tell whether any prefill engine takes prompts."""
         return any(
-            not view.is_resting(now_ms) and not view.health.is_ejected(now_ms)
+            not view.is_backing_off(now_ms)
+            and not view.health.is_ejected(now_ms)
             for view in self._members.prefills
         )
 
     def commit(
         self,
         placement: placements.Placement,
-        job: messages.Job,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> None:
@@ -194,24 +202,24 @@
             self._usual_blocks.value = float(placement.blocks)
         self._usual_blocks.note(placement.blocks)
         placement.prefill.add_prefill(placement.prefill_ms, now_ms)
-        placement.shifted_ms = placement.prefill.shifted_ms
+        placement.drift_ms = placement.prefill.drift_ms
         placement.prefill.prefixes.note_own(job.prefix_hashes)
-        if placement.is_alone():
+        if placement.is_aggregated():
             return
         self._links.reserve(
-            placements.read_zones(placement.prefill, placement.decode),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, placement.decode),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
 
-    def choose_other(
+    def choose_other_decode(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
-    ) -> views.UpstreamView | None:
+    ) -> upstream_view.UpstreamView | None:
         """Return where a job whose prefill has ended can decode instead.
 
         :param entry: the job's entry
@@ -222,7 +230,7 @@
         """
         return self._choose_decode(entry, placement, pool, now_ms)
 
-    def count_free(self, now_ms: int) -> int:
+    def estimate_free_slots(self, now_ms: int) -> int:
         """Return how many decodes of usual size probably find room.
 
         Streams may fill an engine's memory long before its slots; slots alone
@@ -233,12 +241,12 @@
         """
         blocks = self._usual_blocks.value
         return sum(
-            view.count_room(blocks, now_ms)
+            view.estimate_capacity(blocks, now_ms)
             for view in self._members.decodes
             if not view.health.is_ejected(now_ms)
         )
 
-    def is_tight(self, view: views.UpstreamView) -> bool:
+    def is_near_capacity(self, view: upstream_view.UpstreamView) -> bool:
         """Tell whether an engine may have less room than is believed.
 
         Others may have chosen it since they were heard last.  Where so few
@@ -258,22 +266,28 @@
 
     @staticmethod
     def _list_usable(
-        all_: list[views.UpstreamView], job: messages.Job, now_ms: int
-    ) -> list[views.UpstreamView]:
+        all_: list[upstream_view.UpstreamView], job: jobs.Job, now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         works = [
-            view for view in all_ if view.health.admits(job.may_move, now_ms)
+            view
+            for view in all_
+            if view.health.admits(job.is_retry_safe, now_ms)
+        ]
+        other = [
+            view
+            for view in works
+            if view.row.name not in job.excluded_upstreams
         ]
-        other = [view for view in works if view.row.name not in job.avoid]
         # With two upstreams left, the one that refused a moment ago is
         # better than none.
         return other or works
 
     def _list_prefills(
-        self, entry: queue.Entry, pool: tables.Pool, now_ms: int
+        self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> list[placements.Placement]:
         job = entry.job
         usable = self._list_usable(self._members.prefills, job, now_ms)
-        willing = [view for view in usable if not view.is_resting(now_ms)]
+        willing = [view for view in usable if not view.is_backing_off(now_ms)]
         # Where all have refused of late, as the last prefill engine does that
         # changes its role, one of them is better than none; but a decode
         # engine that reads the prompt itself is better still.
@@ -281,18 +295,18 @@
             usable = willing or usable
         else:
             usable = []
-        if entry.lane is queue.Lane.SUSPECT:
+        if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
-        elif entry.lane is queue.Lane.LONG:
-            if now_ms < entry.latest_ms - LAST_CHANCE_MS:
+        elif entry.lane is fair_queue.Lane.LONG:
+            if now_ms < entry.latest_start_ms - LAST_CHANCE_MS:
                 usable = self._leave_room_for_short(usable, now_ms)
-        if self.is_blind and len(usable) > BLIND_CHOICES:
-            usable = self._random.sample(usable, BLIND_CHOICES)
+        if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
+            usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return [self._plan_prefill(view, job, pool, now_ms) for view in usable]
 
     def _leave_room_for_short(
-        self, usable: list[views.UpstreamView], now_ms: int
-    ) -> list[views.UpstreamView]:
+        self, usable: list[upstream_view.UpstreamView], now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         # Prefills run one after another, so once each upstream has a long one,
         # every short prompt misses its first token.  One upstream is left to
         # the short ones; with only one there is no choice.
@@ -301,38 +315,38 @@
         quick = [
             view
             for view in usable
-            if view.read_wait_ms(now_ms) < SHORT_WAIT_MS
+            if view.estimate_prefill_wait_ms(now_ms) < SHORT_WAIT_MS
         ]
         return quick if len(quick) > 1 else []
 
     def _plan_prefill(
         self,
-        view: views.UpstreamView,
-        job: messages.Job,
+        view: upstream_view.UpstreamView,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> placements.Placement:
         hits = view.prefixes.count_hits(job.prefix_hashes)
         tokens = max(job.prompt_tokens - hits * pool.block_tokens, 0.0)
         prefill_ms = view.speed.estimate_ms(tokens)
-        wait_ms = view.read_wait_ms(now_ms)
-        if self.is_blind:
+        wait_ms = view.estimate_prefill_wait_ms(now_ms)
+        if self.is_without_peer_state:
             # Nobody tells what the others sent, so the report has to do.
-            wait_ms += view.excess_prefills * prefill_ms
+            wait_ms += view.unattributed_prefills * prefill_ms
         ready_ms = now_ms + wait_ms + prefill_ms
         return placements.Placement(view, tokens, prefill_ms, ready_ms)
 
     def _choose_decode(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.QueueEntry,
         placement: placements.Placement,
         pool: tables.Pool,
         now_ms: int,
-    ) -> views.UpstreamView | None:
-        blocks = placements.count_blocks(entry.job, pool)
+    ) -> upstream_view.UpstreamView | None:
+        blocks = placements.estimate_kv_blocks(entry.job, pool)
         usable = self._list_open(entry, blocks, now_ms)
-        if self.is_blind and len(usable) > BLIND_CHOICES:
-            usable = self._random.sample(usable, BLIND_CHOICES)
+        if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
+            usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return max(
             usable,
             key=lambda view: self._rate_decode(
@@ -342,35 +356,35 @@
         )
 
     def _list_open(
-        self, entry: queue.Entry, blocks: int, now_ms: int
-    ) -> list[views.UpstreamView]:
+        self, entry: fair_queue.QueueEntry, blocks: int, now_ms: int
+    ) -> list[upstream_view.UpstreamView]:
         """Return the decode upstreams that probably have room."""
         usable = [
             view
             for view in self._list_usable(
                 self._members.decodes, entry.job, now_ms
             )
-            if view.read_free(now_ms) > 0 and view.has_blocks(blocks)
+            if view.count_free_slots(now_ms) > 0 and view.has_blocks(blocks)
         ]
-        if entry.lane is queue.Lane.SUSPECT:
+        if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
-        return self.slowness.set_apart(usable, entry, now_ms)
+        return self.slowness.exclude_slow(usable, entry, now_ms)
 
     def _rate_decode(
         self,
-        view: views.UpstreamView,
+        view: upstream_view.UpstreamView,
         placement: placements.Placement,
-        job: messages.Job,
+        job: jobs.Job,
         pool: tables.Pool,
         now_ms: int,
     ) -> float:
         transfer_ms = self._links.estimate_ms(
-            placements.read_zones(placement.prefill, view),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, view),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
-        free = view.read_free(now_ms) / max(view.slots, 1)
+        free = view.count_free_slots(now_ms) / max(view.slots, 1)
         # A batch that fills makes each of its tokens later; a whole empty
         # engine is worth about 40 ms of transfer time.
         return free * 40.0 - transfer_ms + self._random.random()
@@ -378,15 +392,15 @@
     def _plan_decode(
         self,
         placement: placements.Placement,
-        decode: views.UpstreamView,
-        job: messages.Job,
+        decode: upstream_view.UpstreamView,
+        job: jobs.Job,
         pool: tables.Pool,
     ) -> None:
         placement.decode = decode
-        placement.blocks = placements.count_blocks(job, pool)
+        placement.blocks = placements.estimate_kv_blocks(job, pool)
         placement.transfer_ms = self._links.estimate_ms(
-            placements.read_zones(placement.prefill, decode),
-            placements.count_bytes(job, pool),
+            placements.get_zone_pair(placement.prefill, decode),
+            placements.compute_kv_bytes(job, pool),
             pool.link_bytes_per_s,
             placement.ready_ms,
         )
@@ -394,7 +408,7 @@
             placement.ready_ms
             + placement.transfer_ms
             + decode.step.value
-            + placements.HOPS_MS
+            + placements.NETWORK_OVERHEAD_MS
         )
 
 
--- a/mulberryway/policy/lapses.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -5,14 +5,14 @@
 servers live.  A server that leaves has its entry removed in the same way.
 """
 
-from mulberryway.policy import outages
+from mulberryway.policy import store_reachability
 
-__all__ = ["Absence", "LapseDetector", "Limits"]
+__all__ = ["UnreachablePeriod", "MassExpiryDetector", "RegistrationLimits"]
 
 # An entry lapses when it was not renewed for so many heartbeats.
 LAPSE_BEATS = 3
 # After an outage servers that live renew their entries within so long.
-RETURN_MS = 2_100
+REREGISTRATION_MS = 2_100
 # In an outage that is long enough for one entry to lapse, most do; servers
 # that leave do so a few at a time.
 LAPSE_PART = 0.5
@@ -23,7 +23,7 @@
 DRAIN_PART = 0.75
 
 
-class Limits:
+class RegistrationLimits:
     """What the operators promise of servers' entries.
 
     :param heartbeat_ms: how often a server renews its entry
@@ -39,17 +39,17 @@
         self.drain_ms = drain_ms
 
     @property
-    def least_absence_ms(self) -> int:
+    def min_outage_ms(self) -> int:
         """The shortest absence of the store in which an entry can lapse."""
         return (LAPSE_BEATS - 1) * self.heartbeat_ms
 
     @property
-    def most_kept_ms(self) -> int:
+    def max_retention_ms(self) -> int:
         """How long a removed entry may count at most without an outage."""
         return int(self.drain_ms * DRAIN_PART)
 
 
-class Absence:
+class UnreachablePeriod:
     """A span in which the store did not answer this VM.
 
     It says nothing of the reason: the store may be down, refuse this VM, or
@@ -59,15 +59,15 @@
     :param reason: how the first call failed
     """
 
-    __slots__ = ("began_ms", "reason", "ended_ms", "is_shared")
+    __slots__ = ("began_ms", "reason", "ended_ms", "is_fleet_wide")
 
     def __init__(self, began_ms: int, reason: str) -> None:
         self.began_ms = began_ms
         self.reason = reason
         self.ended_ms: int | None = None
-        self.is_shared = False
+        self.is_fleet_wide = False
 
-    def read_length_ms(self, now_ms: int) -> int:
+    def compute_duration_ms(self, now_ms: int) -> int:
         """Return how long it lasted so far.
 
         :param now_ms: the present
@@ -80,10 +80,12 @@
 
         :param now_ms: the present
         """
-        return self.ended_ms is None or now_ms - self.ended_ms < RETURN_MS
+        return (
+            self.ended_ms is None or now_ms - self.ended_ms < REREGISTRATION_MS
+        )
 
 
-class LapseDetector:
+class MassExpiryDetector:
     """Decides whether removed entries still count, and for how long.
 
     A VM that took its own trouble for an outage (refusals, a cut watch) would
@@ -97,15 +99,19 @@
 
     __slots__ = ("_limits", "_outages", "_absence", "_removed")
 
-    def __init__(self, limits: Limits, outages_: outages.Outages) -> None:
+    def __init__(
+        self,
+        limits: RegistrationLimits,
+        outages_: store_reachability.StoreReachability,
+    ) -> None:
         self._limits = limits
         self._outages = outages_
-        self._absence: Absence | None = None
+        self._absence: UnreachablePeriod | None = None
         # Names that were removed since the absence began, also those that
         # have come back.
         self._removed: set[str] = set()
 
-    def note_failure(self, began_ms: int, reason: str) -> None:
+    def record_failure(self, began_ms: int, reason: str) -> None:
         """Tell that the store could not be asked.
 
         :param began_ms: since when it may have been away: the moment of a
@@ -113,10 +119,10 @@
         :param reason: how the call failed
         """
         if self._absence is None or self._absence.ended_ms is not None:
-            self._absence = Absence(began_ms, reason)
+            self._absence = UnreachablePeriod(began_ms, reason)
             self._removed.clear()
 
-    def note_answer(self, now_ms: int) -> None:
+    def record_response(self, now_ms: int) -> None:
         """Tell that the store has answered.
 
         :param now_ms: the present
@@ -125,9 +131,11 @@
         if absence is None or absence.ended_ms is not None:
             return
         absence.ended_ms = now_ms
-        absence.is_shared = self._outages.is_shared(absence.began_ms, now_ms)
+        absence.is_fleet_wide = self._outages.is_fleet_wide(
+            absence.began_ms, now_ms
+        )
 
-    def find_absence(self, now_ms: int) -> Absence | None:
+    def find_unreachable_period(self, now_ms: int) -> UnreachablePeriod | None:
         """Return the absence by which removals are judged now, or none.
 
         :param now_ms: the present
@@ -154,21 +162,23 @@
         :returns: until when all that went since the absence began count; none
             if the removals count at once
         """
-        absence = self.find_absence(now_ms)
+        absence = self.find_unreachable_period(now_ms)
         if absence is None:
             most = max((len(left) + len(removed)) * LAPSE_PART, LEAST_LAPSE)
             if not is_one_answer or len(removed) < most:
                 return None
-            return now_ms + self._limits.most_kept_ms
+            return now_ms + self._limits.max_retention_ms
         self._removed |= removed
         if not self._may_have_lapsed(absence, now_ms):
             return None
         if len(self._removed) < len(self._removed | left) * LAPSE_PART:
             return None
         ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
-        return ended_ms + RETURN_MS
+        return ended_ms + REREGISTRATION_MS
 
-    def describe_peers(self, absence: Absence, now_ms: int) -> dict[str, int]:
+    def describe_peers(
+        self, absence: UnreachablePeriod, now_ms: int
+    ) -> dict[str, int]:
         """Return what other VMs tell of an absence, for logs.
 
         :param absence: the absence
@@ -176,9 +186,11 @@
         """
         return self._outages.describe(absence.began_ms, now_ms)
 
-    def _may_have_lapsed(self, absence: Absence, now_ms: int) -> bool:
-        if absence.read_length_ms(now_ms) < self._limits.least_absence_ms:
+    def _may_have_lapsed(
+        self, absence: UnreachablePeriod, now_ms: int
+    ) -> bool:
+        if absence.compute_duration_ms(now_ms) < self._limits.min_outage_ms:
             return False
         if absence.ended_ms is not None:
-            return absence.is_shared
-        return self._outages.is_shared(absence.began_ms, now_ms)
+            return absence.is_fleet_wide
+        return self._outages.is_fleet_wide(absence.began_ms, now_ms)
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -82,14 +82,14 @@
         known = self._members.get(news.name)
         if known is not None and not news.is_newer_than(known):
             return False
-        if known is None and news.health is member.Health.DEAD:
+        if known is None and news.health is member.MemberStatus.DEAD:
             # Nobody needs to learn of a VM by its death; and tombstones
             # which go round for ever would never be forgotten.
             return False
         self._put(self._keep_liveliness(news, known), now_ms)
         return True
 
-    def note_heard(
+    def record_heartbeat(
         self, name: str, streams: int, revision: int, now_ms: int
     ) -> None:
         """Take in what a VM told of itself just now.
@@ -115,9 +115,9 @@
         """
         known = self._members.get(name)
         is_same = known is not None and known.incarnation == incarnation
-        if not is_same or known.health is not member.Health.ALIVE:
+        if not is_same or known.health is not member.MemberStatus.ALIVE:
             return False
-        self._set_health(known, member.Health.SUSPECT, now_ms)
+        self._set_health(known, member.MemberStatus.SUSPECT, now_ms)
         return True
 
     def expire(self, now_ms: int) -> list[member.Member]:
@@ -132,9 +132,9 @@
         for known in list(self._members.values()):
             if now_ms < self._find_expiry_ms(known):
                 continue
-            if known.health is member.Health.SUSPECT:
+            if known.health is member.MemberStatus.SUSPECT:
                 died.append(
-                    self._set_health(known, member.Health.DEAD, now_ms)
+                    self._set_health(known, member.MemberStatus.DEAD, now_ms)
                 )
             else:
                 self._forget(known)
@@ -146,15 +146,15 @@
     def _find_expiry_ms(self, known: member.Member) -> float:
         """Return when a VM's health changes by time alone."""
         since_ms = self._since_ms.get(known.name, 0)
-        if known.health is member.Health.SUSPECT:
+        if known.health is member.MemberStatus.SUSPECT:
             size = len(self._members)
             periods = SUSPECT_PERIODS + math.ceil(math.log2(size + 1))
             return since_ms + self._period_ms * periods
-        if known.health is member.Health.DEAD:
+        if known.health is member.MemberStatus.DEAD:
             return since_ms + DEAD_MS
         return math.inf
 
-    def choose_target(self) -> member.Member | None:
+    def choose_probe_target(self) -> member.Member | None:
         """Return the VM to probe next.
 
         Every VM is probed once in each shuffled round, so that the time
@@ -167,16 +167,19 @@
                 self._round = [
                     one.name
                     for one in self._list_others()
-                    if one.health is not member.Health.DEAD
+                    if one.health is not member.MemberStatus.DEAD
                 ]
                 self._random.shuffle(self._round)
                 if not self._round:
                     return None
             known = self._members.get(self._round.pop())
-            if known is not None and known.health is not member.Health.DEAD:
+            if (
+                known is not None
+                and known.health is not member.MemberStatus.DEAD
+            ):
                 return known
 
-    def choose_some(
+    def sample_alive(
         self, count: int, besides: str = ""
     ) -> list[member.Member]:
         """Return random VMs that are thought to be alive.
@@ -188,18 +191,20 @@
         alive = [
             one
             for one in self._list_others()
-            if one.health is member.Health.ALIVE and one.name != besides
+            if one.health is member.MemberStatus.ALIVE and one.name != besides
         ]
         return self._random.sample(alive, min(count, len(alive)))
 
-    def choose_dead(self) -> member.Member | None:
+    def sample_dead(self) -> member.Member | None:
         """Return a random dead VM, to find out whether it is back.
 
         After two regions have lost each other for minutes, each takes the
         other's VMs for dead, and nobody would ever probe them again.
         """
         everybody = self._list_others()
-        dead = [one for one in everybody if one.health is member.Health.DEAD]
+        dead = [
+            one for one in everybody if one.health is member.MemberStatus.DEAD
+        ]
         return self._random.choice(dead) if dead else None
 
     def take_news(self) -> list[member.Member]:
@@ -207,7 +212,7 @@
 
         :returns: a few VMs, those least often passed on first
         """
-        most = self.count_sends()
+        most = self.compute_retransmit_limit()
         waiting = sorted(self._sends, key=lambda name: self._sends[name])
         chosen = waiting[:MOST_IN_MESSAGE]
         for name in chosen:
@@ -216,7 +221,7 @@
             del self._sends[name]
         return [self._members[name] for name in chosen]
 
-    def count_sends(self) -> int:
+    def compute_retransmit_limit(self) -> int:
         """Return how often a VM passes a piece of news on."""
         return SENDS_FACTOR * math.ceil(math.log2(len(self._members) + 1))
 
@@ -242,7 +247,7 @@
         self._synced_ms = now_ms
         return True
 
-    def change_own(
+    def update_local(
         self,
         is_stopping: bool | None = None,
         holdings: bytes | None = None,
@@ -271,7 +276,7 @@
             self._speak_up(0)
             return True
         is_old = news.incarnation < self.own.incarnation
-        if is_old or news.health is member.Health.ALIVE:
+        if is_old or news.health is member.MemberStatus.ALIVE:
             return False
         self._speak_up(max(news.version, self.own.version) + 1)
         return True
@@ -308,7 +313,7 @@
         return news
 
     def _set_health(
-        self, known: member.Member, health: member.Health, now_ms: int
+        self, known: member.Member, health: member.MemberStatus, now_ms: int
     ) -> member.Member:
         changed = known.copy()
         changed.health = health
@@ -328,4 +333,4 @@
 
 def _weigh(known: member.Member) -> int:
     # Dead VMs are forgotten at different times; that is no difference.
-    return 0 if known.health is member.Health.DEAD else known.digest()
+    return 0 if known.health is member.MemberStatus.DEAD else known.digest()
--- a/mulberryway/policy/hearing.py
+++ b/mulberryway/policy/note_receiver.py
@@ -2,12 +2,12 @@
 
 import collections.abc
 
+from mulberryway.policy import failure_reports
 from mulberryway.policy import hints
 from mulberryway.policy import poison
-from mulberryway.policy import pools
-from mulberryway.policy import trust
+from mulberryway.policy import pool_scheduler
 
-__all__ = ["Hearer"]
+__all__ = ["NoteReceiver"]
 
 # A router that died holds no slots; one whose notes are lost for a moment
 # still does.  Three missed heartbeats tell the two apart well enough, since
@@ -46,25 +46,25 @@
         return True
 
 
-class Hearer:
+class NoteReceiver:
     """Takes in notes, and forgets peers that fall silent.
 
     :param vm: this VM's name; its own notes are passed over
     :param register: requests that may be poison
     """
 
-    def __init__(self, vm: str, register: poison.Register) -> None:
+    def __init__(self, vm: str, register: poison.PoisonRegistry) -> None:
         self._vm = vm
         self._register = register
         self._heard: dict[str, _Heard] = {}
-        self._trust = trust.Trust()
+        self._trust = failure_reports.FailureReportFilter()
         self._swept_ms = 0
         self._pruned_ms = 0
 
     def note(
         self,
         note: hints.Note,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         """Take in a note.
@@ -94,7 +94,7 @@
             if pool is not None and heard.accepts(key, note.sequence):
                 pool.neighbours.note(note.vm, account, now_ms)
 
-    def read_age_ms(self, now_ms: int) -> int:
+    def compute_max_age_ms(self, now_ms: int) -> int:
         """Return how long ago the longest silent peer was heard.
 
         :param now_ms: the present
@@ -109,9 +109,9 @@
             default=0,
         )
 
-    def sweep(
+    def expire_peers(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         """Forget silent peers, and tell the placers whether they are blind.
@@ -140,8 +140,8 @@
             now_ms - heard.at_ms < FRESH_MS for heard in self._heard.values()
         )
         for pool in pools_.values():
-            pool.placer.is_blind = not hears and any(
-                view.excess for view in pool.members.list_all()
+            pool.placer.is_without_peer_state = not hears and any(
+                view.unattributed_decodes for view in pool.members.list_all()
             )
 
     @property
@@ -150,7 +150,8 @@
         return sum(len(heard.applied) for heard in self._heard.values())
 
     def _prune(
-        self, pools_: collections.abc.Mapping[str, pools.PoolScheduler]
+        self,
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> None:
         known = {
             (name, view.row.name)
@@ -167,7 +168,7 @@
     def _find(
         self,
         note: hints.Note,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> _Heard | None:
         """Return what was heard of the sender's life; none if it is over."""
@@ -184,7 +185,7 @@
         self,
         vm: str,
         holding: hints.Holding,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         pool = pools_.get(holding.pool)
@@ -195,20 +196,22 @@
             return
         view.note_peer(vm, holding, now_ms)
         outcomes = holding.outcomes
-        if outcomes.has_blame() and not self._trust.accepts(
+        if outcomes.has_failures() and not self._trust.accepts(
             vm,
             (holding.pool, holding.upstream),
             len(pool.members.list_all()),
             now_ms,
         ):
             return
-        if outcomes.has_blame() and pool.members.has_few_left(view, now_ms):
+        if outcomes.has_failures() and pool.members.is_ejection_limit_reached(
+            view, now_ms
+        ):
             return
         view.health.note_peer(outcomes, now_ms)
 
 
 def _forget(
-    vm: str, pools_: collections.abc.Mapping[str, pools.PoolScheduler]
+    vm: str, pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler]
 ) -> None:
     for pool in pools_.values():
         pool.neighbours.forget(vm)
--- a/mulberryway/policy/telling.py
+++ b/mulberryway/policy/note_sender.py
@@ -5,9 +5,9 @@
 
 from mulberryway.policy import hints
 from mulberryway.policy import poison
-from mulberryway.policy import pools
+from mulberryway.policy import pool_scheduler
 
-__all__ = ["Teller"]
+__all__ = ["NoteSender"]
 
 # A note for each change would cost a busy router (22 requests a second, each
 # with three changes) more than its 15 KB a second; within this time changes
@@ -15,7 +15,7 @@
 LEAST_PAUSE_MS = 5
 # A change that nobody waits for goes along with the next note, and by itself
 # after this time.
-LATER_MS = 250
+MAX_DEFER_MS = 250
 # An empty note tells that the router lives; what it holds counts until it
 # has been silent for three of these.
 HEARTBEAT_MS = 1_000
@@ -38,7 +38,7 @@
 MOST_HOLDINGS = 64
 
 
-class Teller:
+class NoteSender:
     """Collects changes into notes.
 
     :param vm: this VM's name
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, vm: str, incarnation: int, register: poison.Register
+        self, vm: str, incarnation: int, register: poison.PoisonRegistry
     ) -> None:
         self._vm = vm
         self._incarnation = incarnation
@@ -68,7 +68,7 @@
         self._at_ms: int | None = None
         self._whole_ms: int | None = None
 
-    def note_view(self, pool: str, upstream: str) -> None:
+    def mark_changed(self, pool: str, upstream: str) -> None:
         """Mark an upstream where something of ours began or ended.
 
         :param pool: the pool's name
@@ -76,7 +76,9 @@
         """
         self._views.add((pool, upstream))
 
-    def note_later(self, pool: str, upstream: str, now_ms: int) -> None:
+    def mark_changed_deferred(
+        self, pool: str, upstream: str, now_ms: int
+    ) -> None:
         """Mark an upstream of which the news may wait a bit.
 
         :param pool: the pool's name
@@ -87,7 +89,7 @@
             self._later_since_ms = now_ms
         self._later.add((pool, upstream))
 
-    def note_charge(
+    def record_charge(
         self, pool: str, account: str, weight: int, tokens: float
     ) -> None:
         """Add to what an account was charged.
@@ -102,9 +104,9 @@
         self._weights[key] = weight
         self._accounts.add(key)
 
-    def make_note(
+    def build_note(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> hints.Note | None:
         """Return what peers should hear now.
@@ -120,7 +122,7 @@
         is_beating = pause_ms is None or self._has_to_beat(pause_ms, pools_)
         has_waited = self._has_to_tell_waiting(waiting, pause_ms)
         deaths = self._register.take_news(now_ms)
-        if self._later and now_ms - self._later_since_ms >= LATER_MS:
+        if self._later and now_ms - self._later_since_ms >= MAX_DEFER_MS:
             self._views |= self._later
         changed = self._views or self._accounts or deaths
         if not (changed or has_waited or is_beating):
@@ -146,7 +148,7 @@
 
     def _build(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         waiting: dict[tuple[str, str], tuple[int, int]],
         deaths: list[hints.Death],
         now_ms: int,
@@ -178,7 +180,7 @@
 
     def _mark_whole(
         self,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
         if self._whole_ms is not None and now_ms - self._whole_ms < WHOLE_MS:
@@ -195,7 +197,7 @@
     def _has_to_beat(
         self,
         pause_ms: int,
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> bool:
         if pause_ms < HEARTBEAT_MS:
             return False
@@ -209,7 +211,7 @@
 
     @staticmethod
     def _list_waiting(
-        pools_: collections.abc.Mapping[str, pools.PoolScheduler],
+        pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> dict[tuple[str, str], tuple[int, int]]:
         return {
             (name, state.name): (
@@ -217,14 +219,14 @@
                 state.list_heads()[0].job.arrived_ms,
             )
             for name, pool in pools_.items()
-            for state in pool.fair.list_next(MOST_ACCOUNTS)
+            for state in pool.queue.list_next(MOST_ACCOUNTS)
         }
 
     def _read_account(
-        self, pool: pools.PoolScheduler, account: str, now_ms: int
+        self, pool: pool_scheduler.PoolScheduler, account: str, now_ms: int
     ) -> hints.AccountNote:
         key = pool.row.name, account
-        state = pool.fair.find_account(account, self._weights.get(key, 1))
+        state = pool.queue.find_account(account, self._weights.get(key, 1))
         self._weights[key] = state.weight
         heads = state.list_heads()
         oldest_ms = now_ms - heads[0].job.arrived_ms if heads else 0
@@ -241,7 +243,7 @@
 
 
 def _read_holding(
-    pool: pools.PoolScheduler | None, upstream: str, now_ms: int
+    pool: pool_scheduler.PoolScheduler | None, upstream: str, now_ms: int
 ) -> list[hints.Holding]:
     view = pool.members.find(upstream) if pool is not None else None
     if pool is None or view is None:
--- a/mulberryway/policy/neighbours.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -1,9 +1,9 @@
 """What peers told of the client accounts: work done, and work waiting."""
 
+from mulberryway.policy import fair_queue
 from mulberryway.policy import hints
-from mulberryway.policy import queue
 
-__all__ = ["Neighbours"]
+__all__ = ["PeerAccounts"]
 
 # A peer tells again of what waits each 100 ms, so after three times that a
 # waiting job counts as gone.
@@ -20,7 +20,7 @@
         self.told_ms = told_ms
 
 
-class Neighbours:
+class PeerAccounts:
     """The accounts of one pool as the other routers of the cell see them.
 
     :param fair: the pool's own queue, which orders the accounts
@@ -28,7 +28,7 @@
 
     __slots__ = ("_fair", "_charged", "_waiting")
 
-    def __init__(self, fair: queue.FairQueue) -> None:
+    def __init__(self, fair: fair_queue.FairQueue) -> None:
         self._fair = fair
         self._charged: dict[str, dict[str, int]] = {}
         self._waiting: dict[str, dict[str, _Waiting]] = {}
@@ -46,7 +46,7 @@
         if more > 0:
             self._fair.charge(note.account, note.weight, more)
         elif more < 0:
-            self._fair.correct(note.account, note.weight, more)
+            self._fair.adjust_charge(note.account, note.weight, more)
         waiting = self._waiting.setdefault(vm, {})
         if note.waiting:
             waiting[note.account] = _Waiting(note, now_ms)
@@ -63,8 +63,8 @@
 
     def count_ahead(
         self,
-        state: queue.AccountState,
-        entry: queue.Entry,
+        state: fair_queue.AccountState,
+        entry: fair_queue.QueueEntry,
         slack_tokens: int,
         now_ms: int,
     ) -> int:
@@ -92,18 +92,18 @@
         self,
         account: str,
         waiting: _Waiting,
-        state: queue.AccountState,
-        entry: queue.Entry,
+        state: fair_queue.AccountState,
+        entry: fair_queue.QueueEntry,
         slack_tokens: int,
     ) -> int:
-        lead = state.start - self._fair.read_start(account)
+        lead = state.start - self._fair.get_virtual_start(account)
         if abs(lead) < slack_tokens:
             return 1 if waiting.prefill_ms < entry.prefill_ms else 0
         if account == state.name:
             return 1 if waiting.since_ms < entry.job.arrived_ms else 0
         return waiting.jobs if lead > 0 else 0
 
-    def read_weight_waiting(self, now_ms: int) -> int:
+    def sum_waiting_weight(self, now_ms: int) -> int:
         """Return the weights of accounts that wait only at peers.
 
         :param now_ms: the present
@@ -114,6 +114,6 @@
             for accounts in self._waiting.values()
             for account, waiting in accounts.items()
             if now_ms - waiting.told_ms <= WAITING_FRESH_MS
-            and not self._fair.read_waiting(account)
+            and not self._fair.count_waiting(account)
         }
-        return sum(map(self._fair.read_weight, names))
+        return sum(map(self._fair.get_weight, names))
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -1,29 +1,29 @@
 """A possible start of a job: where it runs, and when what comes."""
 
 from mulberryway import tables
-from mulberryway.policy import messages
-from mulberryway.policy import views
+from mulberryway.policy import jobs
+from mulberryway.policy import upstream_view
 
 __all__ = [
-    "HOPS_MS",
-    "SAFETY_MS",
+    "NETWORK_OVERHEAD_MS",
+    "DEADLINE_MARGIN_MS",
     "Placement",
-    "count_blocks",
-    "count_bytes",
-    "read_zones",
+    "estimate_kv_blocks",
+    "compute_kv_bytes",
+    "get_zone_pair",
 ]
 
 # What the hops of a request cost.
-HOPS_MS = 8.0
+NETWORK_OVERHEAD_MS = 8.0
 # Estimates are off by some tens of milliseconds when other routers' work
 # comes in between; a start that has less to spare mostly comes too late.
-SAFETY_MS = 30.0
+DEADLINE_MARGIN_MS = 30.0
 
 # Answers that began together in a burst grow together, so nearly all of their
 # length is in memory at the same time.  Measured over two calm and two heavy
 # days: with 0.5 of it, 4 to 5 in 100 of all worth were lost by prompts read
 # in vain, with 0.7 2 to 3, with 0.9 under 1; what waits longer costs less.
-GROWN_PART = 0.9
+EXPECTED_LENGTH_FRACTION = 0.9
 
 
 class Placement:
@@ -49,25 +49,25 @@
         "transfer_ms",
         "first_token_ms",
         "blocks",
-        "shifted_ms",
+        "drift_ms",
     )
 
     def __init__(
         self,
-        prefill: views.UpstreamView,
+        prefill: upstream_view.UpstreamView,
         tokens: float,
         prefill_ms: float,
         ready_ms: float,
     ) -> None:
         self.prefill = prefill
-        self.decode: views.UpstreamView | None = None
+        self.decode: upstream_view.UpstreamView | None = None
         self.tokens = tokens
         self.prefill_ms = prefill_ms
         self.ready_ms = ready_ms
         self.transfer_ms = 0.0
         self.first_token_ms = ready_ms
         self.blocks = 0
-        self.shifted_ms = 0.0
+        self.drift_ms = 0.0
 
     def describe(self, now_ms: int) -> dict[str, int | float | str]:
         """Return what decided, for logs.
@@ -78,19 +78,19 @@
         decode = self.decode or self.prefill
         return {
             "blocks": self.blocks,
-            "free_slots": decode.read_free(now_ms),
+            "free_slots": decode.count_free_slots(now_ms),
             "free_blocks": decode.count_free_blocks(),
             "prefill_ms": round(self.prefill_ms),
             "ready_in_ms": round(self.ready_ms - now_ms),
             "step_ms": round(decode.step.value, 1),
         }
 
-    def is_alone(self) -> bool:
+    def is_aggregated(self) -> bool:
         """Tell whether one upstream does the prefill and the decode."""
         return self.decode is self.prefill
 
 
-def count_bytes(job: messages.Job, pool: tables.Pool) -> int:
+def compute_kv_bytes(job: jobs.Job, pool: tables.Pool) -> int:
     """Return the size of a job's KV cache.
 
     :param job: the job
@@ -100,7 +100,7 @@
     return job.prompt_tokens * pool.kv_bytes_per_token
 
 
-def count_blocks(job: messages.Job, pool: tables.Pool) -> int:
+def estimate_kv_blocks(job: jobs.Job, pool: tables.Pool) -> int:
     """Return how much of a decode engine's memory a job may take.
 
     :param job: the job
@@ -109,13 +109,15 @@
     """
     expected = job.max_tokens
     if job.expected_tokens:
-        expected = min(expected, int(job.expected_tokens * GROWN_PART))
+        expected = min(
+            expected, int(job.expected_tokens * EXPECTED_LENGTH_FRACTION)
+        )
     tokens = job.prompt_tokens + expected
     return -(-tokens // max(pool.block_tokens, 1))
 
 
-def read_zones(
-    prefill: views.UpstreamView, decode: views.UpstreamView
+def get_zone_pair(
+    prefill: upstream_view.UpstreamView, decode: upstream_view.UpstreamView
 ) -> tuple[str, str]:
     """Return the zones between which a KV cache travels.
 
--- a/mulberryway/policy/pools.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -5,18 +5,18 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.policy import admission
-from mulberryway.policy import messages
-from mulberryway.policy import meters
-from mulberryway.policy import neighbours
+from mulberryway.policy import fair_queue
+from mulberryway.policy import fairness
+from mulberryway.policy import job_placement
+from mulberryway.policy import jobs
+from mulberryway.policy import peer_accounts
 from mulberryway.policy import placements
-from mulberryway.policy import placing
 from mulberryway.policy import poison
-from mulberryway.policy import queue
+from mulberryway.policy import pool_stats
+from mulberryway.policy import pool_upstreams
 from mulberryway.policy import retries
-from mulberryway.policy import running
-from mulberryway.policy import shifting
-from mulberryway.policy import views
-from mulberryway.policy import weighing
+from mulberryway.policy import running_jobs
+from mulberryway.policy import upstream_view
 
 __all__ = ["PoolScheduler"]
 
@@ -30,8 +30,8 @@
 # note takes some milliseconds.  Who has more before it waits longer, so that
 # routers do not all take the same slot when nobody comes for it; and a slot
 # that nobody takes is wasted, hence the limit.
-YIELD_EACH_MS = 12
-MOST_YIELD_MS = 90
+YIELD_PER_JOB_MS = 12
+MAX_YIELD_MS = 90
 RETRY_PAUSE_MS = 10
 # Room that nobody has counted yet.
 UNKNOWN = -1
@@ -45,7 +45,7 @@
     :param row: the pool's row
     :param members: its upstreams
     :param register: requests that may be poison
-    :param weighed: what is weighed more
+    :param fairness_mode: what is weighed more
     :param random_: a seeded source of chance
     :param token_gap_ms: the most time between tokens that is still good
     :param most_entries: limit on what waits
@@ -56,9 +56,9 @@
     def __init__(
         self,
         row: tables.Pool,
-        members: shifting.Members,
-        register: poison.Register,
-        weighed: weighing.Weighing,
+        members: pool_upstreams.PoolUpstreams,
+        register: poison.PoisonRegistry,
+        fairness_mode: fairness.FairnessMode,
         random_: random.Random,
         token_gap_ms: int,
         most_entries: int,
@@ -67,20 +67,20 @@
     ) -> None:
         self.row = row
         self.members = members
-        self.fair = queue.FairQueue(most_entries, most_bytes)
-        self.placer = placing.Placer(members, random_, token_gap_ms)
-        self.neighbours = neighbours.Neighbours(self.fair)
-        self.meters = meters.Meters()
+        self.queue = fair_queue.FairQueue(most_entries, most_bytes)
+        self.placer = job_placement.Placer(members, random_, token_gap_ms)
+        self.neighbours = peer_accounts.PeerAccounts(self.queue)
+        self.meters = pool_stats.PoolStats()
         self.budget = budget or retries.RetryBudget()
         self._admission = admission.Admission(
-            self.fair, self.placer, self.neighbours, self.meters
+            self.queue, self.placer, self.neighbours, self.meters
         )
         self._register = register
-        self._weighed = weighed
+        self._weighed = fairness_mode
         self._free = UNKNOWN
         self._free_since_ms = 0
 
-    def submit(self, job: messages.Job, now_ms: int) -> errors.Fault | None:
+    def submit(self, job: jobs.Job, now_ms: int) -> errors.Fault | None:
         """Let a job wait, or refuse it at once.
 
         :param job: the job
@@ -90,66 +90,68 @@
         fault = (
             self._check_standing(job, now_ms)
             or self._check_budget(job)
-            or self._admission.check_room(job)
+            or self._admission.check_capacity(job)
         )
         if fault is not None:
             return fault
         best = self.placer.estimate(job, self.row, now_ms)
         if best is None or not self.members.decodes:
-            return admission.make_refusal(
+            return admission.make_rejection(
                 errors.Code.NO_UPSTREAM,
                 job,
                 "no upstream takes this work now",
-                self.meters.hint_retry_ms(1_000),
+                self.meters.clamp_retry_ms(1_000),
             )
-        latest_ms = self._admission.read_latest_ms(job, best, self.row)
-        fault = self._admission.check_time(job, best, latest_ms, now_ms)
+        latest_ms = self._admission.compute_latest_start_ms(
+            job, best, self.row
+        )
+        fault = self._admission.check_deadline(job, best, latest_ms, now_ms)
         if fault is not None:
             return fault
         cost = self.meters.estimate_cost(job, best.tokens)
         lane = self._choose_lane(job, best.prefill_ms, now_ms)
-        if not len(self.fair):
+        if not len(self.queue):
             # Nobody has looked while nothing waited.
             self._free = UNKNOWN
-        self.fair.push(
-            queue.Entry(job, lane, cost, latest_ms, best.prefill_ms)
+        self.queue.push(
+            fair_queue.QueueEntry(job, lane, cost, latest_ms, best.prefill_ms)
         )
         return None
 
-    def give_up_late(self, now_ms: int) -> list[messages.Refusal]:
+    def expire_waiting(self, now_ms: int) -> list[jobs.Refusal]:
         """Refuse the jobs that can no longer start in time.
 
         :param now_ms: the present
         :returns: the refusals; each is final and given at once
         """
-        retry_ms = self.meters.hint_retry_ms(self.meters.hold_ms.value / 10)
+        retry_ms = self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10)
         return [
-            messages.Refusal(
+            jobs.Refusal(
                 entry.job.job_id,
-                admission.make_refusal(
+                admission.make_rejection(
                     errors.Code.DEADLINE_EXCEEDED,
                     entry.job,
                     "no slot came free in time",
                     retry_ms,
                 ),
             )
-            for entry in self.fair.pop_late(now_ms)
+            for entry in self.queue.pop_expired(now_ms)
         ]
 
     def start_next(
-        self, now_ms: int, refusals: list[messages.Refusal]
-    ) -> running.Running | None:
+        self, now_ms: int, refusals: list[jobs.Refusal]
+    ) -> running_jobs.RunningJob | None:
         """Start the job whose turn it is, if it can start.
 
         :param now_ms: the present
         :param refusals: gets the jobs that turn out to be quarantined
         :returns: the started job, or none if none can start now
         """
-        if not len(self.fair):
+        if not len(self.queue):
             # Each note of a peer asks, and mostly nothing waits.
             return None
-        self.placer.stream_ms = self.meters.hold_ms.value
-        free = self.placer.count_free(now_ms)
+        self.placer.typical_stream_ms = self.meters.hold_ms.value
+        free = self.placer.estimate_free_slots(now_ms)
         self._note_free(free, now_ms)
         tried = 0
         for entry in self._list_candidates(now_ms, refusals):
@@ -166,52 +168,52 @@
                 break
         return None
 
-    def read_wake_ms(self, now_ms: int) -> int | None:
+    def get_wake_ms(self, now_ms: int) -> int | None:
         """Return when to ask again, if nothing happens before.
 
         :param now_ms: the present
         :returns: a time; none if nothing waits
         """
-        latest_ms = self.fair.next_latest_ms()
+        latest_ms = self.queue.get_next_expiry_ms()
         if latest_ms is None:
             return None
         pause_ms = RETRY_PAUSE_MS if self._free else FULL_PAUSE_MS
         return max(min(latest_ms, now_ms + pause_ms), now_ms + 1)
 
     def _check_standing(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> errors.Fault | None:
         standing = self._register.read_standing(job.digest, now_ms)
-        if standing is not poison.Standing.QUARANTINED:
+        if standing is not poison.QuarantineState.QUARANTINED:
             return None
-        self._register.note_repeat(job.digest, now_ms)
-        return admission.make_refusal(
+        self._register.renew_quarantine(job.digest, now_ms)
+        return admission.make_rejection(
             errors.Code.QUARANTINED,
             job,
             "upstreams died while they ran this request",
         )
 
-    def _check_budget(self, job: messages.Job) -> errors.Fault | None:
+    def _check_budget(self, job: jobs.Job) -> errors.Fault | None:
         if job.attempt == 0:
-            self.budget.earn()
+            self.budget.deposit()
             return None
-        if self.budget.spend():
+        if self.budget.try_withdraw():
             return None
-        return admission.make_refusal(
+        return admission.make_rejection(
             errors.Code.OVERLOADED,
             job,
             "too many repeats at once",
-            self.meters.hint_retry_ms(self.meters.hold_ms.value / 10),
+            self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10),
         )
 
     def _choose_lane(
-        self, job: messages.Job, prefill_ms: float, now_ms: int
-    ) -> queue.Lane:
+        self, job: jobs.Job, prefill_ms: float, now_ms: int
+    ) -> fair_queue.Lane:
         standing = self._register.read_standing(job.digest, now_ms)
-        if standing is poison.Standing.SUSPECT:
-            return queue.Lane.SUSPECT
+        if standing is poison.QuarantineState.SUSPECT:
+            return fair_queue.Lane.SUSPECT
         is_long = prefill_ms > LONG_PREFILL_MS
-        return queue.Lane.LONG if is_long else queue.Lane.SHORT
+        return fair_queue.Lane.LONG if is_long else fair_queue.Lane.SHORT
 
     def _note_free(self, free: int, now_ms: int) -> None:
         if free != self._free:
@@ -219,9 +221,9 @@
             self._free_since_ms = now_ms
 
     def _list_candidates(
-        self, now_ms: int, refusals: list[messages.Refusal]
-    ) -> list[queue.Entry]:
-        states = self.fair.list_next(ACCOUNTS_TRIED)
+        self, now_ms: int, refusals: list[jobs.Refusal]
+    ) -> list[fair_queue.QueueEntry]:
+        states = self.queue.list_next(ACCOUNTS_TRIED)
         limit = states[0].start + self._weighed.slack_tokens
         entries = [
             (state.start, entry)
@@ -246,27 +248,27 @@
 
     def _may_still_run(
         self,
-        entry: queue.Entry,
+        entry: fair_queue.QueueEntry,
         now_ms: int,
-        refusals: list[messages.Refusal],
+        refusals: list[jobs.Refusal],
     ) -> bool:
         fault = self._check_standing(entry.job, now_ms)
         if fault is not None:
-            self.fair.remove(entry.job.job_id)
-            refusals.append(messages.Refusal(entry.job.job_id, fault))
+            self.queue.remove(entry.job.job_id)
+            refusals.append(jobs.Refusal(entry.job.job_id, fault))
             return False
         standing = self._register.read_standing(entry.job.digest, now_ms)
         if (
-            standing is poison.Standing.SUSPECT
-            and entry.lane is not queue.Lane.SUSPECT
+            standing is poison.QuarantineState.SUSPECT
+            and entry.lane is not fair_queue.Lane.SUSPECT
         ):
-            self.fair.move(entry.job.job_id, queue.Lane.SUSPECT)
+            self.queue.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
         return True
 
-    def _count_ahead(self, entry: queue.Entry, now_ms: int) -> int:
+    def _count_ahead(self, entry: fair_queue.QueueEntry, now_ms: int) -> int:
         """Return how many of the peers' jobs should go before one of ours."""
         job = entry.job
-        state = self.fair.find_account(job.account, job.weight)
+        state = self.queue.find_account(job.account, job.weight)
         # What goes out of the fair order by the slack does so at peers too.
         return self.neighbours.count_ahead(
             state, entry, self._weighed.slack_tokens, now_ms
@@ -276,13 +278,13 @@
         waited_ms = now_ms - self._free_since_ms
         return free <= ahead and waited_ms < _limit_yield(ahead)
 
-    def move_decode(
+    def reassign_decode(
         self,
-        job: running.Running,
+        job: running_jobs.RunningJob,
         refused: str,
         now_ms: int,
         is_unreached: bool = False,
-    ) -> views.UpstreamView | None:
+    ) -> upstream_view.UpstreamView | None:
         """Move a started job's reservation to another upstream.
 
         The prefill's result is lost unless a slot elsewhere takes it before
@@ -297,10 +299,10 @@
         before = job.placement.decode
         view = self.members.find(refused)
         if view is not None and is_unreached:
-            view.health.note_failure(True, now_ms)
+            view.health.record_failure(True, now_ms)
         elif view is not None:
-            view.note_full(now_ms)
-        decode = self.placer.choose_other(
+            view.record_full(now_ms)
+        decode = self.placer.choose_other_decode(
             job.entry, job.placement, self.row, now_ms
         )
         if decode is None or before is None or decode is before:
@@ -312,16 +314,19 @@
         return decode
 
     def _start(
-        self, entry: queue.Entry, placement: placements.Placement, now_ms: int
-    ) -> running.Running:
+        self,
+        entry: fair_queue.QueueEntry,
+        placement: placements.Placement,
+        now_ms: int,
+    ) -> running_jobs.RunningJob:
         job = entry.job
-        self.fair.remove(job.job_id)
+        self.queue.remove(job.job_id)
         entry.cost = self.meters.estimate_cost(job, placement.tokens)
-        self.fair.charge(job.account, job.weight, entry.cost)
+        self.queue.charge(job.account, job.weight, entry.cost)
         self.placer.commit(placement, job, self.row, now_ms)
-        return running.Running(entry, placement, now_ms)
+        return running_jobs.RunningJob(entry, placement, now_ms)
 
 
 def _limit_yield(ahead: int) -> int:
     """Return how long room is left to jobs that should go before, in ms."""
-    return min(ahead * YIELD_EACH_MS, MOST_YIELD_MS)
+    return min(ahead * YIELD_PER_JOB_MS, MAX_YIELD_MS)
--- a/mulberryway/policy/shifting.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -3,20 +3,20 @@
 import random
 
 from mulberryway import tables
-from mulberryway.policy import cells
 from mulberryway.policy import health
-from mulberryway.policy import speeds
-from mulberryway.policy import views
+from mulberryway.policy import prefill_speed
+from mulberryway.policy import subsetting
+from mulberryway.policy import upstream_view
 
-__all__ = ["Members"]
+__all__ = ["PoolUpstreams"]
 
 # A decode upstream that reads a prompt itself does so at half the speed.
-SELF_READING_COST = 2.0
+CHUNKED_PREFILL_SLOWDOWN = 2.0
 PREFILL_ROLES = (tables.UpstreamRole.PREFILL, tables.UpstreamRole.BOTH)
 DECODE_ROLES = (tables.UpstreamRole.DECODE, tables.UpstreamRole.BOTH)
 
 
-class Members:
+class PoolUpstreams:
     """The upstreams of one pool that this router considers, by role.
 
     :param vm: this VM's name
@@ -40,18 +40,18 @@
         self,
         vm: str,
         random_: random.Random,
-        prefill_rate: float = views.PREFILL_MS_PER_TOKEN,
+        prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self._vm = vm
-        self._usual_rate = health.Floor(prefill_rate)
+        self._usual_rate = health.LatencyFloor(prefill_rate)
         self._random = random_
-        self._views: dict[str, views.UpstreamView] = {}
-        self._retired: dict[str, views.UpstreamView] = {}
-        self._divisions: dict[int, cells.Cells] = {}
-        self.prefills: list[views.UpstreamView] = []
-        self.decodes: list[views.UpstreamView] = []
+        self._views: dict[str, upstream_view.UpstreamView] = {}
+        self._retired: dict[str, upstream_view.UpstreamView] = {}
+        self._divisions: dict[int, subsetting.Subsets] = {}
+        self.prefills: list[upstream_view.UpstreamView] = []
+        self.decodes: list[upstream_view.UpstreamView] = []
 
-    def find(self, upstream: str) -> views.UpstreamView | None:
+    def find(self, upstream: str) -> upstream_view.UpstreamView | None:
         """Return the view of one upstream, or none.
 
         :param upstream: its name
@@ -59,11 +59,13 @@
         """
         return self._views.get(upstream)
 
-    def list_all(self) -> list[views.UpstreamView]:
+    def list_all(self) -> list[upstream_view.UpstreamView]:
         """Return every view, of either role."""
         return list(self._views.values())
 
-    def has_few_left(self, view: views.UpstreamView, now_ms: int) -> bool:
+    def is_ejection_limit_reached(
+        self, view: upstream_view.UpstreamView, now_ms: int
+    ) -> bool:
         """Tell whether no more upstreams may be ejected on peers' word.
 
         :param view: the upstream in question; others of its role count
@@ -107,33 +109,35 @@
         self, pool: tables.Pool, vms: tuple[str, ...]
     ) -> list[tables.Upstream]:
         by_name = {row.name: row for row in pool.upstreams}
-        count = round(len(by_name) / cells.CELL_ENGINES)
+        count = round(len(by_name) / subsetting.SUBSET_SIZE)
         division = self._divisions.get(count)
         if division is None:
-            division = cells.Cells(count, vms)
+            division = subsetting.Subsets(count, vms)
             self._divisions = {count: division}
         return [
             by_name[name] for name in division.choose(self._vm, list(by_name))
         ]
 
-    def forget_division(self) -> None:
+    def reset_subsets(self) -> None:
         """Divide anew at the next change, for the list of VMs has changed."""
         self._divisions = {}
 
     def _keep(
         self,
-        view: views.UpstreamView | None,
+        view: upstream_view.UpstreamView | None,
         row: tables.Upstream,
         pool: tables.Pool,
-    ) -> views.UpstreamView:
-        blocks = pool.engine_tokens // max(pool.block_tokens, 1) or None
+    ) -> upstream_view.UpstreamView:
+        blocks = pool.kv_capacity_tokens // max(pool.block_tokens, 1) or None
         is_new = view is None or row.role is not view.row.role
         if view is None:
-            view = views.UpstreamView(row, pool.slots, self._random, blocks)
+            view = upstream_view.UpstreamView(
+                row, pool.slots, self._random, blocks
+            )
         if is_new:
             reads_beside = row.role is tables.UpstreamRole.DECODE
-            cost = SELF_READING_COST if reads_beside else 1.0
-            view.speed = speeds.ReadSpeed(self._usual_rate, cost)
+            cost = CHUNKED_PREFILL_SLOWDOWN if reads_beside else 1.0
+            view.speed = prefill_speed.PrefillSpeed(self._usual_rate, cost)
         if row.role not in PREFILL_ROLES:
             view.prefixes.clear()
         view.row = row
--- a/mulberryway/policy/entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -4,14 +4,14 @@
 import enum
 import itertools
 
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 
-__all__ = ["AccountState", "Entry", "Lane"]
+__all__ = ["AccountState", "QueueEntry", "Lane"]
 
 
 # Entries of a lane that are looked at for one that is on time: in one second,
 # which is more than targets are, an account brings no more to one router.
-MOST_LOOKS = 64
+MAX_LANE_SCAN = 64
 
 
 class Lane(enum.IntEnum):
@@ -27,30 +27,30 @@
     SUSPECT = 2
 
 
-class Entry:
+class QueueEntry:
     """A waiting job.
 
     :param job: the job
     :param lane: which others of its account it may not overtake
     :param cost: what it is charged, in tokens
-    :param latest_ms: when it has to start so as to be in time
+    :param latest_start_ms: when it has to start so as to be in time
     :param prefill_ms: how long its prefill takes by itself
     """
 
-    __slots__ = ("job", "lane", "cost", "latest_ms", "prefill_ms")
+    __slots__ = ("job", "lane", "cost", "latest_start_ms", "prefill_ms")
 
     def __init__(
         self,
-        job: messages.Job,
+        job: jobs.Job,
         lane: Lane,
         cost: float,
-        latest_ms: int,
+        latest_start_ms: int,
         prefill_ms: float = 0.0,
     ) -> None:
         self.job = job
         self.lane = lane
         self.cost = cost
-        self.latest_ms = latest_ms
+        self.latest_start_ms = latest_start_ms
         self.prefill_ms = prefill_ms
 
     def is_late(self, now_ms: int) -> bool:
@@ -59,7 +59,7 @@
         :param now_ms: the present
         :returns: false also for jobs without a target
         """
-        target_ms = self.job.target_at_ms
+        target_ms = self.job.first_token_target_ms
         return bool(target_ms) and now_ms + self.prefill_ms > target_ms
 
 
@@ -72,13 +72,13 @@
         self.name = name
         self.weight = max(weight, 1)
         self.start = start
-        self.lanes: tuple[collections.OrderedDict[str, Entry], ...] = tuple(
-            collections.OrderedDict() for _ in Lane
+        self.lanes: tuple[collections.OrderedDict[str, QueueEntry], ...] = (
+            tuple(collections.OrderedDict() for _ in Lane)
         )
         self.waiting = 0
         self.bytes = 0
 
-    def list_heads(self, now_ms: int | None = None) -> list[Entry]:
+    def list_heads(self, now_ms: int | None = None) -> list[QueueEntry]:
         """Return the entry of each lane whose turn is next, oldest first.
 
         By age alone every answer of a burst would come late.  So the oldest
@@ -92,7 +92,7 @@
             next(
                 (
                     entry
-                    for entry in itertools.islice(lane.values(), MOST_LOOKS)
+                    for entry in itertools.islice(lane.values(), MAX_LANE_SCAN)
                     if now_ms is not None and not entry.is_late(now_ms)
                 ),
                 next(iter(lane.values())),
--- a/mulberryway/policy/running.py
+++ b/mulberryway/policy/running_jobs.py
@@ -1,15 +1,15 @@
 """A job that has started, with everything it holds."""
 
+from mulberryway.policy import fair_queue
 from mulberryway.policy import placements
-from mulberryway.policy import queue
 
-__all__ = ["Running"]
+__all__ = ["RunningJob"]
 
 # A mean over fewer tokens says more about the network than the engine.
 LEAST_TOKENS = 8
 
 
-class Running:
+class RunningJob:
     """A started job.
 
     :param entry: its entry while it waited
@@ -29,7 +29,10 @@
     )
 
     def __init__(
-        self, entry: queue.Entry, placement: placements.Placement, now_ms: int
+        self,
+        entry: fair_queue.QueueEntry,
+        placement: placements.Placement,
+        now_ms: int,
     ) -> None:
         self.entry = entry
         self.placement = placement
@@ -42,9 +45,9 @@
 
     def is_suspect(self) -> bool:
         """Tell whether it runs as the only suspect on its upstreams."""
-        return self.entry.lane is queue.Lane.SUSPECT
+        return self.entry.lane is fair_queue.Lane.SUSPECT
 
-    def note_first_token(self, now_ms: int) -> None:
+    def record_first_token(self, now_ms: int) -> None:
         """Begin to measure the gaps between tokens.
 
         :param now_ms: the present
@@ -54,7 +57,7 @@
         self._seen_tokens = 1
         self._seen_ms = now_ms
 
-    def note_tokens(self, tokens: int, now_ms: int) -> float | None:
+    def record_tokens(self, tokens: int, now_ms: int) -> float | None:
         """Count tokens.
 
         :param tokens: all tokens so far
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -8,30 +8,30 @@
 from mulberryway import tables
 from mulberryway.policy import admission
 from mulberryway.policy import base
-from mulberryway.policy import hearing
+from mulberryway.policy import fairness
 from mulberryway.policy import hints
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
+from mulberryway.policy import note_receiver
+from mulberryway.policy import note_sender
 from mulberryway.policy import poison
 from mulberryway.policy import pool_set
 from mulberryway.policy import probes
 from mulberryway.policy import retries
-from mulberryway.policy import running
-from mulberryway.policy import telling
-from mulberryway.policy import views
-from mulberryway.policy import weighing
+from mulberryway.policy import running_jobs
+from mulberryway.policy import upstream_view
 from mulberryway.upstreams import base as upstreams
 
 __all__ = ["FairScheduler"]
 
 # Bounds the memory of bodies that wait.
-MOST_ENTRIES = 2_048
-MOST_BYTES = 64 << 20
+MAX_ENTRIES = 2_048
+MAX_BYTES = 64 << 20
 TOKEN_GAP_MS = 63
 # Peers hear soon of a larger change in an upstream's pace; the rest goes
 # along with the next note about it.
-NEWS_PART = 0.2
+STEP_CHANGE_FRACTION = 0.2
 # Starts in one call, so that a call's time has a limit.
-MOST_STARTS = 64
+MAX_STARTS = 64
 
 
 class FairScheduler(base.Scheduler):
@@ -53,16 +53,16 @@
         self,
         vm: str,
         incarnation: int = 0,
-        weighed: weighing.Weighing = weighing.WORST_SERVED,
-        register: poison.Register | None = None,
+        weighed: fairness.FairnessMode = fairness.WORST_SERVED,
+        register: poison.PoisonRegistry | None = None,
         seed: int = 0,
         token_gap_ms: int = TOKEN_GAP_MS,
-        most_entries: int = MOST_ENTRIES,
-        most_bytes: int = MOST_BYTES,
+        most_entries: int = MAX_ENTRIES,
+        most_bytes: int = MAX_BYTES,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
-        prefill_rate: float = views.PREFILL_MS_PER_TOKEN,
+        prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
-        self.register = register or poison.Register()
+        self.register = register or poison.PoisonRegistry()
         self._set = pool_set.PoolSet(
             vm,
             weighed,
@@ -76,13 +76,13 @@
         )
         self._pools = self._set.pools
         self._waiting: dict[str, str] = {}
-        self._running: dict[str, running.Running] = {}
-        self._dropped: list[messages.Refusal] = []
-        self._teller = telling.Teller(vm, incarnation, self.register)
-        self._hearer = hearing.Hearer(vm, self.register)
+        self._running: dict[str, running_jobs.RunningJob] = {}
+        self._dropped: list[jobs.Refusal] = []
+        self._teller = note_sender.NoteSender(vm, incarnation, self.register)
+        self._hearer = note_receiver.NoteReceiver(vm, self.register)
 
     def submit(
-        self, job: messages.Job, now_ms: int
+        self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
         """Take a job in, or refuse it at once.
 
@@ -92,7 +92,7 @@
         """
         pool = self._pools.get(job.pool)
         if pool is None:
-            fault = admission.make_refusal(
+            fault = admission.make_rejection(
                 errors.Code.NO_UPSTREAM, job, "no such pool of models"
             )
             return expression.Error(fault)
@@ -102,26 +102,26 @@
         self._waiting[job.job_id] = job.pool
         return expression.Ok(None)
 
-    def dispatch(self, now_ms: int) -> messages.Dispatch:
+    def dispatch(self, now_ms: int) -> jobs.DispatchResult:
         """Start the jobs whose turn it is, and give up the late ones.
 
         :param now_ms: the present
         :returns: the decisions
         """
-        self._hearer.sweep(self._pools, now_ms)
+        self._hearer.expire_peers(self._pools, now_ms)
         refusals = self._dropped
         self._dropped = []
-        assignments: list[messages.Assignment] = []
+        assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
-            refusals += pool.give_up_late(now_ms)
-            for _ in range(MOST_STARTS):
+            refusals += pool.expire_waiting(now_ms)
+            for _ in range(MAX_STARTS):
                 started = pool.start_next(now_ms, refusals)
                 if started is None:
                     break
                 assignments.append(self._note_start(name, started, now_ms))
         for refusal in refusals:
             self._waiting.pop(refusal.job_id, None)
-        return messages.Dispatch(
+        return jobs.DispatchResult(
             assignments, refusals, self._read_wake_ms(now_ms)
         )
 
@@ -136,10 +136,10 @@
         if name is None:
             return False
         self._dropped = [one for one in self._dropped if one.job_id != job_id]
-        self._set.find_any(name).fair.remove(job_id)
+        self._set.find_any(name).queue.remove(job_id)
         return True
 
-    def note_prefilled(self, job_id: str, now_ms: int) -> None:
+    def record_prefilled(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's prefill has ended well.
 
         :param job_id: the job
@@ -147,11 +147,11 @@
         """
         job = self._running.get(job_id)
         if job is not None:
-            self._set.find_endings(job.entry.job.pool).note_prefilled(
+            self._set.find_endings(job.entry.job.pool).record_prefilled(
                 job, now_ms
             )
 
-    def note_unread(self, job_id: str, now_ms: int) -> None:
+    def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
 
         :param job_id: the job
@@ -162,9 +162,9 @@
             pool = job.entry.job.pool
             # Both the engine that read in vain and the one that reads now.
             self._tell_views(pool, job)
-            self._set.find_endings(pool).note_unread(job, now_ms)
+            self._set.find_endings(pool).record_prefill_failed(job, now_ms)
 
-    def note_first_token(self, job_id: str, now_ms: int) -> None:
+    def record_first_token(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's first token has come.
 
         :param job_id: the job
@@ -172,12 +172,12 @@
         """
         job = self._running.get(job_id)
         if job is not None:
-            job.note_first_token(now_ms)
+            job.record_first_token(now_ms)
             pool = job.entry.job.pool
-            if self._set.find_endings(pool).note_first_token(job):
+            if self._set.find_endings(pool).record_first_token(job):
                 self._tell_views(pool, job)
 
-    def note_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
+    def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
         """Tell how many tokens of a running job have come so far.
 
         :param job_id: the job
@@ -185,18 +185,18 @@
         :param now_ms: the present
         """
         job = self._running.get(job_id)
-        gap_ms = job.note_tokens(tokens, now_ms) if job is not None else None
+        gap_ms = job.record_tokens(tokens, now_ms) if job is not None else None
         if job is not None and gap_ms is not None:
             decode = job.placement.decode
             if decode is not None:
                 before_ms = decode.step.value
-                decode.note_step(gap_ms, now_ms)
-                if abs(gap_ms - before_ms) > NEWS_PART * before_ms:
-                    self._teller.note_later(
+                decode.record_step(gap_ms, now_ms)
+                if abs(gap_ms - before_ms) > STEP_CHANGE_FRACTION * before_ms:
+                    self._teller.mark_changed_deferred(
                         job.entry.job.pool, decode.row.name, now_ms
                     )
 
-    def move_decode(
+    def reassign_decode(
         self,
         job_id: str,
         refused: str,
@@ -216,17 +216,17 @@
             return None
         pool = self._set.find_any(job.entry.job.pool)
         before = job.placement.decode
-        after = pool.move_decode(job, refused, now_ms, is_unreached)
+        after = pool.reassign_decode(job, refused, now_ms, is_unreached)
         if after is None:
             return None
         for view in (before, after):
-            self._teller.note_view(pool.row.name, view.row.name)
+            self._teller.mark_changed(pool.row.name, view.row.name)
         return after.row.name
 
     def finish(
         self,
         job_id: str,
-        end: messages.JobEnd,
+        end: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
@@ -245,11 +245,11 @@
             started, end, upstream, now_ms
         )
         pool = self._set.find_any(job.pool)
-        pool.fair.correct(job.account, job.weight, tokens)
-        self._teller.note_charge(job.pool, job.account, job.weight, tokens)
+        pool.queue.adjust_charge(job.account, job.weight, tokens)
+        self._teller.record_charge(job.pool, job.account, job.weight, tokens)
         self._tell_views(job.pool, started)
 
-    def note_load(
+    def record_load(
         self,
         pool: str,
         upstream: str,
@@ -266,9 +266,9 @@
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
-            view.note_report(load, now_ms)
+            view.record_load(load, now_ms)
 
-    def note_cache_events(
+    def record_cache_events(
         self,
         pool: str,
         upstream: str,
@@ -287,36 +287,38 @@
         if view is not None:
             view.prefixes.note_events(events)
 
-    def has_room(self, pool: str, besides: str, now_ms: int) -> bool:
+    def has_decode_capacity(
+        self, pool: str, excluded: str, now_ms: int
+    ) -> bool:
         """Tell whether another upstream probably has room for a decode.
 
         :param pool: the pool's name
-        :param besides: the upstream that does not count
+        :param excluded: the upstream that does not count
         :param now_ms: the present
         """
         known = self._pools.get(pool)
         return known is not None and any(
-            view.row.name != besides
-            and view.read_free(now_ms) > 0
+            view.row.name != excluded
+            and view.count_free_slots(now_ms) > 0
             and not view.health.is_ejected(now_ms)
             for view in known.members.decodes
         )
 
-    def list_ejected(self, now_ms: int) -> list[probes.Ejected]:
+    def list_ejected(self, now_ms: int) -> list[probes.EjectedUpstream]:
         """Return the upstreams that get no requests for now.
 
         :param now_ms: the present
         """
         return [
-            probes.Ejected(
+            probes.EjectedUpstream(
                 name, view.row.name, view.health.needs_probe(now_ms)
             )
             for name, pool in self._pools.items()
             for view in pool.members.list_all()
-            if view.health.read_probe_ms() is not None
+            if view.health.next_probe_ms() is not None
         ]
 
-    def note_probe(
+    def record_probe(
         self, pool: str, upstream: str, has_passed: bool, now_ms: int
     ) -> None:
         """Take in what a probe, which was no request, found.
@@ -329,18 +331,18 @@
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
-            view.health.note_probe(has_passed, now_ms)
-            self._teller.note_view(pool, upstream)
+            view.health.record_probe(has_passed, now_ms)
+            self._teller.mark_changed(pool, upstream)
 
-    def take_hints(self, now_ms: int) -> hints.Note | None:
+    def drain_hints(self, now_ms: int) -> hints.Note | None:
         """Return what the other routers should hear now, if anything.
 
         :param now_ms: the present
         :returns: a note to send to each peer of the cell, or none
         """
-        return self._teller.make_note(self._pools, now_ms)
+        return self._teller.build_note(self._pools, now_ms)
 
-    def note_hints(self, note: hints.Note, now_ms: int) -> None:
+    def apply_hints(self, note: hints.Note, now_ms: int) -> None:
         """Take in what another router told.
 
         :param note: its note; late, lost and repeated ones do no harm
@@ -348,7 +350,7 @@
         """
         self._hearer.note(note, self._pools, now_ms)
 
-    def note_deaths(self, deaths: list[hints.Death], now_ms: int) -> None:
+    def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
         """Take in deaths of upstreams under requests, told by any VM.
 
         :param deaths: the deaths; repeated ones do no harm
@@ -364,19 +366,19 @@
         :returns: whether upstreams died while they ran it
         """
         standing = self.register.read_standing(digest, now_ms)
-        if standing is not poison.Standing.QUARANTINED:
+        if standing is not poison.QuarantineState.QUARANTINED:
             return False
-        self.register.note_repeat(digest, now_ms)
+        self.register.renew_quarantine(digest, now_ms)
         return True
 
-    def note_death(self, digest: str, upstream: str, now_ms: int) -> None:
+    def record_crash(self, digest: str, upstream: str, now_ms: int) -> None:
         """Tell that a plain service's server died under a request.
 
         :param digest: names the request
         :param upstream: ``pool/name`` of the server
         :param now_ms: the present
         """
-        self.register.note_death(digest, upstream, False, now_ms)
+        self.register.record_crash(digest, upstream, False, now_ms)
 
     def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
         """Take over the list of VMs that run a router.
@@ -403,27 +405,27 @@
         # it gets its final answer with the next dispatch.
         pool = self._set.find_any(name)
         for job_id in [i for i, p in self._waiting.items() if p == name]:
-            entry = pool.fair.remove(job_id)
+            entry = pool.queue.remove(job_id)
             if entry is not None:
-                fault = admission.make_refusal(
+                fault = admission.make_rejection(
                     errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
                 )
-                self._dropped.append(messages.Refusal(job_id, fault))
+                self._dropped.append(jobs.Refusal(job_id, fault))
 
     def _note_start(
-        self, pool: str, started: running.Running, now_ms: int
-    ) -> messages.Assignment:
+        self, pool: str, started: running_jobs.RunningJob, now_ms: int
+    ) -> jobs.Assignment:
         job = started.entry.job
         del self._waiting[job.job_id]
         self._running[job.job_id] = started
-        self._set.find_endings(pool).note_start(started, now_ms)
-        self._teller.note_charge(
+        self._set.find_endings(pool).record_start(started, now_ms)
+        self._teller.record_charge(
             pool, job.account, job.weight, started.entry.cost
         )
         self._tell_views(pool, started)
         decode = started.placement.decode
         assert decode is not None
-        assignment = messages.Assignment(
+        assignment = jobs.Assignment(
             job.job_id,
             started.placement.prefill.row.name,
             decode.row.name,
@@ -432,11 +434,11 @@
             self._read_room(pool, started),
         )
         assignment.inputs = started.placement.describe(now_ms) | {
-            "heard_ms": self._hearer.read_age_ms(now_ms)
+            "heard_ms": self._hearer.compute_max_age_ms(now_ms)
         }
         return assignment
 
-    def _read_room(self, pool: str, started: running.Running) -> int:
+    def _read_room(self, pool: str, started: running_jobs.RunningJob) -> int:
         """Return the tokens to reserve for a decode; 0 for none.
 
         An engine admits a request that has room for its prompt; more than
@@ -444,13 +446,13 @@
         """
         decode = started.placement.decode
         assert decode is not None
-        is_tight = self._pools[pool].placer.is_tight(decode)
+        is_tight = self._pools[pool].placer.is_near_capacity(decode)
         return started.entry.job.prompt_tokens if is_tight else 0
 
-    def _tell_views(self, pool: str, started: running.Running) -> None:
+    def _tell_views(self, pool: str, started: running_jobs.RunningJob) -> None:
         for view in (started.placement.prefill, started.placement.decode):
             if view is not None:
-                self._teller.note_view(pool, view.row.name)
+                self._teller.mark_changed(pool, view.row.name)
 
     def _read_wake_ms(self, now_ms: int) -> int | None:
         if self._dropped:
@@ -458,7 +460,7 @@
         times = [
             wake_ms
             for wake_ms in (
-                pool.read_wake_ms(now_ms) for pool in self._pools.values()
+                pool.get_wake_ms(now_ms) for pool in self._pools.values()
             )
             if wake_ms is not None
         ]
--- a/mulberryway/policy/slowness.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -2,21 +2,21 @@
 
 import statistics
 
-from mulberryway.policy import queue
-from mulberryway.policy import shifting
-from mulberryway.policy import views
+from mulberryway.policy import fair_queue
+from mulberryway.policy import pool_upstreams
+from mulberryway.policy import upstream_view
 
-__all__ = ["Slowness"]
+__all__ = ["SlowUpstreamDetector"]
 
-AGAINST_SIBLINGS = 1.25
+MEDIAN_RATIO = 1.25
 # An upstream that is just under the target misses it with the next stream.
-NEAR_TARGET = 0.95
+TARGET_RATIO = 0.95
 PROBE_MS = 30_000
 MEDIAN_PERIOD_MS = 500
 LAST_CHANCE_MS = 60
 
 
-class Slowness:
+class SlowUpstreamDetector:
     """Compares upstreams with their siblings.
 
     A slow upstream reports free slots like the others, and every stream on it
@@ -30,17 +30,19 @@
 
     __slots__ = ("_members", "_token_gap_ms", "_median_ms", "_median_at_ms")
 
-    def __init__(self, members: shifting.Members, token_gap_ms: int) -> None:
+    def __init__(
+        self, members: pool_upstreams.PoolUpstreams, token_gap_ms: int
+    ) -> None:
         self._members = members
         self._token_gap_ms = token_gap_ms
-        self._median_ms = views.STEP_MS
+        self._median_ms = upstream_view.STEP_MS
         self._median_at_ms: int | None = None
 
-    def read_step_ms(self) -> float:
+    def get_median_step_ms(self) -> float:
         """Return the time between tokens that is usual here."""
         return self._median_ms
 
-    def is_slow(self, view: views.UpstreamView, now_ms: int) -> bool:
+    def is_slow(self, view: upstream_view.UpstreamView, now_ms: int) -> bool:
         """Tell whether an upstream is too slow.
 
         :param view: the upstream
@@ -49,16 +51,16 @@
         """
         self._refresh_median(now_ms)
         return view.step.value > max(
-            (view.pause_ms or self._token_gap_ms) * NEAR_TARGET,
-            self._median_ms * AGAINST_SIBLINGS,
+            (view.pause_ms or self._token_gap_ms) * TARGET_RATIO,
+            self._median_ms * MEDIAN_RATIO,
         )
 
-    def set_apart(
+    def exclude_slow(
         self,
-        usable: list[views.UpstreamView],
-        entry: queue.Entry,
+        usable: list[upstream_view.UpstreamView],
+        entry: fair_queue.QueueEntry,
         now_ms: int,
-    ) -> list[views.UpstreamView]:
+    ) -> list[upstream_view.UpstreamView]:
         """Leave out the slow ones, but for a probe and as a last resort.
 
         :param usable: upstreams with a free slot
@@ -76,7 +78,7 @@
         quick = [view for view in usable if view not in slow]
         # A late answer is better than none: who would be refused in a moment
         # may have a slow upstream.
-        if not quick and now_ms >= entry.latest_ms - LAST_CHANCE_MS:
+        if not quick and now_ms >= entry.latest_start_ms - LAST_CHANCE_MS:
             return slow
         return quick
 
--- a/mulberryway/replies.py
+++ b/mulberryway/replies.py
@@ -5,13 +5,13 @@
 from mulberryway import errors
 
 __all__ = [
-    "OWN_STYLE",
+    "NATIVE_FORMAT",
     "Reply",
     "STATUS",
-    "Style",
+    "FaultFormat",
     "choose_status",
     "describe_fault",
-    "reply_fault",
+    "make_fault_reply",
 ]
 
 JSON_TYPE = "application/json"
@@ -52,36 +52,40 @@
 
 # By these a caller knows that its request has not run and never will, and
 # so repeats even a booking.
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 MAY_HAVE_RUN_STATUS = 502
-PROMISES_NOTHING = frozenset((502, 504))
+AMBIGUOUS_STATUSES = frozenset((502, 504))
 NOT_RUN_STATUS = 503
 
 
-class Style:
+class FaultFormat:
     """How faults are told to callers.
 
-    :param has_fractions: whether callers read fractions of a second in
-        ``Retry-After``; by RFC 9110 they need not
+    :param has_fractional_retry_after: whether callers read fractions of a
+        second in ``Retry-After``; by RFC 9110 they need not
     :param statuses: statuses that differ from :data:`STATUS`
-    :param repeats_by_status: whether callers look at nothing but the status
+    :param is_retried_by_status: whether callers look at nothing but the status
         before they repeat a request; else the body tells whether it has run
     """
 
-    __slots__ = ("has_fractions", "statuses", "repeats_by_status")
+    __slots__ = (
+        "has_fractional_retry_after",
+        "statuses",
+        "is_retried_by_status",
+    )
 
     def __init__(
         self,
-        has_fractions: bool = False,
+        has_fractional_retry_after: bool = False,
         statuses: dict[errors.Code, int] | None = None,
-        repeats_by_status: bool = False,
+        is_retried_by_status: bool = False,
     ) -> None:
-        self.has_fractions = has_fractions
-        self.repeats_by_status = repeats_by_status
+        self.has_fractional_retry_after = has_fractional_retry_after
+        self.is_retried_by_status = is_retried_by_status
         self.statuses = STATUS | (statuses or {})
 
 
-OWN_STYLE = Style()
+NATIVE_FORMAT = FaultFormat()
 
 
 class Reply:
@@ -108,7 +112,9 @@
         self.close = close
 
 
-def choose_status(fault: errors.Fault, style: Style = OWN_STYLE) -> int:
+def choose_status(
+    fault: errors.Fault, style: FaultFormat = NATIVE_FORMAT
+) -> int:
     """Return the status that a fault is told by.
 
     An upstream may refuse the last of several attempts after an earlier one
@@ -123,10 +129,17 @@
     :returns: the HTTP status
     """
     status = style.statuses[fault.code]
-    if fault.run is not errors.Run.NOT_RUN and status in PROMISES_NOT_RUN:
+    if (
+        fault.run is not errors.ExecutionStatus.NOT_RUN
+        and status in NOT_RUN_STATUSES
+    ):
         return MAY_HAVE_RUN_STATUS
-    is_unrun = fault.run is errors.Run.NOT_RUN
-    if style.repeats_by_status and is_unrun and status in PROMISES_NOTHING:
+    is_unrun = fault.run is errors.ExecutionStatus.NOT_RUN
+    if (
+        style.is_retried_by_status
+        and is_unrun
+        and status in AMBIGUOUS_STATUSES
+    ):
         return NOT_RUN_STATUS
     return status
 
@@ -151,8 +164,10 @@
     ).encode()
 
 
-def reply_fault(
-    fault: errors.Fault, close: bool = False, style: Style = OWN_STYLE
+def make_fault_reply(
+    fault: errors.Fault,
+    close: bool = False,
+    style: FaultFormat = NATIVE_FORMAT,
 ) -> Reply:
     """Return a fault as a whole answer.
 
@@ -168,7 +183,9 @@
         return Reply(answer.status, answer.headers, answer.body, close)
     headers = [("Content-Type", JSON_TYPE)]
     if fault.retry_after_ms is not None:
-        wait = _write_seconds(fault.retry_after_ms, style.has_fractions)
+        wait = _write_seconds(
+            fault.retry_after_ms, style.has_fractional_retry_after
+        )
         headers.append(("Retry-After", wait))
     if fault.code is errors.Code.UNAUTHENTICATED:
         headers.append(("WWW-Authenticate", "Bearer"))
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -17,13 +17,13 @@
 from mulberryway.controllers import cancelling
 from mulberryway.controllers import claims
 from mulberryway.controllers import scheduling
+from mulberryway.filters import caller_api
 from mulberryway.filters import chain
-from mulberryway.filters import interface
-from mulberryway.filters import model_parts
+from mulberryway.filters import model_dependencies
 from mulberryway.filters import status
 from mulberryway.policy import allowance
 from mulberryway.policy import base as policy
-from mulberryway.policy import entry
+from mulberryway.policy import endpoints
 from mulberryway.relay import loop
 from mulberryway.relay import pump
 from mulberryway.relay import stream as streams
@@ -39,33 +39,33 @@
 # Python lets a thread compute for this long before another one may.  With
 # the default of 5 ms, one worker that reads a long prompt holds the relay's
 # loop up for 5 ms, which is all that a stream's pause may grow by.
-SWITCH_S = 0.000_5
+THREAD_SWITCH_INTERVAL_S = 0.000_5
 # Requests make many short-lived objects and few cycles, and a collection
 # holds up every stream; so collections are made rarer, and what lives as
 # long as the process is left out of them.
-COLLECT_AFTER = (20_000, 20, 50)
+GC_THRESHOLDS = (20_000, 20, 50)
 # Entry answers are a little older than their lifetime says when they come
 # over a peer or a slow caller.
 ENTRY_MARGIN_MS = 1_000
 # So long before the end of a stop the last new calls are taken; it is more
 # than a plain call usually takes.
-LAST_CALLS_END_MS = 1_000
+ACCEPT_CUTOFF_MS = 1_000
 POLL_MS = 20
 READY_POLL_MS = 100
 # What a stopping VM keeps of its time for what already runs: most streams
 # end within it.
-LONG_WORK_MS = 5_000
+STREAM_CUTOFF_MS = 5_000
 # The end of a stop is not reached to the last moment, because what is not
 # over then is killed in the middle of a write.
-LAST_MS = 400
+SHUTDOWN_MARGIN_MS = 400
 # Questions from the platform and for addresses are few and quick.
 SIDE_THREADS = 2
 # What was sent to this VM before the refusals began is on its way at most
 # for so long.
-LAST_CALLS_MS = 200
+IN_FLIGHT_ARRIVAL_MS = 200
 # A chosen upstream is used without another look at the tables for this part
 # of the time for which one that leaves serves on.
-CHOICE_PART = 2
+CHOICE_TTL_DIVISOR = 2
 
 
 class Router(status.Lifecycle):
@@ -78,19 +78,19 @@
     :param scheduler: decides about model requests
     :param allowances: the accounts' tokens
     :param entries: knows the VMs that take callers
-    :param may_repeat: takes one repeat out of a pool's budget for them
-    :param on_withdraw: called when new callers should no longer come
+    :param try_withdraw_retry: takes one repeat out of a pool's budget for them
+    :param on_drain: called when new callers should no longer come
     :param directory_: finds upstreams; by HTTP if none is given
     :param claim_store: grants calls that must run at most once; without
         one such calls are refused
     :param has_settled: whether accounts' tokens can be found from here; once
         true, it is not asked again
     :param on_ready: called once, when callers may come for the first time
-    :param interface_: how callers speak; the project's own way if none is
+    :param api: how callers speak; the project's own way if none is
         given
-    :param style: how faults are told to callers
-    :param cuts_withdrawn: whether a withdrawn key ends running streams too,
-        or only stops new requests
+    :param fault_format: how faults are told to callers
+    :param closes_revoked_streams: whether a withdrawn key ends running streams
+        too, or only stops new requests
     """
 
     def __init__(
@@ -101,16 +101,18 @@
         source: tables.TableSource,
         scheduler: policy.Scheduler,
         allowances: allowance.Allowances,
-        entries: entry.EntryDirectory,
-        may_repeat: collections.abc.Callable[[str], bool] = lambda pool: True,
-        on_withdraw: collections.abc.Callable[[], None] = lambda: None,
+        entries: endpoints.EndpointDirectory,
+        try_withdraw_retry: collections.abc.Callable[
+            [str], bool
+        ] = lambda pool: True,
+        on_drain: collections.abc.Callable[[], None] = lambda: None,
         directory_: directory.UpstreamDirectory | None = None,
         claim_store: claims.ClaimStore | None = None,
         has_settled: collections.abc.Callable[[], bool] = lambda: True,
         on_ready: collections.abc.Callable[[], None] = lambda: None,
-        interface_: interface.Interface | None = None,
-        style: replies.Style = replies.OWN_STYLE,
-        cuts_withdrawn: bool = True,
+        api: caller_api.CallerApi | None = None,
+        fault_format: replies.FaultFormat = replies.NATIVE_FORMAT,
+        closes_revoked_streams: bool = True,
     ) -> None:
         self.settings = settings_
         self.clock = clock_
@@ -125,21 +127,21 @@
         )
         self.loop = loop.EventLoop("relay", clock_)
         self.relay = pump.Relay(self.loop)
-        self.scheduling = scheduling.Scheduling(scheduler, clock_)
-        self.cancelling = cancelling.Cancelling(clock_, self.metrics)
+        self.scheduling = scheduling.SchedulingController(scheduler, clock_)
+        self.cancelling = cancelling.CancelController(clock_, self.metrics)
         self.directory = directory_ or directory.HttpDirectory(clock_)
         self._source = source
         self._allowances = allowances
         self._entries = entries
-        self._may_repeat = may_repeat
-        self._on_withdraw = on_withdraw
+        self._may_repeat = try_withdraw_retry
+        self._on_withdraw = on_drain
         self._claim_store = claim_store
         self._incarnation = incarnation
         self._has_settled = has_settled
         self._was_settled = False
         self._on_ready = on_ready
-        self._interface = interface_ or interface.OwnInterface()
-        self._cuts_withdrawn = cuts_withdrawn
+        self._interface = api or caller_api.NativeApi()
+        self._cuts_withdrawn = closes_revoked_streams
         self._stop_at_ms: int | None = None
         self._has_begun = False
         self._is_withdrawn = False
@@ -150,13 +152,13 @@
             chain.Chain(self._interface.make_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}",
-            style,
+            fault_format,
         )
         self.server = http_server.HttpServer(
             settings_, self.gateway, self.relay
         )
         side = gateway.GatewayFactory(
-            chain.Chain(self._interface.make_side_filters(context)),
+            chain.Chain(self._interface.make_auxiliary_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}.side",
         )
@@ -191,20 +193,20 @@
         )
 
     @property
-    def is_refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         """Whether new requests are refused."""
         return self._is_refusing
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether callers should use another VM for their next request."""
         return self._is_withdrawn
 
     @property
-    def is_ending(self) -> bool:
+    def is_near_shutdown(self) -> bool:
         """Whether work that takes seconds could not end in time any more."""
         end = self._stop_at_ms
-        return end is not None and end - self.clock.now_ms() < LONG_WORK_MS
+        return end is not None and end - self.clock.now_ms() < STREAM_CUTOFF_MS
 
     @property
     def running(self) -> int:
@@ -218,10 +220,10 @@
 
     def start(self) -> None:
         """Begin to serve; returns at once."""
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         gc.collect()
         gc.freeze()
-        gc.set_threshold(*COLLECT_AFTER)
+        gc.set_threshold(*GC_THRESHOLDS)
         self._source.subscribe(self._change_tables)
         found = self._source.read_tables()
         if found is not None:
@@ -265,7 +267,7 @@
     def _log_readiness(self, began_ms: int, missing: list[str]) -> None:
         LOG.info(
             "the VM is not ready" if missing else "the VM is ready",
-            extra=logs.describe(
+            extra=logs.make_extra(
                 missing=missing, waited_ms=self.clock.now_ms() - began_ms
             ),
         )
@@ -289,7 +291,7 @@
                 settings_ = self.settings
                 now_ms = self.clock.now_ms()
                 end = clock.Deadline(
-                    now_ms + settings_.router_grace_ms - LAST_MS
+                    now_ms + settings_.router_grace_ms - SHUTDOWN_MARGIN_MS
                 )
                 self._stop_at_ms = end.at_ms
                 self.withdraw()
@@ -298,7 +300,7 @@
                         settings_.router_entry_ttl_ms
                         * settings_.router_entry_lives
                         + ENTRY_MARGIN_MS,
-                        max(settings_.router_grace_ms - LAST_CALLS_END_MS, 0),
+                        max(settings_.router_grace_ms - ACCEPT_CUTOFF_MS, 0),
                     )
                 )
                 self._is_refusing = True
@@ -312,7 +314,7 @@
         while not end.has_passed(self.clock.now_ms()):
             while self.running and not end.has_passed(self.clock.now_ms()):
                 self.clock.sleep_ms(POLL_MS)
-            self.clock.sleep_ms(LAST_CALLS_MS)
+            self.clock.sleep_ms(IN_FLIGHT_ARRIVAL_MS)
             if not self.running:
                 break
         while (
@@ -333,8 +335,8 @@
         self.metrics.stop()
 
     def _change_tables(self, changed: tables.Tables) -> None:
-        self.scheduling.change_tables(changed)
-        self.directory.change_tables(changed)
+        self.scheduling.update_tables(changed)
+        self.directory.update_tables(changed)
         if not self._cuts_withdrawn:
             return
         self.relay.cut(
@@ -342,14 +344,14 @@
             errors.Fault(
                 errors.Code.UNAUTHENTICATED,
                 errors.Step.DECODE,
-                run=errors.Run.RAN,
+                run=errors.ExecutionStatus.RAN,
                 message="the key was withdrawn",
             ),
         )
 
-    def _make_context(self) -> interface.Context:
+    def _make_context(self) -> caller_api.FilterDependencies:
         settings_ = self.settings
-        parts = model_parts.Parts(
+        parts = model_dependencies.ModelDependencies(
             settings_.vm_name,
             self._incarnation,
             settings_.router_token_gap_ms,
@@ -359,14 +361,14 @@
             self.cancelling,
             self.directory,
             self.relay,
-            watch.CallerWatch(self.loop),
+            watch.DisconnectMonitor(self.loop),
             self.tracer,
             self.metrics,
             self._may_repeat,
-            settings_.upstreams_drain_ms // CHOICE_PART,
+            settings_.upstreams_drain_ms // CHOICE_TTL_DIVISOR,
             self._cuts_withdrawn,
         )
-        return interface.Context(
+        return caller_api.FilterDependencies(
             settings_,
             self,
             self._source,
@@ -384,7 +386,7 @@
             ("started", "jobs on engines", lambda: self.scheduling.started),
             ("cancels_open", "cancels sent", lambda: self.cancelling.open),
         ):
-            self.metrics.observe(name, description, read)
+            self.metrics.register_gauge(name, description, read)
 
 
 def _is_withdrawn(changed: tables.Tables, stream: streams.Stream) -> bool:
--- a/mulberryway/server/request.py
+++ b/mulberryway/server/request.py
@@ -18,17 +18,17 @@
 __all__ = ["Connection", "HeaderReader", "Request"]
 
 READ_BYTES = 65_536
-DISCARD_S = 0.5
+LINGER_TIMEOUT_S = 0.5
 CONTENT_LENGTH = b"Content-Length"
 TRANSFER_ENCODING = b"Transfer-Encoding"
 FOLDING = (b" ", b"\t")
-STATUS_CODES = {
+ERROR_CODE_BY_STATUS = {
     413: errors.Code.BODY_TOO_LARGE,
     414: errors.Code.BODY_TOO_LARGE,
     500: errors.Code.INTERNAL,
     503: errors.Code.OVERLOADED,
 }
-OVERLOAD_RETRY_MS = 1_000
+OVERLOAD_RETRY_AFTER_MS = 1_000
 
 
 class _LimitedReader(socket.SocketIO):
@@ -203,19 +203,19 @@
         """
         number = int(str(status)[:3])
         self.close_connection = True
-        self.conn.has_unread = True
+        self.conn.has_unread_input = True
         self.sent_headers = True
         fault = errors.Fault(
-            STATUS_CODES.get(number, errors.Code.BAD_REQUEST),
+            ERROR_CODE_BY_STATUS.get(number, errors.Code.BAD_REQUEST),
             errors.Step.CALLER,
             message=msg or http.HTTPStatus(number).phrase,
-            retry_after_ms=OVERLOAD_RETRY_MS if number == 503 else None,
+            retry_after_ms=OVERLOAD_RETRY_AFTER_MS if number == 503 else None,
         )
-        reply = replies.reply_fault(fault, close=True)
+        reply = replies.make_fault_reply(fault, close=True)
         reply.status = number
         head = writers.ReplyHead(True, False, [])
         try:
-            self.conn.wfile.write(head.write_whole(reply))
+            self.conn.wfile.write(head.write_reply(reply))
         except OSError as error:
             if error.args[0] not in cheroot_errors.socket_errors_to_ignore:
                 raise
@@ -224,7 +224,7 @@
 class Connection(server.HTTPConnection):
     """A caller's connection, which can be lent to the relay.
 
-    ``lent_stream`` is set by the gateway and taken by the server when the
+    ``relayed_stream`` is set by the gateway and taken by the server when the
     worker thread puts the connection back; from then on no worker touches
     it.
     """
@@ -238,16 +238,16 @@
         makefile_: typing.Any = None,
     ) -> None:
         super().__init__(server_, sock, _make_file)
-        self.lent_stream: typing.Any = None
+        self.relayed_stream: typing.Any = None
         # Set when a request was answered before all of it was read.
-        self.has_unread = False
+        self.has_unread_input = False
 
     def communicate(self) -> bool:
         """Read one request and answer it.
 
         :returns: whether the connection stays open
         """
-        limit_s = time.monotonic() + self.server.request_limit_s
+        limit_s = time.monotonic() + self.server.request_timeout_s
         self.rfile._raw.limit_s = limit_s
         return super().communicate()
 
@@ -258,12 +258,12 @@
         and the reset overtakes the answer: the caller of an oversized
         request would see a broken connection instead of the reason.
         """
-        if self.has_unread:
+        if self.has_unread_input:
             self._discard_rest()
         super().close()
 
     def _discard_rest(self) -> None:
-        until_s = time.monotonic() + DISCARD_S
+        until_s = time.monotonic() + LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
             while (left_s := until_s - time.monotonic()) > 0:
--- a/mulberryway/server/workers.py
+++ b/mulberryway/server/workers.py
@@ -13,9 +13,9 @@
 LOG = logging.getLogger(__name__)
 
 # How long a worker waits for its next connection before it ends.
-IDLE_S = 2.0
+IDLE_TIMEOUT_S = 2.0
 # The longest wait for a worker whose connection was closed under it.
-CLOSE_S = 1.0
+JOIN_TIMEOUT_S = 1.0
 
 
 class WorkerPool:
@@ -25,19 +25,19 @@
     workers end after it.
 
     :param server: the HTTP server whose connections these are
-    :param most: how many threads there are at most
-    :param most_waiting: connections that wait for one at most
+    :param max_workers: how many threads there are at most
+    :param max_queued: connections that wait for one at most
     """
 
     # cheroot asks for the number of threads that a pool always keeps.
     min = 0
 
     def __init__(
-        self, server: typing.Any, most: int, most_waiting: int
+        self, server: typing.Any, max_workers: int, max_queued: int
     ) -> None:
         self._server = server
-        self._most = most
-        self._most_waiting = most_waiting
+        self._most = max_workers
+        self._most_waiting = max_queued
         self._lock = threading.Lock()
         self._workers: set[_Worker] = set()
         self._idle: list[_Worker] = []
@@ -190,11 +190,11 @@
                 connection.socket.shutdown(socket.SHUT_RD)
             except OSError as error:
                 LOG.debug("a connection was closed already: %r", error)
-            self.join(CLOSE_S)
+            self.join(JOIN_TIMEOUT_S)
 
     def _wait(self) -> bool:
         """Wait for a connection; tell whether there is one."""
-        while not self._handed.wait(IDLE_S):
+        while not self._handed.wait(IDLE_TIMEOUT_S):
             if self._pool.leave(self):
                 return False
         return self._connection is not None
--- a/mulberryway/tables/freshness.py
+++ b/mulberryway/tables/freshness.py
@@ -2,7 +2,12 @@
 
 import enum
 
-__all__ = ["Confirmation", "Freshness", "count_needed", "judge_freshness"]
+__all__ = [
+    "Confirmation",
+    "Freshness",
+    "count_quorum_peers",
+    "evaluate_freshness",
+]
 
 
 class Freshness(enum.Enum):
@@ -10,7 +15,7 @@
 
     CONFIRMED = "confirmed"
     OUTAGE = "outage"
-    CUT_OFF = "cut_off"
+    PARTITIONED = "cut_off"
 
 
 class Confirmation:
@@ -31,7 +36,7 @@
         self.fleet_size = fleet_size
 
 
-def count_needed(fleet_size: int) -> int:
+def count_quorum_peers(fleet_size: int) -> int:
     """Return how many other VMs make most of a fleet with this one.
 
     Exactly half is not most: both halves of a cut would go on.
@@ -41,9 +46,9 @@
     return fleet_size // 2
 
 
-def judge_freshness(
+def evaluate_freshness(
     confirmation: Confirmation,
-    quorum_ms: int | None,
+    quorum_at_ms: int | None,
     now_ms: int,
     fresh_ms: int,
     outage_ms: int,
@@ -63,7 +68,7 @@
     the first to answer may be one that was cut off as well.
 
     :param confirmation: the last one
-    :param quorum_ms: since when most VMs have answered; none if they
+    :param quorum_at_ms: since when most VMs have answered; none if they
         have not
     :param now_ms: the present
     :param fresh_ms: how long a confirmation, or an answer, is enough
@@ -73,7 +78,7 @@
     age_ms = now_ms - confirmation.at_ms
     if age_ms <= fresh_ms:
         return Freshness.CONFIRMED
-    has_quorum = quorum_ms is not None and now_ms - quorum_ms <= fresh_ms
+    has_quorum = quorum_at_ms is not None and now_ms - quorum_at_ms <= fresh_ms
     if has_quorum and age_ms <= outage_ms:
         return Freshness.OUTAGE
-    return Freshness.CUT_OFF
+    return Freshness.PARTITIONED
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -12,7 +12,7 @@
 from mulberryway.tables import root as roots
 
 __all__ = [
-    "MOST_SEGMENT_BYTES",
+    "MAX_SEGMENT_BYTES",
     "Segment",
     "SegmentCache",
     "make_segment",
@@ -20,7 +20,7 @@
 ]
 
 # The platform holds values up to a megabyte, its own envelope included.
-MOST_SEGMENT_BYTES = 1_000_000
+MAX_SEGMENT_BYTES = 1_000_000
 
 
 class Segment:
@@ -86,12 +86,12 @@
     rows: dict[str, dict[str, typing.Any]],
     segments: dict[str, Segment],
 ) -> tuple[str, ...]:
-    count = roots.SHARDS[table]
+    count = roots.SHARD_COUNTS[table]
     parts: list[dict[str, typing.Any]] = [{} for _ in range(count)]
     for name, row in rows.items():
         parts[_choose_shard(name, count)][name] = row
     return tuple(
-        _add_segment(table, part, segments) if part else roots.EMPTY
+        _add_segment(table, part, segments) if part else roots.EMPTY_DIGEST
         for part in parts
     )
 
@@ -156,7 +156,7 @@
 
         :param root: the root
         """
-        return sorted(root.list_rows() - self._rows.keys())
+        return sorted(root.list_row_segments() - self._rows.keys())
 
     def join(self, root: roots.Root) -> model.Tables:
         """Put the tables of a root together; none may be missing.
@@ -164,7 +164,9 @@
         :param root: the root
         :returns: the tables with the root's revision
         """
-        parts = [self._rows[digest] for digest in sorted(root.list_rows())]
+        parts = [
+            self._rows[digest] for digest in sorted(root.list_row_segments())
+        ]
         return model.Tables(
             root.revision,
             _chain(part.routes for part in parts),
@@ -172,7 +174,7 @@
             _chain(part.accounts for part in parts),
         )
 
-    def keep_only(self, digests: collections.abc.Collection[str]) -> None:
+    def retain(self, digests: collections.abc.Collection[str]) -> None:
         """Forget all other segments.
 
         :param digests: the digests to keep
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -15,18 +15,18 @@
     "CacheEvent",
     "Engine",
     "EngineLoad",
-    "HeldRequest",
+    "InFlightRequest",
     "Order",
-    "PlainService",
+    "UpstreamService",
     "PrefillResult",
-    "RawCall",
-    "RunLabel",
+    "PassthroughRequest",
+    "AttemptLabel",
     "ServiceReply",
     "TokenStream",
 ]
 
 
-class RunLabel:
+class AttemptLabel:
     """Names one attempt, so that whoever holds its memory can be found.
 
     :param request_id: unique for each attempt; the engine echoes it
@@ -50,7 +50,7 @@
         self.traceparent = traceparent
 
 
-class RawCall:
+class PassthroughRequest:
     """A caller's request that goes to upstreams as it came.
 
     :param method: the HTTP method
@@ -161,7 +161,7 @@
     :param models: names of the models that are loaded
     :param orders: how many orders it has accepted since its start; none
         where it does not tell
-    :param is_changing: whether it carries out an order now
+    :param is_executing_order: whether it carries out an order now
     :param role: the role that it has; empty where it does not tell
     """
 
@@ -173,7 +173,7 @@
         "total_blocks",
         "models",
         "orders",
-        "is_changing",
+        "is_executing_order",
         "role",
     )
 
@@ -186,7 +186,7 @@
         total_blocks: int,
         models: tuple[str, ...],
         orders: int | None = None,
-        is_changing: bool = False,
+        is_executing_order: bool = False,
         role: str = "",
     ) -> None:
         self.running = running
@@ -196,7 +196,7 @@
         self.total_blocks = total_blocks
         self.models = models
         self.orders = orders
-        self.is_changing = is_changing
+        self.is_executing_order = is_executing_order
         self.role = role
 
 
@@ -221,7 +221,7 @@
         self.removed = removed
 
 
-class HeldRequest:
+class InFlightRequest:
     """A request for which an engine holds memory.
 
     :param label: who started it
@@ -231,7 +231,7 @@
 
     __slots__ = ("label", "phase", "blocks")
 
-    def __init__(self, label: RunLabel, phase: str, blocks: int) -> None:
+    def __init__(self, label: AttemptLabel, phase: str, blocks: int) -> None:
         self.label = label
         self.phase = phase
         self.blocks = blocks
@@ -266,7 +266,7 @@
         self.expected = expected
 
 
-class Room:
+class ReservationRequest:
     """What a decode needs at its engine.
 
     :param tokens: tokens of KV cache, for the prompt and the answer
@@ -292,38 +292,41 @@
     address: str
     # Whether a decode without a prefill's result makes the engine read the
     # prompt itself, more slowly.
-    reads_prompts: bool = False
+    supports_chunked_prefill: bool = False
     # Whether a caller's request counts as run once its prompt was read.
-    prefill_runs: bool = True
+    counts_prefill_as_run: bool = True
 
     @abc.abstractmethod
     def prefill(
-        self, label: RunLabel, body: typing.Any, timeout_ms: int
+        self, label: AttemptLabel, body: typing.Any, timeout_ms: int
     ) -> expression.Result[PrefillResult, errors.Fault]:
         """Compute a prompt's KV cache and keep it for export.
 
         :param label: names the attempt
         :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`RawCall` where engines take requests as they came
+            or a :class:`PassthroughRequest` where engines take requests as
+            they came
         :param timeout_ms: the longest wait for the result
         :returns: the result, or a fault that says whether it ran
         """
 
     def prepare(
-        self, label: RunLabel, room: Room | None = None
+        self,
+        label: AttemptLabel,
+        reservation: ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
         """Make sure that a decode which comes soon finds the engine there.
 
         It is cheaper to learn that before a prompt is read than after it.
 
         :param label: names the attempt
-        :param room: what to reserve; none for nothing
+        :param reservation: what to reserve; none for nothing
         :returns: nothing, or a fault: nothing of the request was sent.  Its
             step is ``RESERVE`` where the engine has no room.
         """
         return expression.Ok(None)
 
-    def release(self, label: RunLabel) -> None:
+    def release(self, label: AttemptLabel) -> None:
         """Let go of what was prepared for a decode that does not come.
 
         :param label: names the attempt
@@ -333,7 +336,7 @@
     @abc.abstractmethod
     def decode(
         self,
-        label: RunLabel,
+        label: AttemptLabel,
         body: typing.Any,
         transfer: dict[str, typing.Any],
         offset: int,
@@ -343,7 +346,8 @@
 
         :param label: names the attempt
         :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`RawCall` where engines take requests as they came
+            or a :class:`PassthroughRequest` where engines take requests as
+            they came
         :param transfer: what the prefill returned
         :param offset: how many tokens the caller has already; 0 at first
         :param timeout_ms: the longest wait for the reply's head
@@ -351,7 +355,9 @@
         """
 
     @abc.abstractmethod
-    def cancel(self, label: RunLabel) -> expression.Result[bool, errors.Fault]:
+    def cancel(
+        self, label: AttemptLabel
+    ) -> expression.Result[bool, errors.Fault]:
         """Free what the engine holds for an attempt; idempotent.
 
         :param label: names the attempt
@@ -359,7 +365,9 @@
         """
 
     @abc.abstractmethod
-    def list_held(self) -> expression.Result[list[HeldRequest], errors.Fault]:
+    def list_in_flight(
+        self,
+    ) -> expression.Result[list[InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
 
     @abc.abstractmethod
@@ -405,7 +413,7 @@
         self.body = body
 
 
-class PlainService(abc.ABC):
+class UpstreamService(abc.ABC):
     """One server of a plain service that stands beside the engines."""
 
     @abc.abstractmethod
@@ -418,7 +426,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.Interrupt | None = None,
+        interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[ServiceReply, errors.Fault]:
         """Pass one call on, exactly once.
 
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -17,19 +17,19 @@
     "DecodeRequest",
     "begin_decode",
     "connect",
-    "read_refusal",
+    "parse_rejection",
 ]
 
 LOG = logging.getLogger(__name__)
 
 MS_IN_S = 1_000
-MOST_ERROR_BYTES = 65_536
+MAX_ERROR_BYTES = 65_536
 # Within a region a connection takes a few milliseconds, so after so long the
 # engine is not there, or its link is cut.
-CONNECT_MS = 300
+CONNECT_TIMEOUT_MS = 300
 # An upstream may drop an idle connection, and resets what comes next on it;
 # then nobody knows whether it ran.  A younger one is still there.
-FRESH_MS = 500
+MAX_UNUSED_AGE_MS = 500
 
 
 class DecodeRequest:
@@ -50,7 +50,7 @@
         target: str,
         headers: dict[str, str],
         body: bytes,
-        echo_header: str = connections.REQUEST_ID,
+        echo_header: str = connections.REQUEST_ID_HEADER,
     ) -> None:
         self.method = method
         self.target = target
@@ -67,17 +67,19 @@
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        super().__init__(host, int(port), timeout=CONNECT_MS / MS_IN_S)
-        self.made_s = 0.0
+        super().__init__(host, int(port), timeout=CONNECT_TIMEOUT_MS / MS_IN_S)
+        self.connected_s = 0.0
 
     def connect(self) -> None:
         """Make the connection, within the time that this may take."""
         super().connect()
-        self.made_s = time.monotonic()
+        self.connected_s = time.monotonic()
 
     def is_fresh(self) -> bool:
         """Tell whether the engine has surely not dropped it as idle."""
-        return time.monotonic() - self.made_s < FRESH_MS / MS_IN_S
+        return (
+            time.monotonic() - self.connected_s < MAX_UNUSED_AGE_MS / MS_IN_S
+        )
 
     def is_closed(self) -> bool:
         """Tell whether the engine has closed it, or sent what nobody asked.
@@ -98,7 +100,7 @@
 
 # Turns a reply whose status is not 200 into a fault: gets the status, the
 # headers, the body and the engine's address.
-RefusalReader = collections.abc.Callable[
+RejectionParser = collections.abc.Callable[
     [int, list[tuple[str, str]], bytes, str], errors.Fault
 ]
 
@@ -118,7 +120,7 @@
         connection.close()
         LOG.debug("no connection to %s: %r", address, failure)
         return expression.Error(
-            connections.sort_failure(
+            connections.classify_failure(
                 ConnectionRefusedError(), errors.Step.DECODE, address
             )
         )
@@ -129,9 +131,9 @@
     address: str,
     request: DecodeRequest,
     timeout_ms: int,
-    read_refusal: RefusalReader,
-    interrupt: connections.Interrupt | None = None,
-    made: DecodeConnection | None = None,
+    read_refusal: RejectionParser,
+    interrupt: connections.CallCanceller | None = None,
+    prepared_connection: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     """Send a decode call and return its stream once the head has come.
 
@@ -146,32 +148,39 @@
     :param timeout_ms: the longest wait for the reply's head
     :param read_refusal: tells what another status than 200 means
     :param interrupt: ends the call from another thread
-    :param made: a connection that was made before; a new one if it is not
-        fresh any more, or if none is given.  An engine that has closed a
-        fresh one counts as not reached.
+    :param prepared_connection: a connection that was made before; a new one if
+        it is not fresh any more, or if none is given.  An engine that has
+        closed a fresh one counts as not reached.
     :returns: the stream, or a fault that says whether it ran
     """
-    if made is None or not made.is_fresh():
-        if made is not None:
-            made.close()
+    if prepared_connection is None or not prepared_connection.is_fresh():
+        if prepared_connection is not None:
+            prepared_connection.close()
         connected = connect(address)
         if connected.is_error():
             return expression.Error(connected.error)
-        made = connected.ok
-    elif made.is_closed():
-        made.close()
+        prepared_connection = connected.ok
+    elif prepared_connection.is_closed():
+        prepared_connection.close()
         return expression.Error(
-            connections.sort_failure(
+            connections.classify_failure(
                 ConnectionResetError(), errors.Step.DECODE, address, False
             )
         )
-    made.sock.settimeout(timeout_ms / MS_IN_S)
+    prepared_connection.sock.settimeout(timeout_ms / MS_IN_S)
     try:
-        return _exchange(made, address, request, read_refusal, interrupt)
+        return _exchange(
+            prepared_connection, address, request, read_refusal, interrupt
+        )
     except (OSError, http.client.HTTPException) as failure:
-        made.close()
-        fault = connections.sort_failure(failure, errors.Step.DECODE, address)
-        fault.has_died = fault.has_died and not connections.listens(address)
+        prepared_connection.close()
+        fault = connections.classify_failure(
+            failure, errors.Step.DECODE, address
+        )
+        fault.has_died = (
+            fault.has_died
+            and not connections.is_accepting_connections(address)
+        )
         return expression.Error(fault)
     finally:
         if interrupt is not None:
@@ -182,8 +191,8 @@
     connection: DecodeConnection,
     address: str,
     request: DecodeRequest,
-    read_refusal: RefusalReader,
-    interrupt: connections.Interrupt | None,
+    read_refusal: RejectionParser,
+    interrupt: connections.CallCanceller | None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     raw = connection.sock
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -196,7 +205,7 @@
     echoed = response.getheader(request.echo_header, "")
     is_own = echoed == request.headers[request.echo_header]
     if response.status != http.client.OK:
-        body = response.read(MOST_ERROR_BYTES)
+        body = response.read(MAX_ERROR_BYTES)
         connection.close()
         headers = response.getheaders() if is_own else []
         return expression.Error(
@@ -210,7 +219,7 @@
                 errors.Code.UPSTREAM_FAILED,
                 errors.Step.DECODE,
                 address,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
                 "the reply belongs to another request",
             )
         )
@@ -234,7 +243,7 @@
     return base.TokenStream(taken, buffered, chunked, echoed, length, headers)
 
 
-def read_refusal(
+def parse_rejection(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
     """Return what a decode engine's status means.
@@ -250,7 +259,7 @@
             errors.Code.UPSTREAM_REFUSED,
             errors.Step.TRANSFER,
             address,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
             "the prefill's result has expired",
         )
     if status in (
@@ -261,13 +270,13 @@
             errors.Code.UPSTREAM_REFUSED,
             errors.Step.DECODE,
             address,
-            errors.Run.NOT_RUN,
+            errors.ExecutionStatus.NOT_RUN,
             f"the engine refused with status {status}",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         errors.Step.DECODE,
         address,
-        errors.Run.MAY_HAVE_RUN,
+        errors.ExecutionStatus.MAY_HAVE_RUN,
         f"the engine answered with status {status}",
     )
--- a/soak/run.py
+++ b/soak/run.py
@@ -6,45 +6,45 @@
 
 from soak import callers
 from soak import checks
+from soak import cluster
 from soak import history
 from soak import injector
 from soak import plan
-from soak import world
 
-__all__ = ["Outcome", "play"]
+__all__ = ["SeedResult", "run_seed"]
 
 MS_IN_S = 1_000
 # What runs when the last caller has gone has to end within this time.
-FREED_S = 1.5
+RELEASE_TIMEOUT_S = 1.5
 QUOTA = checks.Quota(
     "small",
-    world.RATE,
-    world.RATE,
-    world.OVER_PART,
-    world.OVER_TOKENS,
+    cluster.RATE,
+    cluster.RATE,
+    cluster.OVER_PART,
+    cluster.OVER_TOKENS,
 )
 
 
-class Outcome:
+class SeedResult:
     """What came of a seed.
 
     :param seed: the seed
-    :param steps: its plan
+    :param faults: its plan
     :param seen: what was seen
     :param broken: one sentence for each broken promise
     """
 
-    __slots__ = ("seed", "steps", "seen", "broken")
+    __slots__ = ("seed", "faults", "seen", "broken")
 
     def __init__(
         self,
         seed: int,
-        steps: list[plan.Step],
+        faults: list[plan.ScheduledFault],
         seen: history.History,
         broken: list[str],
     ) -> None:
         self.seed = seed
-        self.steps = steps
+        self.faults = faults
         self.seen = seen
         self.broken = broken
 
@@ -52,8 +52,8 @@
         """Return one line for people."""
         served = sum(one.status == 200 for one in self.seen.attempts)
         faults = ", ".join(
-            f"{step.kind}({step.target}) {step.at_ms}+{step.for_ms}"
-            for step in self.steps
+            f"{step.kind}({step.target}) {step.at_ms}+{step.duration_ms}"
+            for step in self.faults
         )
         return (
             f"seed {self.seed}: {len(self.broken)} broken, "
@@ -61,9 +61,9 @@
         )
 
 
-def play(
-    seed: int, shape: plan.Shape, keep: pathlib.Path | None = None
-) -> Outcome:
+def run_seed(
+    seed: int, shape: plan.SoakConfig, keep: pathlib.Path | None = None
+) -> SeedResult:
     """Play one seed.
 
     :param seed: decides the plan and the callers
@@ -71,34 +71,34 @@
     :param keep: a folder that the logs of a failed seed are copied to
     :returns: what came of it
     """
-    steps = plan.make_plan(seed, shape)
-    with world.World(shape) as world_:
+    steps = plan.make_fault_schedule(seed, shape)
+    with cluster.SoakCluster(shape) as world_:
         crowd = callers.Callers(seed, world_)
-        began_ms = world.now_ms()
+        began_ms = cluster.now_ms()
         crowd.start()
-        injector.Injector(world_, steps).play()
-        ended_ms = max(world.now_ms(), began_ms + shape.length_ms)
-        world_.seen.calm_ms = ended_ms + plan.RECOVER_MS
-        left_ms = ended_ms + plan.CALM_MS - world.now_ms()
+        injector.Injector(world_, steps).inject_all()
+        ended_ms = max(cluster.now_ms(), began_ms + shape.length_ms)
+        world_.seen.recovered_ms = ended_ms + plan.RECOVERY_MS
+        left_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
         time.sleep(left_ms / MS_IN_S)
         world_.seen.attempts += crowd.stop()
-        time.sleep(FREED_S)
+        time.sleep(RELEASE_TIMEOUT_S)
         world_.seen.held = world_.count_held()
         seen = world_.read_history()
-        broken = checks.check(seen, QUOTA)
+        broken = checks.find_violations(seen, QUOTA)
         if broken and keep is not None:
             _keep_logs(world_, keep / f"seed-{seed}")
-    return Outcome(seed, steps, seen, broken)
+    return SeedResult(seed, steps, seen, broken)
 
 
-def _keep_logs(world_: world.World, folder: pathlib.Path) -> None:
+def _keep_logs(world_: cluster.SoakCluster, folder: pathlib.Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     for file in pathlib.Path(world_.folder.name).iterdir():
         if file.suffix in (".log", ".jsonl"):
             shutil.copy(file, folder)
     windows = [
         f"{window.from_ms} {window.to_ms} {window.kind} {window.target}"
-        for window in world_.seen.windows
+        for window in world_.seen.fault_windows
     ]
     (folder / "windows.txt").write_text("\n".join(windows), encoding="utf-8")
     attempts = [
--- a/standins/engine_handles.py
+++ b/standins/engine_kv_transfer.py
@@ -10,26 +10,26 @@
 from standins import engine_model
 from standins import serving
 
-__all__ = ["EngineHandles"]
+__all__ = ["KvTransfer"]
 
 TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 OK = 200
 
 
-class EngineHandles:
+class KvTransfer:
     """Both ends: gives out this engine's handles, claims other engines'.
 
     :param model: the engine
-    :param pump: lets the model catch up and returns the time in ms
+    :param advance_model: lets the model catch up and returns the time in ms
     """
 
     def __init__(
         self,
         model: engine_model.EngineModel,
-        pump: collections.abc.Callable[[], float],
+        advance_model: collections.abc.Callable[[], float],
     ) -> None:
         self._model = model
-        self._pump = pump
+        self._pump = advance_model
         self._client: aiohttp.ClientSession | None = None
         # The event loop itself keeps only weak references to tasks.
         self._releases: set[asyncio.Task[bool]] = set()
@@ -52,7 +52,7 @@
         """
         return await self._ask("POST", params)
 
-    def release_later(self, params: dict[str, typing.Any]) -> None:
+    def release_in_background(self, params: dict[str, typing.Any]) -> None:
         """Let another engine free a result after its import.
 
         :param params: the call's ``kv_transfer_params``
@@ -80,11 +80,11 @@
             return False
 
     async def _claim(self, request: web.Request) -> web.Response:
-        run = self._model.claim_handle(
+        run = self._model.pin_handle(
             request.match_info["handle"], self._pump()
         )
         if run is None:
-            return serving.answer_error(410, "expired")
+            return serving.make_error_response(410, "expired")
         self._pump()
         return serving.answer({"prompt_tokens": run.prompt_tokens})
 
--- a/standins/engine_server.py
+++ b/standins/engine_server.py
@@ -10,11 +10,11 @@
 from aiohttp import web
 
 from standins import answers
-from standins import engine_exchange
-from standins import engine_handles
+from standins import engine_completion
+from standins import engine_kv_transfer
 from standins import engine_model
-from standins import engine_reports
-from standins import engine_shape
+from standins import engine_status_api
+from standins import engine_types
 from standins import recorder
 from standins import serving
 
@@ -22,8 +22,8 @@
 
 CRASH_AFTER_S = 0.02
 CRASH_STATUS = 70
-Exchange = engine_exchange.Exchange
-EventKind = engine_shape.EventKind
+CompletionResponder = engine_completion.CompletionResponder
+EventKind = engine_types.EventKind
 
 
 class EngineServer:
@@ -42,7 +42,7 @@
     def __init__(
         self,
         address: str,
-        shape: engine_shape.Shape,
+        shape: engine_types.EngineParameters,
         role: str,
         models: tuple[str, ...],
         seed: int,
@@ -59,7 +59,7 @@
         self._refuse_status = 0
         self._numbers = itertools.count(1)
         self._timer: asyncio.TimerHandle | None = None
-        self._handles = engine_handles.EngineHandles(self.model, self._pump)
+        self._handles = engine_kv_transfer.KvTransfer(self.model, self._pump)
 
     def make_app(self) -> web.Application:
         """Return the application to serve."""
@@ -67,7 +67,7 @@
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_delete("/v1/requests/{id}", self._cancel)
         app.router.add_post("/standin/faults", self._set_faults)
-        engine_reports.EngineReports(
+        engine_status_api.EngineStatusApi(
             self.model, self.recorder, self._pump
         ).add_routes(app)
         self.recorder.add_routes(app)
@@ -81,11 +81,11 @@
         """Let the model catch up, tell what happened, and wait for more."""
         now_ms = self._now_ms()
         for event in self.model.advance(now_ms):
-            if isinstance(event.run.context, Exchange):
+            if isinstance(event.run.context, CompletionResponder):
                 self._tell(event, event.run.context)
         if self._timer is not None:
             self._timer.cancel()
-        next_ms = self.model.next_ms()
+        next_ms = self.model.get_next_event_ms()
         if next_ms < math.inf:
             self._timer = asyncio.get_running_loop().call_at(
                 next_ms / 1000, self._pump
@@ -93,7 +93,7 @@
         return now_ms
 
     def _tell(
-        self, event: engine_shape.ModelEvent, exchange: Exchange
+        self, event: engine_types.ModelEvent, exchange: CompletionResponder
     ) -> None:
         if event.kind is EventKind.TOKEN:
             exchange.send_token(event.index)
@@ -102,24 +102,26 @@
             exchange.finish()
         elif event.kind is EventKind.PREFILLED:
             exchange.record["outcome"] = "prefilled"
-            engine_exchange.set_result(exchange.prefilled, None)
+            engine_completion.set_result(exchange.prefilled, None)
         elif event.kind is EventKind.IMPORTED:
-            engine_exchange.set_result(exchange.imported, None)
+            engine_completion.set_result(exchange.imported, None)
         elif event.kind is EventKind.EXPIRED:
             exchange.record["outcome"] = "expired"
 
     def _check(self, request: web.Request) -> web.Response | None:
         if self._refuse_status:
-            return serving.answer_error(self._refuse_status, "switched")
+            return serving.make_error_response(self._refuse_status, "switched")
         wanted = f"Bearer {self._credential}"
         if self._credential and request.headers.get("Authorization") != wanted:
-            return serving.answer_error(401, "wrong credential")
+            return serving.make_error_response(401, "wrong credential")
         return None
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         raw = await request.read()
         self.recorder.note(request, raw)
-        call = engine_exchange.read_call(await serving.read_json(request))
+        call = engine_completion.parse_completion_request(
+            await serving.read_json(request)
+        )
         refused = self._check(request)
         if refused is not None:
             return refused
@@ -136,13 +138,13 @@
         return await self._run_whole(request, call, exchange)
 
     def _make_exchange(
-        self, request: web.Request, call: engine_exchange.Call
-    ) -> Exchange:
+        self, request: web.Request, call: engine_completion.CompletionRequest
+    ) -> CompletionResponder:
         request_id = request.headers.get(
             "X-Request-Id", f"{self.address}-{next(self._numbers)}"
         )
         answer = answers.Answer(call.model, call.prompt, call.max_tokens)
-        run = engine_shape.Run(
+        run = engine_types.EngineRequest(
             request_id,
             request.headers.get("X-Request-Owner", ""),
             call.model,
@@ -165,11 +167,11 @@
             "tokens": 0,
         }
         self.recorder.runs.append(record)
-        run.context = Exchange(call, run, record, self._stamps)
+        run.context = CompletionResponder(call, run, record, self._stamps)
         return run.context
 
     def _refuse(
-        self, exchange: Exchange, refused: engine_shape.Refused
+        self, exchange: CompletionResponder, refused: engine_types.RejectReason
     ) -> web.Response:
         exchange.record["outcome"] = "refused"
         return self._answer(
@@ -178,7 +180,7 @@
 
     def _answer(
         self,
-        exchange: Exchange,
+        exchange: CompletionResponder,
         body: dict[str, typing.Any],
         status: int = 200,
     ) -> web.Response:
@@ -186,7 +188,7 @@
         response.headers["X-Request-Id"] = exchange.run.request_id
         return response
 
-    async def _prefill(self, exchange: Exchange) -> web.Response:
+    async def _prefill(self, exchange: CompletionResponder) -> web.Response:
         run = exchange.run
         refused = self.model.submit_prefill(run, self._now_ms())
         if refused is not None:
@@ -217,8 +219,8 @@
     async def _decode(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         refused = self.model.submit_decode(exchange.run, self._now_ms())
         if refused is not None:
@@ -227,10 +229,10 @@
             if not await self._handles.claim(call.params):
                 self._drop(exchange)
                 return self._refuse(
-                    exchange, engine_shape.Refused.HANDLE_EXPIRED
+                    exchange, engine_types.RejectReason.HANDLE_EXPIRED
                 )
             exchange.imported.add_done_callback(
-                lambda _: self._handles.release_later(call.params)
+                lambda _: self._handles.release_in_background(call.params)
             )
             self._pump()
             return await self._reply(request, call, exchange)
@@ -240,8 +242,8 @@
     async def _run_whole(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         refused = self.model.submit_prefill(
             exchange.run, self._now_ms(), decodes=True
@@ -257,12 +259,12 @@
     async def _reply(
         self,
         request: web.Request,
-        call: engine_exchange.Call,
-        exchange: Exchange,
+        call: engine_completion.CompletionRequest,
+        exchange: CompletionResponder,
     ) -> web.StreamResponse:
         if not call.stream:
             if await exchange.finished:
-                return self._answer(exchange, exchange.make_whole())
+                return self._answer(exchange, exchange.make_full_response())
             return self._answer(exchange, {"error": "cancelled"}, 500)
         response = web.StreamResponse(
             headers={
@@ -280,7 +282,7 @@
             request.transport.close()
         return response
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _drop(self, exchange: CompletionResponder) -> None:
         if self.model.cancel(exchange.run, self._now_ms()):
             exchange.record["outcome"] = "cancelled"
             exchange.abandon()
@@ -300,6 +302,6 @@
         self._pump()
         self._refuse_status = int(faults.pop("refuse_status", 0))
         for name, value in faults.items():
-            self.model.change_shape(name, value, self._now_ms())
+            self.model.set_parameter(name, value, self._now_ms())
         self._pump()
         return serving.answer(vars(self.model.shape))
--- a/standins/link.py
+++ b/standins/shared_link.py
@@ -2,23 +2,23 @@
 
 import math
 
-from standins import engine_shape
+from standins import engine_types
 
-__all__ = ["Link"]
+__all__ = ["SharedLink"]
 
 
-class Link:
+class SharedLink:
     """Moves the bytes of all transfers at once, each at an equal part.
 
     :param shape: the engine's figures
     """
 
-    def __init__(self, shape: engine_shape.Shape) -> None:
+    def __init__(self, shape: engine_types.EngineParameters) -> None:
         self._shape = shape
-        self._transfers: list[engine_shape.Run] = []
+        self._transfers: list[engine_types.EngineRequest] = []
         self._moved_ms = 0.0
 
-    def add(self, run: engine_shape.Run, now_ms: float) -> None:
+    def add(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Begin a run's transfer.
 
         :param run: the run
@@ -30,7 +30,7 @@
         )
         self._transfers.append(run)
 
-    def remove(self, run: engine_shape.Run, now_ms: float) -> None:
+    def remove(self, run: engine_types.EngineRequest, now_ms: float) -> None:
         """Give a run's transfer up, if it has one.
 
         :param run: the run
@@ -40,7 +40,7 @@
         if run in self._transfers:
             self._transfers.remove(run)
 
-    def next_ms(self) -> float:
+    def get_next_event_ms(self) -> float:
         """Return when the next transfer ends; infinite if there is none."""
         if not self._transfers:
             return math.inf
@@ -48,13 +48,13 @@
         rate = self._bytes_per_ms() / len(self._transfers)
         return self._moved_ms + max(least, 0.0) / rate
 
-    def end_transfers(self, at_ms: float) -> list[engine_shape.Run]:
+    def pop_finished(self, at_ms: float) -> list[engine_types.EngineRequest]:
         """Take out the runs whose transfers have ended.
 
         :param at_ms: the present
         :returns: the runs
         """
-        if self.next_ms() > at_ms:
+        if self.get_next_event_ms() > at_ms:
             return []
         self.settle(at_ms)
         # Less than a byte is what rounding leaves of a whole transfer.
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -15,8 +15,8 @@
 from mulberryway.objects import base as platform
 from mulberryway.peers.gen.allowances import Allowances as service
 from mulberryway.policy import allowance
-from mulberryway.policy import allowance_split
 from mulberryway.policy import member
+from mulberryway.policy import static_allowances
 from mulberryway.policy import token_bucket
 from tests import peer_network
 
@@ -53,7 +53,7 @@
     def delete(self, kind, name, version, purpose):
         raise NotImplementedError
 
-    def watch(self, kind, from_version, silence_ms, purpose):
+    def watch(self, kind, from_version, idle_timeout_ms, purpose):
         raise NotImplementedError
 
     def list_vms(self, purpose):
@@ -91,7 +91,7 @@
     def list_members(self):
         return [vm.own for vm in self.fleet.vms]
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
 
@@ -107,7 +107,7 @@
         self.vms = []
         if is_split:
             self.books = [
-                allowance_split.SplitAllowances(source, self.clock, count)
+                static_allowances.StaticAllowances(source, self.clock, count)
                 for _ in names
             ]
             return
@@ -125,7 +125,7 @@
         counts = [
             one
             for traffic in self.network.traffic.values()
-            for one in traffic.read_counts()
+            for one in traffic.get_counts()
         ]
         calls = sum(one.messages for one in counts if one.is_sent) // 2
         return calls, sum(one.payload_bytes for one in counts)
--- a/tests/allowance_history.py
+++ b/tests/allowance_simulation.py
@@ -28,7 +28,7 @@
 LIST_LAG_MS = 700
 
 
-class Mode:
+class FaultProfile:
     """What fails most in a schedule.
 
     :param lost: part of the messages of which request or answer is lost
@@ -61,14 +61,14 @@
 
 
 MODES = {
-    "calm": Mode(wish=400),
-    "doubled": Mode(doubled=0.4, wish=400),
-    "lost": Mode(lost=0.2, doubled=0.05, wish=100),
-    "crash": Mode(crash=0.02),
-    "pause": Mode(pause=0.001, wish=150),
-    "platform": Mode(platform=0.04, crash=0.005, pause=0.0003),
-    "rates": Mode(rates=0.02),
-    "everything": Mode(0.1, 0.1, 0.01, 0.0005, 0.02, 0.01),
+    "calm": FaultProfile(wish=400),
+    "doubled": FaultProfile(doubled=0.4, wish=400),
+    "lost": FaultProfile(lost=0.2, doubled=0.05, wish=100),
+    "crash": FaultProfile(crash=0.02),
+    "pause": FaultProfile(pause=0.001, wish=150),
+    "platform": FaultProfile(platform=0.04, crash=0.005, pause=0.0003),
+    "rates": FaultProfile(rates=0.02),
+    "everything": FaultProfile(0.1, 0.1, 0.01, 0.0005, 0.02, 0.01),
 }
 
 
@@ -76,14 +76,14 @@
     return allowance_times.AllowanceTimes(
         lease_ms=8_000,
         lease_margin_ms=100,
-        list_margin_ms=1_500,
+        absence_timeout_ms=1_500,
         loan_ms=800,
         loan_margin_ms=20,
         idle_ms=150,
-        use_ms=1_000,
-        refund_ms=3_000,
-        rebalance_ms=1_000,
-        settle_ms=20,
+        reservation_ttl_ms=1_000,
+        refund_window_ms=3_000,
+        min_uptime_ms=1_000,
+        startup_delay_ms=20,
         retry_ms=100,
     )
 
@@ -121,7 +121,7 @@
         self.world = world
         self.name = name
 
-    def fail(self, run=errors.Run.NOT_RUN):
+    def fail(self, run=errors.ExecutionStatus.NOT_RUN):
         return expression.Error(
             errors.Fault(
                 errors.Code.PLATFORM_UNAVAILABLE,
@@ -165,13 +165,13 @@
         versions.append(stored)
         self.world.take_time(30)
         if self.world.chance(0.1):
-            return self.fail(errors.Run.MAY_HAVE_RUN)
+            return self.fail(errors.ExecutionStatus.MAY_HAVE_RUN)
         return expression.Ok(stored)
 
     def delete(self, kind, name, version, purpose):
         raise AssertionError("nothing is deleted")
 
-    def watch(self, kind, from_version, silence_ms, purpose):
+    def watch(self, kind, from_version, idle_timeout_ms, purpose):
         raise AssertionError("nothing is watched")
 
     def list_vms(self, purpose):
@@ -268,10 +268,10 @@
             if one.name != self.name and (
                 is_paused or self.world.chance(0.02)
             ):
-                one.health = member.Health.DEAD
+                one.health = member.MemberStatus.DEAD
         return members
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
     def reserve(self):
@@ -311,7 +311,7 @@
         self.slots.release_all()
 
 
-class World:
+class Simulation:
     """All VMs, the platform and the network, driven by one seed."""
 
     def __init__(self, seed, mode):
@@ -327,16 +327,16 @@
         self.is_rush = False
         self.revision = 0
         self.rates = dict(ACCOUNTS)
-        self.most = dict(ACCOUNTS)
+        self.maximum = dict(ACCOUNTS)
         self.put_tables()
         self.vms = {}
         self.lists = []
         self.skew = self.random.choice((0, 1, 4))
-        self.is_quiet = True
+        self.is_reusable = True
         for number in range(VMS):
             self.start(f"vm{number}", 1)
         self.warm_up()
-        self.is_quiet = False
+        self.is_reusable = False
 
     def warm_up(self):
         """Let the VMs take all shares, and fill them."""
@@ -359,9 +359,9 @@
 
     def start(self, name, incarnation):
         self.vms[name] = SimVm(self, name, incarnation)
-        self.note_list()
+        self.update_vm_list()
 
-    def note_list(self, gone=()):
+    def update_vm_list(self, gone=()):
         listed = {vm for vm in self.vms if vm not in gone}
         self.lists.append((self.now_ms, listed))
 
@@ -390,7 +390,7 @@
         self.late.append((self.now_ms + delay_ms, message))
 
     def perhaps_pause(self, name):
-        if self.depth or self.is_quiet:
+        if self.depth or self.is_reusable:
             return
         # Between a check and its act a pause does the most harm.
         vm = self.vms.get(name)
@@ -432,7 +432,7 @@
             self.act(awake[0] if is_skewed else one, SimVm.reserve)
         for one in awake:
             self.act(one, SimVm.settle)
-        if not self.is_quiet:
+        if not self.is_reusable:
             self.perhaps_change(vm)
 
     def act(self, vm, do):
@@ -457,7 +457,7 @@
         elif self.chance(mode.crash / 2) and len(self.vms) > 2:
             # The VM dies; the platform drops it from its list.
             del self.vms[vm.name]
-            self.note_list()
+            self.update_vm_list()
         elif self.chance(mode.crash) and len(self.vms) < VMS:
             name = next(
                 n for n in map("vm{}".format, range(VMS)) if n not in self.vms
@@ -466,7 +466,7 @@
         elif self.chance(mode.crash / 2) and len(self.vms) > 2:
             vm.stop()
             del self.vms[vm.name]
-            self.note_list()
+            self.update_vm_list()
         if self.chance(mode.platform):
             self.is_platform_down = not self.is_platform_down
         if self.chance(mode.rates):
@@ -479,8 +479,8 @@
         rate, burst = ACCOUNTS[name]
         factor = self.random.choice((1, 2))
         self.rates[name] = (rate * factor, burst * factor)
-        most_rate, most_burst = self.most[name]
-        self.most[name] = (
+        most_rate, most_burst = self.maximum[name]
+        self.maximum[name] = (
             max(most_rate, rate * factor),
             max(most_burst, burst * factor),
         )
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -51,7 +51,7 @@
         if answer.result.is_ok():
             if revisions.get(edit_id) != answer.result.ok.revision:
                 yield "accepted but not there", edit_id
-        elif answer.result.error.run is errors.Run.NOT_RUN:
+        elif answer.result.error.run is errors.ExecutionStatus.NOT_RUN:
             earlier = [
                 one
                 for one in world.answers
@@ -84,7 +84,7 @@
 
 def read_tables(world, root):
     cache = segments.SegmentCache()
-    for digest in root.list_rows():
+    for digest in root.list_row_segments():
         versions = world.store.history[("segments", digest)]
         value = next(one.value for one in versions if one.value)
         assert cache.add(digest, roots.encode_content(value["rows"]))
@@ -93,7 +93,7 @@
 
 def check_installs(world, chain):
     digests = {root.revision: root.digest() for _, root in chain}
-    for vm in world.lives:
+    for vm in world.incarnation_counts:
         last = 0
         for revision, digest in vm.installs:
             if revision <= last:
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -67,22 +67,24 @@
         make = world.variant.get("configuration", configuration.Configuration)
         self.controller = make(
             settings_,
-            CutStore(world, name),
+            PartitionableStore(world, name),
             WorldPeers(world, name),
             world.clock,
             world.random,
         )
-        self.in_force = self.controller.in_force
-        self.in_force.subscribe(self.record)
+        self.active_tables = self.controller.active_tables
+        self.active_tables.subscribe(self.record)
         self.handler = configuration_handler.ConfigurationHandler(
             self.controller, world.clock
         )
 
     def record(self, tables):
-        self.installs.append((tables.revision, self.in_force.root.digest()))
+        self.installs.append(
+            (tables.revision, self.active_tables.root.digest())
+        )
 
 
-class CutStore:
+class PartitionableStore:
     """The platform as one VM reaches it, which may be not at all."""
 
     def __init__(self, world, name):
@@ -150,7 +152,7 @@
         self.store.now_ms = self.clock.now_ms
         self.cut, self.cut_ms = frozenset(), 0
         self.answers, self.edits, self.serving = [], {}, []
-        self.lost_segments, self.lives = [], []
+        self.lost_segments, self.incarnation_counts = [], []
         self.busy = set()
         self.depth = 0
         make = self.variant.get("editor", editor.Editor)
@@ -159,7 +161,7 @@
             self.start_vm(f"vm{number}")
         self.editors = [
             make(
-                CutStore(self, f"vm{number}"),
+                PartitionableStore(self, f"vm{number}"),
                 self.clock,
                 self.random,
                 announce=functools.partial(self.announce, f"vm{number}"),
@@ -176,7 +178,7 @@
         self.store.lose_write = self.random.choice((0, 0.1))
         for _ in range(ACTIONS):
             self.act()
-            self.observe()
+            self.register_gauge()
         return self
 
     def act(self):
@@ -222,7 +224,7 @@
 
     def start_vm(self, name):
         self.vms[name] = Vm(self, name)
-        self.lives.append(self.vms[name])
+        self.incarnation_counts.append(self.vms[name])
 
     def restart_vm(self):
         name = self.random.choice(sorted(self.vms))
@@ -305,7 +307,7 @@
             answer.edit
             for answer in self.answers
             if answer.result.is_error()
-            and answer.result.error.run is errors.Run.MAY_HAVE_RUN
+            and answer.result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN
         ]
         if unknown:
             edit = self.random.choice(unknown)
@@ -335,16 +337,16 @@
                 changes.DeleteRow("routes", "spare"),
                 changes.PutRow("pools", "spare", SPARE),
                 changes.DeleteRow("pools", "spare"),
-                changes.GiveKey("tea", digest),
-                changes.WithdrawKey("tea", digest),
+                changes.AddKey("tea", digest),
+                changes.RevokeKey("tea", digest),
             )
         )
 
-    def observe(self):
+    def register_gauge(self):
         """Note what each VM would do with a request now."""
         now_ms = self.clock.now_ms()
         for name, vm in self.vms.items():
-            tables = vm.in_force.read_tables()
+            tables = vm.active_tables.read_tables()
             if tables is not None:
                 self.serving.append((now_ms, name, tables.revision))
         self.check_segments()
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -8,7 +8,7 @@
 
 from mulberryway import tables
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 OPERATOR = "operator-credential"
 SECRET = "fleet-secret"
@@ -29,7 +29,7 @@
         self.platform, platform_port = processes.start_standin(
             self.group, "platform"
         )
-        credential = f"--credential={router_rig.CREDENTIAL}"
+        credential = f"--credential={router_fixture.CREDENTIAL}"
         self.engines, self.engine_ports = processes.start_engines(
             self.group, ROLES, credential, *engine_flags
         )
@@ -87,7 +87,7 @@
         return processes.call(port, "GET", "/readyz").status == 200
 
     def has_tokens(self, port):
-        reply = PortRig(port).complete("first", max_tokens=1)
+        reply = RemoteRouter(port).complete("first", max_tokens=1)
         return reply.status == 200
 
     def make_rows(self):
@@ -123,12 +123,12 @@
                 "lm-pool": {
                     "kind": "model",
                     "models": ["m"],
-                    "credential": router_rig.CREDENTIAL,
+                    "credential": router_fixture.CREDENTIAL,
                     "upstreams": engines,
                 },
                 "member-api": {
                     "kind": "plain",
-                    "credential": router_rig.CREDENTIAL,
+                    "credential": router_fixture.CREDENTIAL,
                     "upstreams": service,
                 },
             },
@@ -139,8 +139,8 @@
                     "burst": RATE,
                 }
                 for name, key in (
-                    ("tea-estate", router_rig.KEY),
-                    ("surveyors", router_rig.OTHER_KEY),
+                    ("tea-estate", router_fixture.KEY),
+                    ("surveyors", router_fixture.OTHER_KEY),
                 )
             },
         }
@@ -196,12 +196,12 @@
         return file
 
 
-class PortRig:
+class RemoteRouter:
     """What :class:`router_rig.OpenStream` needs of a router elsewhere."""
 
     def __init__(self, port):
         self.port = port
 
-    connect = router_rig.Rig.connect
-    call = router_rig.Rig.call
-    complete = router_rig.Rig.complete
+    connect = router_fixture.RouterFixture.connect
+    call = router_fixture.RouterFixture.call
+    complete = router_fixture.RouterFixture.complete
--- a/tests/test_allowance_sockets.py
+++ b/tests/test_allowance_sockets.py
@@ -13,7 +13,7 @@
 from mulberryway.policy import allowance_times
 from mulberryway.policy import member
 from tests import allowance_fleet
-from tests import allowance_history
+from tests import allowance_simulation
 
 SECRET = "fleet secret"
 GUARD_S = 20
@@ -30,7 +30,7 @@
         self.client = peers.PeerClient(SECRET, clock_)
         self.state = allowance_state.AllowanceState(
             self.own,
-            allowance_times.AllowanceTimes(settle_ms=0, loan_ms=500),
+            allowance_times.AllowanceTimes(startup_delay_ms=0, loan_ms=500),
         )
         self.allowances = allowances.AllowancesController(
             self.state, source, self.client, clock_
@@ -52,7 +52,7 @@
     def list_members(self):
         return [one.copy() for one in self.members]
 
-    def change_own(self, is_stopping=None, holdings=None):
+    def update_local(self, is_stopping=None, holdings=None):
         self.own.holdings = holdings
 
     def start(self):
@@ -80,7 +80,7 @@
 class AllowanceSocketsTest(unittest.TestCase):
     def setUp(self):
         account = tables.ClientAccount("tea", (), RATE, BURST)
-        source = allowance_history.SimSource(
+        source = allowance_simulation.SimSource(
             tables.Tables(1, (), (), (account,))
         )
         names = [f"vm{n}" for n in range(3)]
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,17 +4,17 @@
 
 from mulberryway import errors
 from mulberryway.controllers import allowance_state
-from mulberryway.policy import allowance_keeper
 from mulberryway.policy import allowance_slots
 from mulberryway.policy import allowance_times
-from tests import allowance_history
+from mulberryway.policy import slot_lease_manager
+from tests import allowance_simulation
 
-TAKE = allowance_keeper.Decision.TAKE
-NONE = allowance_keeper.Decision.NONE
-RELEASE = allowance_keeper.Decision.RELEASE
+TAKE = slot_lease_manager.LeaseAction.TAKE
+NONE = slot_lease_manager.LeaseAction.NONE
+RELEASE = slot_lease_manager.LeaseAction.RELEASE
 
 
-class CalmWorld(allowance_history.World):
+class CalmWorld(allowance_simulation.Simulation):
     """VMs, a platform and a network that work as they should."""
 
     def chance(self, probability):
@@ -27,7 +27,7 @@
 class AllowancesTest(unittest.TestCase):
     def setUp(self):
         self.world = CalmWorld(1, "calm")
-        self.world.is_quiet = True
+        self.world.is_reusable = True
         self.pass_time(3_000)
         self.vms = list(self.world.vms.values())
 
@@ -68,7 +68,7 @@
         result = self.vms[1].allowances.reserve("tea", 200)
         self.assertIs(result.error.code, errors.Code.OVER_ALLOWANCE)
         self.assertGreater(result.error.retry_after_ms, 200)
-        self.assertIs(result.error.run, errors.Run.NOT_RUN)
+        self.assertIs(result.error.run, errors.ExecutionStatus.NOT_RUN)
         unknown = self.vms[0].allowances.reserve("nobody", 1)
         self.assertFalse(unknown.is_ok())
 
@@ -125,7 +125,7 @@
 class SlotKeeperTest(unittest.TestCase):
     def setUp(self):
         self.times = allowance_times.AllowanceTimes()
-        self.keeper = allowance_keeper.SlotKeeper(
+        self.keeper = slot_lease_manager.SlotLeaseManager(
             "b", "10.0.0.2", 7, self.times
         )
 
@@ -151,10 +151,10 @@
         record = self.make(is_listed=True)
         self.assertIs(self.decide(record, 0), NONE)
         for at_ms in (1_000, 30_000, 60_000):
-            self.keeper.note_list(set(), at_ms)
-            self.keeper.note_absent(3, record, set(), at_ms)
+            self.keeper.update_vm_list(set(), at_ms)
+            self.keeper.track_absence(3, record, set(), at_ms)
             self.assertIs(self.decide(record, at_ms), NONE)
-        self.keeper.note_list(set(), 61_000)
+        self.keeper.update_vm_list(set(), 61_000)
         self.assertIs(self.decide(record, 61_000), TAKE)
 
     def test_a_vm_that_came_back_is_not_followed(self):
@@ -164,9 +164,9 @@
         """
         record = self.make(is_listed=True)
         self.decide(record, 0)
-        self.keeper.note_list(set(), 1_000)
-        self.keeper.note_absent(3, record, set(), 1_000)
-        self.keeper.note_list(set(), 70_000)
+        self.keeper.update_vm_list(set(), 1_000)
+        self.keeper.track_absence(3, record, set(), 1_000)
+        self.keeper.update_vm_list(set(), 70_000)
         record.term += 1
         self.assertIs(self.decide(record, 71_000), NONE)
 
@@ -174,8 +174,8 @@
         record = self.make(is_listed=False)
         self.decide(record, 0)
         for at_ms in (1_000, 90_000):
-            self.keeper.note_list(set(), at_ms)
-            self.keeper.note_absent(3, record, set(), at_ms)
+            self.keeper.update_vm_list(set(), at_ms)
+            self.keeper.track_absence(3, record, set(), at_ms)
         self.assertIs(self.decide(record, 90_000), NONE)
 
     def test_a_lease_that_ended_is_followed(self):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 import expression
 
 from mulberryway import errors
-from mulberryway.controllers import claim_keeping
+from mulberryway.controllers import claim_coordination
 from mulberryway.controllers import claim_log
 from mulberryway.controllers import claim_queue
 from mulberryway.controllers import claim_writer
@@ -22,12 +22,12 @@
 
 class RecordsTest(unittest.TestCase):
     def test_id_binds_account_and_key(self):
-        key = claim_records.make_key(1_700_000_000_123, 42)
-        found = claim_records.read_id("a", key)
+        key = claim_records.make_uuid7(1_700_000_000_123, 42)
+        found = claim_records.parse_claim_id("a", key)
         self.assertEqual(found.time_ms, 1_700_000_000_123)
-        same = claim_records.read_id("a", key.upper().replace("-", ""))
+        same = claim_records.parse_claim_id("a", key.upper().replace("-", ""))
         self.assertEqual(same.digest, found.digest)
-        other = claim_records.read_id("b", key)
+        other = claim_records.parse_claim_id("b", key)
         self.assertNotEqual(other.digest, found.digest)
 
     def test_other_ids_carry_no_time(self):
@@ -36,10 +36,10 @@
             "booking-7",
             "8c5b5b0e-54c1-4d0e-9d7b-6f0a1d3d7f10",
         ):
-            self.assertIsNone(claim_records.read_id("a", key))
+            self.assertIsNone(claim_records.parse_claim_id("a", key))
 
     def test_record_is_read_as_written(self):
-        reply = claim_records.KeptReply(201, [("A", "b")], b"\xff")
+        reply = claim_records.CachedReply(201, [("A", "b")], b"\xff")
         record = claim_records.Record(
             "d", 7, "c", "a1/1/1", claim_records.ClaimState.DONE, reply
         )
@@ -88,11 +88,13 @@
         The attempt went on by itself and runs; so does the next one.
         """
 
-        class Meddling(claim_queue.Waiter):
+        class Meddling(claim_queue.PendingClaim):
             def __init__(self, request, is_own=True):
                 super().__init__(request)
 
-        with unittest.mock.patch.object(claim_keeping, "Waiter", Meddling):
+        with unittest.mock.patch.object(
+            claim_coordination, "PendingClaim", Meddling
+        ):
             self.check_broken("two runs", 200, keepers=True)
 
     def check_broken(self, message, count=60, **kwargs):
@@ -125,7 +127,7 @@
             result = claim_log.ClaimLog._send(log, append)
             if result.is_ok() or result.error.code is not errors.Code.CONFLICT:
                 return result
-            read = log._store.read(log._kind, str(append.place), "x")
+            read = log._store.read(log._kind, str(append.slot_index), "x")
             if read.is_ok():
                 append.version = read.ok.version
             return claim_log.ClaimLog._send(log, append)
@@ -162,14 +164,14 @@
                 self.limit = 150 + 150 * (next(limits) % 3)
 
             def is_newest_full(self):
-                newest = self._slots.get(self.newest_place())
+                newest = self._slots.get(self.newest_index())
                 if newest is None:
                     return False
                 size = sum(len(str(r.encode())) for r in newest.records)
                 return size >= self.limit
 
             def plan_append(self, records):
-                newest = self._slots.get(self.newest_place())
+                newest = self._slots.get(self.newest_index())
                 if newest is not None:
                     newest.is_full = self.is_newest_full()
                 return super().plan_append(records)
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -16,9 +16,9 @@
 from mulberryway.controllers import mirrors as controllers
 from mulberryway.objects import base
 from mulberryway.peers.gen.mirrors import ttypes
-from mulberryway.policy import lapses
+from mulberryway.policy import mass_expiry
 from mulberryway.policy import mirrors
-from mulberryway.policy import outages
+from mulberryway.policy import store_reachability
 from tests import processes
 
 
@@ -33,10 +33,12 @@
 
 class MirrorTest(unittest.TestCase):
     def setUp(self):
-        self.outages = outages.Outages()
-        limits = lapses.Limits(heartbeat_ms=1_000, drain_ms=2_000)
+        self.outages = store_reachability.StoreReachability()
+        limits = mass_expiry.RegistrationLimits(
+            heartbeat_ms=1_000, drain_ms=2_000
+        )
         self.mirror = mirrors.Mirror(
-            "servers", lapses.LapseDetector(limits, self.outages)
+            "servers", mass_expiry.MassExpiryDetector(limits, self.outages)
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.mirror.replace(rows, 10, 0)
@@ -53,44 +55,52 @@
         """A slow answer of the store comes after a newer copy from another
         VM.  Taken over, it would bring a server back that has left.
         """
-        self.mirror.adopt([make(f"s{n}", n) for n in range(2, 7)], 12, 0)
+        self.mirror.replace_from_peer(
+            [make(f"s{n}", n) for n in range(2, 7)], 12, 0
+        )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.assertFalse(self.mirror.replace(rows, 11, 0))
         self.assertNotIn("s1", self.names())
 
     def test_adopts_only_what_is_newer(self):
-        self.assertFalse(self.mirror.adopt([], self.mirror.changed, 0))
+        self.assertFalse(
+            self.mirror.replace_from_peer([], self.mirror.changed_revision, 0)
+        )
         rows = [make(f"s{n}", n) for n in range(2, 10)]
-        self.assertTrue(self.mirror.adopt(rows, 20, 0))
+        self.assertTrue(self.mirror.replace_from_peer(rows, 20, 0))
         self.assertEqual(self.names(), [f"s{n}" for n in range(2, 10)])
 
     def test_changes_of_other_kinds_are_no_news(self):
         """The store's revision grows with every write of any kind.  Told to
         other VMs, it would make them fetch a copy that has not changed.
         """
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         self.assertFalse(self.mirror.apply([], 40, 0))
-        self.assertEqual(self.mirror.changed, before)
+        self.assertEqual(self.mirror.changed_revision, before)
         self.assertEqual(self.mirror.revision, 40)
 
     def test_removal_that_only_a_listing_shows_is_told(self):
         """Guards against a server that left while the store lost its history:
         VMs that do not watch would never hear of it.
         """
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         rows = [make(f"s{n}", n) for n in range(2, 7)]
         self.mirror.replace(rows, 12, 0)
-        self.assertGreater(self.mirror.changed, before)
+        self.assertGreater(self.mirror.changed_revision, before)
         other = mirrors.Mirror("servers")
-        other.adopt([make(f"s{n}", n) for n in range(1, 7)], before, 0)
-        taken = other.adopt(self.mirror.list_objects(), self.mirror.changed, 0)
+        other.replace_from_peer(
+            [make(f"s{n}", n) for n in range(1, 7)], before, 0
+        )
+        taken = other.replace_from_peer(
+            self.mirror.list_objects(), self.mirror.changed_revision, 0
+        )
         self.assertTrue(taken)
         self.assertNotIn("s1", {one.name for one in other.list_objects()})
 
     def test_listing_without_a_removal_is_no_news(self):
-        before = self.mirror.changed
+        before = self.mirror.changed_revision
         self.mirror.replace([make(f"s{n}", n) for n in range(1, 7)], 12, 0)
-        self.assertEqual(self.mirror.changed, before)
+        self.assertEqual(self.mirror.changed_revision, before)
 
     def test_removal_counts_at_once(self):
         self.mirror.apply([change("s1", 1, True)], 11, 0)
@@ -100,8 +110,8 @@
         """The store was away for all, and servers could not renew their
         entries.  Taken for gone at once, none would be left to use.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.assertEqual(len(self.names()), 6)
         self.assertFalse(self.mirror.expire(6_000))
@@ -112,8 +122,8 @@
         """Guards against a store that drops lapsed entries in several steps:
         the first few look like servers that leave.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         for number in range(1, 7):
             event = change(f"s{number}", number, True)
             self.mirror.apply([event], 10 + number, 5_000 + number)
@@ -123,8 +133,8 @@
         """Guards against a server that stands twice in the tables: its entry
         was removed and came back before the others lapsed.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(1, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 5_100)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
@@ -132,8 +142,8 @@
         self.assertEqual(self.names(), [f"s{n}" for n in range(1, 7)])
 
     def test_entry_that_came_back_stays(self):
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 6_000)
         self.mirror.expire(7_200)
@@ -144,8 +154,8 @@
         back by then, and the few that are missing look like servers that
         left.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         events = [change(f"s{n}", n, True) for n in range(1, 7)]
         back = [change(f"s{n}", 10 + n) for n in range(3, 7)]
         self.mirror.apply([*events, *back], 17, 5_000)
@@ -157,14 +167,14 @@
         its operators allow.
         """
         self.outages.note_peer("a2", True, 4_000)
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(6, 5_000)
         self.assertEqual(self.names(), [])
 
     def test_removal_counts_after_an_absence_too_short_for_a_lapse(self):
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(2_900)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(2_900)
         self.lapse(6, 2_900)
         self.assertEqual(self.names(), [])
 
@@ -172,16 +182,16 @@
         """Guards against a VM that was started in the outage: its copy holds
         only the entries that are back.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.adopt([make("s1", 21)], 21, 5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.replace_from_peer([make("s1", 21)], 21, 5_000)
         self.assertEqual(len(self.names()), 6)
 
     def test_removal_long_ago_does_not_come_back_with_a_lapse(self):
         """Guards against servers that left early in an outage's wake and are
         brought back by a later lapse.
         """
-        self.mirror.note_failure(1_000)
-        self.mirror.note_answer(5_000)
+        self.mirror.record_failure(1_000)
+        self.mirror.record_response(5_000)
         self.lapse(1, 5_000)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
         self.mirror.apply(later, 12, 60_000)
@@ -205,7 +215,7 @@
         self.assertEqual(self.names(), ["s5", "s6"])
 
 
-class AwayStore:
+class UnavailableStore:
     """A store that refuses every call."""
 
     def read_listing(self, kind, purpose):
@@ -238,11 +248,11 @@
 class ExchangeTest(unittest.TestCase):
     def make(self, failures):
         self.changes = []
-        self.keeper = controllers.MirrorKeeper(
+        self.keeper = controllers.MirrorController(
             "config", None, clock.ManualClock(), lambda: self.changes.append(1)
         )
         self.peers = FailingPeers(failures)
-        return mirror_exchange.MirrorExchange(
+        return mirror_exchange.MirrorSyncController(
             {"config": self.keeper}, self.peers, clock.ManualClock(), list
         )
 
@@ -274,11 +284,11 @@
     """A VM that the store has not answered yet, and that hears nobody."""
 
     def make(self, failures=0, addresses=("a2:1", "a3:1")):
-        self.keeper = controllers.MirrorKeeper(
-            "config", AwayStore(), clock.ManualClock(), lambda: None
+        self.keeper = controllers.MirrorController(
+            "config", UnavailableStore(), clock.ManualClock(), lambda: None
         )
         self.peers = FailingPeers(failures)
-        return mirror_exchange.MirrorExchange(
+        return mirror_exchange.MirrorSyncController(
             {"config": self.keeper},
             self.peers,
             clock.ManualClock(),
@@ -332,7 +342,7 @@
 
 class PackTest(unittest.TestCase):
     def setUp(self):
-        self.keeper = controllers.MirrorKeeper(
+        self.keeper = controllers.MirrorController(
             "servers", None, clock.ManualClock(), lambda: None
         )
         self.take([["s1", 5, {}], ["s2", 7, {}]], 7)
@@ -398,13 +408,15 @@
     def setUp(self):
         self.clock = clock.ManualClock()
         self.store = ScriptedStore(self.clock)
-        self.outages = outages.Outages()
-        self.keeper = controllers.MirrorKeeper(
+        self.outages = store_reachability.StoreReachability()
+        self.keeper = controllers.MirrorController(
             "servers",
             self.store,
             self.clock,
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), self.outages),
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(), self.outages
+            ),
         )
         rows = [make(f"s{n}", n) for n in range(1, 7)]
         self.step((0, base.Listing(rows, 10)))
@@ -420,7 +432,7 @@
     def lapse_all(self, revision=20):
         """Return the answer that tells that all entries have lapsed."""
         events = [change(f"s{n}", n, True) for n in range(1, 7)]
-        return base.Changes(events, revision)
+        return base.ChangeBatch(events, revision)
 
 
 class LateRemovalTest(KeeperCase):
@@ -430,13 +442,13 @@
 
     def leave(self, name, revision):
         number = int(name[1:])
-        return base.Changes([change(name, number, True)], revision)
+        return base.ChangeBatch([change(name, number, True)], revision)
 
     def test_refusals_of_all_vms_put_no_removal_off(self):
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
-            (1_200, base.Changes([], 11)),
+            (1_200, base.ChangeBatch([], 11)),
             (700, self.leave("s1", 12)),
         )
         self.assertNotIn("s1", self.names())
@@ -445,9 +457,9 @@
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
-            (3_000, base.Changes([], 11)),
+            (3_000, base.ChangeBatch([], 11)),
             (2_000, fail("reset")),
-            (10, base.Changes([], 12)),
+            (10, base.ChangeBatch([], 12)),
             (700, self.leave("s1", 13)),
         )
         self.assertNotIn("s1", self.names())
@@ -480,9 +492,9 @@
     def poll(self, kind, revision, wait_ms, purpose):
         if self.is_told:
             self.end.wait(wait_ms / 1_000)
-            return expression.Ok(base.Changes([], revision))
+            return expression.Ok(base.ChangeBatch([], revision))
         self.is_told = True
-        return expression.Ok(base.Changes(self.events, 20))
+        return expression.Ok(base.ChangeBatch(self.events, 20))
 
 
 class ExpiryTest(unittest.TestCase):
@@ -494,12 +506,15 @@
             [make(f"s{n}", n) for n in range(1, 7)],
             [change(f"s{n}", n, True) for n in range(1, 7)],
         )
-        keeper = controllers.MirrorKeeper(
+        keeper = controllers.MirrorController(
             "servers",
             store,
             clock.SystemClock(),
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), outages.Outages()),
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(),
+                store_reachability.StoreReachability(),
+            ),
         )
         keeper.start()
         try:
@@ -508,7 +523,7 @@
             self.assertTrue(keeper.list_objects())
             gone = processes.wait_until(
                 lambda: not keeper.list_objects(),
-                lapses.RETURN_MS / 1e3 + 0.2,
+                mass_expiry.REREGISTRATION_MS / 1e3 + 0.2,
             )
             self.assertTrue(gone)
         finally:
@@ -521,12 +536,15 @@
 
     def setUp(self):
         super().setUp()
-        self.other = controllers.MirrorKeeper(
+        self.other = controllers.MirrorController(
             "servers",
             None,
             self.clock,
             lambda: None,
-            lapses.LapseDetector(lapses.Limits(), outages.Outages()),
+            mass_expiry.MassExpiryDetector(
+                mass_expiry.RegistrationLimits(),
+                store_reachability.StoreReachability(),
+            ),
         )
         self.copy()
 
@@ -543,13 +561,13 @@
         self.step((0, fail()), (4_000, self.lapse_all()))
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
-        self.clock.advance_ms(lapses.RETURN_MS)
+        self.clock.advance_ms(mass_expiry.REREGISTRATION_MS)
         self.other.expire()
         self.assertEqual(self.list_other(), [])
 
     def test_a_copy_keeps_entries_no_longer_than_its_vm(self):
         self.step((0, fail()), (4_000, self.lapse_all()))
-        self.clock.advance_ms(lapses.RETURN_MS - 100)
+        self.clock.advance_ms(mass_expiry.REREGISTRATION_MS - 100)
         self.copy()
         self.assertEqual(len(self.list_other()), 6)
         self.clock.advance_ms(100)
@@ -557,7 +575,7 @@
         self.assertEqual(self.list_other(), [])
 
     def test_a_vm_that_has_just_started_gets_kept_entries(self):
-        fresh = controllers.MirrorKeeper(
+        fresh = controllers.MirrorController(
             "servers", None, self.clock, lambda: None
         )
         self.step((0, fail()), (4_000, self.lapse_all()))
@@ -571,7 +589,7 @@
         """Guards against VMs that start in an outage and make all others take
         it for trouble of their own.
         """
-        started = controllers.MirrorKeeper(
+        started = controllers.MirrorController(
             "servers", self.store, self.clock, lambda: None
         )
         self.assertFalse(started.is_reached)
@@ -639,7 +657,7 @@
     def make_keeper(self, kind):
         store = ScriptedStore(clock.ManualClock())
         store.answers = [(0, base.Listing([], 1))]
-        return controllers.MirrorKeeper(
+        return controllers.MirrorController(
             kind, store, store.clock, self.source.refresh
         )
 
@@ -666,48 +684,52 @@
 
 class OutagesTest(unittest.TestCase):
     def test_alone_it_is_shared(self):
-        self.assertTrue(outages.Outages().is_shared(0, 0))
+        self.assertTrue(
+            store_reachability.StoreReachability().is_fleet_wide(0, 0)
+        )
 
     def test_one_vm_that_is_served_tells(self):
-        found = outages.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a3", True, 0)
-        self.assertFalse(found.is_shared(0, 100))
+        self.assertFalse(found.is_fleet_wide(0, 100))
         found.note_peer("a3", False, 100)
-        self.assertTrue(found.is_shared(0, 200))
+        self.assertTrue(found.is_fleet_wide(0, 200))
 
     def test_earlier_absence_says_nothing_of_this_one(self):
         """Guards against a VM's own trouble that is taken for an outage
         because all had missed the store shortly before.
         """
-        found = outages.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a2", True, 1_000)
-        self.assertFalse(found.is_shared(1_100, 1_200))
+        self.assertFalse(found.is_fleet_wide(1_100, 1_200))
 
     def test_few_watch_in_a_large_fleet(self):
         """Ninety VMs before a store whose rates are those of nine.  Were all
         to watch, calls would grow with the fleet.
         """
         vms = [f"a{n}" for n in range(90)]
-        watchers = outages.choose_watchers(vms)
-        self.assertEqual(len(watchers), outages.WATCHERS)
+        watchers = store_reachability.choose_watchers(vms)
+        self.assertEqual(len(watchers), store_reachability.WATCHER_COUNT)
         other = next(vm for vm in vms if vm not in watchers)
-        found = outages.Outages()
+        found = store_reachability.StoreReachability()
         found.note_peer(watchers[0], True, 0)
-        self.assertFalse(found.must_ask(other, vms, 100))
-        self.assertTrue(found.must_ask(watchers[0], vms, 100))
+        self.assertFalse(found.must_poll(other, vms, 100))
+        self.assertTrue(found.must_poll(watchers[0], vms, 100))
 
     def test_vm_that_hears_no_watcher_asks_itself(self):
         """Every watcher is cut off, dead, or turned away by the store.  The
         others would never hear of a change again.
         """
         vms = [f"a{n}" for n in range(90)]
-        watchers = outages.choose_watchers(vms)
+        watchers = store_reachability.choose_watchers(vms)
         other = next(vm for vm in vms if vm not in watchers)
-        found = outages.Outages()
-        self.assertTrue(found.must_ask(other, vms, 0))
+        found = store_reachability.StoreReachability()
+        self.assertTrue(found.must_poll(other, vms, 0))
         found.note_peer(watchers[0], True, 0)
-        self.assertTrue(found.must_ask(other, vms, outages.HEARD_MS))
+        self.assertTrue(
+            found.must_poll(other, vms, store_reachability.PEER_REPORT_TTL_MS)
+        )
         found.note_peer(watchers[0], False, 6_000)
-        self.assertTrue(found.must_ask(other, vms, 6_100))
+        self.assertTrue(found.must_poll(other, vms, 6_100))
--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -6,7 +6,7 @@
 from mulberryway import clock
 from mulberryway import tables
 from mulberryway.filters import model_job
-from mulberryway.policy import entries
+from mulberryway.policy import queue_entries
 
 ARRIVED_MS = 1_000
 TARGET_MS = 900
@@ -37,7 +37,7 @@
             target_gap_ms=300,
         ),
     )
-    maker = model_job.JobMaker(exchange, clock.ManualClock(now_ms))
+    maker = model_job.JobBuilder(exchange, clock.ManualClock(now_ms))
     limit = clock.Deadline(now_ms + 10_000)
     return maker.make(0, frozenset(), limit, since_ms)
 
@@ -49,11 +49,13 @@
         """
         lost_ms = ARRIVED_MS + 5_000
         job = make_job(lost_ms, lost_ms)
-        entry = entries.Entry(job, entries.Lane.SHORT, 100, lost_ms + 2_000)
+        entry = queue_entries.QueueEntry(
+            job, queue_entries.Lane.SHORT, 100, lost_ms + 2_000
+        )
         self.assertFalse(entry.is_late(lost_ms))
         self.assertTrue(entry.is_late(lost_ms + TARGET_MS + 1))
 
     def test_first_event_is_owed_from_the_arrival_on(self):
         """Guards against requests that a failed try makes young again."""
         job = make_job(ARRIVED_MS + 500, ARRIVED_MS)
-        self.assertEqual(job.target_at_ms, ARRIVED_MS + TARGET_MS)
+        self.assertEqual(job.first_token_target_ms, ARRIVED_MS + TARGET_MS)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,7 +10,7 @@
 from mulberryway import errors
 from mulberryway import tables
 from mulberryway.controllers import orders as controllers
-from mulberryway.policy import issuer
+from mulberryway.policy import leader_lease
 from mulberryway.policy import orders
 from mulberryway.upstreams import base as upstreams
 from tests import fakes
@@ -54,7 +54,7 @@
         first = self.plan(0, "load")
         self.assertEqual(len(first), 2)
         for order in first:
-            self.planner.note_given(order, 0)
+            self.planner.record_accepted(order, 0)
         self.assertEqual(self.plan(1_000, "load"), [])
         done = first[0].row.name
         self.loads["lm", done] = make_load("m")
@@ -84,8 +84,8 @@
     def test_roles_once_and_failures_later(self):
         first = self.plan(0, "role")
         self.assertEqual(len(first), 4)
-        self.planner.note_given(first[0], 0)
-        self.planner.note_failed(first[1], 0)
+        self.planner.record_accepted(first[0], 0)
+        self.planner.record_failed(first[1], 0)
         self.assertEqual(len(self.plan(1_000, "role")), 2)
         self.assertEqual(len(self.plan(orders.RETRY_MS, "role")), 3)
 
@@ -93,18 +93,18 @@
 class LeaseTest(unittest.TestCase):
     def test_candidates_are_few_and_the_same_for_all(self):
         vms = [f"vm{n}" for n in range(410)]
-        chosen = issuer.choose_candidates(vms)
-        self.assertEqual(len(chosen), issuer.CANDIDATES)
-        self.assertEqual(chosen, issuer.choose_candidates(reversed(vms)))
+        chosen = leader_lease.choose_candidates(vms)
+        self.assertEqual(len(chosen), leader_lease.CANDIDATE_COUNT)
+        self.assertEqual(chosen, leader_lease.choose_candidates(reversed(vms)))
 
     def test_a_stale_read_brings_no_old_holder_back(self):
-        lease = issuer.IssuerLease("a", 1)
-        lease.note_read(issuer.LeaseRecord("b", 1, 5, 0), 50, 0)
-        lease.note_read(issuer.LeaseRecord("c", 1, 4, 9), 40, 10)
+        lease = leader_lease.LeaderLease("a", 1)
+        lease.record_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
+        lease.record_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
         self.assertEqual((lease.fencing, lease.version), (5, 50))
 
 
-class CutStore:
+class PartitionableStore:
     """The platform as one VM reaches it, or not."""
 
     def __init__(self, world, name):
@@ -144,7 +144,7 @@
         return controllers.OrdersController(
             name,
             1,
-            CutStore(self, name),
+            PartitionableStore(self, name),
             self,
             lambda pool, upstream: WorldEngine(self, upstream),
             dict,
@@ -181,7 +181,7 @@
 
     def give_order(self, order):
         world = self.world
-        flight_ms = world.random.randint(0, issuer.FLIGHT_MS)
+        flight_ms = world.random.randint(0, leader_lease.MAX_IN_FLIGHT_MS)
         at_ms = world.clock.now_ms() + flight_ms
         world.arrivals[self.name].append((at_ms, order.fencing))
         # Most answers are lost, so that orders are given all the time.
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -8,7 +8,7 @@
 from mulberryway import clock
 from mulberryway import errors
 from mulberryway.objects import base
-from mulberryway.objects import counts
+from mulberryway.objects import call_metrics
 from mulberryway.objects import http as platform
 
 ITEM = {"metadata": {"name": "a", "resourceVersion": "7"}, "value": {"x": 1}}
@@ -60,7 +60,7 @@
         self.addCleanup(self.server.server_close)
         self.addCleanup(self.server.shutdown)
         self.addCleanup(self.released.set)
-        self.counts = counts.CallCounts()
+        self.counts = call_metrics.InMemoryCallCounter()
         self.store = platform.HttpObjectStore(
             f"http://127.0.0.1:{self.server.server_port}",
             300,
@@ -99,10 +99,10 @@
         )
         sent = json.loads(self.server.seen[2][2])
         self.assertEqual(sent["metadata"]["resourceVersion"], "6")
-        self.assertEqual(self.counts.read_counts()[("p", "ok")].calls, 4)
+        self.assertEqual(self.counts.get_counts()[("p", "ok")].calls, 4)
 
     def test_refusals(self):
-        code, run = errors.Code, errors.Run
+        code, run = errors.Code, errors.ExecutionStatus
         for status, expected, expected_run in (
             (404, code.NOT_FOUND, run.NOT_RUN),
             (409, code.CONFLICT, run.NOT_RUN),
@@ -126,7 +126,7 @@
             self.check_fault(
                 result,
                 errors.Code.PLATFORM_UNAVAILABLE,
-                errors.Run.MAY_HAVE_RUN,
+                errors.ExecutionStatus.MAY_HAVE_RUN,
             )
 
     def test_unreachable_is_not_run(self):
@@ -137,7 +137,9 @@
         self.server.server_close()
         result = self.store.create("k", "a", {}, "p")
         self.check_fault(
-            result, errors.Code.PLATFORM_UNAVAILABLE, errors.Run.NOT_RUN
+            result,
+            errors.Code.PLATFORM_UNAVAILABLE,
+            errors.ExecutionStatus.NOT_RUN,
         )
 
     def test_silent_watch_ends(self):
