--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from mulberryway.policy import chunked_prefill
 from mulberryway.policy import health
-from mulberryway.policy import messages
-from mulberryway.policy import reading
+from mulberryway.policy import jobs
 from mulberryway.policy import retries
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
@@ -29,7 +29,7 @@
             decodes,
             kv_bytes_per_token=18_432,
             link_bytes_per_s=18_750_000_000,
-            engine_tokens=TOKENS,
+            kv_capacity_tokens=TOKENS,
             pause_ms=PAUSE_MS,
         )
         self.routers = [
@@ -37,7 +37,7 @@
                 f"vm{n}",
                 seed=n,
                 token_gap_ms=PAUSE_MS,
-                budget=retries.NoBudget,
+                budget=retries.UnlimitedRetryBudget,
                 prefill_rate=PREFILL_RATE,
             )
             for n in range(vms)
@@ -55,7 +55,7 @@
             prompt_tokens=prompt,
             max_tokens=2_040,
             expected_tokens=840,
-            target_at_ms=now_ms + 900,
+            first_token_target_ms=now_ms + 900,
         )
         taken = self.routers[vm].submit(job, now_ms)
         assert taken.is_ok(), taken.error
@@ -66,17 +66,17 @@
 
     def tell(self, now_ms, vm=0):
         """Let all others hear what a VM has to tell."""
-        note = self.routers[vm].take_hints(now_ms)
+        note = self.routers[vm].drain_hints(now_ms)
         for other in self.routers:
             if note is not None and other is not self.routers[vm]:
-                other.note_hints(note, now_ms)
+                other.apply_hints(note, now_ms)
 
     def run_streams(self, count, now_ms=0):
         """Start streams one after another, and return when all have begun."""
         for _ in range(count):
             self.submit(now_ms)
             for one in self.start(now_ms):
-                self.routers[0].note_prefilled(one.job_id, now_ms + 215)
+                self.routers[0].record_prefilled(one.job_id, now_ms + 215)
             now_ms += 300
         return now_ms
 
@@ -87,7 +87,7 @@
         Each by itself is no harm; both together make every caller of the
         engine wait 0.4 s for the next event.
         """
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_100))
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_200))
@@ -99,24 +99,24 @@
         """An engine needs longer for a read than was thought.  The next one
         would begin before its streams have had an event.
         """
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
         budget.shift(60.0)
         self.assertFalse(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_240))
         self.assertTrue(budget.fits(190.0, PAUSE_MS, EVENT_MS, 1_300))
 
     def test_streams_that_have_paused_too_long(self):
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_000)
-        self.assertFalse(budget.is_broken(4_000, 1_100))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 1_100))
         budget.note(190.0, PAUSE_MS, EVENT_MS, 8, 1_100)
-        self.assertTrue(budget.is_broken(4_000, 1_500))
-        self.assertFalse(budget.is_broken(4_000, 6_000))
+        self.assertTrue(budget.is_gap_exceeded(4_000, 1_500))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 6_000))
 
     def test_engine_without_streams_harms_nobody(self):
-        budget = reading.ReadingBudget()
+        budget = chunked_prefill.ChunkedPrefillBudget()
         budget.note(500.0, PAUSE_MS, EVENT_MS, 0, 1_000)
-        self.assertFalse(budget.is_broken(4_000, 1_600))
+        self.assertFalse(budget.is_gap_exceeded(4_000, 1_600))
 
 
 class SpeedTest(unittest.TestCase):
@@ -124,7 +124,7 @@
         """Several VMs' prompts meet at one engine.  Whoever takes the wait
         for the speed believes that no read fits, and refuses callers.
         """
-        speed = health.Floor(0.036)
+        speed = health.LatencyFloor(0.036)
         for observed in (0.066, 0.21, 0.067, 0.14, 0.066, 0.3, 0.068, 0.12):
             speed.note(observed)
         self.assertLess(speed.value, 0.085)
@@ -135,7 +135,7 @@
         it would make every prompt look too long, and the VM would never ask
         the engine again.
         """
-        speed = health.Floor(0.036)
+        speed = health.LatencyFloor(0.036)
         speed.note(0.4)
         self.assertLess(speed.value, 0.05)
 
@@ -185,9 +185,14 @@
         (one,) = rig.start(0)
         rig.tell(10)
         router = rig.routers[0]
-        router.note_unread(one.job_id, 400)
+        router.record_prefill_failed(one.job_id, 400)
         rig.tell(410)
-        reads = rig.routers[1]._set.find_any("lm").members.find("d0").reads
+        reads = (
+            rig.routers[1]
+            ._set.find_any("lm")
+            .members.find("d0")
+            .prefill_budget
+        )
         self.assertFalse(reads.fits(190.0, PAUSE_MS, EVENT_MS, 420))
 
     def test_long_prompts_keep_to_one_engine(self):
@@ -236,7 +241,7 @@
         first = rig.submit(0)
         rig.start(0)
         router = rig.routers[0]
-        router.finish(first, messages.JobEnd.REFUSED_BY_ENGINE, "p0", 5)
+        router.finish(first, jobs.JobOutcome.REFUSED_BY_ENGINE, "p0", 5)
         rig.submit(10)
         (one,) = rig.start(10)
         self.assertEqual(one.prefill, one.decode)
@@ -254,9 +259,9 @@
         router = rig.routers[0]
         for job_id in jobs:
             end_ms = started[job_id].ready_in_ms + 300
-            router.note_prefilled(job_id, end_ms)
+            router.record_prefilled(job_id, end_ms)
         view = router._set.find_any("lm").members.find("p0")
-        self.assertLess(view.read_wait_ms(end_ms), 30)
+        self.assertLess(view.estimate_prefill_wait_ms(end_ms), 30)
 
 
 class IdleTest(unittest.TestCase):
@@ -271,8 +276,8 @@
         rig.start(0, vm=1)
         pool = rig.routers[0]._set.find_any("lm")
         looks = []
-        count_free = pool.placer.count_free
-        pool.placer.count_free = lambda now_ms: (
+        count_free = pool.placer.estimate_free_slots
+        pool.placer.estimate_free_slots = lambda now_ms: (
             looks.append(now_ms) or count_free(now_ms)
         )
         rig.tell(10, vm=1)
@@ -292,7 +297,7 @@
         rig = Rig(decodes=1)
         rig.run_streams(9)
         pool = rig.routers[0]._set.find_any("lm")
-        self.assertLessEqual(pool.placer.count_free(3_000), 2)
+        self.assertLessEqual(pool.placer.estimate_free_slots(3_000), 2)
 
 
 class TargetTest(unittest.TestCase):
@@ -305,7 +310,7 @@
         pool = rig.routers[0]._set.find_any("lm")
         (view, *_) = pool.members.decodes
         for _ in range(20):
-            view.note_step(200.0, 1_000)
+            view.record_step(200.0, 1_000)
         self.assertFalse(pool.placer.slowness.is_slow(view, 1_000))
         view.pause_ms = 150
         self.assertTrue(pool.placer.slowness.is_slow(view, 1_000))
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -12,15 +12,15 @@
 class SharedBudgetTest(unittest.TestCase):
     def make(self, vms):
         self.vms = vms
-        return repeats.Budget(
-            retries.FleetBudget(0.0, 10_000, SLACK),
+        return repeats.SharedRetryBudget(
+            retries.FleetRetryBudget(0.0, 10_000, SLACK),
             clock.ManualClock(),
             lambda: self.vms,
         )
 
     def spend_all(self, budget):
         count = 0
-        while budget.spend("app"):
+        while budget.try_withdraw("app"):
             count += 1
         return count
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -36,13 +36,13 @@
         self.scheduler = CountingScheduler()
         pool = cases.make_pool(prefills=1, decodes=1, slots=SLOTS)
         self.scheduler.change_pools({pool.name: pool}, clock_.now_ms())
-        return scheduling.Scheduling(self.scheduler, clock_)
+        return scheduling.SchedulingController(self.scheduler, clock_)
 
     def test_a_flood_of_hints_shares_few_rounds(self):
         """Guards a burst's processor time against one round for each hint."""
         clock_ = clock.ManualClock()
         controller = self.make(clock_)
-        controller.note_hints([make_note(1, SLOTS)])
+        controller.apply_hints([make_note(1, SLOTS)])
         tickets = [
             controller.submit(cases.make_job(f"j{number}", str(number))).ok
             for number in range(3)
@@ -51,9 +51,10 @@
         before = self.scheduler.rounds
         for sequence in range(2, 402):
             clock_.advance_ms(1)
-            controller.note_hints([make_note(sequence, SLOTS)])
+            controller.apply_hints([make_note(sequence, SLOTS)])
         self.assertLessEqual(
-            self.scheduler.rounds - before, 400 / scheduling.HINTED_MS
+            self.scheduler.rounds - before,
+            400 / scheduling.GOSSIP_DISPATCH_INTERVAL_MS,
         )
 
     def test_a_slot_that_another_vm_frees_is_taken_soon(self):
@@ -61,14 +62,14 @@
         controller = self.make(clock.SystemClock())
         controller.start()
         self.addCleanup(controller.stop)
-        controller.note_hints([make_note(1, SLOTS)])
+        controller.apply_hints([make_note(1, SLOTS)])
         job = cases.make_job("j", now_ms=controller.clock.now_ms())
         ticket = controller.submit(job).ok
         self.assertFalse(ticket.decided.is_set())
         # The second comes right after a round and has none of its own.
-        controller.note_hints([make_note(2, SLOTS)])
+        controller.apply_hints([make_note(2, SLOTS)])
         began_s = time.monotonic()
-        controller.note_hints([make_note(3, 0)])
+        controller.apply_hints([make_note(3, 0)])
         self.assertTrue(ticket.decided.wait(GUARD_S))
         self.assertLess(time.monotonic() - began_s, 0.5)
         self.assertTrue(ticket.decision.is_ok())
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from mulberryway.policy import messages
+from mulberryway.policy import jobs
 from mulberryway.policy import retries
+from mulberryway.policy import role_planner
 from mulberryway.policy import scheduler
-from mulberryway.policy import shaping
 from tests import policy_cases as cases
 
 # The pattern that these answer, by the operators' sheets: prompts of 5,000
@@ -25,7 +25,7 @@
         leaving=leaving,
         kv_bytes_per_token=163_840,
         link_bytes_per_s=675_000_000_000,
-        engine_tokens=TOKENS,
+        kv_capacity_tokens=TOKENS,
         self_reading=self_reading,
         pause_ms=GAP_MS,
     )
@@ -39,7 +39,7 @@
             vm,
             seed=3,
             token_gap_ms=GAP_MS,
-            budget=retries.NoBudget,
+            budget=retries.UnlimitedRetryBudget,
             prefill_rate=RATE,
         )
         self.scheduler.change_pools({"lm": make_pool(**pool)}, 0)
@@ -54,7 +54,7 @@
             prompt_tokens=prompt,
             max_tokens=9_620,
             expected_tokens=ANSWER,
-            target_at_ms=now_ms + target_ms,
+            first_token_target_ms=now_ms + target_ms,
         )
         return self.scheduler.submit(job, now_ms)
 
@@ -87,7 +87,7 @@
         for _ in range(20):
             one.submit(0)
         started = one.start(0)
-        other.scheduler.note_hints(one.scheduler.take_hints(1), 2)
+        other.scheduler.apply_hints(one.scheduler.drain_hints(1), 2)
         for _ in range(20):
             other.submit(3)
         self.assertEqual(len(started) + len(other.start(3)), len(started))
@@ -103,7 +103,7 @@
         rig.submit(0)
         rig.submit(1_000)
         for one in running:
-            rig.scheduler.finish(one.job_id, messages.JobEnd.DONE, "", 1_100)
+            rig.scheduler.finish(one.job_id, jobs.JobOutcome.DONE, "", 1_100)
         first = rig.start(1_100)
         self.assertEqual(first[0].job_id, f"j{rig.count}")
 
@@ -154,33 +154,33 @@
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
     def test_surplus_prefill_engines_become_decode_engines(self):
-        found = self.plan(shaping.ShapePlanner(), prefills=4, decodes=3)
+        found = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
         self.assertEqual([one.row.name for one in found], ["p0", "p1"])
         self.assertEqual({one.argument for one in found}, {"decode"})
 
     def test_pool_in_shape_needs_nothing(self):
-        planner = shaping.ShapePlanner()
+        planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=4), [])
         self.assertEqual(self.plan(planner, prefills=0, decodes=4), [])
 
     def test_small_pool_stays_as_it_is(self):
-        planner = shaping.ShapePlanner()
+        planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=0), [])
 
     def test_order_is_not_repeated_while_it_may_be_under_way(self):
         """An order got no answer, and may be carried out twelve seconds
         later.  Repeated, it would empty another engine as well.
         """
-        planner = shaping.ShapePlanner()
+        planner = role_planner.RolePlanner()
         for order in self.plan(planner, prefills=4, decodes=3):
-            planner.note_failed(order, 0)
+            planner.record_failed(order, 0)
         self.assertEqual(self.plan(planner, 12_000, prefills=4, decodes=3), [])
         again = self.plan(planner, 20_000, prefills=4, decodes=3)
         self.assertEqual(len(again), 2)
 
     def test_leaving_engines_do_not_count(self):
         found = self.plan(
-            shaping.ShapePlanner(),
+            role_planner.RolePlanner(),
             prefills=3,
             decodes=3,
             leaving=("p0", "p1"),
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -6,8 +6,8 @@
 import unittest
 
 from standins import answers
-from standins import engine_exchange
-from standins import engine_shape
+from standins import engine_completion
+from standins import engine_types
 from tests import processes
 
 PROMPT = "drifted fix " * 30
@@ -60,13 +60,15 @@
             **values,
         )
 
-    def list_held(self, port):
+    def list_in_flight(self, port):
         return processes.call(port, "GET", "/v1/requests").json()["requests"]
 
     def check_empty(self):
         ports = (self.prefill_port, self.decode_port)
         self.assertTrue(
-            processes.wait_until(lambda: not any(map(self.list_held, ports)))
+            processes.wait_until(
+                lambda: not any(map(self.list_in_flight, ports))
+            )
         )
 
     def test_prefill_and_decode_give_the_known_bytes(self):
@@ -135,7 +137,7 @@
         The slot must come back without any further order.
         """
         sock = self.begin_stream("r5")
-        self.assertEqual(len(self.list_held(self.decode_port)), 1)
+        self.assertEqual(len(self.list_in_flight(self.decode_port)), 1)
         sock.close()
         self.check_empty()
 
@@ -199,11 +201,13 @@
         with a later token, and a checker blamed the router for it.
         """
         await asyncio.sleep(0)
-        call = engine_exchange.read_call(
+        call = engine_completion.parse_completion_request(
             {"model": "m", "prompt": PROMPT, "max_tokens": 3, "stream": True}
         )
-        run = engine_shape.Run("r-1", "a1/7", "m", (), 90, 3)
-        exchange = engine_exchange.Exchange(call, run, {"tokens": 0})
+        run = engine_types.EngineRequest("r-1", "a1/7", "m", (), 90, 3)
+        exchange = engine_completion.CompletionResponder(
+            call, run, {"tokens": 0}
+        )
         exchange.send_token(0)
         transport = FakeTransport()
         exchange.attach(transport)
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -4,20 +4,20 @@
 
 from standins import answers
 from standins import engine_model
-from standins import engine_shape
+from standins import engine_types
 
 FAR_MS = 100_000.0
 
 
 def make_run(name, prompt=1_024, output=10, hashes=(), priority=0):
-    return engine_shape.Run(
+    return engine_types.EngineRequest(
         name, "a1/1", "m", hashes, prompt, output, priority
     )
 
 
 class EngineModelTest(unittest.TestCase):
     def make(self, role="both", **figures):
-        shape = engine_shape.Shape()
+        shape = engine_types.EngineParameters()
         for name, value in figures.items():
             setattr(shape, name, value)
         return engine_model.EngineModel(shape, role, ("m",))
@@ -29,13 +29,13 @@
             self.assertIsNone(model.submit_decode(run, 0.0))
         self.assertEqual(
             model.submit_decode(make_run("c"), 0.0),
-            engine_shape.Refused.FULL,
+            engine_types.RejectReason.FULL,
         )
         events = model.advance(FAR_MS)
         times = [
             event.at_ms
             for event in events
-            if event.kind is engine_shape.EventKind.TOKEN
+            if event.kind is engine_types.EventKind.TOKEN
             and event.run is runs[0]
         ]
         self.assertEqual(len(times), 10)
@@ -51,7 +51,7 @@
         done = [
             event
             for event in events
-            if event.kind is engine_shape.EventKind.PREFILLED
+            if event.kind is engine_types.EventKind.PREFILLED
         ]
         self.assertEqual(
             [event.run.request_id for event in done], ["a", "c", "b"]
@@ -78,7 +78,7 @@
         imported = [
             event.at_ms
             for event in model.advance(FAR_MS)
-            if event.kind is engine_shape.EventKind.IMPORTED
+            if event.kind is engine_types.EventKind.IMPORTED
         ]
         self.assertEqual(len(imported), 2)
         for at_ms in imported:
@@ -93,10 +93,10 @@
         model.submit_prefill(run, 0.0)
         model.advance(500.0)
         self.assertIn(run, model.held)
-        self.assertIsNotNone(model.claim_handle(run.handle, 500.0))
+        self.assertIsNotNone(model.pin_handle(run.handle, 500.0))
         handle = run.handle
         model.release_handle(handle, 501.0)
-        self.assertIsNone(model.claim_handle(handle, 502.0))
+        self.assertIsNone(model.pin_handle(handle, 502.0))
         model.submit_prefill(make_run("b"), 1_000.0)
         model.advance(FAR_MS)
         self.assertEqual(model.held, {})
@@ -120,7 +120,7 @@
             self.assertTrue(model.cancel(run, 101.0))
             self.assertFalse(model.cancel(run, 101.0))
         self.assertEqual(model.free_blocks, model.shape.total_blocks)
-        self.assertEqual(model.next_ms(), engine_model.NEVER)
+        self.assertEqual(model.get_next_event_ms(), engine_model.NEVER)
 
     def test_load_report_lags(self):
         model = self.make("decode")
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -37,8 +37,10 @@
     margin=MARGIN,
     account=ACCOUNT,
 ):
-    book = usage.UsageBook(vm, incarnation, margin, now_ms, has_others)
-    book.change_accounts([account], now_ms)
+    book = usage.ReplicatedRateLimiter(
+        vm, incarnation, margin, now_ms, has_others
+    )
+    book.update_accounts([account], now_ms)
     return book
 
 
@@ -50,7 +52,7 @@
             continue
         for receiver, other in books.items():
             if receiver != sender and not drops(sender, receiver):
-                other.note_usage(message, now_ms)
+                other.merge_usage(message, now_ms)
 
 
 class UsageBookTest(unittest.TestCase):
@@ -61,7 +63,9 @@
         while book.take("a", 500, 10_000) is None:
             given += 500
         self.assertGreaterEqual(given, BURST)
-        self.assertLessEqual(given, BURST * 1.05 + 20_000 * usage.FREE_PART)
+        self.assertLessEqual(
+            given, BURST * 1.05 + 20_000 * usage.UPFRONT_MARGIN_FRACTION
+        )
 
     def make_fleet(self, vms):
         """Return one VM's book whose bucket is full after ten seconds."""
@@ -71,8 +75,8 @@
         ]
         for now_ms in range(0, 10_001, 500):
             for other in others:
-                message = other.make_usage({}, now_ms, is_news=True)
-                book.note_usage(message, now_ms)
+                message = other.make_usage({}, now_ms, has_other_changes=True)
+                book.merge_usage(message, now_ms)
         book.make_usage({}, 10_000)
         return book
 
@@ -96,8 +100,8 @@
         self.assertIsNotNone(book.make_usage({}, 10_060))
 
     def test_account_without_a_rate_has_no_limit(self):
-        book = usage.UsageBook("a1", 1, MARGIN, 0)
-        book.change_accounts([tables.ClientAccount("b", (), 0, 0)], 0)
+        book = usage.ReplicatedRateLimiter("a1", 1, MARGIN, 0)
+        book.update_accounts([tables.ClientAccount("b", (), 0, 0)], 0)
         self.assertIsNone(book.take("b", 10_000_000, 0))
 
     def test_refusal_tells_when_tokens_are_there(self):
@@ -129,7 +133,7 @@
         newer = one.make_usage({}, 10_100)
         left = other.describe("a", 10_100)["left"]
         for message in (newer, older, newer):
-            other.note_usage(message, 10_100)
+            other.merge_usage(message, 10_100)
         self.assertEqual(left - other.describe("a", 10_100)["left"], 4_000)
 
     def test_silent_vm_keeps_its_part(self):
@@ -139,7 +143,7 @@
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         for now_ms in range(0, 10_000, 100):
             tell(books, now_ms)
-        cut_ms = 10_000 + usage.SILENT_MS + 100
+        cut_ms = 10_000 + usage.HEARTBEAT_TIMEOUT_MS + 100
         given = 0
         for name in books:
             while books[name].take("a", 500, cut_ms) is None:
@@ -156,11 +160,11 @@
         given = 0
         for name in names:
             book = make_book(name, now_ms=50_000, has_others=True)
-            book.note_fleet(names, 50_000)
+            book.update_members(names, 50_000)
             while book.take("a", 100, 50_000) is None:
                 given += 100
         margin = MARGIN.read_tokens(ACCOUNT)
-        self.assertLessEqual(given, margin * usage.START_PART)
+        self.assertLessEqual(given, margin * usage.INITIAL_MARGIN_FRACTION)
         self.assertGreater(given, 5_000)
 
     def test_large_fleet_that_begins_together(self):
@@ -172,11 +176,11 @@
         given = 0
         for name in names:
             book = make_book(name, now_ms=50_000, has_others=True)
-            book.note_fleet(names, 50_000)
+            book.update_members(names, 50_000)
             while book.take("a", 20, 50_000) is None:
                 given += 20
         margin = MARGIN.read_tokens(ACCOUNT)
-        self.assertLessEqual(given, margin * usage.START_PART)
+        self.assertLessEqual(given, margin * usage.INITIAL_MARGIN_FRACTION)
 
     def test_change_of_the_rate_keeps_the_parts(self):
         """Configurations come in quick succession while VMs are cut off.
@@ -185,12 +189,12 @@
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         for now_ms in range(0, 10_100, 100):
             tell(books, now_ms)
-        cut_ms = 10_000 + usage.SILENT_MS + 100
+        cut_ms = 10_000 + usage.HEARTBEAT_TIMEOUT_MS + 100
         given = 0
         for _ in range(20):
             while books["a1"].take("a", 100, cut_ms) is None:
                 given += 100
-            books["a1"].change_accounts([ACCOUNT], cut_ms)
+            books["a1"].update_accounts([ACCOUNT], cut_ms)
         self.assertLessEqual(given, BURST * 0.65)
 
     def test_vm_that_begins_cut_off_takes_a_part(self):
@@ -211,23 +215,23 @@
         old = make_book("a1")
         new = make_book("a2", now_ms=20_000)
         old.take("a", 100, 20_000)
-        new.note_usage(old.make_usage({}, 20_010), 20_010)
+        new.merge_usage(old.make_usage({}, 20_010), 20_010)
         self.assertIsNone(new.take("a", 5_000, 20_020))
 
     def test_vm_that_begins_takes_over_whole_counts_only(self):
         """Guards a new VM against knowing the levels of some accounts only."""
         old = make_book("a1")
-        old.make_usage({}, usage.WHOLE_FOR_MS)
+        old.make_usage({}, usage.STARTUP_FULL_SYNC_MS)
         old.take("a", 100, 20_000)
         partial = old.make_usage({}, 20_010)
         self.assertFalse(partial.is_whole)
         new = make_book("a2", now_ms=20_000)
-        new.note_usage(partial, 20_010)
+        new.merge_usage(partial, 20_010)
         self.assertIsNotNone(new.take("a", 9_000, 20_020))
-        old.note_usage(new.make_usage({}, 20_020), 20_020)
+        old.merge_usage(new.make_usage({}, 20_020), 20_020)
         whole = old.make_usage({}, 20_400)
         self.assertTrue(whole.is_whole)
-        new.note_usage(whole, 20_410)
+        new.merge_usage(whole, 20_410)
         self.assertIsNone(new.take("a", 9_000, 20_420))
 
     def list_heartbeats(self, book, since_ms, count):
@@ -243,11 +247,11 @@
         accounts = [
             tables.ClientAccount(f"a{n}", (), RATE, BURST) for n in range(16)
         ]
-        book.change_accounts(accounts, 0)
-        told = self.list_heartbeats(book, usage.WHOLE_FOR_MS, 20)
+        book.update_accounts(accounts, 0)
+        told = self.list_heartbeats(book, usage.STARTUP_FULL_SYNC_MS, 20)
         self.assertTrue(all(one.is_heartbeat for one in told))
         whole = [one for one in told if len(one.accounts) == 17]
-        self.assertEqual(len(whole), 20 // usage.WHOLE_HEARTBEATS)
+        self.assertEqual(len(whole), 20 // usage.FULL_SYNC_INTERVAL)
         self.assertEqual(sum(len(one.accounts) for one in told), 17 * 4)
 
     def test_all_accounts_are_told_twice_while_a_vm_settles(self):
@@ -258,14 +262,14 @@
         new = make_book("new", now_ms=20_000)
         fleet["new"] = new
         whole = collections.Counter()
-        for now_ms in range(20_000, 20_000 + usage.SETTLED_MS, 100):
+        for now_ms in range(20_000, 20_000 + usage.WARM_UP_MS, 100):
             for name, book in fleet.items():
                 message = book.make_usage({}, now_ms)
                 if message is None:
                     continue
                 whole[name] += message.is_whole
                 for other in fleet.values():
-                    other.note_usage(message, now_ms)
+                    other.merge_usage(message, now_ms)
         self.assertGreaterEqual(min(whole[name] for name in fleet), 2)
 
     def test_tokens_that_came_back_are_told_once(self):
@@ -273,16 +277,16 @@
         book = make_book("a1")
         self.list_heartbeats(book, 0, 2)
         book.take("a", 100, 400)
-        book.change_accounts([tables.ClientAccount("a", (), 0, 0)], 400)
-        book.give_back("a", 100, 400)
+        book.update_accounts([tables.ClientAccount("a", (), 0, 0)], 400)
+        book.refund("a", 100, 400)
         book.make_usage({}, 410)
         self.assertIsNone(book.make_usage({}, 420))
 
     def test_a_count_that_was_lost_comes_with_the_next_heartbeats(self):
         """Guards against tokens given twice after a lost datagram."""
         book = make_book("a1")
-        self.list_heartbeats(book, usage.WHOLE_FOR_MS, 2)
-        now_ms = usage.WHOLE_FOR_MS + usage.HEARTBEAT_MS + 100
+        self.list_heartbeats(book, usage.STARTUP_FULL_SYNC_MS, 2)
+        now_ms = usage.STARTUP_FULL_SYNC_MS + usage.HEARTBEAT_MS + 100
         book.take("a", 100, now_ms)
         lost = book.make_usage({}, now_ms)
         self.assertFalse(lost.is_heartbeat)
@@ -343,14 +347,16 @@
         for now_ms in range(100, 900, 25):
             accounts = [usage.AccountUsage(f"c{n}", 1, 1) for n in range(16)]
             message = usage.Usage("a1", 1, now_ms, accounts, {}, now_ms)
-            book.note_usage(message, now_ms)
+            book.merge_usage(message, now_ms)
         self.assertLessEqual(len(counted), 2)
 
     def test_vms_that_are_silent_are_named(self):
         books = {"a1": make_book("a1"), "a2": make_book("a2")}
         tell(books, 0)
-        self.assertEqual(books["a1"].list_silent(500), frozenset())
-        self.assertEqual(books["a1"].list_silent(2_000), frozenset(["a2"]))
+        self.assertEqual(books["a1"].list_unresponsive(500), frozenset())
+        self.assertEqual(
+            books["a1"].list_unresponsive(2_000), frozenset(["a2"])
+        )
 
 
 class World:
@@ -360,7 +366,7 @@
         self.random = random.Random(seed)
         self.knows = knows
         self.now_ms = 0
-        self.lives = collections.Counter()
+        self.incarnation_counts = collections.Counter()
         self.books = {f"a{n}": self.make_book(f"a{n}") for n in range(vms)}
         self.cut = set()
         self.down = {}
@@ -370,7 +376,7 @@
         for _ in range(steps):
             self.now_ms += self.random.choice((10, 20, 40))
             self.change_faults()
-            self.ask()
+            self.submit_request()
             if self.knows:
                 live = {
                     name: book
@@ -384,10 +390,10 @@
         for name, until_ms in list(self.down.items()):
             if until_ms <= self.now_ms:
                 del self.down[name]
-                self.lives[name] += 1
+                self.incarnation_counts[name] += 1
                 self.books[name] = self.make_book(name)
                 if self.knows:
-                    self.books[name].note_fleet(self.books, self.now_ms)
+                    self.books[name].update_members(self.books, self.now_ms)
         dice = self.random.random()
         if dice < 0.004:
             self.cut ^= {self.random.choice(list(self.books))}
@@ -399,9 +405,11 @@
             self.down.update(dict.fromkeys(self.books, self.now_ms + 1_000))
 
     def make_book(self, name):
-        return make_book(name, self.now_ms, 1 + self.lives[name], self.knows)
+        return make_book(
+            name, self.now_ms, 1 + self.incarnation_counts[name], self.knows
+        )
 
-    def ask(self):
+    def submit_request(self):
         # The account asks all VMs at once for several times its rate.
         for name, book in self.books.items():
             if name in self.down:
@@ -434,13 +442,13 @@
         return make_book(
             name,
             self.now_ms,
-            1 + self.lives[name],
+            1 + self.incarnation_counts[name],
             self.knows,
             WIDE_MARGIN,
             WIDE_ACCOUNT,
         )
 
-    def ask(self):
+    def submit_request(self):
         # Requests of 10,000 tokens, fourteen times the account's rate.
         for name, book in self.books.items():
             if name in self.down or self.random.random() > 0.175:
@@ -461,13 +469,13 @@
         return make_book(
             name,
             self.now_ms,
-            1 + self.lives[name],
+            1 + self.incarnation_counts[name],
             self.knows,
             LARGE_MARGIN,
             LARGE_ACCOUNT,
         )
 
-    def ask(self):
+    def submit_request(self):
         # Some four times the account's rate, each request at a random VM.
         for name in self.random.choices(list(self.books), k=2):
             if name in self.down:
@@ -480,7 +488,7 @@
         for _ in range(steps):
             self.now_ms += self.random.choice((10, 20, 40))
             self.change_faults()
-            self.ask()
+            self.submit_request()
             self.exchange()
         return self.find_most()
 
@@ -500,13 +508,13 @@
                     and receiver not in self.down
                     and not self.drops(sender, receiver)
                 ):
-                    book.note_usage(message, self.now_ms)
+                    book.merge_usage(message, self.now_ms)
 
 
 class PlainWorld(LargeWorld):
     """The same fleet with small requests, which may be told of later."""
 
-    def ask(self):
+    def submit_request(self):
         # Some four times the account's rate.
         for name in self.random.choices(list(self.books), k=40):
             if name in self.down:
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -21,7 +21,7 @@
 from tests import deployment
 from tests import hosted_fleet
 from tests import processes
-from tests import router_rig
+from tests import router_fixture
 
 __all__ = ["main"]
 
@@ -199,7 +199,7 @@
     :param checks: takes the results
     """
     with MixedDeployment(builds) as world:
-        rigs = list(map(deployment.PortRig, world.ports))
+        rigs = list(map(deployment.RemoteRouter, world.ports))
         _check_requests(rigs, checks)
         _check_members(world, rigs, checks)
         keys = _check_bookings(world, rigs, checks)
@@ -269,7 +269,9 @@
     return 1 if checks.failed else 0
 
 
-def _check_requests(rigs: list[deployment.PortRig], checks: Checks) -> None:
+def _check_requests(
+    rigs: list[deployment.RemoteRouter], checks: Checks
+) -> None:
     statuses = [rig.complete(f"why {n}").status for n, rig in enumerate(rigs)]
     checks.report("completions of each VM", set(statuses) == {200}, statuses)
     statuses = [rig.call("GET", "/member/x").status for rig in rigs]
@@ -277,10 +279,10 @@
     prompts = [f"log {n}" for n in range(VMS * 4)]
 
     def is_whole(n: int) -> bool:
-        stream = router_rig.OpenStream(rigs[n % VMS], prompts[n], 12)
-        text = router_rig.join_text(stream.read_all())
+        stream = router_fixture.OpenStream(rigs[n % VMS], prompts[n], 12)
+        text = router_fixture.join_text(stream.read_all())
         stream.close()
-        return text == router_rig.expect_text(prompts[n], 12)
+        return text == router_fixture.expect_text(prompts[n], 12)
 
     with concurrent.futures.ThreadPoolExecutor() as pool:
         whole = list(pool.map(is_whole, range(len(prompts))))
@@ -288,11 +290,11 @@
 
 
 def _check_members(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> None:
     expected = {f"127.0.0.1:{port}" for port in world.ports}
 
-    def read(rig: deployment.PortRig) -> set[str]:
+    def read(rig: deployment.RemoteRouter) -> set[str]:
         reply = rig.call("GET", "/v1/entry", key="").json()
         return {one["address"] for one in reply["addresses"]}
 
@@ -309,14 +311,14 @@
 
 
 def _check_bookings(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> list[str]:
     """Send bookings to one build and repeat each to the other.
 
     :returns: the bookings' keys
     """
     keys = [
-        claim_records.make_key(time.time_ns() // 1_000_000, number)
+        claim_records.make_uuid7(time.time_ns() // 1_000_000, number)
         for number in range(BOOKINGS)
     ]
     firsts = [_book(rigs[n % VMS], key) for n, key in enumerate(keys)]
@@ -334,7 +336,7 @@
 
 def _check_repeats(
     world: MixedDeployment,
-    rigs: list[deployment.PortRig],
+    rigs: list[deployment.RemoteRouter],
     keys: list[str],
     checks: Checks,
 ) -> None:
@@ -356,7 +358,7 @@
     checks.report("each booking ran once", set(runs) == {1}, runs)
 
 
-def _book(rig: deployment.PortRig, key: str) -> processes.Reply:
+def _book(rig: deployment.RemoteRouter, key: str) -> processes.Reply:
     """Send a booking, and repeat it while it counts as under way."""
 
     def send() -> processes.Reply:
@@ -370,7 +372,7 @@
 
 
 def _check_edits(
-    world: MixedDeployment, rigs: list[deployment.PortRig], checks: Checks
+    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
 ) -> None:
     """Submit a change to each build's administration API."""
     for root in world.builds.roots:
@@ -399,9 +401,9 @@
             )
 
 
-def _wait_status(rig: deployment.PortRig, status: int) -> int:
+def _wait_status(rig: deployment.RemoteRouter, status: int) -> int:
     def read() -> int:
-        return rig.complete(key=router_rig.OTHER_KEY).status
+        return rig.complete(key=router_fixture.OTHER_KEY).status
 
     processes.wait_until(lambda: read() == status, WAIT_S)
     return read()
