--- a/mulberryway/policy/aggregated_serving.py
+++ b/mulberryway/policy/aggregated_serving.py
@@ -44,7 +44,7 @@
         if option.prefill.fits_prefill(option.prefill_ms, now_ms, yield_ms)
     ]
     if not fitting and is_prefill_unavailable:
-        fitting = _list_least_harm(options)
+        fitting = _list_fallback(options)
     return min(
         fitting,
         key=lambda option: (
@@ -56,14 +56,14 @@
     )
 
 
-def meets_target(apart: placements.Placement, job: jobs.Job) -> bool:
+def meets_target(disaggregated: placements.Placement, job: jobs.Job) -> bool:
     """Tell whether a prompt that a prefill engine reads comes on time.
 
     :param apart: where it is read
     :param job: the job
     :returns: false also without a target
     """
-    return apart.first_token_ms <= _read_limit_ms(apart, job)
+    return disaggregated.first_token_ms <= _get_target_ms(disaggregated, job)
 
 
 def prefers_aggregated(
@@ -86,17 +86,19 @@
             aggregated.first_token_ms + MIN_SAVING_MS
             < disaggregated.first_token_ms
         )
-    return aggregated.first_token_ms <= _read_limit_ms(disaggregated, job)
+    return aggregated.first_token_ms <= _get_target_ms(disaggregated, job)
 
 
-def _read_limit_ms(apart: placements.Placement, job: jobs.Job) -> float:
+def _get_target_ms(
+    disaggregated: placements.Placement, job: jobs.Job
+) -> float:
     # A prompt that came to another VM at the same moment may go before.
     return job.first_token_target_ms - max(
-        apart.prefill_ms, placements.DEADLINE_MARGIN_MS
+        disaggregated.prefill_ms, placements.DEADLINE_MARGIN_MS
     )
 
 
-def _list_least_harm(
+def _list_fallback(
     options: list[placements.Placement],
 ) -> list[placements.Placement]:
     """Return where a prompt does least harm that is too long anywhere.
@@ -105,11 +107,11 @@
     does, the streams of the others are on time.  So all VMs take the first
     engine by name that has room, and short prompts keep away from it.
     """
-    waits = any(
+    fits_somewhere = any(
         option.prefill.fits_prefill_alone(option.prefill_ms)
         for option in options
     )
-    if waits or not options:
+    if fits_somewhere or not options:
         # An engine may read it as soon as it has rested.
         return []
     return [min(options, key=lambda option: option.prefill.row.name)]
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -33,12 +33,12 @@
 
 
 class _Running:
-    __slots__ = ("prefill", "decode", "prefilling")
+    __slots__ = ("prefill", "decode", "is_prefilling")
 
     def __init__(self, prefill: _Member, decode: _Member) -> None:
         self.prefill = prefill
         self.decode = decode
-        self.prefilling = True
+        self.is_prefilling = True
 
 
 class _QueueScheduler(base.Scheduler):
@@ -90,10 +90,10 @@
         :param now_ms: the present
         :returns: the decisions
         """
-        refusals = self._give_up_late(now_ms)
+        refusals = self._reject_expired(now_ms)
         assignments = []
         blocked: set[str] = set()
-        kept: collections.deque[jobs.Job] = collections.deque()
+        still_queued: collections.deque[jobs.Job] = collections.deque()
         while self._queue:
             job = self._queue.popleft()
             if job.job_id not in self._waiting:
@@ -101,11 +101,13 @@
             assignment = None if job.pool in blocked else self._assign(job)
             if assignment is None:
                 blocked.add(job.pool)
-                kept.append(job)
+                still_queued.append(job)
             else:
                 assignments.append(assignment)
-        self._queue = kept
-        wake_ms = min((job.deadline.at_ms for job in kept), default=None)
+        self._queue = still_queued
+        wake_ms = min(
+            (job.deadline.at_ms for job in still_queued), default=None
+        )
         return jobs.DispatchResult(assignments, refusals, wake_ms)
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
@@ -124,8 +126,8 @@
         :param now_ms: the present
         """
         running = self._running.get(job_id)
-        if running is not None and running.prefilling:
-            running.prefilling = False
+        if running is not None and running.is_prefilling:
+            running.is_prefilling = False
             running.prefill.prefills -= 1
 
     def record_first_token(self, job_id: str, now_ms: int) -> None:
@@ -196,7 +198,7 @@
         before = self._members
         self._members = {
             name: {
-                upstream.name: self._keep(
+                upstream.name: self._update_member(
                     before.get(name, {}).get(upstream.name),
                     upstream,
                     pool.slots,
@@ -208,7 +210,7 @@
         }
 
     @staticmethod
-    def _keep(
+    def _update_member(
         member: _Member | None, upstream: tables.Upstream, slots: int
     ) -> _Member:
         member = member or _Member(upstream, slots)
@@ -216,13 +218,13 @@
         member.slots = slots
         return member
 
-    def _give_up_late(self, now_ms: int) -> list[jobs.Refusal]:
-        late = [
+    def _reject_expired(self, now_ms: int) -> list[jobs.Refusal]:
+        expired = [
             job
             for job in self._waiting.values()
             if job.deadline.has_passed(now_ms)
         ]
-        for job in late:
+        for job in expired:
             del self._waiting[job.job_id]
         return [
             jobs.Refusal(
@@ -234,7 +236,7 @@
                     retry_after_ms=RETRY_AFTER_MS,
                 ),
             )
-            for job in late
+            for job in expired
         ]
 
     def _assign(self, job: jobs.Job) -> jobs.Assignment | None:
--- a/mulberryway/policy/chunked_prefill.py
+++ b/mulberryway/policy/chunked_prefill.py
@@ -4,17 +4,20 @@
 
 # What a pause has besides an event's usual time and the reading: the way from
 # the engine through a VM to the caller varies by some milliseconds.
-SPARE_MS = 10.0
+NETWORK_JITTER_MS = 10.0
 
 
-def fits_gap_limit(run_ms: float, limit_ms: float, event_ms: float) -> bool:
+def fits_gap_limit(run_ms: float, gap_limit_ms: float, step_ms: float) -> bool:
     """Tell whether a run of reads keeps a stream's pause on time.
 
     :param run_ms: how long the reads take together
     :param limit_ms: the longest pause that is on time; 0 for none
     :param event_ms: the usual time between two events of a stream
     """
-    return not limit_ms or run_ms + event_ms + SPARE_MS <= limit_ms
+    return (
+        not gap_limit_ms
+        or run_ms + step_ms + NETWORK_JITTER_MS <= gap_limit_ms
+    )
 
 
 class ChunkedPrefillBudget:
@@ -28,19 +31,19 @@
     next run begins when each stream has had an event in between.
     """
 
-    __slots__ = ("_run_ms", "_ends_ms", "_noted_ms", "_broken_ms")
+    __slots__ = ("_run_ms", "_end_ms", "_recorded_ms", "_exceeded_ms")
 
     def __init__(self) -> None:
         self._run_ms = 0.0
-        self._ends_ms = 0.0
-        self._noted_ms = 0
-        self._broken_ms: float | None = None
+        self._end_ms = 0.0
+        self._recorded_ms = 0
+        self._exceeded_ms: float | None = None
 
     def note(
         self,
-        read_ms: float,
-        limit_ms: float,
-        event_ms: float,
+        prefill_ms: float,
+        gap_limit_ms: float,
+        step_ms: float,
         streams: int,
         now_ms: int,
     ) -> None:
@@ -52,24 +55,28 @@
         :param streams: how many streams run there
         :param now_ms: the present
         """
-        if now_ms >= self._ends_ms + event_ms:
+        if now_ms >= self._end_ms + step_ms:
             self._run_ms = 0.0
-        self._run_ms += read_ms
-        self._ends_ms = max(self._ends_ms, float(now_ms)) + read_ms
-        self._noted_ms = now_ms
-        if streams and not fits_gap_limit(self._run_ms, limit_ms, event_ms):
-            self._broken_ms = self._ends_ms
+        self._run_ms += prefill_ms
+        self._end_ms = max(self._end_ms, float(now_ms)) + prefill_ms
+        self._recorded_ms = now_ms
+        if streams and not fits_gap_limit(self._run_ms, gap_limit_ms, step_ms):
+            self._exceeded_ms = self._end_ms
 
     def shift(self, drift_ms: float) -> None:
         """Take in that reads end earlier or later than was thought.
 
         :param drift_ms: by how much later; below zero for earlier
         """
-        self._ends_ms += drift_ms
+        self._end_ms += drift_ms
         self._run_ms = max(self._run_ms + drift_ms, 0.0)
 
     def fits(
-        self, read_ms: float, limit_ms: float, event_ms: float, now_ms: int
+        self,
+        prefill_ms: float,
+        gap_limit_ms: float,
+        step_ms: float,
+        now_ms: int,
     ) -> bool:
         """Tell whether a read now keeps all pauses on time.
 
@@ -78,18 +85,20 @@
         :param event_ms: the usual time between two events of a stream
         :param now_ms: the present
         """
-        has_rested = now_ms >= self._ends_ms + event_ms
-        run_ms = 0.0 if has_rested else self._run_ms
-        return fits_gap_limit(run_ms + read_ms, limit_ms, event_ms)
+        is_run_over = now_ms >= self._end_ms + step_ms
+        run_ms = 0.0 if is_run_over else self._run_ms
+        return fits_gap_limit(run_ms + prefill_ms, gap_limit_ms, step_ms)
 
-    def get_open_since_ms(self, event_ms: float, now_ms: int) -> float:
+    def get_open_since_ms(self, step_ms: float, now_ms: int) -> float:
         """Return since when the next read may have begun.
 
         :param event_ms: the usual time between two events of a stream
         :param now_ms: the present
         """
-        rested_ms = self._ends_ms + event_ms
-        return rested_ms if now_ms >= rested_ms else float(self._noted_ms)
+        next_run_ms = self._end_ms + step_ms
+        return (
+            next_run_ms if now_ms >= next_run_ms else float(self._recorded_ms)
+        )
 
     def is_gap_exceeded(self, stream_ms: float, now_ms: int) -> bool:
         """Tell whether the streams that run there have paused too long.
@@ -100,5 +109,5 @@
             so long have begun after the read that was too long
         :param now_ms: the present
         """
-        broken_ms = self._broken_ms
-        return broken_ms is not None and now_ms - broken_ms < stream_ms
+        exceeded_ms = self._exceeded_ms
+        return exceeded_ms is not None and now_ms - exceeded_ms < stream_ms
--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -52,7 +52,7 @@
         self._entries: dict[str, QueueEntry] = {}
         self._accounts: dict[str, AccountState] = {}
         self._order = sortedcontainers.SortedList()
-        self._latest: list[tuple[int, int, str]] = []
+        self._expiry_heap: list[tuple[int, int, str]] = []
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
@@ -67,8 +67,8 @@
         """
         state = self._accounts.get(name)
         if state is None:
-            self._forget_idle()
-            state = AccountState(name, weight, self._read_least_start())
+            self._evict_idle()
+            state = AccountState(name, weight, self._get_min_start())
             self._accounts[name] = state
         elif state.weight != max(weight, 1):
             if state.waiting:
@@ -93,8 +93,12 @@
         """
         state = self._accounts.get(name)
         if state is None:
-            return self._read_least_start()
-        return state.start if state.waiting else self._start_of_idle(state)
+            return self._get_min_start()
+        return (
+            state.virtual_start
+            if state.waiting
+            else self._get_idle_start(state)
+        )
 
     def get_weight(self, name: str) -> int:
         """Return an account's weight; 1 for one without state.
@@ -133,8 +137,8 @@
         job = entry.job
         state = self.find_account(job.account, job.weight)
         if not state.waiting:
-            state.start = self._start_of_idle(state)
-            self._order.add((state.start, state.name))
+            state.virtual_start = self._get_idle_start(state)
+            self._order.add((state.virtual_start, state.name))
             self.weight_waiting += state.weight
         state.lanes[entry.lane][job.job_id] = entry
         state.waiting += 1
@@ -142,7 +146,7 @@
         self.bytes += job.body_bytes
         self._entries[job.job_id] = entry
         heapq.heappush(
-            self._latest,
+            self._expiry_heap,
             (entry.latest_start_ms, next(self._numbers), job.job_id),
         )
 
@@ -162,7 +166,7 @@
         state.bytes -= job.body_bytes
         self.bytes -= job.body_bytes
         if not state.waiting:
-            self._order.remove((state.start, state.name))
+            self._order.remove((state.virtual_start, state.name))
             self.weight_waiting -= state.weight
         return entry
 
@@ -184,18 +188,20 @@
         :param now_ms: the present
         :returns: their entries
         """
-        while self._latest and self._latest[0][0] <= now_ms:
-            entry = self.remove(heapq.heappop(self._latest)[2])
+        while self._expiry_heap and self._expiry_heap[0][0] <= now_ms:
+            entry = self.remove(heapq.heappop(self._expiry_heap)[2])
             if entry is not None:
                 yield entry
 
     def get_next_expiry_ms(self) -> int | None:
         """Return when the next waiting job becomes late."""
-        while self._latest and self._latest[0][2] not in self._entries:
-            heapq.heappop(self._latest)
-        return self._latest[0][0] if self._latest else None
+        while (
+            self._expiry_heap and self._expiry_heap[0][2] not in self._entries
+        ):
+            heapq.heappop(self._expiry_heap)
+        return self._expiry_heap[0][0] if self._expiry_heap else None
 
-    def list_next(self, most: int) -> list[AccountState]:
+    def list_next(self, limit: int) -> list[AccountState]:
         """Return the accounts whose turn is next, without a change.
 
         :param most: how many
@@ -203,7 +209,7 @@
         """
         return [
             self._accounts[name]
-            for _, name in itertools.islice(self._order, most)
+            for _, name in itertools.islice(self._order, limit)
         ]
 
     def charge(self, name: str, weight: int, tokens: float) -> None:
@@ -214,9 +220,13 @@
         :param tokens: how many
         """
         state = self.find_account(name, weight)
-        start = state.start if state.waiting else self._start_of_idle(state)
+        start = (
+            state.virtual_start
+            if state.waiting
+            else self._get_idle_start(state)
+        )
         self.virtual_time = max(self.virtual_time, start)
-        self._move_start(state, start + tokens / state.weight)
+        self._set_start(state, start + tokens / state.weight)
 
     def adjust_charge(self, name: str, weight: int, tokens: float) -> None:
         """Mend an earlier charge that was an estimate.
@@ -226,28 +236,28 @@
         :param tokens: what is to be added; below zero to give back
         """
         state = self.find_account(name, weight)
-        start = state.start + tokens / state.weight
+        start = state.virtual_start + tokens / state.weight
         # A peer may give back what it charged before we heard of it.
-        self._move_start(state, max(start, self._read_least_start()))
+        self._set_start(state, max(start, self._get_min_start()))
 
-    def _read_least_start(self) -> float:
+    def _get_min_start(self) -> float:
         return max(self.virtual_time - MAX_CREDIT_TOKENS, 0.0)
 
-    def _move_start(self, state: AccountState, start: float) -> None:
+    def _set_start(self, state: AccountState, start: float) -> None:
         if state.waiting:
-            self._order.remove((state.start, state.name))
+            self._order.remove((state.virtual_start, state.name))
             self._order.add((start, state.name))
-        state.start = start
+        state.virtual_start = start
 
-    def _start_of_idle(self, state: AccountState) -> float:
-        return max(state.start, self._read_least_start())
+    def _get_idle_start(self, state: AccountState) -> float:
+        return max(state.virtual_start, self._get_min_start())
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         if len(self._accounts) < MAX_IDLE_ACCOUNTS:
             return
         self._accounts = {
             name: state
             for name, state in self._accounts.items()
             if state.waiting
-            or state.start > self.virtual_time - MAX_CREDIT_TOKENS
+            or state.virtual_start > self.virtual_time - MAX_CREDIT_TOKENS
         }
--- a/mulberryway/policy/fairness.py
+++ b/mulberryway/policy/fairness.py
@@ -4,7 +4,7 @@
 
 __all__ = [
     "GOODPUT",
-    "WEIGHINGS",
+    "FAIRNESS_MODES",
     "WORST_SERVED",
     "FairnessMode",
     "find_fairness_mode",
@@ -32,7 +32,7 @@
 WORST_SERVED: typing.Final = FairnessMode("worst_served", 0)
 # Cheaper prompts first within about twenty ordinary requests of 400 tokens.
 GOODPUT: typing.Final = FairnessMode("goodput", 3_000)
-WEIGHINGS = (WORST_SERVED, GOODPUT)
+FAIRNESS_MODES = (WORST_SERVED, GOODPUT)
 
 
 def find_fairness_mode(name: str) -> FairnessMode:
@@ -42,7 +42,7 @@
     :returns: the weighing
     :raises ValueError: for another name
     """
-    found = next((one for one in WEIGHINGS if one.name == name), None)
+    found = next((one for one in FAIRNESS_MODES if one.name == name), None)
     if found is None:
         raise ValueError(f"unknown weighing: {name}")
     return found
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -24,12 +24,12 @@
 SHORT_WAIT_MS = 400.0
 # A long prompt about to be refused is started all the same: its refusal would
 # be certain, the short ones' delay is not.
-LAST_CHANCE_MS = 100
+LAST_RESORT_MS = 100
 # Choices within this time are equal; chance decides, so that routers which
 # see the same do not all go to the same upstream.
 READY_TIE_MS = 3.0
 # Streams that other VMs may have started at an engine unheard.
-UNSEEN_STREAMS = 2
+UNREPORTED_STREAMS = 2
 # How many are looked at when nothing is known of the others' choices since
 # the last report: with two, the best-looking one draws no crowd.
 UNINFORMED_CHOICES = 2
@@ -51,12 +51,12 @@
     ) -> None:
         self._members = members
         self._random = random_
-        self._gap_ms = token_gap_ms
+        self._token_gap_ms = token_gap_ms
         self._links = transfers.TransferLinks()
         self.slowness = slow_upstreams.SlowUpstreamDetector(
             members, token_gap_ms
         )
-        self._usual_blocks = health.Ewma(0.0)
+        self._typical_blocks = health.Ewma(0.0)
         # How long a stream usually holds its memory; set by the pool.
         self.typical_stream_ms = 0.0
         self.is_without_peer_state = False
@@ -72,14 +72,14 @@
         :returns: the placement without a decode upstream; none if no
             upstream takes prefills
         """
-        views_ = list(self._members.prefills)
+        candidates = list(self._members.prefills)
         if pool.self_reading:
-            views_ += self._members.decodes
+            candidates += self._members.decodes
         options = [
             self._plan_prefill(view, job, pool, now_ms)
-            for view in self._list_usable(views_, job, now_ms)
+            for view in self._list_usable(candidates, job, now_ms)
         ]
-        return min(options, key=_read_ready, default=None)
+        return min(options, key=_get_ready_ms, default=None)
 
     def choose(
         self,
@@ -97,32 +97,34 @@
             left to peers' jobs that should go before
         :returns: the placement; none if it has to go on waiting
         """
-        apart = self._choose_apart(entry, pool, now_ms)
-        placement = apart
-        if apart is None or not aggregated_serving.meets_target(
-            apart, entry.job
+        disaggregated = self._choose_disaggregated(entry, pool, now_ms)
+        placement = disaggregated
+        if disaggregated is None or not aggregated_serving.meets_target(
+            disaggregated, entry.job
         ):
-            alone = self._choose_alone(entry, pool, apart, now_ms, yield_ms)
-            if alone is not None and (
-                apart is None
+            aggregated = self._choose_aggregated(
+                entry, pool, disaggregated, now_ms, yield_ms
+            )
+            if aggregated is not None and (
+                disaggregated is None
                 or aggregated_serving.prefers_aggregated(
-                    alone, apart, entry.job
+                    aggregated, disaggregated, entry.job
                 )
             ):
-                placement = alone
+                placement = aggregated
         if placement is None:
             return None
         left_ms = entry.job.deadline.at_ms - placement.first_token_ms
         return placement if left_ms >= placements.DEADLINE_MARGIN_MS else None
 
-    def _choose_apart(
+    def _choose_disaggregated(
         self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
         """Return the best prefill, with a decode elsewhere."""
         options = self._list_prefills(entry, pool, now_ms)
         if not options:
             return None
-        best_ms = min(map(_read_ready, options))
+        best_ms = min(map(_get_ready_ms, options))
         placement = self._random.choice(
             [
                 option
@@ -136,11 +138,11 @@
         self._plan_decode(placement, decode, entry.job, pool)
         return placement
 
-    def _choose_alone(
+    def _choose_aggregated(
         self,
         entry: fair_queue.QueueEntry,
         pool: tables.Pool,
-        apart: placements.Placement | None,
+        disaggregated: placements.Placement | None,
         now_ms: int,
         yield_ms: int,
     ) -> placements.Placement | None:
@@ -150,11 +152,11 @@
         blocks = placements.estimate_kv_blocks(entry.job, pool)
         options = [
             self._plan_prefill(view, entry.job, pool, now_ms)
-            for view in self._list_open(entry, blocks, now_ms)
+            for view in self._list_with_capacity(entry, blocks, now_ms)
         ]
         placement = aggregated_serving.choose_aggregated(
             options,
-            apart is None and not self._reads_apart(now_ms),
+            disaggregated is None and not self._has_prefill_engine(now_ms),
             self.typical_stream_ms,
             yield_ms,
             self._random,
@@ -170,7 +172,7 @@
             )
         return placement
 
-    def _reads_apart(self, now_ms: int) -> bool:
+    def _has_prefill_engine(self, now_ms: int) -> bool:
         """Tell whether any prefill engine takes prompts."""
         return any(
             not view.is_backing_off(now_ms)
@@ -198,12 +200,12 @@
         """
         assert placement.decode is not None
         placement.decode.start_decode(placement.blocks, now_ms)
-        if not self._usual_blocks.count:
-            self._usual_blocks.value = float(placement.blocks)
-        self._usual_blocks.note(placement.blocks)
+        if not self._typical_blocks.count:
+            self._typical_blocks.value = float(placement.blocks)
+        self._typical_blocks.note(placement.blocks)
         placement.prefill.add_prefill(placement.prefill_ms, now_ms)
         placement.drift_ms = placement.prefill.drift_ms
-        placement.prefill.prefixes.note_own(job.prefix_hashes)
+        placement.prefill.prefixes.record_own(job.prefix_hashes)
         if placement.is_aggregated():
             return
         self._links.reserve(
@@ -239,7 +241,7 @@
         :param now_ms: the present
         :returns: the sum over the cell
         """
-        blocks = self._usual_blocks.value
+        blocks = self._typical_blocks.value
         return sum(
             view.estimate_capacity(blocks, now_ms)
             for view in self._members.decodes
@@ -257,8 +259,8 @@
         """
         if view.total_blocks is None:
             return False
-        unseen = self._usual_blocks.value * UNSEEN_STREAMS
-        return view.count_free_blocks() < unseen
+        unreported_blocks = self._typical_blocks.value * UNREPORTED_STREAMS
+        return view.count_free_blocks() < unreported_blocks
 
     def count_slots(self) -> int:
         """Return how many decode slots the cell has in all."""
@@ -266,45 +268,47 @@
 
     @staticmethod
     def _list_usable(
-        all_: list[upstream_view.UpstreamView], job: jobs.Job, now_ms: int
+        views: list[upstream_view.UpstreamView], job: jobs.Job, now_ms: int
     ) -> list[upstream_view.UpstreamView]:
-        works = [
+        admitted = [
             view
-            for view in all_
+            for view in views
             if view.health.admits(job.is_retry_safe, now_ms)
         ]
-        other = [
+        not_excluded = [
             view
-            for view in works
+            for view in admitted
             if view.row.name not in job.excluded_upstreams
         ]
         # With two upstreams left, the one that refused a moment ago is
         # better than none.
-        return other or works
+        return not_excluded or admitted
 
     def _list_prefills(
         self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> list[placements.Placement]:
         job = entry.job
         usable = self._list_usable(self._members.prefills, job, now_ms)
-        willing = [view for view in usable if not view.is_backing_off(now_ms)]
+        accepting = [
+            view for view in usable if not view.is_backing_off(now_ms)
+        ]
         # Where all have refused of late, as the last prefill engine does that
         # changes its role, one of them is better than none; but a decode
         # engine that reads the prompt itself is better still.
-        if willing or not pool.self_reading:
-            usable = willing or usable
+        if accepting or not pool.self_reading:
+            usable = accepting or usable
         else:
             usable = []
         if entry.lane is fair_queue.Lane.SUSPECT:
             usable = [view for view in usable if not view.count_suspects()]
         elif entry.lane is fair_queue.Lane.LONG:
-            if now_ms < entry.latest_start_ms - LAST_CHANCE_MS:
-                usable = self._leave_room_for_short(usable, now_ms)
+            if now_ms < entry.latest_start_ms - LAST_RESORT_MS:
+                usable = self._reserve_for_short(usable, now_ms)
         if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
             usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return [self._plan_prefill(view, job, pool, now_ms) for view in usable]
 
-    def _leave_room_for_short(
+    def _reserve_for_short(
         self, usable: list[upstream_view.UpstreamView], now_ms: int
     ) -> list[upstream_view.UpstreamView]:
         # Prefills run one after another, so once each upstream has a long one,
@@ -312,12 +316,12 @@
         # the short ones; with only one there is no choice.
         if len(usable) < 2:
             return usable
-        quick = [
+        short_wait = [
             view
             for view in usable
             if view.estimate_prefill_wait_ms(now_ms) < SHORT_WAIT_MS
         ]
-        return quick if len(quick) > 1 else []
+        return short_wait if len(short_wait) > 1 else []
 
     def _plan_prefill(
         self,
@@ -344,18 +348,18 @@
         now_ms: int,
     ) -> upstream_view.UpstreamView | None:
         blocks = placements.estimate_kv_blocks(entry.job, pool)
-        usable = self._list_open(entry, blocks, now_ms)
+        usable = self._list_with_capacity(entry, blocks, now_ms)
         if self.is_without_peer_state and len(usable) > UNINFORMED_CHOICES:
             usable = self._random.sample(usable, UNINFORMED_CHOICES)
         return max(
             usable,
-            key=lambda view: self._rate_decode(
+            key=lambda view: self._score_decode(
                 view, placement, entry.job, pool, now_ms
             ),
             default=None,
         )
 
-    def _list_open(
+    def _list_with_capacity(
         self, entry: fair_queue.QueueEntry, blocks: int, now_ms: int
     ) -> list[upstream_view.UpstreamView]:
         """Return the decode upstreams that probably have room."""
@@ -370,7 +374,7 @@
             usable = [view for view in usable if not view.count_suspects()]
         return self.slowness.exclude_slow(usable, entry, now_ms)
 
-    def _rate_decode(
+    def _score_decode(
         self,
         view: upstream_view.UpstreamView,
         placement: placements.Placement,
@@ -412,5 +416,5 @@
         )
 
 
-def _read_ready(placement: placements.Placement) -> float:
+def _get_ready_ms(placement: placements.Placement) -> float:
     return placement.ready_ms
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -190,7 +190,7 @@
             (name, view.row.name)
             for name, pool in pools_.items()
             for view in pool.members.list_all()
-            if view.own
+            if view.own_decodes
         }
         self._recent = set()
 
@@ -202,7 +202,7 @@
         if pause_ms < HEARTBEAT_MS:
             return False
         holds = any(
-            view.own or view.own_prefills
+            view.own_decodes or view.own_prefills
             for pool in pools_.values()
             for view in pool.members.list_all()
         )
@@ -252,7 +252,7 @@
         hints.Holding(
             pool.row.name,
             upstream,
-            view.own,
+            view.own_decodes,
             view.take_prefill_ms(now_ms),
             view.own_suspects,
             view.own_blocks,
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -96,7 +96,7 @@
         entry: fair_queue.QueueEntry,
         slack_tokens: int,
     ) -> int:
-        lead = state.start - self._fair.get_virtual_start(account)
+        lead = state.virtual_start - self._fair.get_virtual_start(account)
         if abs(lead) < slack_tokens:
             return 1 if waiting.prefill_ms < entry.prefill_ms else 0
         if account == state.name:
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -24,19 +24,19 @@
 LONG_PREFILL_MS = 250.0
 # Accounts and jobs looked at in one decision, whatever waits.  The next slot
 # or the next job asks again, so what is passed over now has its turn soon.
-ACCOUNTS_TRIED = 8
-PLACEMENTS_TRIED = 4
+MAX_ACCOUNTS_TRIED = 8
+MAX_PLACEMENTS_TRIED = 4
 # A free slot is left this long for each peer's job that should go before: a
 # note takes some milliseconds.  Who has more before it waits longer, so that
 # routers do not all take the same slot when nobody comes for it; and a slot
 # that nobody takes is wasted, hence the limit.
 YIELD_PER_JOB_MS = 12
 MAX_YIELD_MS = 90
-RETRY_PAUSE_MS = 10
+RETRY_INTERVAL_MS = 10
 # Room that nobody has counted yet.
-UNKNOWN = -1
+UNKNOWN_FREE_SLOTS = -1
 # What ends is told at once; this is for what peers' notes did not tell.
-FULL_PAUSE_MS = 100
+FULL_INTERVAL_MS = 100
 
 
 class PoolScheduler:
@@ -61,13 +61,13 @@
         fairness_mode: fairness.FairnessMode,
         random_: random.Random,
         token_gap_ms: int,
-        most_entries: int,
-        most_bytes: int,
+        max_entries: int,
+        max_bytes: int,
         budget: retries.RetryBudget | None = None,
     ) -> None:
         self.row = row
         self.members = members
-        self.queue = fair_queue.FairQueue(most_entries, most_bytes)
+        self.queue = fair_queue.FairQueue(max_entries, max_bytes)
         self.placer = job_placement.Placer(members, random_, token_gap_ms)
         self.neighbours = peer_accounts.PeerAccounts(self.queue)
         self.meters = pool_stats.PoolStats()
@@ -76,8 +76,8 @@
             self.queue, self.placer, self.neighbours, self.meters
         )
         self._register = register
-        self._weighed = fairness_mode
-        self._free = UNKNOWN
+        self._fairness_mode = fairness_mode
+        self._free_slots = UNKNOWN_FREE_SLOTS
         self._free_since_ms = 0
 
     def submit(self, job: jobs.Job, now_ms: int) -> errors.Fault | None:
@@ -88,7 +88,7 @@
         :returns: why it is refused, or none
         """
         fault = (
-            self._check_standing(job, now_ms)
+            self._check_quarantine(job, now_ms)
             or self._check_budget(job)
             or self._admission.check_capacity(job)
         )
@@ -112,7 +112,7 @@
         lane = self._choose_lane(job, best.prefill_ms, now_ms)
         if not len(self.queue):
             # Nobody has looked while nothing waited.
-            self._free = UNKNOWN
+            self._free_slots = UNKNOWN_FREE_SLOTS
         self.queue.push(
             fair_queue.QueueEntry(job, lane, cost, latest_ms, best.prefill_ms)
         )
@@ -152,19 +152,19 @@
             return None
         self.placer.typical_stream_ms = self.meters.hold_ms.value
         free = self.placer.estimate_free_slots(now_ms)
-        self._note_free(free, now_ms)
+        self._record_free_slots(free, now_ms)
         tried = 0
         for entry in self._list_candidates(now_ms, refusals):
             ahead = self._count_ahead(entry, now_ms)
             if self._has_to_yield(ahead, free, now_ms):
                 return None
             placement = self.placer.choose(
-                entry, self.row, now_ms, _limit_yield(ahead)
+                entry, self.row, now_ms, _get_yield_ms(ahead)
             )
             if placement is not None:
                 return self._start(entry, placement, now_ms)
             tried += 1
-            if tried == PLACEMENTS_TRIED:
+            if tried == MAX_PLACEMENTS_TRIED:
                 break
         return None
 
@@ -177,14 +177,16 @@
         latest_ms = self.queue.get_next_expiry_ms()
         if latest_ms is None:
             return None
-        pause_ms = RETRY_PAUSE_MS if self._free else FULL_PAUSE_MS
-        return max(min(latest_ms, now_ms + pause_ms), now_ms + 1)
+        interval_ms = (
+            RETRY_INTERVAL_MS if self._free_slots else FULL_INTERVAL_MS
+        )
+        return max(min(latest_ms, now_ms + interval_ms), now_ms + 1)
 
-    def _check_standing(
+    def _check_quarantine(
         self, job: jobs.Job, now_ms: int
     ) -> errors.Fault | None:
-        standing = self._register.read_standing(job.digest, now_ms)
-        if standing is not poison.QuarantineState.QUARANTINED:
+        quarantine = self._register.read_standing(job.digest, now_ms)
+        if quarantine is not poison.QuarantineState.QUARANTINED:
             return None
         self._register.renew_quarantine(job.digest, now_ms)
         return admission.make_rejection(
@@ -209,34 +211,34 @@
     def _choose_lane(
         self, job: jobs.Job, prefill_ms: float, now_ms: int
     ) -> fair_queue.Lane:
-        standing = self._register.read_standing(job.digest, now_ms)
-        if standing is poison.QuarantineState.SUSPECT:
+        quarantine = self._register.read_standing(job.digest, now_ms)
+        if quarantine is poison.QuarantineState.SUSPECT:
             return fair_queue.Lane.SUSPECT
         is_long = prefill_ms > LONG_PREFILL_MS
         return fair_queue.Lane.LONG if is_long else fair_queue.Lane.SHORT
 
-    def _note_free(self, free: int, now_ms: int) -> None:
-        if free != self._free:
-            self._free = free
+    def _record_free_slots(self, free: int, now_ms: int) -> None:
+        if free != self._free_slots:
+            self._free_slots = free
             self._free_since_ms = now_ms
 
     def _list_candidates(
         self, now_ms: int, refusals: list[jobs.Refusal]
     ) -> list[fair_queue.QueueEntry]:
-        states = self.queue.list_next(ACCOUNTS_TRIED)
-        limit = states[0].start + self._weighed.slack_tokens
+        states = self.queue.list_next(MAX_ACCOUNTS_TRIED)
+        limit = states[0].virtual_start + self._fairness_mode.slack_tokens
         entries = [
-            (state.start, entry)
+            (state.virtual_start, entry)
             for state in states
             for entry in state.list_heads(now_ms)
-            if self._may_still_run(entry, now_ms, refusals)
+            if self._is_runnable(entry, now_ms, refusals)
         ]
         # What can still be on time goes first; the sort is stable, so the
         # fair order stays among both sorts.
         entries.sort(key=lambda pair: pair[1].is_late(now_ms))
         # Within the slack the cheaper prompt goes first; the sort is stable,
         # so without a slack the fair order stays.
-        if self._weighed.slack_tokens:
+        if self._fairness_mode.slack_tokens:
             entries.sort(
                 key=lambda pair: (
                     pair[1].is_late(now_ms),
@@ -246,20 +248,20 @@
             )
         return [entry for _, entry in entries]
 
-    def _may_still_run(
+    def _is_runnable(
         self,
         entry: fair_queue.QueueEntry,
         now_ms: int,
         refusals: list[jobs.Refusal],
     ) -> bool:
-        fault = self._check_standing(entry.job, now_ms)
+        fault = self._check_quarantine(entry.job, now_ms)
         if fault is not None:
             self.queue.remove(entry.job.job_id)
             refusals.append(jobs.Refusal(entry.job.job_id, fault))
             return False
-        standing = self._register.read_standing(entry.job.digest, now_ms)
+        quarantine = self._register.read_standing(entry.job.digest, now_ms)
         if (
-            standing is poison.QuarantineState.SUSPECT
+            quarantine is poison.QuarantineState.SUSPECT
             and entry.lane is not fair_queue.Lane.SUSPECT
         ):
             self.queue.move(entry.job.job_id, fair_queue.Lane.SUSPECT)
@@ -271,12 +273,12 @@
         state = self.queue.find_account(job.account, job.weight)
         # What goes out of the fair order by the slack does so at peers too.
         return self.neighbours.count_ahead(
-            state, entry, self._weighed.slack_tokens, now_ms
+            state, entry, self._fairness_mode.slack_tokens, now_ms
         )
 
     def _has_to_yield(self, ahead: int, free: int, now_ms: int) -> bool:
         waited_ms = now_ms - self._free_since_ms
-        return free <= ahead and waited_ms < _limit_yield(ahead)
+        return free <= ahead and waited_ms < _get_yield_ms(ahead)
 
     def reassign_decode(
         self,
@@ -296,7 +298,7 @@
         :param is_unreached: whether it could not be reached; else it is full
         :returns: the upstream to try, or none
         """
-        before = job.placement.decode
+        previous = job.placement.decode
         view = self.members.find(refused)
         if view is not None and is_unreached:
             view.health.record_failure(True, now_ms)
@@ -305,11 +307,11 @@
         decode = self.placer.choose_other_decode(
             job.entry, job.placement, self.row, now_ms
         )
-        if decode is None or before is None or decode is before:
+        if decode is None or previous is None or decode is previous:
             return None
-        before.move_decode_to(decode, job.placement.blocks, now_ms)
+        previous.move_decode_to(decode, job.placement.blocks, now_ms)
         decode.own_suspects += job.is_suspect()
-        before.own_suspects -= job.is_suspect()
+        previous.own_suspects -= job.is_suspect()
         job.placement.decode = decode
         return decode
 
@@ -327,6 +329,6 @@
         return running_jobs.RunningJob(entry, placement, now_ms)
 
 
-def _limit_yield(ahead: int) -> int:
+def _get_yield_ms(ahead: int) -> int:
     """Return how long room is left to jobs that should go before, in ms."""
     return min(ahead * YIELD_PER_JOB_MS, MAX_YIELD_MS)
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -32,28 +32,28 @@
     def __init__(
         self,
         vm: str,
-        weighed: fairness.FairnessMode,
+        fairness_mode: fairness.FairnessMode,
         register: poison.PoisonRegistry,
         random_: random.Random,
         token_gap_ms: int,
-        most_entries: int,
-        most_bytes: int,
+        max_entries: int,
+        max_bytes: int,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self.pools: dict[str, pool_scheduler.PoolScheduler] = {}
         self._vm = vm
-        self._weighed = weighed
+        self._fairness_mode = fairness_mode
         self._register = register
         self._random = random_
         self._token_gap_ms = token_gap_ms
-        self._most_entries = most_entries
-        self._most_bytes = most_bytes
+        self._max_entries = max_entries
+        self._max_bytes = max_bytes
         self._budget = budget
         self._prefill_rate = prefill_rate
         self._vms: tuple[str, ...] = (vm,)
-        self._endings: dict[str, job_completion.JobCompletion] = {}
-        self._retired: dict[str, pool_scheduler.PoolScheduler] = {}
+        self._completions: dict[str, job_completion.JobCompletion] = {}
+        self._retained: dict[str, pool_scheduler.PoolScheduler] = {}
 
     def find_any(self, name: str) -> pool_scheduler.PoolScheduler:
         """Return a pool's scheduler, also of a pool that is gone.
@@ -63,15 +63,15 @@
         :param name: the pool's name, which must have been known
         :returns: its scheduler
         """
-        return self.pools.get(name) or self._retired[name]
+        return self.pools.get(name) or self._retained[name]
 
-    def find_endings(self, name: str) -> job_completion.JobCompletion:
+    def find_completion(self, name: str) -> job_completion.JobCompletion:
         """Return what ends the jobs of a pool, also of one that is gone.
 
         :param name: the pool's name, which must have been known
         :returns: its endings
         """
-        return self._endings[name]
+        return self._completions[name]
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
         """Take over the list of VMs that run a router.
@@ -98,21 +98,21 @@
             for name, row in rows.items()
             if row.kind is tables.PoolKind.MODEL
         }
-        gone = [name for name in self.pools if name not in models]
-        for name in gone:
-            self._retired[name] = self.pools.pop(name)
+        removed = [name for name in self.pools if name not in models]
+        for name in removed:
+            self._retained[name] = self.pools.pop(name)
         for name, row in models.items():
             if name not in self.pools:
                 self._add(name, row)
             self.pools[name].row = row
             self.pools[name].members.change(row, self._vms)
-        return gone
+        return removed
 
     def _add(self, name: str, row: tables.Pool) -> None:
-        pool = self._retired.pop(name, None)
+        pool = self._retained.pop(name, None)
         if pool is None:
             pool = self._make(row)
-            self._endings[name] = job_completion.JobCompletion(
+            self._completions[name] = job_completion.JobCompletion(
                 pool, self._register
             )
         self.pools[name] = pool
@@ -124,10 +124,10 @@
                 self._vm, self._random, self._prefill_rate
             ),
             self._register,
-            self._weighed,
+            self._fairness_mode,
             self._random,
             self._token_gap_ms,
-            self._most_entries,
-            self._most_bytes,
+            self._max_entries,
+            self._max_bytes,
             self._budget(),
         )
--- a/mulberryway/policy/pool_subsets.py
+++ b/mulberryway/policy/pool_subsets.py
@@ -15,7 +15,7 @@
 __all__ = ["PoolSubset", "choose_load_poller", "find_pool_subset"]
 
 # Pairs of an upstream and a VM whose hashes are kept, about a megabyte.
-MOST_WEIGHTS = 8_192
+MAX_CACHED_HASHES = 8_192
 
 
 class PoolSubset:
@@ -47,11 +47,11 @@
     :returns: its share; by the same rule as the scheduler's
     """
     names = [upstream.name for upstream in pool.upstreams]
-    division = subsetting.Subsets(
+    subsets = subsetting.Subsets(
         round(len(names) / subsetting.SUBSET_SIZE), vms
     )
     return PoolSubset(
-        pool.name, division.choose(vm, names), division.list_peers(vm)
+        pool.name, subsets.choose(vm, names), subsets.list_peers(vm)
     )
 
 
@@ -68,9 +68,9 @@
     :param vms: the VMs that share it
     :returns: one of them
     """
-    return max(vms, key=lambda vm: (_weigh(upstream, vm), vm))
+    return max(vms, key=lambda vm: (_hash_pair(upstream, vm), vm))
 
 
-@functools.lru_cache(maxsize=MOST_WEIGHTS)
-def _weigh(upstream: str, vm: str) -> bytes:
+@functools.lru_cache(maxsize=MAX_CACHED_HASHES)
+def _hash_pair(upstream: str, vm: str) -> bytes:
     return hashlib.blake2b(f"{upstream}/{vm}".encode(), digest_size=8).digest()
--- a/mulberryway/policy/pool_upstreams.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -29,9 +29,9 @@
         "_vm",
         "_random",
         "_views",
-        "_retired",
-        "_divisions",
-        "_usual_rate",
+        "_retained",
+        "_subsets",
+        "_pool_rate",
         "prefills",
         "decodes",
     )
@@ -43,11 +43,11 @@
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self._vm = vm
-        self._usual_rate = health.LatencyFloor(prefill_rate)
+        self._pool_rate = health.LatencyFloor(prefill_rate)
         self._random = random_
         self._views: dict[str, upstream_view.UpstreamView] = {}
-        self._retired: dict[str, upstream_view.UpstreamView] = {}
-        self._divisions: dict[int, subsetting.Subsets] = {}
+        self._retained: dict[str, upstream_view.UpstreamView] = {}
+        self._subsets: dict[int, subsetting.Subsets] = {}
         self.prefills: list[upstream_view.UpstreamView] = []
         self.decodes: list[upstream_view.UpstreamView] = []
 
@@ -89,15 +89,15 @@
         :param vms: all VMs that run a router
         """
         rows = self._choose_rows(pool, vms)
-        known = self._retired | self._views
+        known = self._retained | self._views
         self._views = {
-            row.name: self._keep(known.get(row.name), row, pool)
+            row.name: self._update_view(known.get(row.name), row, pool)
             for row in rows
         }
-        self._retired = {
+        self._retained = {
             name: view
             for name, view in known.items()
-            if name not in self._views and view.own > 0
+            if name not in self._views and view.own_decodes > 0
         }
         active = [
             view for view in self._views.values() if not view.row.leaving
@@ -110,19 +110,19 @@
     ) -> list[tables.Upstream]:
         by_name = {row.name: row for row in pool.upstreams}
         count = round(len(by_name) / subsetting.SUBSET_SIZE)
-        division = self._divisions.get(count)
-        if division is None:
-            division = subsetting.Subsets(count, vms)
-            self._divisions = {count: division}
+        subsets = self._subsets.get(count)
+        if subsets is None:
+            subsets = subsetting.Subsets(count, vms)
+            self._subsets = {count: subsets}
         return [
-            by_name[name] for name in division.choose(self._vm, list(by_name))
+            by_name[name] for name in subsets.choose(self._vm, list(by_name))
         ]
 
     def reset_subsets(self) -> None:
         """Divide anew at the next change, for the list of VMs has changed."""
-        self._divisions = {}
+        self._subsets = {}
 
-    def _keep(
+    def _update_view(
         self,
         view: upstream_view.UpstreamView | None,
         row: tables.Upstream,
@@ -135,9 +135,9 @@
                 row, pool.slots, self._random, blocks
             )
         if is_new:
-            reads_beside = row.role is tables.UpstreamRole.DECODE
-            cost = CHUNKED_PREFILL_SLOWDOWN if reads_beside else 1.0
-            view.speed = prefill_speed.PrefillSpeed(self._usual_rate, cost)
+            is_decode = row.role is tables.UpstreamRole.DECODE
+            slowdown = CHUNKED_PREFILL_SLOWDOWN if is_decode else 1.0
+            view.speed = prefill_speed.PrefillSpeed(self._pool_rate, slowdown)
         if row.role not in PREFILL_ROLES:
             view.prefixes.clear()
         view.row = row
--- a/mulberryway/policy/prefill_speed.py
+++ b/mulberryway/policy/prefill_speed.py
@@ -30,14 +30,16 @@
         beside streams
     """
 
-    __slots__ = ("_usual", "_cost", "_own")
+    __slots__ = ("_pool_rate", "_slowdown", "_own_rate")
 
-    def __init__(self, usual: health.LatencyFloor, cost: float) -> None:
-        self._usual = usual
-        self._cost = cost
-        rate = usual.value * cost
-        self._own: health.Ewma | health.LatencyFloor = (
-            health.LatencyFloor(rate) if cost > 1.0 else health.Ewma(rate)
+    def __init__(
+        self, pool_rate: health.LatencyFloor, slowdown: float
+    ) -> None:
+        self._pool_rate = pool_rate
+        self._slowdown = slowdown
+        rate = pool_rate.value * slowdown
+        self._own_rate: health.Ewma | health.LatencyFloor = (
+            health.LatencyFloor(rate) if slowdown > 1.0 else health.Ewma(rate)
         )
 
     def estimate_ms(self, tokens: float) -> float:
@@ -45,10 +47,10 @@
 
         :param tokens: its tokens that are not in the cache
         """
-        rate = self._usual.value * self._cost
-        if self._own.count >= MIN_OWN_SAMPLES:
-            rate = self._own.value
-        return self._read_base_ms() + tokens * rate
+        rate = self._pool_rate.value * self._slowdown
+        if self._own_rate.count >= MIN_OWN_SAMPLES:
+            rate = self._own_rate.value
+        return self._get_base_ms() + tokens * rate
 
     def note(
         self,
@@ -66,16 +68,18 @@
         """
         if tokens < MIN_SAMPLE_TOKENS:
             return
-        read_ms = took_ms - self._read_base_ms()
-        self._usual.note(max(read_ms, 1.0) / tokens / self._cost)
-        if self._cost == 1.0:
-            read_ms = max(read_ms - waited_ms, estimate_ms / MAX_DEVIATION)
-            read_ms = min(read_ms, estimate_ms * MAX_DEVIATION)
-        self._own.note(max(read_ms, 1.0) / tokens)
+        prefill_ms = took_ms - self._get_base_ms()
+        self._pool_rate.note(max(prefill_ms, 1.0) / tokens / self._slowdown)
+        if self._slowdown == 1.0:
+            prefill_ms = max(
+                prefill_ms - waited_ms, estimate_ms / MAX_DEVIATION
+            )
+            prefill_ms = min(prefill_ms, estimate_ms * MAX_DEVIATION)
+        self._own_rate.note(max(prefill_ms, 1.0) / tokens)
 
-    def _read_base_ms(self) -> float:
+    def _get_base_ms(self) -> float:
         return (
             CHUNKED_PREFILL_BASE_MS
-            if self._cost > 1.0
+            if self._slowdown > 1.0
             else PREFILL_ENGINE_BASE_MS
         )
--- a/mulberryway/policy/prefix_index.py
+++ b/mulberryway/policy/prefix_index.py
@@ -30,7 +30,7 @@
     def __len__(self) -> int:
         return len(self._blocks)
 
-    def note_events(self, events: list[upstreams.CacheEvent]) -> None:
+    def apply_events(self, events: list[upstreams.CacheEvent]) -> None:
         """Take in events; a gap makes everything older doubtful.
 
         :param events: in order; repeated ones are passed over
@@ -46,7 +46,7 @@
             self._sequence = event.sequence
             self._apply(event)
 
-    def note_own(self, hashes: tuple[str, ...]) -> None:
+    def record_own(self, hashes: tuple[str, ...]) -> None:
         """Count blocks as stored by a prefill of our own.
 
         The event that says so comes late; without this, a conversation's
@@ -68,8 +68,8 @@
             generation = self._blocks.get(block)
             if generation is None:
                 break
-            fresh = generation == self._generation
-            hits += 1.0 if fresh else STALE_HIT_WEIGHT
+            is_current = generation == self._generation
+            hits += 1.0 if is_current else STALE_HIT_WEIGHT
         return hits
 
     def clear(self) -> None:
--- a/mulberryway/policy/queue_entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -66,12 +66,19 @@
 class AccountState:
     """What one client account was given, and what of it waits."""
 
-    __slots__ = ("name", "weight", "start", "lanes", "waiting", "bytes")
-
-    def __init__(self, name: str, weight: int, start: float) -> None:
+    __slots__ = (
+        "name",
+        "weight",
+        "virtual_start",
+        "lanes",
+        "waiting",
+        "bytes",
+    )
+
+    def __init__(self, name: str, weight: int, virtual_start: float) -> None:
         self.name = name
         self.weight = max(weight, 1)
-        self.start = start
+        self.virtual_start = virtual_start
         self.lanes: tuple[collections.OrderedDict[str, QueueEntry], ...] = (
             tuple(collections.OrderedDict() for _ in Lane)
         )
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -14,7 +14,7 @@
 # burst, decode engines read themselves.
 ENGINES_PER_PREFILL = 3.5
 # A smaller pool is left as its operators made it.
-LEAST_ENGINES = 3
+MIN_ENGINES = 3
 # What was ordered shows in the pool only when the engine has emptied itself
 # and is back, which takes several seconds; and an order whose answer was
 # lost may be carried out up to twelve seconds later.
@@ -77,25 +77,25 @@
     def _plan_pool(
         self, name: str, pool: tables.Pool
     ) -> list[orders.PlannedOrder]:
-        live = [row for row in pool.upstreams if not row.leaving]
-        if len(live) < LEAST_ENGINES:
+        active = [row for row in pool.upstreams if not row.leaving]
+        if len(active) < MIN_ENGINES:
             return []
         changing = sum(key[0] == name for key in self._ordered_ms)
         prefills = sorted(
             (
                 row
-                for row in live
+                for row in active
                 if row.role is tables.UpstreamRole.PREFILL
                 and (name, row.name) not in self._ordered_ms
             ),
             key=lambda row: row.name,
         )
-        wanted = max(round(len(live) / ENGINES_PER_PREFILL), 1)
-        surplus = len(prefills) - wanted
-        room = max(MAX_CONCURRENT_CHANGES - changing, 0)
+        desired = max(round(len(active) / ENGINES_PER_PREFILL), 1)
+        surplus = len(prefills) - desired
+        available = max(MAX_CONCURRENT_CHANGES - changing, 0)
         return [
             orders.PlannedOrder(
                 name, row, "role", tables.UpstreamRole.DECODE.value
             )
-            for row in prefills[: max(min(surplus, room), 0)]
+            for row in prefills[: max(min(surplus, available), 0)]
         ]
--- a/mulberryway/policy/running_jobs.py
+++ b/mulberryway/policy/running_jobs.py
@@ -6,7 +6,7 @@
 __all__ = ["RunningJob"]
 
 # A mean over fewer tokens says more about the network than the engine.
-LEAST_TOKENS = 8
+MIN_SAMPLE_TOKENS = 8
 
 
 class RunningJob:
@@ -24,8 +24,8 @@
         "prefilled_ms",
         "first_token_ms",
         "tokens",
-        "_seen_tokens",
-        "_seen_ms",
+        "_sampled_tokens",
+        "_sampled_ms",
     )
 
     def __init__(
@@ -40,8 +40,8 @@
         self.prefilled_ms: int | None = None
         self.first_token_ms: int | None = None
         self.tokens = 0
-        self._seen_tokens = 0
-        self._seen_ms = now_ms
+        self._sampled_tokens = 0
+        self._sampled_ms = now_ms
 
     def is_suspect(self) -> bool:
         """Tell whether it runs as the only suspect on its upstreams."""
@@ -54,8 +54,8 @@
         """
         self.first_token_ms = now_ms
         self.tokens = max(self.tokens, 1)
-        self._seen_tokens = 1
-        self._seen_ms = now_ms
+        self._sampled_tokens = 1
+        self._sampled_ms = now_ms
 
     def record_tokens(self, tokens: int, now_ms: int) -> float | None:
         """Count tokens.
@@ -65,12 +65,12 @@
         :returns: the mean gap since the last result, once it says something
         """
         self.tokens = max(self.tokens, tokens)
-        more = tokens - self._seen_tokens
-        if self.first_token_ms is None or more < LEAST_TOKENS:
+        new_tokens = tokens - self._sampled_tokens
+        if self.first_token_ms is None or new_tokens < MIN_SAMPLE_TOKENS:
             return None
-        gap_ms = (now_ms - self._seen_ms) / more
-        self._seen_tokens = tokens
-        self._seen_ms = now_ms
+        gap_ms = (now_ms - self._sampled_ms) / new_tokens
+        self._sampled_tokens = tokens
+        self._sampled_ms = now_ms
         return gap_ms
 
     def estimate_tokens(self, step_ms: float, now_ms: int) -> int:
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -57,29 +57,31 @@
         register: poison.PoisonRegistry | None = None,
         seed: int = 0,
         token_gap_ms: int = TOKEN_GAP_MS,
-        most_entries: int = MAX_ENTRIES,
-        most_bytes: int = MAX_BYTES,
+        max_entries: int = MAX_ENTRIES,
+        max_bytes: int = MAX_BYTES,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self.register = register or poison.PoisonRegistry()
-        self._set = pool_set.PoolSet(
+        self._pool_set = pool_set.PoolSet(
             vm,
             weighed,
             self.register,
             random.Random(seed),
             token_gap_ms,
-            most_entries,
-            most_bytes,
+            max_entries,
+            max_bytes,
             budget,
             prefill_rate,
         )
-        self._pools = self._set.pools
+        self._pools = self._pool_set.pools
         self._waiting: dict[str, str] = {}
         self._running: dict[str, running_jobs.RunningJob] = {}
-        self._dropped: list[jobs.Refusal] = []
-        self._teller = note_sender.NoteSender(vm, incarnation, self.register)
-        self._hearer = note_receiver.NoteReceiver(vm, self.register)
+        self._pending_refusals: list[jobs.Refusal] = []
+        self._note_sender = note_sender.NoteSender(
+            vm, incarnation, self.register
+        )
+        self._note_receiver = note_receiver.NoteReceiver(vm, self.register)
 
     def submit(
         self, job: jobs.Job, now_ms: int
@@ -108,9 +110,9 @@
         :param now_ms: the present
         :returns: the decisions
         """
-        self._hearer.expire_peers(self._pools, now_ms)
-        refusals = self._dropped
-        self._dropped = []
+        self._note_receiver.expire_peers(self._pools, now_ms)
+        refusals = self._pending_refusals
+        self._pending_refusals = []
         assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
             refusals += pool.expire_waiting(now_ms)
@@ -118,11 +120,11 @@
                 started = pool.start_next(now_ms, refusals)
                 if started is None:
                     break
-                assignments.append(self._note_start(name, started, now_ms))
+                assignments.append(self._record_start(name, started, now_ms))
         for refusal in refusals:
             self._waiting.pop(refusal.job_id, None)
         return jobs.DispatchResult(
-            assignments, refusals, self._read_wake_ms(now_ms)
+            assignments, refusals, self._get_wake_ms(now_ms)
         )
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
@@ -135,8 +137,10 @@
         name = self._waiting.pop(job_id, None)
         if name is None:
             return False
-        self._dropped = [one for one in self._dropped if one.job_id != job_id]
-        self._set.find_any(name).queue.remove(job_id)
+        self._pending_refusals = [
+            one for one in self._pending_refusals if one.job_id != job_id
+        ]
+        self._pool_set.find_any(name).queue.remove(job_id)
         return True
 
     def record_prefilled(self, job_id: str, now_ms: int) -> None:
@@ -147,9 +151,9 @@
         """
         job = self._running.get(job_id)
         if job is not None:
-            self._set.find_endings(job.entry.job.pool).record_prefilled(
-                job, now_ms
-            )
+            self._pool_set.find_completion(
+                job.entry.job.pool
+            ).record_prefilled(job, now_ms)
 
     def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
         """Tell that a prefill came to nothing; the decode engine reads.
@@ -161,8 +165,10 @@
         if job is not None:
             pool = job.entry.job.pool
             # Both the engine that read in vain and the one that reads now.
-            self._tell_views(pool, job)
-            self._set.find_endings(pool).record_prefill_failed(job, now_ms)
+            self._mark_views_changed(pool, job)
+            self._pool_set.find_completion(pool).record_prefill_failed(
+                job, now_ms
+            )
 
     def record_first_token(self, job_id: str, now_ms: int) -> None:
         """Tell that a started job's first token has come.
@@ -174,8 +180,8 @@
         if job is not None:
             job.record_first_token(now_ms)
             pool = job.entry.job.pool
-            if self._set.find_endings(pool).record_first_token(job):
-                self._tell_views(pool, job)
+            if self._pool_set.find_completion(pool).record_first_token(job):
+                self._mark_views_changed(pool, job)
 
     def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
         """Tell how many tokens of a running job have come so far.
@@ -192,7 +198,7 @@
                 before_ms = decode.step.value
                 decode.record_step(gap_ms, now_ms)
                 if abs(gap_ms - before_ms) > STEP_CHANGE_FRACTION * before_ms:
-                    self._teller.mark_changed_deferred(
+                    self._note_sender.mark_changed_deferred(
                         job.entry.job.pool, decode.row.name, now_ms
                     )
 
@@ -214,13 +220,13 @@
         job = self._running.get(job_id)
         if job is None or job.placement.decode is None:
             return None
-        pool = self._set.find_any(job.entry.job.pool)
+        pool = self._pool_set.find_any(job.entry.job.pool)
         before = job.placement.decode
         after = pool.reassign_decode(job, refused, now_ms, is_unreached)
         if after is None:
             return None
         for view in (before, after):
-            self._teller.mark_changed(pool.row.name, view.row.name)
+            self._note_sender.mark_changed(pool.row.name, view.row.name)
         return after.row.name
 
     def finish(
@@ -241,13 +247,15 @@
         if started is None:
             return
         job = started.entry.job
-        tokens = self._set.find_endings(job.pool).finish(
+        tokens = self._pool_set.find_completion(job.pool).finish(
             started, end, upstream, now_ms
         )
-        pool = self._set.find_any(job.pool)
+        pool = self._pool_set.find_any(job.pool)
         pool.queue.adjust_charge(job.account, job.weight, tokens)
-        self._teller.record_charge(job.pool, job.account, job.weight, tokens)
-        self._tell_views(job.pool, started)
+        self._note_sender.record_charge(
+            job.pool, job.account, job.weight, tokens
+        )
+        self._mark_views_changed(job.pool, started)
 
     def record_load(
         self,
@@ -285,7 +293,7 @@
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
-            view.prefixes.note_events(events)
+            view.prefixes.apply_events(events)
 
     def has_decode_capacity(
         self, pool: str, excluded: str, now_ms: int
@@ -332,7 +340,7 @@
         view = known.members.find(upstream) if known is not None else None
         if view is not None:
             view.health.record_probe(has_passed, now_ms)
-            self._teller.mark_changed(pool, upstream)
+            self._note_sender.mark_changed(pool, upstream)
 
     def drain_hints(self, now_ms: int) -> hints.Note | None:
         """Return what the other routers should hear now, if anything.
@@ -340,7 +348,7 @@
         :param now_ms: the present
         :returns: a note to send to each peer of the cell, or none
         """
-        return self._teller.build_note(self._pools, now_ms)
+        return self._note_sender.build_note(self._pools, now_ms)
 
     def apply_hints(self, note: hints.Note, now_ms: int) -> None:
         """Take in what another router told.
@@ -348,7 +356,7 @@
         :param note: its note; late, lost and repeated ones do no harm
         :param now_ms: the present
         """
-        self._hearer.note(note, self._pools, now_ms)
+        self._note_receiver.note(note, self._pools, now_ms)
 
     def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
         """Take in deaths of upstreams under requests, told by any VM.
@@ -365,8 +373,8 @@
         :param now_ms: the present
         :returns: whether upstreams died while they ran it
         """
-        standing = self.register.read_standing(digest, now_ms)
-        if standing is not poison.QuarantineState.QUARANTINED:
+        state = self.register.read_standing(digest, now_ms)
+        if state is not poison.QuarantineState.QUARANTINED:
             return False
         self.register.renew_quarantine(digest, now_ms)
         return True
@@ -388,8 +396,8 @@
         :param vms: their names, this VM's among them
         :param now_ms: the present
         """
-        self._teller.vms = len(vms)
-        self._set.change_vms(vms)
+        self._note_sender.vms = len(vms)
+        self._pool_set.change_vms(vms)
 
     def change_pools(self, pools: dict[str, tables.Pool], now_ms: int) -> None:
         """Take over a new table of pools; leaving upstreams get no work.
@@ -397,32 +405,32 @@
         :param pools: the pools by name
         :param now_ms: the present
         """
-        for name in self._set.change(pools):
-            self._drop_waiting(name)
+        for name in self._pool_set.change(pools):
+            self._reject_waiting(name)
 
-    def _drop_waiting(self, name: str) -> None:
+    def _reject_waiting(self, name: str) -> None:
         # What waits for a pool that is gone would wait for its deadline, so
         # it gets its final answer with the next dispatch.
-        pool = self._set.find_any(name)
+        pool = self._pool_set.find_any(name)
         for job_id in [i for i, p in self._waiting.items() if p == name]:
             entry = pool.queue.remove(job_id)
             if entry is not None:
                 fault = admission.make_rejection(
                     errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
                 )
-                self._dropped.append(jobs.Refusal(job_id, fault))
+                self._pending_refusals.append(jobs.Refusal(job_id, fault))
 
-    def _note_start(
+    def _record_start(
         self, pool: str, started: running_jobs.RunningJob, now_ms: int
     ) -> jobs.Assignment:
         job = started.entry.job
         del self._waiting[job.job_id]
         self._running[job.job_id] = started
-        self._set.find_endings(pool).record_start(started, now_ms)
-        self._teller.record_charge(
+        self._pool_set.find_completion(pool).record_start(started, now_ms)
+        self._note_sender.record_charge(
             pool, job.account, job.weight, started.entry.cost
         )
-        self._tell_views(pool, started)
+        self._mark_views_changed(pool, started)
         decode = started.placement.decode
         assert decode is not None
         assignment = jobs.Assignment(
@@ -431,14 +439,16 @@
             decode.row.name,
             int(started.entry.lane),
             max(round(started.placement.ready_ms - now_ms), 0),
-            self._read_room(pool, started),
+            self._get_kv_reservation(pool, started),
         )
         assignment.inputs = started.placement.describe(now_ms) | {
-            "heard_ms": self._hearer.compute_max_age_ms(now_ms)
+            "heard_ms": self._note_receiver.compute_max_age_ms(now_ms)
         }
         return assignment
 
-    def _read_room(self, pool: str, started: running_jobs.RunningJob) -> int:
+    def _get_kv_reservation(
+        self, pool: str, started: running_jobs.RunningJob
+    ) -> int:
         """Return the tokens to reserve for a decode; 0 for none.
 
         An engine admits a request that has room for its prompt; more than
@@ -449,13 +459,15 @@
         is_tight = self._pools[pool].placer.is_near_capacity(decode)
         return started.entry.job.prompt_tokens if is_tight else 0
 
-    def _tell_views(self, pool: str, started: running_jobs.RunningJob) -> None:
+    def _mark_views_changed(
+        self, pool: str, started: running_jobs.RunningJob
+    ) -> None:
         for view in (started.placement.prefill, started.placement.decode):
             if view is not None:
-                self._teller.mark_changed(pool, view.row.name)
+                self._note_sender.mark_changed(pool, view.row.name)
 
-    def _read_wake_ms(self, now_ms: int) -> int | None:
-        if self._dropped:
+    def _get_wake_ms(self, now_ms: int) -> int | None:
+        if self._pending_refusals:
             return now_ms
         times = [
             wake_ms
--- a/mulberryway/policy/server_selection.py
+++ b/mulberryway/policy/server_selection.py
@@ -14,9 +14,9 @@
 # longer time would leave a restarted server idle.
 UNREACHED_BACKOFF_MS = 2_000
 # A call to another zone takes about two milliseconds more there and back.
-OTHER_ZONE_MS = 2.0
+CROSS_ZONE_MS = 2.0
 # What a call is thought to take before any has ended.
-CALL_MS = 60.0
+INITIAL_CALL_MS = 60.0
 # A server that fails calls at once looks idle and draws more of them.  One
 # that fails clearly oftener than the pool's median counts as that much slower;
 # the margin is what chance alone does to the mean of some ten calls.
@@ -41,22 +41,22 @@
     """What this VM has seen of one server."""
 
     __slots__ = (
-        "under_way",
-        "took",
+        "in_flight",
+        "latency",
         "failures",
-        "judged_ms",
-        "avoid_until_ms",
+        "updated_ms",
+        "backoff_until_ms",
     )
 
     def __init__(self) -> None:
-        self.under_way = 0
-        self.took = health.Ewma(CALL_MS)
+        self.in_flight = 0
+        self.latency = health.Ewma(INITIAL_CALL_MS)
         self.failures = health.Ewma(0.0, FAILURE_SMOOTHING)
-        self.judged_ms = 0
-        self.avoid_until_ms = 0
+        self.updated_ms = 0
+        self.backoff_until_ms = 0
 
-    def read_failures(self, now_ms: int) -> float:
-        age_ms = max(now_ms - self.judged_ms, 0)
+    def get_failure_rate(self, now_ms: int) -> float:
+        age_ms = max(now_ms - self.updated_ms, 0)
         return self.failures.value * max(1.0 - age_ms / FAILURE_DECAY_MS, 0.0)
 
 
@@ -75,7 +75,7 @@
         self._servers: dict[tuple[str, str], _Server] = {}
 
     def choose(
-        self, pool: tables.Pool, avoid: frozenset[str], now_ms: int
+        self, pool: tables.Pool, excluded: frozenset[str], now_ms: int
     ) -> tables.Upstream | None:
         """Choose a server and count a call to it.
 
@@ -87,27 +87,29 @@
         usable = [
             upstream
             for upstream in pool.upstreams
-            if not upstream.leaving and upstream.name not in avoid
+            if not upstream.leaving and upstream.name not in excluded
         ]
         if not usable:
             return None
-        self._forget_gone(pool)
-        usual = statistics.median(
-            self._find(pool, upstream).read_failures(now_ms)
+        self._remove_deregistered(pool)
+        median_rate = statistics.median(
+            self._find(pool, upstream).get_failure_rate(now_ms)
             for upstream in usable
         )
         chosen = min(
             usable,
-            key=lambda upstream: self._weigh(pool, upstream, usual, now_ms),
+            key=lambda upstream: self._rank(
+                pool, upstream, median_rate, now_ms
+            ),
         )
-        self._find(pool, chosen).under_way += 1
+        self._find(pool, chosen).in_flight += 1
         return chosen
 
     def finish(
         self,
         pool: tables.Pool,
         upstream: tables.Upstream,
-        end: CallOutcome,
+        outcome: CallOutcome,
         took_ms: int,
         now_ms: int,
     ) -> None:
@@ -120,44 +122,44 @@
         :param now_ms: the present
         """
         server = self._find(pool, upstream)
-        server.under_way = max(server.under_way - 1, 0)
-        if end is CallOutcome.NO_VERDICT:
+        server.in_flight = max(server.in_flight - 1, 0)
+        if outcome is CallOutcome.NO_VERDICT:
             return
-        if end is CallOutcome.UNREACHED:
-            server.avoid_until_ms = now_ms + UNREACHED_BACKOFF_MS
+        if outcome is CallOutcome.UNREACHED:
+            server.backoff_until_ms = now_ms + UNREACHED_BACKOFF_MS
             return
-        server.avoid_until_ms = 0
-        server.judged_ms = now_ms
-        server.failures.note(1.0 if end is CallOutcome.FAILED else 0.0)
-        if end is CallOutcome.DONE:
-            server.took.note(took_ms)
+        server.backoff_until_ms = 0
+        server.updated_ms = now_ms
+        server.failures.note(1.0 if outcome is CallOutcome.FAILED else 0.0)
+        if outcome is CallOutcome.DONE:
+            server.latency.note(took_ms)
 
     def _find(self, pool: tables.Pool, upstream: tables.Upstream) -> _Server:
         return self._servers.setdefault((pool.name, upstream.name), _Server())
 
-    def _forget_gone(self, pool: tables.Pool) -> None:
+    def _remove_deregistered(self, pool: tables.Pool) -> None:
         names = {upstream.name for upstream in pool.upstreams}
-        gone = [
+        removed = [
             key
             for key, server in self._servers.items()
             if key[0] == pool.name
             and key[1] not in names
-            and not server.under_way
+            and not server.in_flight
         ]
-        for key in gone:
+        for key in removed:
             del self._servers[key]
 
-    def _weigh(
+    def _rank(
         self,
         pool: tables.Pool,
         upstream: tables.Upstream,
-        usual: float,
+        median_rate: float,
         now_ms: int,
     ) -> tuple[bool, float, str]:
         server = self._find(pool, upstream)
-        worse = server.read_failures(now_ms) - usual - FAILURE_MARGIN
-        wait_ms = (server.under_way + 1) * server.took.value
+        excess = server.get_failure_rate(now_ms) - median_rate - FAILURE_MARGIN
+        wait_ms = (server.in_flight + 1) * server.latency.value
         if upstream.zone != self._zone:
-            wait_ms += OTHER_ZONE_MS
-        wait_ms += max(worse, 0.0) * FAILURE_MS
-        return (server.avoid_until_ms > now_ms, wait_ms, upstream.name)
+            wait_ms += CROSS_ZONE_MS
+        wait_ms += max(excess, 0.0) * FAILURE_MS
+        return (server.backoff_until_ms > now_ms, wait_ms, upstream.name)
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -13,7 +13,7 @@
 TARGET_RATIO = 0.95
 PROBE_MS = 30_000
 MEDIAN_PERIOD_MS = 500
-LAST_CHANCE_MS = 60
+LAST_RESORT_MS = 60
 
 
 class SlowUpstreamDetector:
@@ -71,16 +71,18 @@
         slow = [view for view in usable if self.is_slow(view, now_ms)]
         if not slow:
             return usable
-        due = [view for view in slow if now_ms - view.step_seen_ms >= PROBE_MS]
-        if due:
+        probe_due = [
+            view for view in slow if now_ms - view.step_seen_ms >= PROBE_MS
+        ]
+        if probe_due:
             # Without a try now and then, a mended upstream stays unused.
-            return due
-        quick = [view for view in usable if view not in slow]
+            return probe_due
+        not_slow = [view for view in usable if view not in slow]
         # A late answer is better than none: who would be refused in a moment
         # may have a slow upstream.
-        if not quick and now_ms >= entry.latest_start_ms - LAST_CHANCE_MS:
+        if not not_slow and now_ms >= entry.latest_start_ms - LAST_RESORT_MS:
             return slow
-        return quick
+        return not_slow
 
     def _refresh_median(self, now_ms: int) -> None:
         at_ms = self._median_at_ms
--- a/mulberryway/policy/subsetting.py
+++ b/mulberryway/policy/subsetting.py
@@ -23,7 +23,7 @@
 
     def __init__(self, count: int, vms: collections.abc.Iterable[str]) -> None:
         self.count = max(count, 1)
-        self._cell_of_vm = _spread(sorted(set(vms)), self.count)
+        self._subset_of_vm = _assign_subsets(sorted(set(vms)), self.count)
 
     def find_subset(self, vm: str) -> int:
         """Return the cell in which a VM's router works.
@@ -31,8 +31,8 @@
         :param vm: its name; one that is not in the list gets a cell too
         :returns: the cell's number
         """
-        cell = self._cell_of_vm.get(vm)
-        return _rank_cells(vm, self.count)[0] if cell is None else cell
+        subset = self._subset_of_vm.get(vm)
+        return _rank_subsets(vm, self.count)[0] if subset is None else subset
 
     def list_peers(self, vm: str) -> list[str]:
         """Return the other VMs in a VM's cell; they exchange hints.
@@ -40,11 +40,11 @@
         :param vm: the VM's name
         :returns: their names
         """
-        cell = self.find_subset(vm)
+        subset = self.find_subset(vm)
         return [
             name
-            for name, other in self._cell_of_vm.items()
-            if other == cell and name != vm
+            for name, other in self._subset_of_vm.items()
+            if other == subset and name != vm
         ]
 
     def choose(
@@ -58,9 +58,9 @@
         """
         if self.count == 1:
             return list(upstreams)
-        cell = self.find_subset(vm)
+        subset = self.find_subset(vm)
         chosen = [
-            name for name in upstreams if _hash(name) % self.count == cell
+            name for name in upstreams if _hash(name) % self.count == subset
         ]
         return chosen or list(upstreams[:SUBSET_SIZE])
 
@@ -70,17 +70,17 @@
     return int.from_bytes(digest, "big")
 
 
-def _rank_cells(vm: str, cells: int) -> list[int]:
-    return sorted(range(cells), key=lambda cell: _hash(f"{vm}/{cell}"))
+def _rank_subsets(vm: str, count: int) -> list[int]:
+    return sorted(range(count), key=lambda subset: _hash(f"{vm}/{subset}"))
 
 
-def _spread(vms: list[str], cells: int) -> dict[str, int]:
+def _assign_subsets(vms: list[str], count: int) -> dict[str, int]:
     # Each VM takes the cell that its hash likes best and that has room left,
     # so cells have equal numbers and one VM's going moves only few others.
-    room = [-(-len(vms) // cells)] * cells
-    taken: dict[str, int] = {}
-    for vm in vms if cells > 1 else ():
-        cell = next(one for one in _rank_cells(vm, cells) if room[one])
-        room[cell] -= 1
-        taken[vm] = cell
-    return taken or dict.fromkeys(vms, 0)
+    free = [-(-len(vms) // count)] * count
+    assigned: dict[str, int] = {}
+    for vm in vms if count > 1 else ():
+        subset = next(one for one in _rank_subsets(vm, count) if free[one])
+        free[subset] -= 1
+        assigned[vm] = subset
+    return assigned or dict.fromkeys(vms, 0)
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -46,7 +46,7 @@
     __slots__ = (
         "row",
         "slots",
-        "own",
+        "own_decodes",
         "peers",
         "unattributed_decodes",
         "own_blocks",
@@ -59,7 +59,7 @@
         "peer_suspects",
         "suspect_died_ms",
         "own_prefill_ms",
-        "_told_prefill_ms",
+        "_sent_prefill_ms",
         "busy_until_ms",
         "drift_ms",
         "full_until_ms",
@@ -69,15 +69,15 @@
         "step",
         "step_floor",
         "step_seen_ms",
-        "_own_step_ms",
+        "_unsent_step_ms",
         "health",
         "prefixes",
         "pause_ms",
         "prefill_budget",
         "_by_peer",
-        "_high",
-        "_high_before",
-        "_high_since_ms",
+        "_peak_decodes",
+        "_previous_peak",
+        "_peak_since_ms",
     )
 
     def __init__(
@@ -89,7 +89,7 @@
     ) -> None:
         self.row = row
         self.slots = slots
-        self.own = 0
+        self.own_decodes = 0
         self.peers = 0
         self.unattributed_decodes = 0
         self.own_blocks = 0
@@ -102,7 +102,7 @@
         self.peer_suspects = 0
         self.suspect_died_ms: int | None = None
         self.own_prefill_ms = 0.0
-        self._told_prefill_ms = 0
+        self._sent_prefill_ms = 0
         self.busy_until_ms = 0.0
         # By how much reads were late, less by how much early, added up.
         self.drift_ms = 0.0
@@ -116,16 +116,16 @@
         # The same where the engine reads nothing between its tokens.
         self.step_floor = health.LatencyFloor(STEP_MS)
         self.step_seen_ms = 0
-        self._own_step_ms = 0.0
+        self._unsent_step_ms = 0.0
         self.health = health.OutlierDetector(random_)
         self.prefixes = prefix_index.PrefixIndex()
         # The longest pause of a stream that is on time; 0 for no target.
         self.pause_ms = 0
         self.prefill_budget = chunked_prefill.ChunkedPrefillBudget()
         self._by_peer: dict[str, hints.Holding] = {}
-        self._high = 0
-        self._high_before = 0
-        self._high_since_ms = 0
+        self._peak_decodes = 0
+        self._previous_peak = 0
+        self._peak_since_ms = 0
 
     def count_free_slots(self, now_ms: int) -> int:
         """Return how many decode slots are probably free.
@@ -135,7 +135,12 @@
         """
         if now_ms < self.full_until_ms:
             return 0
-        free = self.slots - self.own - self.peers - self.unattributed_decodes
+        free = (
+            self.slots
+            - self.own_decodes
+            - self.peers
+            - self.unattributed_decodes
+        )
         return free if free > 0 else 0
 
     def count_free_blocks(self) -> int:
@@ -158,7 +163,7 @@
 
     def count_running(self) -> int:
         """Return how many streams probably run here, all VMs together."""
-        return self.own + self.peers + self.unattributed_decodes
+        return self.own_decodes + self.peers + self.unattributed_decodes
 
     def has_blocks(self, blocks: int) -> bool:
         """Tell whether a decode's KV cache probably fits.
@@ -191,7 +196,7 @@
         """
         self.own_prefills += 1
         self.own_prefill_ms += estimate_ms
-        self._note_read(estimate_ms, now_ms)
+        self._record_prefill_work(estimate_ms, now_ms)
         return self.busy_until_ms
 
     def add_chunked_prefill(self, estimate_ms: float, now_ms: int) -> None:
@@ -201,7 +206,7 @@
         :param now_ms: the present
         """
         self.own_prefill_ms += estimate_ms
-        self._note_read(estimate_ms, now_ms)
+        self._record_prefill_work(estimate_ms, now_ms)
 
     def cancel_prefill(self, estimate_ms: float) -> None:
         """Take out a prefill that ended before its result.
@@ -252,15 +257,15 @@
         self.step.note(step_ms)
         self.step_floor.note(step_ms)
         self.step_seen_ms = now_ms
-        self._own_step_ms = step_ms
+        self._unsent_step_ms = step_ms
 
     def take_step_ms(self) -> int:
         """Return the last gap that our own streams saw here, once.
 
         :returns: milliseconds; 0 if there was none since the last call
         """
-        step_ms = int(self._own_step_ms)
-        self._own_step_ms = 0.0
+        step_ms = int(self._unsent_step_ms)
+        self._unsent_step_ms = 0.0
         return step_ms
 
     def take_prefill_ms(self, now_ms: int) -> int:
@@ -269,9 +274,9 @@
         :param now_ms: the present
         :returns: estimated milliseconds, without what has probably ended
         """
-        more_ms = int(self.own_prefill_ms) - self._told_prefill_ms
-        self._told_prefill_ms += more_ms
-        return min(more_ms, int(self.estimate_prefill_wait_ms(now_ms)))
+        unsent_ms = int(self.own_prefill_ms) - self._sent_prefill_ms
+        self._sent_prefill_ms += unsent_ms
+        return min(unsent_ms, int(self.estimate_prefill_wait_ms(now_ms)))
 
     def start_decode(self, blocks: int, now_ms: int) -> None:
         """Reserve a slot.
@@ -279,16 +284,16 @@
         :param blocks: KV cache blocks that go with it
         :param now_ms: the present
         """
-        self.own += 1
+        self.own_decodes += 1
         self.own_blocks += blocks
-        self._raise_high(now_ms)
+        self._update_peak(now_ms)
 
     def end_decode(self, blocks: int) -> None:
         """Give a slot back.
 
         :param blocks: what was reserved with it
         """
-        self.own -= 1
+        self.own_decodes -= 1
         self.own_blocks -= blocks
         self.full_until_ms = 0
 
@@ -301,7 +306,7 @@
         :param blocks: what was reserved with the slot
         :param now_ms: the present
         """
-        self.own -= 1
+        self.own_decodes -= 1
         self.own_blocks -= blocks
         other.start_decode(blocks, now_ms)
 
@@ -340,8 +345,8 @@
         :param load: the report
         :param now_ms: the present
         """
-        self._raise_high(now_ms)
-        known = max(self._high, self._high_before)
+        self._update_peak(now_ms)
+        known = max(self._peak_decodes, self._previous_peak)
         self.unattributed_decodes = max(load.running - known, 0)
         self.unattributed_prefills = max(load.waiting - self.own_prefills, 0)
         self.total_blocks = load.total_blocks
@@ -358,7 +363,7 @@
         """
         before = self._by_peer.get(vm) or hints.Holding("", "", 0, 0)
         if holding.prefill_ms:
-            self._note_read(holding.prefill_ms, now_ms)
+            self._record_prefill_work(holding.prefill_ms, now_ms)
         if holding.prefill_ms or holding.decodes > before.decodes:
             self.health.record_peer_start(now_ms)
         if holding.decodes < before.decodes:
@@ -373,7 +378,7 @@
             self.step_floor.note(holding.step_ms)
             self.step_seen_ms = now_ms
         self._by_peer[vm] = holding
-        self._raise_high(now_ms)
+        self._update_peak(now_ms)
 
     def forget_peer(self, vm: str) -> None:
         """Drop what a peer holds, after its silence or its new incarnation.
@@ -387,7 +392,7 @@
             self.peer_blocks -= holding.blocks
 
     def fits_prefill(
-        self, read_ms: float, now_ms: int, yield_ms: int = 0
+        self, prefill_ms: float, now_ms: int, yield_ms: int = 0
     ) -> bool:
         """Tell whether a read now keeps the pauses of all streams on time.
 
@@ -397,36 +402,40 @@
         """
         if not self.count_running():
             return True
-        event_ms = self.step_floor.value
+        step_ms = self.step_floor.value
         free_ms = now_ms - self.prefill_budget.get_open_since_ms(
-            event_ms, now_ms
+            step_ms, now_ms
         )
         return free_ms >= yield_ms and self.prefill_budget.fits(
-            read_ms, self.pause_ms, event_ms, now_ms
+            prefill_ms, self.pause_ms, step_ms, now_ms
         )
 
-    def fits_prefill_alone(self, read_ms: float) -> bool:
+    def fits_prefill_alone(self, prefill_ms: float) -> bool:
         """Tell whether a read keeps pauses on time if none is near it.
 
         :param read_ms: how long the read takes by itself
         """
         return chunked_prefill.fits_gap_limit(
-            read_ms, self.pause_ms, self.step_floor.value
+            prefill_ms, self.pause_ms, self.step_floor.value
         )
 
-    def _note_read(self, read_ms: float, now_ms: int) -> None:
-        self.busy_until_ms = max(self.busy_until_ms, float(now_ms)) + read_ms
+    def _record_prefill_work(self, prefill_ms: float, now_ms: int) -> None:
+        self.busy_until_ms = (
+            max(self.busy_until_ms, float(now_ms)) + prefill_ms
+        )
         self.prefill_budget.note(
-            read_ms,
+            prefill_ms,
             self.pause_ms,
             self.step_floor.value,
             self.count_running(),
             now_ms,
         )
 
-    def _raise_high(self, now_ms: int) -> None:
-        if now_ms - self._high_since_ms >= REPORT_LAG_MS:
-            self._high_before = self._high
-            self._high = 0
-            self._high_since_ms = now_ms
-        self._high = max(self._high, self.own + self.peers)
+    def _update_peak(self, now_ms: int) -> None:
+        if now_ms - self._peak_since_ms >= REPORT_LAG_MS:
+            self._previous_peak = self._peak_decodes
+            self._peak_decodes = 0
+            self._peak_since_ms = now_ms
+        self._peak_decodes = max(
+            self._peak_decodes, self.own_decodes + self.peers
+        )
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -48,18 +48,18 @@
         """
         index = prefix_index.PrefixIndex()
         event = upstreams.CacheEvent
-        index.note_events([event(1, ("a", "b"), ())])
+        index.apply_events([event(1, ("a", "b"), ())])
         self.assertEqual(index.count_hits(("a", "b", "c")), 2)
-        index.note_events([event(3, ("c",), ())])
+        index.apply_events([event(3, ("c",), ())])
         self.assertEqual(index.count_hits(("a", "b", "c")), 2)
-        index.note_events([event(4, (), ("a",))])
+        index.apply_events([event(4, (), ("a",))])
         self.assertEqual(index.count_hits(("a", "b", "c")), 0)
-        index.note_events([event(2, ("a",), ())])
+        index.apply_events([event(2, ("a",), ())])
         self.assertEqual(index.count_hits(("a",)), 0)
 
     def test_bounded(self):
         index = prefix_index.PrefixIndex()
-        index.note_own(tuple(f"h{n}" for n in range(5_000)))
+        index.record_own(tuple(f"h{n}" for n in range(5_000)))
         self.assertEqual(len(index), prefix_index.MAX_BLOCKS)
 
 
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -189,7 +189,7 @@
         rig.tell(410)
         reads = (
             rig.routers[1]
-            ._set.find_any("lm")
+            ._pool_set.find_any("lm")
             .members.find("d0")
             .prefill_budget
         )
@@ -260,7 +260,7 @@
         for job_id in jobs:
             end_ms = started[job_id].ready_in_ms + 300
             router.record_prefilled(job_id, end_ms)
-        view = router._set.find_any("lm").members.find("p0")
+        view = router._pool_set.find_any("lm").members.find("p0")
         self.assertLess(view.estimate_prefill_wait_ms(end_ms), 30)
 
 
@@ -274,7 +274,7 @@
         rig = Rig(vms=2, decodes=50)
         rig.submit(0, vm=1)
         rig.start(0, vm=1)
-        pool = rig.routers[0]._set.find_any("lm")
+        pool = rig.routers[0]._pool_set.find_any("lm")
         looks = []
         count_free = pool.placer.estimate_free_slots
         pool.placer.estimate_free_slots = lambda now_ms: (
@@ -296,7 +296,7 @@
         """
         rig = Rig(decodes=1)
         rig.run_streams(9)
-        pool = rig.routers[0]._set.find_any("lm")
+        pool = rig.routers[0]._pool_set.find_any("lm")
         self.assertLessEqual(pool.placer.estimate_free_slots(3_000), 2)
 
 
@@ -307,7 +307,7 @@
         every caller of the other waiting.
         """
         rig = Rig()
-        pool = rig.routers[0]._set.find_any("lm")
+        pool = rig.routers[0]._pool_set.find_any("lm")
         (view, *_) = pool.members.decodes
         for _ in range(20):
             view.record_step(200.0, 1_000)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -206,7 +206,7 @@
         self.assertIsNone(router.reassign_decode("j", second, 110))
         router.finish("j", End.DONE, "", 500)
         views = router._pools["lm"].members.list_all()
-        self.assertEqual([view.own for view in views], [0] * 4)
+        self.assertEqual([view.own_decodes for view in views], [0] * 4)
 
     def test_a_failing_upstream_is_ejected_and_probed(self):
         """An engine breaks each connection and so always looks idle.  It
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -95,7 +95,11 @@
                 mine = [
                     a for a in self.running.values() if a.decode == row.name
                 ]
-                assert view.own == len(mine), (row.name, view.own, mine)
+                assert view.own_decodes == len(mine), (
+                    row.name,
+                    view.own_decodes,
+                    mine,
+                )
 
     def pick(self, number):
         names = sorted(self.running)
@@ -168,7 +172,8 @@
         ledger.settle()
         for view in ledger.scheduler._pools["lm"].members.list_all():
             self.assertEqual(
-                (view.own, view.own_suspects, view.own_blocks), (0, 0, 0)
+                (view.own_decodes, view.own_suspects, view.own_blocks),
+                (0, 0, 0),
             )
             self.assertEqual(view.own_prefills, 0)
         self.assertEqual(len(ledger.scheduler._pools["lm"].queue), 0)
