--- a/mulberryway/policy/__init__.py
+++ b/mulberryway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load, without I/O, threads or clock reads."""
+"""Scheduling policy without I/O, threads or clock reads."""
--- a/mulberryway/policy/aggregated_serving.py
+++ b/mulberryway/policy/aggregated_serving.py
@@ -1,4 +1,4 @@
-"""Which decode engine reads a prompt itself, between its streams' tokens."""
+"""Chooses decode engines for chunked prefills between decode steps."""
 
 import random
 
@@ -7,12 +7,12 @@
 
 __all__ = ["choose_aggregated", "meets_target", "prefers_aggregated"]
 
-# A decode engine that reads a prompt itself holds up the streams it runs, so
-# it does that only where it clearly saves a caller without a target time.
+# A chunked prefill delays all streams of its decode engine.  For a job without
+# a first token target it must save at least this much time.
 MIN_SAVING_MS = 150.0
-# Engines whose streams differ by fewer than so many are equal for a prompt
-# that they read themselves, so that VMs which choose at the same moment do
-# not all take the emptiest one.
+# Range of the random offset that is added to an engine's number of streams.
+# Without it, VMs that choose at the same time would all choose the engine
+# with the fewest streams.
 STREAM_COUNT_JITTER = 4
 
 
@@ -24,19 +24,19 @@
     random_: random.Random,
     now_ms: int,
 ) -> placements.Placement | None:
-    """Return the decode engine that should read a prompt itself.
-
-    It serves requests that prefill engines cannot read in time, or at all.
-
-    :param options: the engines with room
-    :param is_prefill_unavailable: no prefill engine takes the prompt
-    :param stream_ms: how long a stream usually lasts
-    :param yield_ms: for how long an engine that may read again is left to
-        peers' jobs that should go before
-    :param random_: a seeded source of chance
-    :param now_ms: the present
-    :returns: the option, or none where a read would make streams pause too
-        long
+    """Return the decode engine for a prompt's chunked prefill.
+
+    It serves requests that prefill engines cannot run in time, or at all.
+
+    :param options: the engines with free capacity
+    :param is_prefill_unavailable: whether no prefill engine accepts prompts
+    :param stream_ms: typical duration of a stream, in milliseconds
+    :param yield_ms: how long an engine that could start another chunked
+        prefill is left to peers' jobs with priority, in milliseconds
+    :param random_: seeded random generator
+    :param now_ms: current time in milliseconds
+    :returns: the option, or none if the prefill would stretch inter-token
+        gaps beyond their limit
     """
     fitting = [
         option
@@ -57,11 +57,11 @@
 
 
 def meets_target(disaggregated: placements.Placement, job: jobs.Job) -> bool:
-    """Tell whether a prompt that a prefill engine reads comes on time.
+    """Return whether a prefill engine meets a job's first token target.
 
-    :param apart: where it is read
+    :param disaggregated: the placement on a prefill engine
     :param job: the job
-    :returns: false also without a target
+    :returns: whether it does; false for a job without a target
     """
     return disaggregated.first_token_ms <= _get_target_ms(disaggregated, job)
 
@@ -71,14 +71,15 @@
     disaggregated: placements.Placement,
     job: jobs.Job,
 ) -> bool:
-    """Tell whether a decode engine should read a prompt itself.
+    """Return whether a chunked prefill on a decode engine is preferable.
 
-    It holds up all streams that it runs, so it does that where it makes a
-    first token on time that else would be late; without a target, where it
-    clearly saves time.
+    A chunked prefill delays all streams of the engine.  It is preferable if
+    it meets a target that the prefill engine misses or, without a target, if
+    it saves at least :data:`MIN_SAVING_MS`.
 
-    :param aggregated: the decode engine's own read
-    :param disaggregated: the read by a prefill engine, which is not on time
+    :param aggregated: the placement with a chunked prefill
+    :param disaggregated: the placement on a prefill engine, which misses the
+        target
     :param job: the job
     """
     if not job.first_token_target_ms:
@@ -92,7 +93,7 @@
 def _get_target_ms(
     disaggregated: placements.Placement, job: jobs.Job
 ) -> float:
-    # A prompt that came to another VM at the same moment may go before.
+    # The margin leaves time for one prompt that another VM starts first.
     return job.first_token_target_ms - max(
         disaggregated.prefill_ms, placements.DEADLINE_MARGIN_MS
     )
@@ -101,17 +102,17 @@
 def _list_fallback(
     options: list[placements.Placement],
 ) -> list[placements.Placement]:
-    """Return where a prompt does least harm that is too long anywhere.
+    """Return the fallback engine for a prompt that is too long for any.
 
-    If each engine reads long prompts, all streams pause too long; if one
-    does, the streams of the others are on time.  So all VMs take the first
-    engine by name that has room, and short prompts keep away from it.
+    If every engine ran such prompts, all streams would miss their inter-token
+    gap; with one engine, only its own streams do.  So all VMs choose the
+    first engine by name that has capacity, and short prompts avoid it.
     """
     fits_somewhere = any(
         option.prefill.fits_prefill_alone(option.prefill_ms)
         for option in options
     )
     if fits_somewhere or not options:
-        # An engine may read it as soon as it has rested.
+        # An engine can run it once its current prefills have ended.
         return []
     return [min(options, key=lambda option: option.prefill.row.name)]
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -1,4 +1,4 @@
-"""The seam between the decisions under load and the process around them."""
+"""Defines the interface between scheduling policy and process."""
 
 import abc
 
@@ -15,75 +15,75 @@
 
 
 class Scheduler(abc.ABC):
-    """Decides what is admitted, waits, is refused, and where it runs.
+    """Decides which jobs are admitted, queued or rejected, and where they run.
 
-    It has no I/O, threads or clock reads: whoever owns it holds a lock,
-    reports what happened and passes the time in milliseconds.  For every
-    assignment exactly one ``finish`` follows, on every path; that is what
-    gives the decode slot back.
+    It has no I/O, threads or clock reads: its owner holds a lock, reports
+    events and passes the time in milliseconds.  The owner must call
+    ``finish`` exactly once for every assignment, on every path, because that
+    releases the decode slot.
     """
 
     @abc.abstractmethod
     def submit(
         self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
-        """Take a job in, or refuse it at once.
+        """Admit a job, or reject it immediately.
 
         :param job: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: nothing, or a fault with run ``NOT_RUN``
         """
 
     @abc.abstractmethod
     def dispatch(self, now_ms: int) -> jobs.DispatchResult:
-        """Decide which waiting jobs start now and which are given up.
+        """Decide which waiting jobs start now and which are rejected.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: the decisions
         """
 
     @abc.abstractmethod
     def cancel(self, job_id: str, now_ms: int) -> bool:
-        """Forget a waiting job whose caller has gone.
+        """Remove a waiting job whose caller has disconnected.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: false if it was not waiting
         """
 
     @abc.abstractmethod
     def record_prefilled(self, job_id: str, now_ms: int) -> None:
-        """Tell that a started job's prefill has ended well.
+        """Record that a started job's prefill has succeeded.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
-        """Tell that a prefill came to nothing; the decode engine reads.
+        """Record a failed prefill that the decode engine takes over.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return
 
     @abc.abstractmethod
     def record_first_token(self, job_id: str, now_ms: int) -> None:
-        """Tell that a started job's first token has come.
+        """Record that a started job's first token has arrived.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
-        """Tell how many tokens of a running job have come so far.
+        """Record how many tokens of a running job have arrived.
 
-        Called now and then while a stream runs, and before ``finish``; a
-        slow upstream shows in it, whatever it reports itself.
+        Called from time to time while a stream runs, and before ``finish``.
+        It reveals a slow upstream independently of the upstream's reports.
 
         :param job_id: the job
-        :param tokens: all tokens so far
-        :param now_ms: the present
+        :param tokens: total number of tokens so far
+        :param now_ms: current time in milliseconds
         """
         return None
 
@@ -94,98 +94,99 @@
         now_ms: int,
         is_unreached: bool = False,
     ) -> str | None:
-        """Find another slot for a job whose prefill has ended.
+        """Reserve another decode slot for a prefilled job.
 
-        Called when the decode upstream refuses because it is full, while
-        the prefill's result still lives: another slot saves the prefill.
+        Called when the decode upstream rejects the job for lack of capacity
+        before the prefill's result expires; another slot saves the prefill.
 
         :param job_id: the job
-        :param refused: the upstream that did not take it
-        :param now_ms: the present
-        :param is_unreached: whether it could not be reached; else it is full
-        :returns: the upstream to try, its slot reserved; none if there is
-            no other now, and it makes sense to ask again in some tens of
-            milliseconds until the prefill's result expires
+        :param refused: the upstream that rejected it
+        :param now_ms: current time in milliseconds
+        :param is_unreached: whether it was unreachable instead of full
+        :returns: the upstream to try, with a reserved slot; none if no other
+            is free now, in which case a retry after some tens of milliseconds
+            makes sense until the prefill's result expires
         """
         return None
 
     def has_decode_capacity(
         self, pool: str, excluded: str, now_ms: int
     ) -> bool:
-        """Tell whether another upstream probably has room for a decode.
+        """Return whether another upstream may have decode capacity.
 
         :param pool: the pool's name
-        :param excluded: the upstream that does not count
-        :param now_ms: the present
+        :param excluded: the upstream to leave out
+        :param now_ms: current time in milliseconds
         """
         return True
 
     def list_ejected(self, now_ms: int) -> list[probes.EjectedUpstream]:
-        """Return the upstreams that get no requests for now.
+        """Return the currently ejected upstreams.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return []
 
     def record_probe(
         self, pool: str, upstream: str, has_passed: bool, now_ms: int
     ) -> None:
-        """Take in what a probe, which was no request, found.
+        """Record the result of a health probe.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param has_passed: whether the upstream answered
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return
 
     def drain_hints(self, now_ms: int) -> hints.Note | None:
-        """Return what the other routers should hear now, if anything.
+        """Return the gossip message that is due now, if any.
 
-        :param now_ms: the present
-        :returns: a note to send to each peer that shares upstreams, or none
+        :param now_ms: current time in milliseconds
+        :returns: a message for each peer that shares upstreams, or none
         """
         return None
 
     def apply_hints(self, note: hints.Note, now_ms: int) -> None:
-        """Take in what another router told.
+        """Apply a gossip message from another router.
 
-        :param note: its note; late, lost and repeated ones do no harm
-        :param now_ms: the present
+        :param note: the message; may be late or a duplicate, and others may be
+            lost
+        :param now_ms: current time in milliseconds
         """
         return None
 
     def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
-        """Take in deaths of upstreams under requests, told by any VM.
+        """Apply crashes of upstreams that any VM has reported.
 
-        :param deaths: the deaths; repeated ones do no harm
-        :param now_ms: the present
+        :param deaths: the crashes; duplicates have no effect
+        :param now_ms: current time in milliseconds
         """
         return None
 
     def is_quarantined(self, digest: str, now_ms: int) -> bool:
-        """Tell whether a request may not run, and renew that if so.
+        """Return whether a request is quarantined, and renew it if so.
 
-        :param digest: names the request, see ``policy.poison``
-        :param now_ms: the present
-        :returns: whether upstreams died while they ran it
+        :param digest: identifies the request, see ``policy.poison``
+        :param now_ms: current time in milliseconds
+        :returns: whether upstreams crashed while they ran it
         """
         return False
 
     def record_crash(self, digest: str, upstream: str, now_ms: int) -> None:
-        """Tell that a plain service's server died under a request.
+        """Record that a service's server crashed under a request.
 
-        :param digest: names the request
+        :param digest: identifies the request
         :param upstream: ``pool/name`` of the server
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return None
 
     def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
-        """Take over the list of VMs that run a router.
+        """Apply a new list of VMs that run a router.
 
-        :param vms: their names, this VM's among them
-        :param now_ms: the present
+        :param vms: names of the VMs, including this VM
+        :param now_ms: current time in milliseconds
         """
         return None
 
@@ -197,12 +198,12 @@
         upstream: str,
         now_ms: int,
     ) -> None:
-        """Let a started job's reservations go.
+        """Release a started job's reservations.
 
         :param job_id: the job
-        :param end: how it ended
-        :param upstream: the upstream to blame; empty if none
-        :param now_ms: the present
+        :param end: the outcome
+        :param upstream: the upstream at fault; empty if none
+        :param now_ms: current time in milliseconds
         """
 
     @abc.abstractmethod
@@ -213,12 +214,12 @@
         load: upstreams.EngineLoad,
         now_ms: int,
     ) -> None:
-        """Take in a load report, which is some time old.
+        """Record a load report, which lags behind the engine.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param load: the report
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     @abc.abstractmethod
@@ -229,18 +230,18 @@
         events: list[upstreams.CacheEvent],
         now_ms: int,
     ) -> None:
-        """Take in cache events, which are late and may have gaps.
+        """Apply cache events, which are delayed and may have gaps.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param events: the events in order
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     @abc.abstractmethod
     def change_pools(self, pools: dict[str, tables.Pool], now_ms: int) -> None:
-        """Take over a new table of pools; leaving upstreams get no work.
+        """Apply a new table of pools; draining upstreams get no jobs.
 
         :param pools: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -1,4 +1,4 @@
-"""Two plain schedulers to measure against: simple, fair to nobody."""
+"""Two simple schedulers without fairness, as baselines for measurements."""
 
 import abc
 import collections
@@ -20,7 +20,7 @@
 
 
 class _Member:
-    """An upstream with the connections that this process has to it."""
+    """An upstream with the number of this process's requests on it."""
 
     __slots__ = ("upstream", "slots", "prefills", "decodes", "running")
 
@@ -42,12 +42,12 @@
 
 
 class _QueueScheduler(base.Scheduler):
-    """One queue in order of arrival; subclasses choose the upstreams.
+    """Keeps one queue in order of arrival; subclasses choose the upstreams.
 
-    It refuses only what has waited past its deadline, knows nothing of
-    accounts, prefixes or prefill queues, and never ejects an upstream.
+    It rejects only jobs past their deadline, ignores accounts, prefixes and
+    prefill queues, and never ejects an upstream.
 
-    :param seed: for choices that are random
+    :param seed: seed of the random generator
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -59,19 +59,19 @@
 
     @abc.abstractmethod
     def _choose_prefill(self, members: list[_Member]) -> _Member:
-        """Choose one of at least one member."""
+        """Choose one of the members, of which there is at least one."""
 
     @abc.abstractmethod
     def _choose_decode(self, members: list[_Member]) -> _Member:
-        """Choose one of at least one member."""
+        """Choose one of the members, of which there is at least one."""
 
     def submit(
         self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
-        """Put a job at the queue's end.
+        """Add a job to the end of the queue.
 
         :param job: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: nothing, or ``NO_UPSTREAM`` for an unknown pool
         """
         if job.pool not in self._members:
@@ -85,9 +85,9 @@
         return expression.Ok(None)
 
     def dispatch(self, now_ms: int) -> jobs.DispatchResult:
-        """Start jobs from the queue's head while upstreams have room.
+        """Start jobs from the head of the queue while upstreams have slots.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: the decisions
         """
         refusals = self._reject_expired(now_ms)
@@ -111,19 +111,19 @@
         return jobs.DispatchResult(assignments, refusals, wake_ms)
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
-        """Forget a waiting job.
+        """Remove a waiting job.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: false if it was not waiting
         """
         return self._waiting.pop(job_id, None) is not None
 
     def record_prefilled(self, job_id: str, now_ms: int) -> None:
-        """Count the job's prefill as ended.
+        """Record that a job's prefill has ended.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         running = self._running.get(job_id)
         if running is not None and running.is_prefilling:
@@ -131,10 +131,10 @@
             running.prefill.prefills -= 1
 
     def record_first_token(self, job_id: str, now_ms: int) -> None:
-        """Take no notice.
+        """Do nothing; the baselines do not use this event.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     def finish(
@@ -144,12 +144,12 @@
         upstream: str,
         now_ms: int,
     ) -> None:
-        """Give back what the job held.
+        """Release a started job's slots.
 
         :param job_id: the job
-        :param end: how it ended
-        :param upstream: the upstream to blame
-        :param now_ms: the present
+        :param end: the outcome
+        :param upstream: the upstream at fault
+        :param now_ms: current time in milliseconds
         """
         self.record_prefilled(job_id, now_ms)
         running = self._running.pop(job_id, None)
@@ -163,12 +163,12 @@
         load: upstreams.EngineLoad,
         now_ms: int,
     ) -> None:
-        """Keep the reported number of requests.
+        """Record the reported number of requests.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param load: the report
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         member = self._members.get(pool, {}).get(upstream)
         if member is not None:
@@ -181,19 +181,19 @@
         events: list[upstreams.CacheEvent],
         now_ms: int,
     ) -> None:
-        """Take no notice.
+        """Do nothing; the baselines do not use this event.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param events: the events in order
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
 
     def change_pools(self, pools: dict[str, tables.Pool], now_ms: int) -> None:
-        """Take over a new table of pools, keeping counts of who stays.
+        """Apply a new table of pools, and keep the remaining counts.
 
         :param pools: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         before = self._members
         self._members = {
@@ -267,7 +267,7 @@
 
 
 class FirstComeScheduler(_QueueScheduler):
-    """First come first served; the upstream with the least connections."""
+    """Serves in order of arrival; chooses the least loaded upstream."""
 
     def _choose_prefill(self, members: list[_Member]) -> _Member:
         return min(members, key=lambda member: member.prefills)
@@ -277,7 +277,7 @@
 
 
 class RandomOfTwoScheduler(_QueueScheduler):
-    """First come first served; the better of two upstreams at random."""
+    """Serves in order of arrival; chooses the better of two at random."""
 
     def _choose_prefill(self, members: list[_Member]) -> _Member:
         return min(
--- a/mulberryway/policy/chunked_prefill.py
+++ b/mulberryway/policy/chunked_prefill.py
@@ -1,18 +1,19 @@
-"""How much a decode engine may read between the tokens of its streams."""
+"""Limits chunked prefills by the inter-token gap target of streams."""
 
 __all__ = ["ChunkedPrefillBudget", "fits_gap_limit"]
 
-# What a pause has besides an event's usual time and the reading: the way from
-# the engine through a VM to the caller varies by some milliseconds.
+# Allowance in an inter-token gap besides the decode step and the prefill: the
+# latency from the engine through a VM to the caller varies by some
+# milliseconds.
 NETWORK_JITTER_MS = 10.0
 
 
 def fits_gap_limit(run_ms: float, gap_limit_ms: float, step_ms: float) -> bool:
-    """Tell whether a run of reads keeps a stream's pause on time.
+    """Return whether consecutive prefills fit into one inter-token gap.
 
-    :param run_ms: how long the reads take together
-    :param limit_ms: the longest pause that is on time; 0 for none
-    :param event_ms: the usual time between two events of a stream
+    :param run_ms: total duration of the prefills
+    :param gap_limit_ms: the longest gap on target; 0 for no limit
+    :param step_ms: typical decode step
     """
     return (
         not gap_limit_ms
@@ -21,14 +22,14 @@
 
 
 class ChunkedPrefillBudget:
-    """The reads of one decode engine, all VMs together.
-
-    A decode engine reads a prompt in pieces between two tokens of all its
-    streams (chunked prefill), so each of them pauses for the whole read, and
-    for two reads that follow one another within one event's time.  So reads
-    that follow one another count as one run, and a run may take what the
-    longest pause that is on time leaves beside an event's usual time.  The
-    next run begins when each stream has had an event in between.
+    """Tracks the chunked prefills of one decode engine by all VMs.
+
+    A decode engine computes a prompt in chunks between two decode steps of
+    all its streams, so the inter-token gap of each stream grows by the whole
+    prefill, or by two prefills that follow within one decode step.  Such
+    prefills count as one run, whose duration is limited to the gap limit less
+    the typical decode step.  The next run begins after each stream has had a
+    decode step.
     """
 
     __slots__ = ("_run_ms", "_end_ms", "_recorded_ms", "_exceeded_ms")
@@ -47,13 +48,13 @@
         streams: int,
         now_ms: int,
     ) -> None:
-        """Count a read.
+        """Record a chunked prefill.
 
-        :param read_ms: how long it takes by itself
-        :param limit_ms: the longest pause that is on time; 0 for none
-        :param event_ms: the usual time between two events of a stream
-        :param streams: how many streams run there
-        :param now_ms: the present
+        :param prefill_ms: its estimated uncontended duration
+        :param gap_limit_ms: the longest gap on target; 0 for no limit
+        :param step_ms: typical decode step
+        :param streams: number of streams that run on the engine
+        :param now_ms: current time in milliseconds
         """
         if now_ms >= self._end_ms + step_ms:
             self._run_ms = 0.0
@@ -64,9 +65,9 @@
             self._exceeded_ms = self._end_ms
 
     def shift(self, drift_ms: float) -> None:
-        """Take in that reads end earlier or later than was thought.
+        """Move the estimated end of the current run.
 
-        :param drift_ms: by how much later; below zero for earlier
+        :param drift_ms: delay in milliseconds; negative for an earlier end
         """
         self._end_ms += drift_ms
         self._run_ms = max(self._run_ms + drift_ms, 0.0)
@@ -78,22 +79,23 @@
         step_ms: float,
         now_ms: int,
     ) -> bool:
-        """Tell whether a read now keeps all pauses on time.
+        """Return whether a prefill now keeps all gaps within the limit.
 
-        :param read_ms: how long it takes by itself
-        :param limit_ms: the longest pause that is on time; 0 for none
-        :param event_ms: the usual time between two events of a stream
-        :param now_ms: the present
+        :param prefill_ms: its estimated uncontended duration
+        :param gap_limit_ms: the longest gap on target; 0 for no limit
+        :param step_ms: typical decode step
+        :param now_ms: current time in milliseconds
         """
         is_run_over = now_ms >= self._end_ms + step_ms
         run_ms = 0.0 if is_run_over else self._run_ms
         return fits_gap_limit(run_ms + prefill_ms, gap_limit_ms, step_ms)
 
     def get_open_since_ms(self, step_ms: float, now_ms: int) -> float:
-        """Return since when the next read may have begun.
+        """Return the time since which another prefill was possible.
 
-        :param event_ms: the usual time between two events of a stream
-        :param now_ms: the present
+        :param step_ms: typical decode step
+        :param now_ms: current time in milliseconds
+        :returns: a time in milliseconds
         """
         next_run_ms = self._end_ms + step_ms
         return (
@@ -101,13 +103,13 @@
         )
 
     def is_gap_exceeded(self, stream_ms: float, now_ms: int) -> bool:
-        """Tell whether the streams that run there have paused too long.
+        """Return whether current streams have already missed the gap limit.
 
-        A further long read makes hardly any of them worse.
+        Another long prefill affects hardly any further stream then.
 
-        :param stream_ms: how long a stream usually lasts; all that run after
-            so long have begun after the read that was too long
-        :param now_ms: the present
+        :param stream_ms: typical duration of a stream; streams that run this
+            long after the overlong run have begun after it
+        :param now_ms: current time in milliseconds
         """
         exceeded_ms = self._exceeded_ms
         return exceeded_ms is not None and now_ms - exceeded_ms < stream_ms
--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -1,9 +1,9 @@
-"""The waiting jobs of one pool, in an order that is fair to accounts.
+"""Orders the waiting jobs of one pool by start-time fair queueing.
 
-Start-time fair queueing: each client account has a virtual start, in tokens
-by weight, which grows with what the account was given; the account with the
-least start goes next.  All operations take logarithmic time in the number of
-waiting accounts and entries.
+Each client account has a virtual start, in tokens divided by its weight,
+which grows with the tokens that were charged to it; the account with the
+smallest virtual start goes next.  All operations take logarithmic time in the
+number of waiting accounts and entries.
 """
 
 import collections.abc
@@ -17,17 +17,17 @@
 
 __all__ = ["AccountState", "QueueEntry", "FairQueue", "Lane"]
 
-# An account that has nothing waiting and no debt needs no state.  The limit
-# is above twice the accounts of the target (2,200), so that a sweep is rare.
+# An account with no waiting jobs and no debit needs no state.  The limit is
+# more than twice the design target of 2,200 accounts, so evictions are rare.
 MAX_IDLE_ACCOUNTS = 5_000
-# How far behind the present an account may start that was given little.  All
-# routers of a cell have to come to the same order, so the start is not moved
-# up to the very present when an account begins to wait, as textbooks do: only
-# one router would know of it.  And an account whose demand is about its due
-# sends nothing for a moment now and then, which a claim lets it make up.  The
-# harm of a claim is that an account which comes back after a pause goes first
-# until it has caught up: with fifteen ordinary requests, for two to three
-# seconds of a small pool.
+# How far behind the virtual time an idle account may start.  Textbook
+# start-time fair queueing moves the start of an account up to the virtual time
+# when it begins to wait.  Here all routers of a subset have to arrive at the
+# same order, and only one router would know of that move.  The credit also
+# lets an account whose demand is close to its fair share make up for short
+# idle periods.  Its cost is that an account which returns after an idle period
+# goes first until the credit is used up: about fifteen ordinary requests, or
+# two to three seconds of a small pool.
 MAX_CREDIT_TOKENS = 6_000.0
 
 
@@ -37,10 +37,10 @@
 
 
 class FairQueue:
-    """Entries of all accounts, and the virtual time that orders them.
+    """Holds the entries of all accounts in fair order.
 
-    :param max_entries: limit on what waits
-    :param max_bytes: limit on the bodies of what waits
+    :param max_entries: most waiting jobs
+    :param max_bytes: most bytes of waiting bodies
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
@@ -59,10 +59,10 @@
         return len(self._entries)
 
     def find_account(self, name: str, weight: int) -> AccountState:
-        """Return an account's state, made on first use.
+        """Return an account's state, created on first use.
 
         :param name: the account
-        :param weight: its weight, taken over if it has changed
+        :param weight: its current weight, which replaces the stored one
         :returns: the state
         """
         state = self._accounts.get(name)
@@ -77,7 +77,7 @@
         return state
 
     def count_waiting(self, name: str) -> int:
-        """Return how many jobs of an account wait.
+        """Return the number of an account's waiting jobs.
 
         :param name: the account
         :returns: the number
@@ -86,7 +86,7 @@
         return state.waiting if state is not None else 0
 
     def get_virtual_start(self, name: str) -> float:
-        """Return where an account would stand in the order.
+        """Return the virtual start that orders an account.
 
         :param name: the account
         :returns: its virtual start
@@ -110,12 +110,12 @@
         return state.weight if state is not None else 1
 
     def has_room(self, job: jobs.Job) -> bool:
-        """Tell whether another job may wait.
+        """Return whether the queue has capacity for another job.
 
-        Made for one account that sends several times its rate: it can fill
-        at most half of the room, so that the others' jobs are never refused
-        for want of it.  The limits themselves protect the VM's memory: the
-        bodies of what waits are held in full.
+        One account may use at most half of the queue, so that an account
+        which sends several times its rate never causes rejections of the
+        others.  The limits themselves bound the VM's memory, because bodies
+        of waiting jobs are kept in full.
 
         :param job: the job
         :returns: whether it fits
@@ -130,7 +130,7 @@
         )
 
     def push(self, entry: QueueEntry) -> None:
-        """Let a job wait.
+        """Add a job to the queue.
 
         :param entry: the job's entry
         """
@@ -151,10 +151,10 @@
         )
 
     def remove(self, job_id: str) -> QueueEntry | None:
-        """Take a job out without charging for it.
+        """Remove a job without charging its account.
 
         :param job_id: the job
-        :returns: its entry, or none if it did not wait
+        :returns: its entry, or none if it was not waiting
         """
         entry = self._entries.pop(job_id, None)
         if entry is None:
@@ -171,7 +171,7 @@
         return entry
 
     def move(self, job_id: str, lane: Lane) -> None:
-        """Put a waiting job at the end of another lane.
+        """Move a waiting job to the end of another lane.
 
         :param job_id: the job
         :param lane: the lane
@@ -183,9 +183,9 @@
         state.lanes[lane][job_id] = entry
 
     def pop_expired(self, now_ms: int) -> collections.abc.Iterator[QueueEntry]:
-        """Take out the jobs that can no longer start in time.
+        """Remove the jobs that can no longer meet their deadline.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: their entries
         """
         while self._expiry_heap and self._expiry_heap[0][0] <= now_ms:
@@ -194,7 +194,7 @@
                 yield entry
 
     def get_next_expiry_ms(self) -> int | None:
-        """Return when the next waiting job becomes late."""
+        """Return when the next waiting job expires, in ms; none if empty."""
         while (
             self._expiry_heap and self._expiry_heap[0][2] not in self._entries
         ):
@@ -202,10 +202,10 @@
         return self._expiry_heap[0][0] if self._expiry_heap else None
 
     def list_next(self, limit: int) -> list[AccountState]:
-        """Return the accounts whose turn is next, without a change.
+        """Return the next accounts in fair order, without any change.
 
-        :param most: how many
-        :returns: at most that many accounts, in order
+        :param limit: maximum number of accounts
+        :returns: the accounts in order
         """
         return [
             self._accounts[name]
@@ -213,11 +213,11 @@
         ]
 
     def charge(self, name: str, weight: int, tokens: float) -> None:
-        """Count tokens that an account was given, here or by a peer.
+        """Charge an account for tokens granted here or by a peer.
 
         :param name: the account
         :param weight: its weight
-        :param tokens: how many
+        :param tokens: number of tokens
         """
         state = self.find_account(name, weight)
         start = (
@@ -229,15 +229,15 @@
         self._set_start(state, start + tokens / state.weight)
 
     def adjust_charge(self, name: str, weight: int, tokens: float) -> None:
-        """Mend an earlier charge that was an estimate.
+        """Correct an earlier charge that was an estimate.
 
         :param name: the account
         :param weight: its weight
-        :param tokens: what is to be added; below zero to give back
+        :param tokens: tokens to add; negative for a refund
         """
         state = self.find_account(name, weight)
         start = state.virtual_start + tokens / state.weight
-        # A peer may give back what it charged before we heard of it.
+        # A peer's refund may arrive before the charge that it corrects.
         self._set_start(state, max(start, self._get_min_start()))
 
     def _get_min_start(self) -> float:
--- a/mulberryway/policy/fairness.py
+++ b/mulberryway/policy/fairness.py
@@ -1,4 +1,4 @@
-"""What a deployment weighs more when not everybody can be served well."""
+"""Defines how a deployment trades fairness against goodput."""
 
 import typing
 
@@ -12,12 +12,12 @@
 
 
 class FairnessMode:
-    """How the decisions differ by deployment.
+    """A mode of fairness that a deployment can configure.
 
     :param name: the value of the setting ``policy.weighing``
-    :param slack_tokens: how far, in tokens by weight, an account may be
-        served ahead of the fairest order so that a cheaper prompt goes
-        first; it also bounds how far an account can fall behind
+    :param slack_tokens: how far, in tokens divided by weight, an account may
+        be served ahead of the fair order in favour of a cheaper prompt; also
+        bounds how far an account can fall behind
     """
 
     __slots__ = ("name", "slack_tokens")
@@ -27,8 +27,8 @@
         self.slack_tokens = slack_tokens
 
 
-# The strict order: the account that was given least goes next, over all
-# routers, even when its prompt is the dearest.
+# Strict fair order: the account with the least service over all routers goes
+# next, even if its prompt is the most expensive.
 WORST_SERVED: typing.Final = FairnessMode("worst_served", 0)
 # Cheaper prompts first within about twenty ordinary requests of 400 tokens.
 GOODPUT: typing.Final = FairnessMode("goodput", 3_000)
@@ -36,13 +36,13 @@
 
 
 def find_fairness_mode(name: str) -> FairnessMode:
-    """Return the weighing that a settings file names.
+    """Return the fairness mode of a settings value.
 
     :param name: ``worst_served`` or ``goodput``
-    :returns: the weighing
+    :returns: the fairness mode
     :raises ValueError: for another name
     """
     found = next((one for one in FAIRNESS_MODES if one.name == name), None)
     if found is None:
-        raise ValueError(f"unknown weighing: {name}")
+        raise ValueError(f"unknown fairness mode: {name}")
     return found
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -1,7 +1,7 @@
-"""Where a job's prefill and decode run.
+"""Chooses the upstreams for a job's prefill and decode.
 
-Every choice looks at the upstreams of this router's cell only, so its cost
-is bounded by the cell's size (about 64) and not by the pool's.
+Every choice considers only the upstreams of this router's subset, so its
+cost is bounded by the subset's size (about 64) and not by the pool's.
 """
 
 import random
@@ -19,28 +19,31 @@
 
 __all__ = ["Placer"]
 
-# A short prompt must find a prefill upstream which begins it within this
-# time, so a long one is not started on the last such upstream.
+# Short prompts need at least one prefill upstream with a wait below this, so
+# long prompts are not started on the last such upstream.
 SHORT_WAIT_MS = 400.0
-# A long prompt about to be refused is started all the same: its refusal would
-# be certain, the short ones' delay is not.
+# A long prompt that would expire within this time is started anyway: its
+# rejection would be certain, a delay of short prompts is not.
 LAST_RESORT_MS = 100
-# Choices within this time are equal; chance decides, so that routers which
-# see the same do not all go to the same upstream.
+# Prefills that end within this time of the best one count as equal, and one
+# is chosen at random.  Otherwise routers with the same view would all choose
+# the same upstream.
 READY_TIE_MS = 3.0
-# Streams that other VMs may have started at an engine unheard.
+# Streams that other VMs may have started at an engine since their last gossip
+# message.
 UNREPORTED_STREAMS = 2
-# How many are looked at when nothing is known of the others' choices since
-# the last report: with two, the best-looking one draws no crowd.
+# Number of randomly sampled upstreams that are compared when peers' choices
+# since the last load report are unknown.  With two, routers do not all choose
+# the upstream that looks best in the same report.
 UNINFORMED_CHOICES = 2
 
 
 class Placer:
     """Chooses upstreams for the jobs of one pool.
 
-    :param members: the upstreams of this router's cell
-    :param random_: a seeded source of chance
-    :param token_gap_ms: the most time between tokens that is still good
+    :param members: the upstreams of this router's subset
+    :param random_: seeded random generator
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds
     """
 
     def __init__(
@@ -57,20 +60,20 @@
             members, token_gap_ms
         )
         self._typical_blocks = health.Ewma(0.0)
-        # How long a stream usually holds its memory; set by the pool.
+        # Typical duration of a stream, in milliseconds; set by the pool.
         self.typical_stream_ms = 0.0
         self.is_without_peer_state = False
 
     def estimate(
         self, job: jobs.Job, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
-        """Return the best prefill that a job could get now.
+        """Return the earliest prefill that is possible for a job now.
 
         :param job: the job
         :param pool: the pool's row
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: the placement without a decode upstream; none if no
-            upstream takes prefills
+            upstream accepts prefills
         """
         candidates = list(self._members.prefills)
         if pool.self_reading:
@@ -88,14 +91,15 @@
         now_ms: int,
         yield_ms: int = 0,
     ) -> placements.Placement | None:
-        """Return where a job can start now so as to be in time.
+        """Return a placement that meets a job's deadline if started now.
 
         :param entry: the waiting job
         :param pool: the pool's row
-        :param now_ms: the present
-        :param yield_ms: for how long a decode engine that may read again is
-            left to peers' jobs that should go before
-        :returns: the placement; none if it has to go on waiting
+        :param now_ms: current time in milliseconds
+        :param yield_ms: how long a decode engine that could start another
+            chunked prefill is left to peers' jobs with priority, in
+            milliseconds
+        :returns: the placement; none if the job has to keep waiting
         """
         disaggregated = self._choose_disaggregated(entry, pool, now_ms)
         placement = disaggregated
@@ -120,7 +124,7 @@
     def _choose_disaggregated(
         self, entry: fair_queue.QueueEntry, pool: tables.Pool, now_ms: int
     ) -> placements.Placement | None:
-        """Return the best prefill, with a decode elsewhere."""
+        """Return the best placement with prefill and decode on two engines."""
         options = self._list_prefills(entry, pool, now_ms)
         if not options:
             return None
@@ -146,7 +150,7 @@
         now_ms: int,
         yield_ms: int,
     ) -> placements.Placement | None:
-        """Return a decode engine that reads the prompt itself."""
+        """Return a placement with a chunked prefill on a decode engine."""
         if not pool.self_reading:
             return None
         blocks = placements.estimate_kv_blocks(entry.job, pool)
@@ -173,7 +177,7 @@
         return placement
 
     def _has_prefill_engine(self, now_ms: int) -> bool:
-        """Tell whether any prefill engine takes prompts."""
+        """Return whether any prefill engine accepts prompts."""
         return any(
             not view.is_backing_off(now_ms)
             and not view.health.is_ejected(now_ms)
@@ -187,16 +191,16 @@
         pool: tables.Pool,
         now_ms: int,
     ) -> None:
-        """Reserve what a placement needs, the decode slot first of all.
+        """Reserve a placement's resources, beginning with the decode slot.
 
-        A prefill's result lives under a second, so a prefill that finds no
-        slot is lost.  The slot therefore stays reserved from before the
-        prefill until the job's one ``finish``.
+        A prefill's result expires in less than a second and is lost without
+        a decode slot.  The slot therefore stays reserved from before the
+        prefill until the job's one call of ``finish``.
 
         :param placement: the placement
         :param job: the job
         :param pool: the pool's row
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         assert placement.decode is not None
         placement.decode.start_decode(placement.blocks, now_ms)
@@ -222,24 +226,24 @@
         pool: tables.Pool,
         now_ms: int,
     ) -> upstream_view.UpstreamView | None:
-        """Return where a job whose prefill has ended can decode instead.
+        """Return another decode upstream for a job that is prefilled.
 
         :param entry: the job's entry
-        :param placement: where it runs
+        :param placement: its current placement
         :param pool: the pool's row
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: an upstream with a free slot, or none
         """
         return self._choose_decode(entry, placement, pool, now_ms)
 
     def estimate_free_slots(self, now_ms: int) -> int:
-        """Return how many decodes of usual size probably find room.
+        """Return how many more decodes of typical size probably fit.
 
-        Streams may fill an engine's memory long before its slots; slots alone
-        would seem to leave room for many more.
+        Streams may fill an engine's memory long before its slots, so a count
+        of slots alone would overestimate the free capacity.
 
-        :param now_ms: the present
-        :returns: the sum over the cell
+        :param now_ms: current time in milliseconds
+        :returns: the sum over the subset
         """
         blocks = self._typical_blocks.value
         return sum(
@@ -249,13 +253,13 @@
         )
 
     def is_near_capacity(self, view: upstream_view.UpstreamView) -> bool:
-        """Tell whether an engine may have less room than is believed.
+        """Return whether an engine may be fuller than the view shows.
 
-        Others may have chosen it since they were heard last.  Where so few
-        more streams fit, asking the engine costs less than a prompt that is
-        read in vain.
+        Peers may have started streams there since their last gossip message.
+        Where only a few more streams fit, a reservation at the engine costs
+        less than a wasted prefill.
 
-        :param view: the engine, with the placement in question counted
+        :param view: the engine, with the placement in question included
         """
         if view.total_blocks is None:
             return False
@@ -263,7 +267,7 @@
         return view.count_free_blocks() < unreported_blocks
 
     def count_slots(self) -> int:
-        """Return how many decode slots the cell has in all."""
+        """Return the total number of decode slots in the subset."""
         return sum(view.slots for view in self._members.decodes)
 
     @staticmethod
@@ -280,8 +284,8 @@
             for view in admitted
             if view.row.name not in job.excluded_upstreams
         ]
-        # With two upstreams left, the one that refused a moment ago is
-        # better than none.
+        # If every admitted upstream is excluded for this job, such an
+        # upstream is better than none.
         return not_excluded or admitted
 
     def _list_prefills(
@@ -292,9 +296,9 @@
         accepting = [
             view for view in usable if not view.is_backing_off(now_ms)
         ]
-        # Where all have refused of late, as the last prefill engine does that
-        # changes its role, one of them is better than none; but a decode
-        # engine that reads the prompt itself is better still.
+        # All may be backing off, for example when the last prefill engine
+        # changes its role.  One of them is still better than none, but
+        # chunked prefill on a decode engine is better if the pool allows it.
         if accepting or not pool.self_reading:
             usable = accepting or usable
         else:
@@ -311,9 +315,9 @@
     def _reserve_for_short(
         self, usable: list[upstream_view.UpstreamView], now_ms: int
     ) -> list[upstream_view.UpstreamView]:
-        # Prefills run one after another, so once each upstream has a long one,
-        # every short prompt misses its first token.  One upstream is left to
-        # the short ones; with only one there is no choice.
+        # Prefills run one after another, so if each upstream has a long one,
+        # every short prompt misses its first token target.  One upstream is
+        # kept for short prompts, unless the pool has only one.
         if len(usable) < 2:
             return usable
         short_wait = [
@@ -335,7 +339,8 @@
         prefill_ms = view.speed.estimate_ms(tokens)
         wait_ms = view.estimate_prefill_wait_ms(now_ms)
         if self.is_without_peer_state:
-            # Nobody tells what the others sent, so the report has to do.
+            # Without gossip, the load report is the only source for the
+            # peers' prefills.
             wait_ms += view.unattributed_prefills * prefill_ms
         ready_ms = now_ms + wait_ms + prefill_ms
         return placements.Placement(view, tokens, prefill_ms, ready_ms)
@@ -362,7 +367,7 @@
     def _list_with_capacity(
         self, entry: fair_queue.QueueEntry, blocks: int, now_ms: int
     ) -> list[upstream_view.UpstreamView]:
-        """Return the decode upstreams that probably have room."""
+        """Return the decode upstreams that probably have free capacity."""
         usable = [
             view
             for view in self._list_usable(
@@ -389,8 +394,8 @@
             placement.ready_ms,
         )
         free = view.count_free_slots(now_ms) / max(view.slots, 1)
-        # A batch that fills makes each of its tokens later; a whole empty
-        # engine is worth about 40 ms of transfer time.
+        # A larger batch delays each of its tokens; an idle engine is worth
+        # about 40 ms of transfer time.
         return free * 40.0 - transfer_ms + self._random.random()
 
     def _plan_decode(
--- a/mulberryway/policy/jobs.py
+++ b/mulberryway/policy/jobs.py
@@ -1,4 +1,4 @@
-"""What the decisions under load are asked, and what they answer."""
+"""Defines the scheduler's inputs and results."""
 
 import enum
 
@@ -15,30 +15,31 @@
 
 
 class Job:
-    """One model request that wants a prefill and a decode.
+    """A model request that needs a prefill and a decode.
 
-    :param job_id: unique in this process
+    :param job_id: identifier that is unique in this process
     :param account: the client account's name
-    :param weight: the account's part when not all can be served
+    :param weight: the account's weight for fair queueing
     :param pool: the pool's name
     :param model: the model's name
-    :param prompt_tokens: an estimate of the prompt's length
-    :param max_tokens: the most that may be generated
-    :param prefix_hashes: hashes of the prompt's blocks, each over all that
-        precedes it as well
-    :param body_bytes: the body's size, for the limit on what waits
-    :param arrived_ms: when it came
-    :param deadline: when its first token is too late
-    :param attempt: 0 at first; counts up as it moves to other upstreams
+    :param prompt_tokens: estimated length of the prompt
+    :param max_tokens: maximum number of tokens to generate
+    :param prefix_hashes: hashes of the prompt's blocks, each of which also
+        covers all preceding blocks
+    :param body_bytes: the body's size, for the queue's limit
+    :param arrived_ms: time of arrival, in milliseconds
+    :param deadline: deadline for the first token
+    :param attempt: 0 for the first attempt; increases with each retry at
+        another upstream
     :param excluded_upstreams: names of upstreams that failed it
-    :param digest: names account, model and body, see ``policy.poison``;
-        empty where repeats need not be recognised
-    :param expected_tokens: how many tokens the answer probably has; 0 where
-        the most that may be generated is all that is known
-    :param first_token_target_ms: until when the first token is on time; 0
-        where only the deadline counts
+    :param digest: identifies account, model and body, see ``policy.poison``;
+        empty where identical requests need not be recognized
+    :param expected_tokens: expected length of the response in tokens; 0 where
+        only the maximum is known
+    :param first_token_target_ms: latest time for a first token on target, in
+        milliseconds; 0 for no target besides the deadline
     :param is_retry_safe: whether it may go to another upstream even if it may
-        have run at the first
+        have been executed at the first
     """
 
     __slots__ = (
@@ -101,14 +102,14 @@
 
 
 class Assignment:
-    """A job may start: its decode slot is reserved.
+    """The placement of a job that may start; its decode slot is reserved.
 
     :param job_id: the job
     :param prefill: the name of the upstream for the prefill
     :param decode: the name of the upstream whose slot is reserved
-    :param priority: what the engines are told; 0 goes first
-    :param ready_in_ms: after how long the prefill probably ends; 0 unknown
-    :param kv_tokens: tokens of KV cache that the decode takes; 0 unknown
+    :param priority: priority for the engines; 0 is the highest
+    :param ready_in_ms: estimated time until the prefill ends; 0 if unknown
+    :param kv_tokens: KV cache tokens to reserve for the decode; 0 for none
     """
 
     __slots__ = (
@@ -136,12 +137,12 @@
         self.decode = decode
         self.priority = priority
         self.ready_in_ms = ready_in_ms
-        # What decided, with its age where it has one; for logs only.
+        # Inputs of the decision and the age of peers' data, for logs only.
         self.inputs: dict[str, int | float | str] = {}
 
 
 class Refusal:
-    """A job that was given up before it ran.
+    """A job that was rejected before it ran.
 
     :param job_id: the job
     :param fault: always with run ``NOT_RUN``
@@ -155,11 +156,11 @@
 
 
 class DispatchResult:
-    """What has been decided for waiting jobs.
+    """The decisions about waiting jobs.
 
     :param assignments: jobs that start now
-    :param refusals: jobs that are given up now
-    :param wake_ms: when to ask again at the latest; none if nothing waits
+    :param refusals: jobs that are rejected now
+    :param wake_ms: latest time of the next call; none if no job waits
     """
 
     __slots__ = ("assignments", "refusals", "wake_ms")
@@ -176,12 +177,12 @@
 
 
 class JobOutcome(enum.Enum):
-    """How a job that had started came to its end.
+    """The outcome of a started job.
 
-    ``DIED`` is for an upstream whose connection broke in the middle: the
-    request may be what killed it.  ``FAILED`` is for an upstream that
-    answered with an error, and so still lives.  ``UNREACHED`` is for one to
-    which no connection could be made: it never saw the request.
+    ``DIED``: the connection to the upstream broke during the request, which
+    may have crashed it.  ``FAILED``: the upstream responded with an error and
+    so still runs.  ``UNREACHED``: no connection could be opened, so the
+    upstream never received the request.
     """
 
     DONE = "done"
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -1,4 +1,4 @@
-"""A possible start of a job: where it runs, and when what comes."""
+"""Holds a job's possible placement and its estimated times."""
 
 from mulberryway import tables
 from mulberryway.policy import jobs
@@ -13,31 +13,34 @@
     "get_zone_pair",
 ]
 
-# What the hops of a request cost.
+# Latency of a request's network hops.
 NETWORK_OVERHEAD_MS = 8.0
-# Estimates are off by some tens of milliseconds when other routers' work
-# comes in between; a start that has less to spare mostly comes too late.
+# Estimates are off by some tens of milliseconds when other routers' jobs get
+# in between.  A job that starts with less time left mostly misses its
+# deadline.
 DEADLINE_MARGIN_MS = 30.0
 
-# Answers that began together in a burst grow together, so nearly all of their
-# length is in memory at the same time.  Measured over two calm and two heavy
-# days: with 0.5 of it, 4 to 5 in 100 of all worth were lost by prompts read
-# in vain, with 0.7 2 to 3, with 0.9 under 1; what waits longer costs less.
+# Fraction of a response's expected length that counts as KV cache.  Responses
+# of one burst grow at the same time, so nearly all of their length is in
+# memory at once.  Measured over two days of light and two of heavy load,
+# wasted prefills cost 4 to 5 % of the value at 0.5, 2 to 3 % at 0.7 and less
+# than 1 % at 0.9; the longer waits cost less than that.
 EXPECTED_LENGTH_FRACTION = 0.9
 
 
 class Placement:
-    """A possible start of a job.
+    """A possible placement of a job with its estimated times.
 
     :param prefill: the upstream for the prefill
     :param decode: the upstream for the decode; none while only estimated
     :param tokens: prompt tokens that are not in the prefix cache
-    :param prefill_ms: how long the prefill takes by itself
-    :param ready_ms: when the prefill probably ends
-    :param transfer_ms: how long the KV cache takes over the link
-    :param first_token_ms: when the first token probably comes
+    :param prefill_ms: uncontended duration of the prefill
+    :param ready_ms: estimated time when the prefill ends
+    :param transfer_ms: duration of the KV cache transfer over the link
+    :param first_token_ms: estimated time of the first token
     :param blocks: KV cache blocks that the decode takes
-    :param shifted_ms: see :class:`views.UpstreamView`, at the start
+    :param drift_ms: the prefill upstream's drift at the start, see
+        :class:`upstream_view.UpstreamView`
     """
 
     __slots__ = (
@@ -70,10 +73,10 @@
         self.drift_ms = 0.0
 
     def describe(self, now_ms: int) -> dict[str, int | float | str]:
-        """Return what decided, for logs.
+        """Return the inputs of the decision for logs.
 
-        :param now_ms: the present
-        :returns: free room after this start, waits and what they rest on
+        :param now_ms: current time in milliseconds
+        :returns: free capacity after this start, waits and their inputs
         """
         decode = self.decode or self.prefill
         return {
@@ -86,7 +89,7 @@
         }
 
     def is_aggregated(self) -> bool:
-        """Tell whether one upstream does the prefill and the decode."""
+        """Return whether one upstream runs both prefill and decode."""
         return self.decode is self.prefill
 
 
@@ -101,11 +104,12 @@
 
 
 def estimate_kv_blocks(job: jobs.Job, pool: tables.Pool) -> int:
-    """Return how much of a decode engine's memory a job may take.
+    """Return how many KV cache blocks a job may take on a decode engine.
 
     :param job: the job
     :param pool: the pool's row
-    :returns: KV cache blocks, for the prompt and the longest answer
+    :returns: blocks for the prompt and the expected response, or for the
+        longest response if no length is expected
     """
     expected = job.max_tokens
     if job.expected_tokens:
@@ -119,10 +123,10 @@
 def get_zone_pair(
     prefill: upstream_view.UpstreamView, decode: upstream_view.UpstreamView
 ) -> tuple[str, str]:
-    """Return the zones between which a KV cache travels.
+    """Return the zones between which a KV cache is transferred.
 
-    :param prefill: where it is made
-    :param decode: where it goes
-    :returns: the zones' names
+    :param prefill: the upstream that computes it
+    :param decode: the upstream that receives it
+    :returns: the names of the source and the target zone
     """
     return prefill.row.zone, decode.row.zone
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -1,4 +1,4 @@
-"""All decisions about the jobs of one pool."""
+"""Schedules the jobs of one pool."""
 
 import random
 
@@ -20,37 +20,39 @@
 
 __all__ = ["PoolScheduler"]
 
-# A prefill above this makes its account's short jobs overtake it.
+# A job with a longer prefill goes into its account's lane for long jobs, which
+# short jobs may overtake.
 LONG_PREFILL_MS = 250.0
-# Accounts and jobs looked at in one decision, whatever waits.  The next slot
-# or the next job asks again, so what is passed over now has its turn soon.
+# Bound the accounts and jobs that one decision considers.  The next free slot
+# or the next job starts another decision, so skipped jobs are considered soon.
 MAX_ACCOUNTS_TRIED = 8
 MAX_PLACEMENTS_TRIED = 4
-# A free slot is left this long for each peer's job that should go before: a
-# note takes some milliseconds.  Who has more before it waits longer, so that
-# routers do not all take the same slot when nobody comes for it; and a slot
-# that nobody takes is wasted, hence the limit.
+# A free slot is yielded this long for each peer's job with priority, because a
+# gossip message takes some milliseconds.  A router with more such jobs waits
+# longer, so that routers do not all take the same unclaimed slot.  The limit
+# bounds the time for which an unclaimed slot stays unused.
 YIELD_PER_JOB_MS = 12
 MAX_YIELD_MS = 90
 RETRY_INTERVAL_MS = 10
-# Room that nobody has counted yet.
+# Number of free slots before it has been estimated.
 UNKNOWN_FREE_SLOTS = -1
-# What ends is told at once; this is for what peers' notes did not tell.
+# Interval between decisions while no slot is free.  The end of a job starts a
+# decision immediately; this covers lost gossip messages.
 FULL_INTERVAL_MS = 100
 
 
 class PoolScheduler:
-    """The queue, the placer and the running jobs of one pool.
+    """Combines the queue, the admission and the placement of one pool.
 
     :param row: the pool's row
     :param members: its upstreams
-    :param register: requests that may be poison
-    :param fairness_mode: what is weighed more
-    :param random_: a seeded source of chance
-    :param token_gap_ms: the most time between tokens that is still good
-    :param most_entries: limit on what waits
-    :param most_bytes: limit on the bodies of what waits
-    :param budget: what repeats are taken out of
+    :param register: registry of suspected poison requests
+    :param fairness_mode: the deployment's fairness mode
+    :param random_: seeded random generator
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds
+    :param max_entries: most waiting jobs
+    :param max_bytes: most bytes of waiting bodies
+    :param budget: the retry budget
     """
 
     def __init__(
@@ -81,11 +83,11 @@
         self._free_since_ms = 0
 
     def submit(self, job: jobs.Job, now_ms: int) -> errors.Fault | None:
-        """Let a job wait, or refuse it at once.
+        """Add a job to the queue, or reject it immediately.
 
         :param job: the job
-        :param now_ms: the present
-        :returns: why it is refused, or none
+        :param now_ms: current time in milliseconds
+        :returns: the reason for a rejection, or none
         """
         fault = (
             self._check_quarantine(job, now_ms)
@@ -99,7 +101,7 @@
             return admission.make_rejection(
                 errors.Code.NO_UPSTREAM,
                 job,
-                "no upstream takes this work now",
+                "no upstream can serve this request now",
                 self.meters.clamp_retry_ms(1_000),
             )
         latest_ms = self._admission.compute_latest_start_ms(
@@ -111,7 +113,7 @@
         cost = self.meters.estimate_cost(job, best.tokens)
         lane = self._choose_lane(job, best.prefill_ms, now_ms)
         if not len(self.queue):
-            # Nobody has looked while nothing waited.
+            # Free slots are not estimated while the queue is empty.
             self._free_slots = UNKNOWN_FREE_SLOTS
         self.queue.push(
             fair_queue.QueueEntry(job, lane, cost, latest_ms, best.prefill_ms)
@@ -119,10 +121,10 @@
         return None
 
     def expire_waiting(self, now_ms: int) -> list[jobs.Refusal]:
-        """Refuse the jobs that can no longer start in time.
+        """Reject the jobs that can no longer meet their deadline.
 
-        :param now_ms: the present
-        :returns: the refusals; each is final and given at once
+        :param now_ms: current time in milliseconds
+        :returns: the rejections, which are final and due immediately
         """
         retry_ms = self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10)
         return [
@@ -131,7 +133,7 @@
                 admission.make_rejection(
                     errors.Code.DEADLINE_EXCEEDED,
                     entry.job,
-                    "no slot came free in time",
+                    "no slot became free before the deadline",
                     retry_ms,
                 ),
             )
@@ -141,14 +143,14 @@
     def start_next(
         self, now_ms: int, refusals: list[jobs.Refusal]
     ) -> running_jobs.RunningJob | None:
-        """Start the job whose turn it is, if it can start.
+        """Start the next job that can start now.
 
-        :param now_ms: the present
-        :param refusals: gets the jobs that turn out to be quarantined
+        :param now_ms: current time in milliseconds
+        :param refusals: list to which jobs that are now quarantined are added
         :returns: the started job, or none if none can start now
         """
         if not len(self.queue):
-            # Each note of a peer asks, and mostly nothing waits.
+            # Each gossip message leads here, mostly with an empty queue.
             return None
         self.placer.typical_stream_ms = self.meters.hold_ms.value
         free = self.placer.estimate_free_slots(now_ms)
@@ -169,10 +171,10 @@
         return None
 
     def get_wake_ms(self, now_ms: int) -> int | None:
-        """Return when to ask again, if nothing happens before.
+        """Return the time of the next decision if nothing happens before.
 
-        :param now_ms: the present
-        :returns: a time; none if nothing waits
+        :param now_ms: current time in milliseconds
+        :returns: a time in milliseconds; none if the queue is empty
         """
         latest_ms = self.queue.get_next_expiry_ms()
         if latest_ms is None:
@@ -192,7 +194,7 @@
         return admission.make_rejection(
             errors.Code.QUARANTINED,
             job,
-            "upstreams died while they ran this request",
+            "upstreams crashed while they ran this request",
         )
 
     def _check_budget(self, job: jobs.Job) -> errors.Fault | None:
@@ -204,7 +206,7 @@
         return admission.make_rejection(
             errors.Code.OVERLOADED,
             job,
-            "too many repeats at once",
+            "retry budget exhausted",
             self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10),
         )
 
@@ -233,11 +235,11 @@
             for entry in state.list_heads(now_ms)
             if self._is_runnable(entry, now_ms, refusals)
         ]
-        # What can still be on time goes first; the sort is stable, so the
-        # fair order stays among both sorts.
+        # Jobs that can still meet their target go first; the sort is stable
+        # and keeps the fair order within both groups.
         entries.sort(key=lambda pair: pair[1].is_late(now_ms))
-        # Within the slack the cheaper prompt goes first; the sort is stable,
-        # so without a slack the fair order stays.
+        # Within the slack the cheaper prompt goes first; without slack the
+        # fair order stays.
         if self._fairness_mode.slack_tokens:
             entries.sort(
                 key=lambda pair: (
@@ -268,10 +270,10 @@
         return True
 
     def _count_ahead(self, entry: fair_queue.QueueEntry, now_ms: int) -> int:
-        """Return how many of the peers' jobs should go before one of ours."""
+        """Return how many of the peers' jobs go before an own job."""
         job = entry.job
         state = self.queue.find_account(job.account, job.weight)
-        # What goes out of the fair order by the slack does so at peers too.
+        # Peers apply the same slack to the fair order.
         return self.neighbours.count_ahead(
             state, entry, self._fairness_mode.slack_tokens, now_ms
         )
@@ -287,16 +289,15 @@
         now_ms: int,
         is_unreached: bool = False,
     ) -> upstream_view.UpstreamView | None:
-        """Move a started job's reservation to another upstream.
+        """Move a started job's decode reservation to another upstream.
 
-        The prefill's result is lost unless a slot elsewhere takes it before
-        it expires.
+        Without another slot, the prefill's result expires and is lost.
 
         :param job: the job
-        :param refused: the upstream that did not take it
-        :param now_ms: the present
-        :param is_unreached: whether it could not be reached; else it is full
-        :returns: the upstream to try, or none
+        :param refused: the upstream that rejected it
+        :param now_ms: current time in milliseconds
+        :param is_unreached: whether it was unreachable instead of full
+        :returns: the upstream to try next, or none
         """
         previous = job.placement.decode
         view = self.members.find(refused)
@@ -330,5 +331,5 @@
 
 
 def _get_yield_ms(ahead: int) -> int:
-    """Return how long room is left to jobs that should go before, in ms."""
+    """Return how long to yield a free slot to peers' jobs, in ms."""
     return min(ahead * YIELD_PER_JOB_MS, MAX_YIELD_MS)
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -1,4 +1,4 @@
-"""The pools of models that a router knows, as the tables change."""
+"""Keeps the schedulers of a router's model pools in line with the tables."""
 
 import collections.abc
 import random
@@ -16,17 +16,17 @@
 
 
 class PoolSet:
-    """Makes, changes and retires the schedulers of pools.
+    """Creates, updates and retains the schedulers of model pools.
 
     :param vm: this VM's name
-    :param weighed: what the deployment weighs more
-    :param register: requests that may be poison
-    :param random_: a seeded source of chance
-    :param token_gap_ms: the most time between tokens that is still good
-    :param most_entries: limit on what waits in each pool
-    :param most_bytes: limit on the bodies of what waits in each pool
-    :param budget: what repeats are taken out of
-    :param prefill_rate: see :class:`shifting.Members`
+    :param fairness_mode: the deployment's fairness mode
+    :param register: registry of suspected poison requests
+    :param random_: seeded random generator
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds
+    :param max_entries: most waiting jobs in each pool
+    :param max_bytes: most bytes of waiting bodies in each pool
+    :param budget: the retry budget
+    :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
 
     def __init__(
@@ -56,25 +56,25 @@
         self._retained: dict[str, pool_scheduler.PoolScheduler] = {}
 
     def find_any(self, name: str) -> pool_scheduler.PoolScheduler:
-        """Return a pool's scheduler, also of a pool that is gone.
+        """Return the scheduler of a current or removed pool.
 
-        Jobs that had started when the pool went still end there.
+        Jobs that had started when a pool was removed still finish there.
 
-        :param name: the pool's name, which must have been known
+        :param name: the name of a pool that exists or existed
         :returns: its scheduler
         """
         return self.pools.get(name) or self._retained[name]
 
     def find_completion(self, name: str) -> job_completion.JobCompletion:
-        """Return what ends the jobs of a pool, also of one that is gone.
+        """Return the job completion of a current or removed pool.
 
-        :param name: the pool's name, which must have been known
-        :returns: its endings
+        :param name: the name of a pool that exists or existed
+        :returns: its job completion
         """
         return self._completions[name]
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
-        """Take over the list of VMs that run a router.
+        """Apply a new list of VMs that run a router.
 
         :param vms: their names
         """
@@ -88,10 +88,10 @@
     def change(
         self, rows: collections.abc.Mapping[str, tables.Pool]
     ) -> list[str]:
-        """Take over a new table of pools.
+        """Apply a new table of pools.
 
         :param rows: the rows by name
-        :returns: names of pools that are gone
+        :returns: names of the removed pools
         """
         models = {
             name: row
--- a/mulberryway/policy/pool_subsets.py
+++ b/mulberryway/policy/pool_subsets.py
@@ -1,8 +1,8 @@
-"""Which routers share which engines, and who asks an engine for its load.
+"""Determines which routers share engines, and which one polls their load.
 
-Were each router to ask each engine of its cell, engines would answer and
-routers would read several times as much.  So one router of a cell asks, and
-tells the others.
+If every router of a subset polled each engine, engines and routers would
+handle several times as many reports.  So one router polls an engine and sends
+its reports to the others.
 """
 
 import collections.abc
@@ -14,16 +14,16 @@
 
 __all__ = ["PoolSubset", "choose_load_poller", "find_pool_subset"]
 
-# Pairs of an upstream and a VM whose hashes are kept, about a megabyte.
+# Cached hashes of pairs of an upstream and a VM, about one megabyte.
 MAX_CACHED_HASHES = 8_192
 
 
 class PoolSubset:
-    """What one router has to do with one pool.
+    """One router's subset of a pool.
 
     :param pool: the pool's name
-    :param upstreams: names of the upstreams that it considers
-    :param peers: names of the other VMs whose routers consider them too
+    :param upstreams: names of the upstreams in the subset
+    :param peers: names of the other VMs whose routers share the subset
     """
 
     __slots__ = ("pool", "upstreams", "peers")
@@ -39,12 +39,12 @@
 def find_pool_subset(
     pool: tables.Pool, vm: str, vms: collections.abc.Iterable[str]
 ) -> PoolSubset:
-    """Return one router's share of a pool.
+    """Return one router's subset of a pool.
 
     :param pool: the pool's row
     :param vm: the router's VM
-    :param vms: all VMs that run a router, this one among them
-    :returns: its share; by the same rule as the scheduler's
+    :param vms: all VMs that run a router, including this one
+    :returns: the subset, which equals the scheduler's
     """
     names = [upstream.name for upstream in pool.upstreams]
     subsets = subsetting.Subsets(
@@ -58,15 +58,15 @@
 def choose_load_poller(
     upstream: str, vms: collections.abc.Iterable[str]
 ) -> str:
-    """Return the VM that asks an engine for its load and tells the others.
+    """Return the VM that polls an engine's load for the whole subset.
 
-    By rendezvous hashing, so that a VM's going moves only its own engines.
-    Two VMs that see different lists may both ask, or for a moment none
-    does; an engine's report is then sent twice, or is a little older.
+    Rendezvous hashing reassigns only the engines of a VM that leaves.  VMs
+    with different lists may briefly both poll, or neither; a report is then
+    sent twice or is somewhat older.
 
     :param upstream: the engine's name
     :param vms: the VMs that share it
-    :returns: one of them
+    :returns: the name of one of them
     """
     return max(vms, key=lambda vm: (_hash_pair(upstream, vm), vm))
 
--- a/mulberryway/policy/pool_upstreams.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -1,4 +1,4 @@
-"""Pools that change size, and upstreams that change role or leave."""
+"""Tracks a pool's upstreams as they are added, removed or change role."""
 
 import random
 
@@ -10,19 +10,19 @@
 
 __all__ = ["PoolUpstreams"]
 
-# A decode upstream that reads a prompt itself does so at half the speed.
+# A chunked prefill takes this many times as long as one on a prefill engine.
 CHUNKED_PREFILL_SLOWDOWN = 2.0
 PREFILL_ROLES = (tables.UpstreamRole.PREFILL, tables.UpstreamRole.BOTH)
 DECODE_ROLES = (tables.UpstreamRole.DECODE, tables.UpstreamRole.BOTH)
 
 
 class PoolUpstreams:
-    """The upstreams of one pool that this router considers, by role.
+    """Holds the upstreams of this router's subset of a pool, by role.
 
     :param vm: this VM's name
-    :param random_: a seeded source of chance
-    :param prefill_rate: milliseconds that a prefill upstream takes for a
-        prompt's token, until that was observed
+    :param random_: seeded random generator
+    :param prefill_rate: initial estimate of a prefill upstream's time per
+        prompt token, in milliseconds
     """
 
     __slots__ = (
@@ -52,25 +52,26 @@
         self.decodes: list[upstream_view.UpstreamView] = []
 
     def find(self, upstream: str) -> upstream_view.UpstreamView | None:
-        """Return the view of one upstream, or none.
+        """Return the view of one upstream.
 
         :param upstream: its name
-        :returns: its view
+        :returns: its view, or none
         """
         return self._views.get(upstream)
 
     def list_all(self) -> list[upstream_view.UpstreamView]:
-        """Return every view, of either role."""
+        """Return the views of all upstreams, whatever their role."""
         return list(self._views.values())
 
     def is_ejection_limit_reached(
         self, view: upstream_view.UpstreamView, now_ms: int
     ) -> bool:
-        """Tell whether no more upstreams may be ejected on peers' word.
+        """Return whether peers' reports may eject no further upstream.
 
-        :param view: the upstream in question; others of its role count
-        :param now_ms: the present
-        :returns: true once half of them are ejected
+        :param view: the upstream in question
+        :param now_ms: current time in milliseconds
+        :returns: whether its ejection would bring more than half of the
+            upstreams of its role out of service
         """
         siblings = self.prefills if view in self.prefills else self.decodes
         ejected = sum(one.health.is_ejected(now_ms) for one in siblings)
@@ -78,15 +79,15 @@
         return is_new and (ejected + 1) * 2 > len(siblings)
 
     def change(self, pool: tables.Pool, vms: tuple[str, ...]) -> None:
-        """Take over a pool's new row.
+        """Apply a pool's new row.
 
-        An upstream that was told to leave and still gets a request has to cut
-        it.  So a row that leaves, is gone or has lost its role is out of the
-        lists from this very call on.  What already runs there keeps its view
-        until it ends, so that its slots are counted if the row comes back.
+        A draining upstream aborts requests that it still receives.  So an
+        upstream that drains, was removed or has lost its role is out of the
+        lists from this call on.  Its view is retained while jobs run there,
+        so that their slots still count if the upstream returns.
 
         :param pool: the row
-        :param vms: all VMs that run a router
+        :param vms: names of all VMs that run a router
         """
         rows = self._choose_rows(pool, vms)
         known = self._retained | self._views
@@ -119,7 +120,7 @@
         ]
 
     def reset_subsets(self) -> None:
-        """Divide anew at the next change, for the list of VMs has changed."""
+        """Discard the subsets because the list of VMs has changed."""
         self._subsets = {}
 
     def _update_view(
--- a/mulberryway/policy/prefill_speed.py
+++ b/mulberryway/policy/prefill_speed.py
@@ -1,33 +1,36 @@
-"""How long an engine takes for a prompt, learned from its reads."""
+"""Estimates an engine's prefill times from its past prefills."""
 
 from mulberryway.policy import health
 
 __all__ = ["PrefillSpeed"]
 
-# What a read costs however short it is; beside streams the first step of its
-# own decode is part of what is measured.
+# Fixed duration of a prefill, independent of its length.  For a chunked
+# prefill the measured time includes the first step of its own decode.
 PREFILL_ENGINE_BASE_MS = 5.0
 CHUNKED_PREFILL_BASE_MS = 15.0
-# A single observation may be off by what others did to the same engine.
+# Bounds the deviation of a single observation, which may be off because of
+# others' load on the same engine.
 MAX_DEVIATION = 8.0
 MIN_SAMPLE_TOKENS = 200
-# An engine is judged by its own reads from so many on; until then by those of
-# its siblings, which tells an empty VM the pool's speed after its first few.
+# Number of own samples from which an engine's own rate is used.  Until then
+# the pool's rate is used, so a newly started VM has an estimate for all
+# engines after its first few prefills.
 MIN_OWN_SAMPLES = 3
 
 
 class PrefillSpeed:
-    """The speed at which one engine reads prompts.
+    """Estimates the prefill rate of one engine.
 
-    How long prompts take at a prefill engine tells also how long its queue is
-    that nobody knows of, so there the mean counts.  Beside streams a wait for
-    another prompt is no part of the read: taken for it, reads of 0.19 s were
-    believed to take 0.35 s, and none seemed to fit.
+    On a prefill engine the measured times include unattributed queueing,
+    which later prefills meet as well, so the estimate is the mean.  For a
+    chunked prefill the wait for another prompt must not count, so the
+    estimate is the lower bound.  With the mean, prefills of 0.19 s were
+    estimated at 0.35 s and none seemed to fit.
 
-    :param usual: milliseconds a prompt's token over the whole pool, as a
-        prefill engine takes them; shared by its engines
-    :param cost: how many times as long this one takes; above 1 if it reads
-        beside streams
+    :param pool_rate: milliseconds per prompt token on a prefill engine of the
+        pool; shared by its engines
+    :param slowdown: ratio of this engine's time to a prefill engine's; above
+        1 for chunked prefill
     """
 
     __slots__ = ("_pool_rate", "_slowdown", "_own_rate")
@@ -43,9 +46,9 @@
         )
 
     def estimate_ms(self, tokens: float) -> float:
-        """Return how long a prompt takes by itself.
+        """Return the estimated uncontended prefill time, in milliseconds.
 
-        :param tokens: its tokens that are not in the cache
+        :param tokens: the prompt's tokens that are not in the cache
         """
         rate = self._pool_rate.value * self._slowdown
         if self._own_rate.count >= MIN_OWN_SAMPLES:
@@ -59,11 +62,11 @@
         estimate_ms: float,
         tokens: float,
     ) -> None:
-        """Learn from a read that has ended well.
+        """Update the estimate from a successful prefill.
 
-        :param took_ms: the time since it was sent
-        :param waited_ms: how long it was thought to wait for others
-        :param estimate_ms: how long it was thought to take by itself
+        :param took_ms: time since it was sent
+        :param waited_ms: estimated wait for other prefills
+        :param estimate_ms: estimated uncontended duration
         :param tokens: its tokens that were not in the cache
         """
         if tokens < MIN_SAMPLE_TOKENS:
--- a/mulberryway/policy/prefix_index.py
+++ b/mulberryway/policy/prefix_index.py
@@ -1,4 +1,4 @@
-"""Which prefix blocks an engine probably has in its cache; a hint."""
+"""Tracks the prefix blocks in an engine's cache; best effort."""
 
 import collections
 
@@ -6,17 +6,17 @@
 
 __all__ = ["PrefixIndex"]
 
-# Bounds the memory of the indexes, one for each engine: about 150 bytes an
+# Bounds the memory of the indexes, one per engine, at about 150 bytes per
 # entry.
 MAX_BLOCKS = 2_048
-# After a gap some blocks that look stored were removed unseen.  Trusting
-# them wholly starts prefills that take far longer than planned; dropping
-# them sends a conversation away from the engine which has its prefix.
+# After a gap in the events, some indexed blocks may have been evicted.  With a
+# full weight, prefills would take far longer than planned; with none, a
+# conversation would move away from the engine that caches its prefix.
 STALE_HIT_WEIGHT = 0.5
 
 
 class PrefixIndex:
-    """Blocks by hash, the longest unused dropped first."""
+    """Holds block hashes and evicts the least recently stored ones."""
 
     __slots__ = ("_blocks", "_sequence", "_generation")
 
@@ -31,9 +31,9 @@
         return len(self._blocks)
 
     def apply_events(self, events: list[upstreams.CacheEvent]) -> None:
-        """Take in events; a gap makes everything older doubtful.
+        """Apply cache events; a gap marks all older blocks as stale.
 
-        :param events: in order; repeated ones are passed over
+        :param events: events in order; duplicates are ignored
         """
         for event in events:
             if self._sequence is not None and event.sequence <= self._sequence:
@@ -47,10 +47,10 @@
             self._apply(event)
 
     def record_own(self, hashes: tuple[str, ...]) -> None:
-        """Count blocks as stored by a prefill of our own.
+        """Record blocks as stored by a prefill of this router.
 
-        The event that says so comes late; without this, a conversation's
-        next request may go elsewhere.
+        The engine's event arrives later; until then, a conversation's next
+        request could otherwise go to another engine.
 
         :param hashes: the prompt's blocks
         """
@@ -58,10 +58,10 @@
             self._store(block)
 
     def count_hits(self, hashes: tuple[str, ...]) -> float:
-        """Return how many leading blocks are probably in the cache.
+        """Return the expected number of leading blocks in the cache.
 
         :param hashes: the prompt's blocks
-        :returns: a number of blocks; doubtful ones count in part
+        :returns: the number of blocks, with stale ones at reduced weight
         """
         hits = 0.0
         for block in hashes:
@@ -73,7 +73,7 @@
         return hits
 
     def clear(self) -> None:
-        """Forget everything, after the engine died or changed its role."""
+        """Remove all blocks after the engine crashed or changed its role."""
         self._blocks.clear()
         self._sequence = None
 
--- a/mulberryway/policy/queue_entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -1,4 +1,4 @@
-"""What waits in the fair queue: jobs, by client account and lane."""
+"""Holds the fair queue's waiting jobs by client account and lane."""
 
 import collections
 import enum
@@ -9,17 +9,18 @@
 __all__ = ["AccountState", "QueueEntry", "Lane"]
 
 
-# Entries of a lane that are looked at for one that is on time: in one second,
-# which is more than targets are, an account brings no more to one router.
+# Number of a lane's entries that are searched for one that can meet its
+# target.  Targets are below one second, and an account sends no more requests
+# to one router within a second.
 MAX_LANE_SCAN = 64
 
 
 class Lane(enum.IntEnum):
-    """Jobs of an account that may overtake one another.
+    """Separates jobs of one account that may overtake each other.
 
-    A long prompt which has to wait for room in the prefill engines must not
-    hold up the account's short ones, and a suspect of a crash waits for an
-    engine without another suspect.
+    A long prompt that waits for free prefill capacity must not block the
+    account's short ones, and a suspect of a crash waits for an engine without
+    another suspect.
     """
 
     SHORT = 0
@@ -28,13 +29,13 @@
 
 
 class QueueEntry:
-    """A waiting job.
+    """A waiting job with its costs and its latest start.
 
     :param job: the job
-    :param lane: which others of its account it may not overtake
-    :param cost: what it is charged, in tokens
-    :param latest_start_ms: when it has to start so as to be in time
-    :param prefill_ms: how long its prefill takes by itself
+    :param lane: the lane within which it keeps its order
+    :param cost: estimated charge in tokens
+    :param latest_start_ms: latest time to start and meet the deadline
+    :param prefill_ms: estimated uncontended duration of its prefill
     """
 
     __slots__ = ("job", "lane", "cost", "latest_start_ms", "prefill_ms")
@@ -54,17 +55,17 @@
         self.prefill_ms = prefill_ms
 
     def is_late(self, now_ms: int) -> bool:
-        """Tell whether a start now would bring the first token too late.
+        """Return whether a start now would miss the first token target.
 
-        :param now_ms: the present
-        :returns: false also for jobs without a target
+        :param now_ms: current time in milliseconds
+        :returns: whether it would; false for jobs without a target
         """
         target_ms = self.job.first_token_target_ms
         return bool(target_ms) and now_ms + self.prefill_ms > target_ms
 
 
 class AccountState:
-    """What one client account was given, and what of it waits."""
+    """One client account's virtual start and waiting jobs."""
 
     __slots__ = (
         "name",
@@ -86,14 +87,15 @@
         self.bytes = 0
 
     def list_heads(self, now_ms: int | None = None) -> list[QueueEntry]:
-        """Return the entry of each lane whose turn is next, oldest first.
+        """Return each lane's next entry, oldest first.
 
-        By age alone every answer of a burst would come late.  So the oldest
-        that can still be on time goes first, and those that cannot any more
-        have what is left.
+        In strict order of age, every response of a burst would miss its
+        target.  So a lane's oldest entry that can still meet its target goes
+        first, and the others use the remaining capacity.
 
-        :param now_ms: the present; none for the oldest of each lane
-        :returns: at most one entry of each lane
+        :param now_ms: current time in milliseconds; none to take the oldest
+            entry of each lane
+        :returns: at most one entry per lane
         """
         heads = [
             next(
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -1,4 +1,4 @@
-"""How many engines of a pool read prompts, and which change their role."""
+"""Plans how many engines of a pool have the prefill role."""
 
 import collections.abc
 
@@ -8,23 +8,23 @@
 
 __all__ = ["RolePlanner"]
 
-# Reading a prompt takes a fraction of a second and making its answer takes
-# seconds of an engine's memory, so decode engines fill up while prefill
-# engines idle.  One engine in so many reads prompts; what it cannot take in a
-# burst, decode engines read themselves.
+# A prefill takes a fraction of a second, while a decode occupies an engine's
+# memory for seconds, so decode engines fill up while prefill engines are idle.
+# One engine in this many has the prefill role; prompts beyond its capacity in
+# a burst become chunked prefills on decode engines.
 ENGINES_PER_PREFILL = 3.5
-# A smaller pool is left as its operators made it.
+# Smaller pools keep the roles that their operators configured.
 MIN_ENGINES = 3
-# What was ordered shows in the pool only when the engine has emptied itself
-# and is back, which takes several seconds; and an order whose answer was
-# lost may be carried out up to twelve seconds later.
+# A new role appears in the pool only after the engine has drained and
+# registered again, which takes several seconds.  An order whose response was
+# lost may still be executed up to twelve seconds later.
 ORDER_COOLDOWN_MS = 20_000
-# Engines that change their role serve nothing meanwhile, so not all at once.
+# Engines serve no requests while they change their role.
 MAX_CONCURRENT_CHANGES = 2
 
 
 class RolePlanner(orders.Planner):
-    """Turns surplus prefill engines into decode engines."""
+    """Plans orders that turn surplus prefill engines into decode engines."""
 
     def __init__(self) -> None:
         self._ordered_ms: dict[tuple[str, str], int] = {}
@@ -35,12 +35,12 @@
         loads: collections.abc.Mapping[tuple[str, str], upstreams.EngineLoad],
         now_ms: int,
     ) -> list[orders.PlannedOrder]:
-        """Return the orders that may be given now.
+        """Return the orders that may be sent now.
 
         :param pools: the pools by name
-        :param loads: not looked at: a role stands in the tables
-        :param now_ms: the present
-        :returns: orders
+        :param loads: unused, because roles are part of the tables
+        :param now_ms: current time in milliseconds
+        :returns: the orders
         """
         self._ordered_ms = {
             key: at_ms
@@ -55,23 +55,23 @@
         ]
 
     def record_accepted(self, order: orders.PlannedOrder, now_ms: int) -> None:
-        """Tell that an engine took an order.
+        """Record that an engine accepted an order.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self._ordered_ms[order.pool, order.row.name] = now_ms
 
     def record_failed(self, order: orders.PlannedOrder, now_ms: int) -> None:
-        """Tell that an order was refused or got no answer.
+        """Record that an order was rejected or got no response.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self._ordered_ms[order.pool, order.row.name] = now_ms
 
     def forget(self) -> None:
-        """Forget all, for this VM is the issuer no longer."""
+        """Discard all state because this VM is no longer the leader."""
         self._ordered_ms.clear()
 
     def _plan_pool(
--- a/mulberryway/policy/running_jobs.py
+++ b/mulberryway/policy/running_jobs.py
@@ -1,20 +1,20 @@
-"""A job that has started, with everything it holds."""
+"""Holds the state of a started job."""
 
 from mulberryway.policy import fair_queue
 from mulberryway.policy import placements
 
 __all__ = ["RunningJob"]
 
-# A mean over fewer tokens says more about the network than the engine.
+# A mean over fewer tokens depends more on the network than on the engine.
 MIN_SAMPLE_TOKENS = 8
 
 
 class RunningJob:
-    """A started job.
+    """A started job with its placement and progress.
 
-    :param entry: its entry while it waited
-    :param placement: where it runs
-    :param now_ms: when it started
+    :param entry: its queue entry
+    :param placement: its placement
+    :param now_ms: start time in milliseconds
     """
 
     __slots__ = (
@@ -44,13 +44,13 @@
         self._sampled_ms = now_ms
 
     def is_suspect(self) -> bool:
-        """Tell whether it runs as the only suspect on its upstreams."""
+        """Return whether it must be the only suspect on its upstreams."""
         return self.entry.lane is fair_queue.Lane.SUSPECT
 
     def record_first_token(self, now_ms: int) -> None:
-        """Begin to measure the gaps between tokens.
+        """Record the first token and start to measure inter-token gaps.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self.first_token_ms = now_ms
         self.tokens = max(self.tokens, 1)
@@ -58,11 +58,12 @@
         self._sampled_ms = now_ms
 
     def record_tokens(self, tokens: int, now_ms: int) -> float | None:
-        """Count tokens.
+        """Record the number of tokens.
 
-        :param tokens: all tokens so far
-        :param now_ms: the present
-        :returns: the mean gap since the last result, once it says something
+        :param tokens: total number of tokens so far
+        :param now_ms: current time in milliseconds
+        :returns: the mean inter-token gap since the last result in
+            milliseconds, or none for too few tokens
         """
         self.tokens = max(self.tokens, tokens)
         new_tokens = tokens - self._sampled_tokens
@@ -74,11 +75,11 @@
         return gap_ms
 
     def estimate_tokens(self, step_ms: float, now_ms: int) -> int:
-        """Return how many tokens came, also if nobody counted them.
+        """Return the number of tokens, estimated where it was not recorded.
 
-        :param step_ms: the usual time between tokens
-        :param now_ms: the present
-        :returns: a number of tokens
+        :param step_ms: the typical inter-token gap in milliseconds
+        :param now_ms: current time in milliseconds
+        :returns: the larger of the recorded and the estimated number
         """
         if self.first_token_ms is None:
             return self.tokens
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: fair, early to refuse, and aware of the other routers."""
+"""Schedules the jobs of all pools, fairly and in line with peer routers."""
 
 import random
 
@@ -23,30 +23,30 @@
 
 __all__ = ["FairScheduler"]
 
-# Bounds the memory of bodies that wait.
+# Bound the memory of waiting request bodies.
 MAX_ENTRIES = 2_048
 MAX_BYTES = 64 << 20
 TOKEN_GAP_MS = 63
-# Peers hear soon of a larger change in an upstream's pace; the rest goes
-# along with the next note about it.
+# A relative change of an upstream's decode step above this is sent to peers
+# soon; smaller ones are included in the next message about the upstream.
 STEP_CHANGE_FRACTION = 0.2
-# Starts in one call, so that a call's time has a limit.
+# Bounds the starts per pool, and thereby the duration, of one dispatch call.
 MAX_STARTS = 64
 
 
 class FairScheduler(base.Scheduler):
-    """Puts the decisions about all pools together.
+    """Combines the schedulers of all pools with the gossip between routers.
 
     :param vm: this VM's name
-    :param incarnation: which life of its router this is
-    :param weighed: what the deployment weighs more
-    :param register: requests that may be poison
-    :param seed: for what is left to chance; different on each VM
-    :param token_gap_ms: the most time between tokens that is still good
-    :param most_entries: limit on what waits in each pool
-    :param most_bytes: limit on the bodies of what waits in each pool
-    :param budget: what repeats are taken out of
-    :param prefill_rate: see :class:`shifting.Members`
+    :param incarnation: the incarnation of its router process
+    :param weighed: the deployment's fairness mode
+    :param register: registry of suspected poison requests
+    :param seed: seed of the random generator; different on each VM
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds
+    :param max_entries: most waiting jobs in each pool
+    :param max_bytes: most bytes of waiting bodies in each pool
+    :param budget: the retry budget
+    :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._pools = self._pool_set.pools
         self._waiting: dict[str, str] = {}
         self._running: dict[str, running_jobs.RunningJob] = {}
-        self._pending_refusals: list[jobs.Refusal] = []
+        self._pending_rejections: list[jobs.Refusal] = []
         self._note_sender = note_sender.NoteSender(
             vm, incarnation, self.register
         )
@@ -86,33 +86,33 @@
     def submit(
         self, job: jobs.Job, now_ms: int
     ) -> expression.Result[None, errors.Fault]:
-        """Take a job in, or refuse it at once.
+        """Admit a job, or reject it immediately.
 
         :param job: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: nothing, or a fault with run ``NOT_RUN``
         """
         pool = self._pools.get(job.pool)
         if pool is None:
             fault = admission.make_rejection(
-                errors.Code.NO_UPSTREAM, job, "no such pool of models"
+                errors.Code.NO_UPSTREAM, job, "no such model pool"
             )
             return expression.Error(fault)
-        refusal = pool.submit(job, now_ms)
-        if refusal is not None:
-            return expression.Error(refusal)
+        rejection = pool.submit(job, now_ms)
+        if rejection is not None:
+            return expression.Error(rejection)
         self._waiting[job.job_id] = job.pool
         return expression.Ok(None)
 
     def dispatch(self, now_ms: int) -> jobs.DispatchResult:
-        """Start the jobs whose turn it is, and give up the late ones.
+        """Start the jobs that are next, and reject the expired ones.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: the decisions
         """
         self._note_receiver.expire_peers(self._pools, now_ms)
-        refusals = self._pending_refusals
-        self._pending_refusals = []
+        refusals = self._pending_rejections
+        self._pending_rejections = []
         assignments: list[jobs.Assignment] = []
         for name, pool in self._pools.items():
             refusals += pool.expire_waiting(now_ms)
@@ -121,33 +121,33 @@
                 if started is None:
                     break
                 assignments.append(self._record_start(name, started, now_ms))
-        for refusal in refusals:
-            self._waiting.pop(refusal.job_id, None)
+        for rejection in refusals:
+            self._waiting.pop(rejection.job_id, None)
         return jobs.DispatchResult(
             assignments, refusals, self._get_wake_ms(now_ms)
         )
 
     def cancel(self, job_id: str, now_ms: int) -> bool:
-        """Forget a waiting job whose caller has gone.
+        """Remove a waiting job whose caller has disconnected.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: false if it was not waiting
         """
         name = self._waiting.pop(job_id, None)
         if name is None:
             return False
-        self._pending_refusals = [
-            one for one in self._pending_refusals if one.job_id != job_id
+        self._pending_rejections = [
+            one for one in self._pending_rejections if one.job_id != job_id
         ]
         self._pool_set.find_any(name).queue.remove(job_id)
         return True
 
     def record_prefilled(self, job_id: str, now_ms: int) -> None:
-        """Tell that a started job's prefill has ended well.
+        """Record that a started job's prefill has succeeded.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         job = self._running.get(job_id)
         if job is not None:
@@ -156,25 +156,25 @@
             ).record_prefilled(job, now_ms)
 
     def record_prefill_failed(self, job_id: str, now_ms: int) -> None:
-        """Tell that a prefill came to nothing; the decode engine reads.
+        """Record a failed prefill that the decode engine takes over.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         job = self._running.get(job_id)
         if job is not None:
             pool = job.entry.job.pool
-            # Both the engine that read in vain and the one that reads now.
+            # Marks both the engine that failed and the one that takes over.
             self._mark_views_changed(pool, job)
             self._pool_set.find_completion(pool).record_prefill_failed(
                 job, now_ms
             )
 
     def record_first_token(self, job_id: str, now_ms: int) -> None:
-        """Tell that a started job's first token has come.
+        """Record that a started job's first token has arrived.
 
         :param job_id: the job
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         job = self._running.get(job_id)
         if job is not None:
@@ -184,11 +184,11 @@
                 self._mark_views_changed(pool, job)
 
     def record_tokens(self, job_id: str, tokens: int, now_ms: int) -> None:
-        """Tell how many tokens of a running job have come so far.
+        """Record how many tokens of a running job have arrived.
 
         :param job_id: the job
-        :param tokens: all tokens so far
-        :param now_ms: the present
+        :param tokens: total number of tokens so far
+        :param now_ms: current time in milliseconds
         """
         job = self._running.get(job_id)
         gap_ms = job.record_tokens(tokens, now_ms) if job is not None else None
@@ -209,12 +209,12 @@
         now_ms: int,
         is_unreached: bool = False,
     ) -> str | None:
-        """Find another slot for a job whose prefill has ended.
+        """Reserve another decode slot for a prefilled job.
 
         :param job_id: the job
-        :param refused: the upstream that did not take it
-        :param now_ms: the present
-        :param is_unreached: whether it could not be reached; else it is full
+        :param refused: the upstream that rejected it
+        :param now_ms: current time in milliseconds
+        :param is_unreached: whether it was unreachable instead of full
         :returns: the upstream to try, its slot reserved; or none
         """
         job = self._running.get(job_id)
@@ -236,12 +236,12 @@
         upstream: str,
         now_ms: int,
     ) -> None:
-        """Let a started job's reservations go; a second call does nothing.
+        """Release a started job's reservations; further calls do nothing.
 
         :param job_id: the job
-        :param end: how it ended
-        :param upstream: the upstream to blame; empty if none
-        :param now_ms: the present
+        :param end: the outcome
+        :param upstream: the upstream at fault; empty if none
+        :param now_ms: current time in milliseconds
         """
         started = self._running.pop(job_id, None)
         if started is None:
@@ -264,12 +264,12 @@
         load: upstreams.EngineLoad,
         now_ms: int,
     ) -> None:
-        """Take in a load report, which is some time old.
+        """Record a load report, which lags behind the engine.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param load: the report
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
@@ -283,12 +283,12 @@
         events: list[upstreams.CacheEvent],
         now_ms: int,
     ) -> None:
-        """Take in cache events, which are late and may have gaps.
+        """Apply cache events, which are delayed and may have gaps.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param events: the events in order
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
@@ -298,11 +298,11 @@
     def has_decode_capacity(
         self, pool: str, excluded: str, now_ms: int
     ) -> bool:
-        """Tell whether another upstream probably has room for a decode.
+        """Return whether another upstream may have decode capacity.
 
         :param pool: the pool's name
-        :param excluded: the upstream that does not count
-        :param now_ms: the present
+        :param excluded: the upstream to leave out
+        :param now_ms: current time in milliseconds
         """
         known = self._pools.get(pool)
         return known is not None and any(
@@ -313,9 +313,9 @@
         )
 
     def list_ejected(self, now_ms: int) -> list[probes.EjectedUpstream]:
-        """Return the upstreams that get no requests for now.
+        """Return the currently ejected upstreams.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return [
             probes.EjectedUpstream(
@@ -329,12 +329,12 @@
     def record_probe(
         self, pool: str, upstream: str, has_passed: bool, now_ms: int
     ) -> None:
-        """Take in what a probe, which was no request, found.
+        """Record the result of a health probe.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
         :param has_passed: whether the upstream answered
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         known = self._pools.get(pool)
         view = known.members.find(upstream) if known is not None else None
@@ -343,35 +343,36 @@
             self._note_sender.mark_changed(pool, upstream)
 
     def drain_hints(self, now_ms: int) -> hints.Note | None:
-        """Return what the other routers should hear now, if anything.
+        """Return the gossip message that is due now, if any.
 
-        :param now_ms: the present
-        :returns: a note to send to each peer of the cell, or none
+        :param now_ms: current time in milliseconds
+        :returns: a message for each peer of the subset, or none
         """
         return self._note_sender.build_note(self._pools, now_ms)
 
     def apply_hints(self, note: hints.Note, now_ms: int) -> None:
-        """Take in what another router told.
+        """Apply a gossip message from another router.
 
-        :param note: its note; late, lost and repeated ones do no harm
-        :param now_ms: the present
+        :param note: the message; may be late or a duplicate, and others may be
+            lost
+        :param now_ms: current time in milliseconds
         """
         self._note_receiver.note(note, self._pools, now_ms)
 
     def record_crashes(self, deaths: list[hints.Death], now_ms: int) -> None:
-        """Take in deaths of upstreams under requests, told by any VM.
+        """Apply crashes of upstreams that any VM has reported.
 
-        :param deaths: the deaths; repeated ones do no harm
-        :param now_ms: the present
+        :param deaths: the crashes; duplicates have no effect
+        :param now_ms: current time in milliseconds
         """
         self.register.note_news(deaths, now_ms)
 
     def is_quarantined(self, digest: str, now_ms: int) -> bool:
-        """Tell whether a request may not run, and renew that if so.
+        """Return whether a request is quarantined, and renew it if so.
 
-        :param digest: names the request
-        :param now_ms: the present
-        :returns: whether upstreams died while they ran it
+        :param digest: identifies the request
+        :param now_ms: current time in milliseconds
+        :returns: whether upstreams crashed while they ran it
         """
         state = self.register.read_standing(digest, now_ms)
         if state is not poison.QuarantineState.QUARANTINED:
@@ -380,45 +381,45 @@
         return True
 
     def record_crash(self, digest: str, upstream: str, now_ms: int) -> None:
-        """Tell that a plain service's server died under a request.
+        """Record that a service's server crashed under a request.
 
-        :param digest: names the request
+        :param digest: identifies the request
         :param upstream: ``pool/name`` of the server
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self.register.record_crash(digest, upstream, False, now_ms)
 
     def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
-        """Take over the list of VMs that run a router.
+        """Apply a new list of VMs that run a router.
 
-        Pools so large that they are cut into cells are divided anew.
+        Pools large enough for subsetting are divided again.
 
-        :param vms: their names, this VM's among them
-        :param now_ms: the present
+        :param vms: names of the VMs, including this VM
+        :param now_ms: current time in milliseconds
         """
         self._note_sender.vms = len(vms)
         self._pool_set.change_vms(vms)
 
     def change_pools(self, pools: dict[str, tables.Pool], now_ms: int) -> None:
-        """Take over a new table of pools; leaving upstreams get no work.
+        """Apply a new table of pools; draining upstreams get no jobs.
 
         :param pools: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         for name in self._pool_set.change(pools):
             self._reject_waiting(name)
 
     def _reject_waiting(self, name: str) -> None:
-        # What waits for a pool that is gone would wait for its deadline, so
-        # it gets its final answer with the next dispatch.
+        # Jobs of a removed pool would otherwise wait until their deadline, so
+        # the next dispatch rejects them.
         pool = self._pool_set.find_any(name)
         for job_id in [i for i, p in self._waiting.items() if p == name]:
             entry = pool.queue.remove(job_id)
             if entry is not None:
                 fault = admission.make_rejection(
-                    errors.Code.NO_UPSTREAM, entry.job, "the pool is gone"
+                    errors.Code.NO_UPSTREAM, entry.job, "the pool was removed"
                 )
-                self._pending_refusals.append(jobs.Refusal(job_id, fault))
+                self._pending_rejections.append(jobs.Refusal(job_id, fault))
 
     def _record_start(
         self, pool: str, started: running_jobs.RunningJob, now_ms: int
@@ -449,10 +450,10 @@
     def _get_kv_reservation(
         self, pool: str, started: running_jobs.RunningJob
     ) -> int:
-        """Return the tokens to reserve for a decode; 0 for none.
+        """Return the KV cache tokens to reserve for a decode; 0 for none.
 
-        An engine admits a request that has room for its prompt; more than
-        that, reserved, would keep others out that it could still run.
+        An engine admits a request if its prompt fits.  A larger reservation
+        would exclude requests that the engine could still run.
         """
         decode = started.placement.decode
         assert decode is not None
@@ -467,7 +468,7 @@
                 self._note_sender.mark_changed(pool, view.row.name)
 
     def _get_wake_ms(self, now_ms: int) -> int | None:
-        if self._pending_refusals:
+        if self._pending_rejections:
             return now_ms
         times = [
             wake_ms
--- a/mulberryway/policy/server_selection.py
+++ b/mulberryway/policy/server_selection.py
@@ -1,4 +1,4 @@
-"""Decides which server of a plain service gets a call; without I/O."""
+"""Selects the server of a non-model service for a call; without I/O."""
 
 import enum
 import statistics
@@ -8,28 +8,28 @@
 
 __all__ = ["CallOutcome", "ServerSelector"]
 
-# The load this is made for: some hundred short calls a second to three to
-# seven servers.  A server that refused a connection is passed over for so
-# long: without it every call would pay the failed connection first, and a
-# longer time would leave a restarted server idle.
+# The design load is some hundred short calls per second to three to seven
+# servers.  A server that refused a connection is in backoff for this long.
+# Without backoff every call would first wait for a failed connection, and a
+# longer one would leave a restarted server idle.
 UNREACHED_BACKOFF_MS = 2_000
-# A call to another zone takes about two milliseconds more there and back.
+# Additional round-trip time of a call to another zone.
 CROSS_ZONE_MS = 2.0
-# What a call is thought to take before any has ended.
+# Estimated duration of a call before any has ended.
 INITIAL_CALL_MS = 60.0
-# A server that fails calls at once looks idle and draws more of them.  One
-# that fails clearly oftener than the pool's median counts as that much slower;
-# the margin is what chance alone does to the mean of some ten calls.
+# A server that fails calls immediately looks idle and would attract more of
+# them.  A failure rate above the pool's median therefore adds to its estimated
+# time; the margin is the random deviation of the mean of about ten calls.
 FAILURE_MARGIN = 0.15
 FAILURE_MS = 1_000.0
 FAILURE_SMOOTHING = 0.1
-# A server that was passed by gets better by itself, so that a mended one is
-# tried again after some seconds.
+# A failure rate decays to zero over this time without calls, so a recovered
+# server is tried again after some seconds.
 FAILURE_DECAY_MS = 10_000
 
 
 class CallOutcome(enum.Enum):
-    """How a call to a server ended."""
+    """The outcome of a call to a server."""
 
     DONE = "done"
     FAILED = "failed"
@@ -38,7 +38,7 @@
 
 
 class _Server:
-    """What this VM has seen of one server."""
+    """This VM's own observations of one server."""
 
     __slots__ = (
         "in_flight",
@@ -61,9 +61,9 @@
 
 
 class ServerSelector:
-    """Chooses the server that will probably answer first.
+    """Chooses the server that will probably respond first.
 
-    It has no lock of its own.
+    It is not thread-safe; callers hold a lock.
 
     :param zone: the zone of this VM
     """
@@ -80,9 +80,9 @@
         """Choose a server and count a call to it.
 
         :param pool: the pool
-        :param avoid: names of servers that failed this call
-        :param now_ms: the present
-        :returns: the server, or none if all are leaving or failed
+        :param excluded: names of servers that failed this call
+        :param now_ms: current time in milliseconds
+        :returns: the server, or none if all are draining or excluded
         """
         usable = [
             upstream
@@ -113,13 +113,13 @@
         took_ms: int,
         now_ms: int,
     ) -> None:
-        """Count a call's end.
+        """Record the outcome of a call.
 
         :param pool: the pool
         :param upstream: the server
-        :param end: how it ended
-        :param took_ms: how long it took
-        :param now_ms: the present
+        :param outcome: the outcome
+        :param took_ms: the call's duration in milliseconds
+        :param now_ms: current time in milliseconds
         """
         server = self._find(pool, upstream)
         server.in_flight = max(server.in_flight - 1, 0)
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -1,4 +1,4 @@
-"""Which decode upstreams are slow, judged by the tokens they produce."""
+"""Detects slow decode upstreams by their inter-token gaps."""
 
 import statistics
 
@@ -9,7 +9,7 @@
 __all__ = ["SlowUpstreamDetector"]
 
 MEDIAN_RATIO = 1.25
-# An upstream that is just under the target misses it with the next stream.
+# An upstream just below the target misses it with one more stream.
 TARGET_RATIO = 0.95
 PROBE_MS = 30_000
 MEDIAN_PERIOD_MS = 500
@@ -17,15 +17,15 @@
 
 
 class SlowUpstreamDetector:
-    """Compares upstreams with their siblings.
+    """Compares each upstream's decode step with the median of the subset.
 
-    A slow upstream reports free slots like the others, and every stream on it
-    misses the gap between tokens.  It counts as slow if it misses the target
-    while its siblings do not; when all are slow there is nothing to choose.
+    A slow upstream reports free slots like the others, but every stream on it
+    misses the inter-token gap target.  It counts as slow if it misses the
+    target and is slower than the median; if all are slow, none is excluded.
 
-    :param members: the upstreams of this router's cell
-    :param token_gap_ms: the most time between tokens that is still good, for
-        pools whose routes have no target
+    :param members: the upstreams of this router's subset
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds,
+        for pools whose routes have no target
     """
 
     __slots__ = ("_members", "_token_gap_ms", "_median_ms", "_median_at_ms")
@@ -39,15 +39,14 @@
         self._median_at_ms: int | None = None
 
     def get_median_step_ms(self) -> float:
-        """Return the time between tokens that is usual here."""
+        """Return the median decode step, in milliseconds."""
         return self._median_ms
 
     def is_slow(self, view: upstream_view.UpstreamView, now_ms: int) -> bool:
-        """Tell whether an upstream is too slow.
+        """Return whether an upstream is too slow for new streams.
 
         :param view: the upstream
-        :param now_ms: the present
-        :returns: whether it is avoided
+        :param now_ms: current time in milliseconds
         """
         self._refresh_median(now_ms)
         return view.step.value > max(
@@ -61,12 +60,12 @@
         entry: fair_queue.QueueEntry,
         now_ms: int,
     ) -> list[upstream_view.UpstreamView]:
-        """Leave out the slow ones, but for a probe and as a last resort.
+        """Exclude slow upstreams, except for a probe or as a last resort.
 
         :param usable: upstreams with a free slot
-        :param entry: the job that wants one
-        :param now_ms: the present
-        :returns: those that the job may have
+        :param entry: the waiting job
+        :param now_ms: current time in milliseconds
+        :returns: the upstreams from which the job may choose
         """
         slow = [view for view in usable if self.is_slow(view, now_ms)]
         if not slow:
@@ -75,11 +74,12 @@
             view for view in slow if now_ms - view.step_seen_ms >= PROBE_MS
         ]
         if probe_due:
-            # Without a try now and then, a mended upstream stays unused.
+            # Without a probe from time to time, a recovered upstream would
+            # stay unused.
             return probe_due
         not_slow = [view for view in usable if view not in slow]
-        # A late answer is better than none: who would be refused in a moment
-        # may have a slow upstream.
+        # A slow response is better than none, so a job that is about to
+        # expire may use a slow upstream.
         if not not_slow and now_ms >= entry.latest_start_ms - LAST_RESORT_MS:
             return slow
         return not_slow
--- a/mulberryway/policy/subsetting.py
+++ b/mulberryway/policy/subsetting.py
@@ -1,9 +1,9 @@
-"""Which upstreams a router considers, and which routers share them.
+"""Divides upstreams and routers into subsets (deterministic subsetting).
 
-A router that looks at every engine of a large pool spends its processor time
-on scanning, and one that shares engines with every other has to tell each of
-them what it holds.  So large pools are cut into cells (deterministic
-subsetting): an engine belongs to one cell, and a few routers work in it.
+A router that considers every engine of a large pool spends its processor time
+on scanning, and has to send its load to every other router.  So large pools
+are divided into subsets: each engine belongs to one subset, which a few
+routers share.
 """
 
 import collections.abc
@@ -15,9 +15,9 @@
 
 
 class Subsets:
-    """A division of engines and routers that changes little with either.
+    """Assigns engines and routers to subsets that remain mostly stable.
 
-    :param count: how many
+    :param count: number of subsets
     :param vms: names of all VMs that run a router
     """
 
@@ -26,16 +26,16 @@
         self._subset_of_vm = _assign_subsets(sorted(set(vms)), self.count)
 
     def find_subset(self, vm: str) -> int:
-        """Return the cell in which a VM's router works.
+        """Return the subset of a VM's router.
 
-        :param vm: its name; one that is not in the list gets a cell too
-        :returns: the cell's number
+        :param vm: its name; a VM that is not in the list gets a subset too
+        :returns: the subset's number
         """
         subset = self._subset_of_vm.get(vm)
         return _rank_subsets(vm, self.count)[0] if subset is None else subset
 
     def list_peers(self, vm: str) -> list[str]:
-        """Return the other VMs in a VM's cell; they exchange hints.
+        """Return the other VMs of a VM's subset, which exchange gossip.
 
         :param vm: the VM's name
         :returns: their names
@@ -53,8 +53,9 @@
         """Return the upstreams that a VM's router considers.
 
         :param vm: the VM's name
-        :param upstreams: all names
-        :returns: those of its cell, or all if the cell has none
+        :param upstreams: names of all upstreams
+        :returns: the names in its subset; if it has none, the first
+            :data:`SUBSET_SIZE` names
         """
         if self.count == 1:
             return list(upstreams)
@@ -75,8 +76,8 @@
 
 
 def _assign_subsets(vms: list[str], count: int) -> dict[str, int]:
-    # Each VM takes the cell that its hash likes best and that has room left,
-    # so cells have equal numbers and one VM's going moves only few others.
+    # Each VM gets the first subset of its hash order that has free capacity.
+    # Subsets have equal sizes, and a VM that leaves moves only few others.
     free = [-(-len(vms) // count)] * count
     assigned: dict[str, int] = {}
     for vm in vms if count > 1 else ():
--- a/mulberryway/policy/transfers.py
+++ b/mulberryway/policy/transfers.py
@@ -1,4 +1,4 @@
-"""How long a KV cache takes over links that transfers share; a hint."""
+"""Estimates KV cache transfer times on shared links; best effort."""
 
 __all__ = ["TransferLinks"]
 
@@ -6,11 +6,11 @@
 
 
 class TransferLinks:
-    """Links between zones, each with the work that we have put on it.
+    """Tracks the transfers that this router has put on links between zones.
 
-    A prefill's result lives under a second, and is lost if it waits for a
-    busy link for longer.  So the choice of a decode upstream counts what
-    already waits for the link.
+    A prefill's result expires in less than a second, and is lost if it waits
+    longer for a busy link.  So the choice of a decode upstream considers the
+    transfers that already wait for the link.
     """
 
     def __init__(self) -> None:
@@ -19,13 +19,13 @@
     def estimate_ms(
         self, zones: tuple[str, str], bytes_: int, rate: int, ready_ms: float
     ) -> float:
-        """Return how long a transfer would take, its wait included.
+        """Return the estimated duration of a transfer with its wait.
 
-        :param zones: from which zone to which
+        :param zones: the source and the target zone
         :param bytes_: size of the KV cache
-        :param rate: the link's rate in bytes a second
-        :param ready_ms: when the transfer can begin
-        :returns: milliseconds
+        :param rate: the link's rate in bytes per second
+        :param ready_ms: earliest start of the transfer
+        :returns: the duration in milliseconds
         """
         busy_ms = self._busy_until_ms.get(zones, 0.0)
         return max(busy_ms - ready_ms, 0.0) + _carry_ms(bytes_, rate)
@@ -33,12 +33,12 @@
     def reserve(
         self, zones: tuple[str, str], bytes_: int, rate: int, ready_ms: float
     ) -> None:
-        """Count a transfer that will be made.
+        """Reserve link time for a planned transfer.
 
-        :param zones: from which zone to which
+        :param zones: the source and the target zone
         :param bytes_: size of the KV cache
-        :param rate: the link's rate in bytes a second
-        :param ready_ms: when the transfer can begin
+        :param rate: the link's rate in bytes per second
+        :param ready_ms: earliest start of the transfer
         """
         begin_ms = max(self._busy_until_ms.get(zones, 0.0), ready_ms)
         self._busy_until_ms[zones] = begin_ms + _carry_ms(bytes_, rate)
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -1,8 +1,8 @@
-"""What a router believes about one upstream; all of it hints.
+"""Estimates the load, speed and health of one upstream; best effort.
 
-An engine's own refusal is final.  Until it comes, a view adds up what this
-router has running there, what peers told, and what the lagging load report
-shows beyond both.
+Only an engine's own rejection is authoritative.  Apart from that, a view adds
+up this router's own load, the load that peers announce, and the unattributed
+load that the delayed load report shows beyond both.
 """
 
 import random
@@ -17,17 +17,17 @@
 
 __all__ = ["UpstreamView"]
 
-# A report may be this old when it comes.  Work that began or ended within
-# this time may be missing from it, so a report counts as news about others
-# only as far as it exceeds the most that we knew of within the time.
+# Maximum age of a load report on arrival.  Load that began or ended within
+# this time may be missing from it, so only the part of a report above the peak
+# of known load within this time counts as unattributed.
 REPORT_LAG_MS = 1_000
-# After an engine's own refusal it gets nothing until a slot is known to have
-# come free, or this time has gone: at 20 slots of about 11 s one comes free
-# in about half a second.
+# Backoff after an engine's own rejection, unless a slot is known to have
+# become free earlier: with 20 slots of about 11 s, one becomes free about
+# every half second.
 FULL_BACKOFF_MS = 250
-# A prefill engine that changes its role, or sheds what it is sent, is idle and
-# looks best.  It rests for FULL_MS after a refusal, and for twice as long
-# after each further one in a row.
+# A prefill engine that changes its role or sheds load is idle and would look
+# best.  It is in backoff for FULL_BACKOFF_MS after a rejection, and for twice
+# as long after each further consecutive one, up to this many doublings.
 MAX_BACKOFF_DOUBLINGS = 7
 PREFILL_MS_PER_TOKEN = 0.1
 STEP_MS = 40.0
@@ -35,12 +35,12 @@
 
 
 class UpstreamView:
-    """One upstream as this router sees it.
+    """This router's estimate of one upstream's state.
 
     :param row: the upstream's row in the table of pools
-    :param slots: how many requests it can decode at once
-    :param random_: a seeded source of chance
-    :param total_blocks: the size of its memory, where the tables tell it
+    :param slots: number of requests that it can decode concurrently
+    :param random_: seeded random generator
+    :param total_blocks: its KV cache size in blocks, if the tables have it
     """
 
     __slots__ = (
@@ -104,7 +104,8 @@
         self.own_prefill_ms = 0.0
         self._sent_prefill_ms = 0
         self.busy_until_ms = 0.0
-        # By how much reads were late, less by how much early, added up.
+        # Sum of the prefills' delays against their planned ends; early ends
+        # count as negative.
         self.drift_ms = 0.0
         self.full_until_ms = 0
         self.backoff_until_ms = 0
@@ -113,13 +114,13 @@
             health.LatencyFloor(PREFILL_MS_PER_TOKEN), 1.0
         )
         self.step = health.Ewma(STEP_MS, STEP_SMOOTHING)
-        # The same where the engine reads nothing between its tokens.
+        # The decode step without chunked prefills in between.
         self.step_floor = health.LatencyFloor(STEP_MS)
         self.step_seen_ms = 0
         self._unsent_step_ms = 0.0
         self.health = health.OutlierDetector(random_)
         self.prefixes = prefix_index.PrefixIndex()
-        # The longest pause of a stream that is on time; 0 for no target.
+        # The inter-token gap target; 0 for none.
         self.pause_ms = 0
         self.prefill_budget = chunked_prefill.ChunkedPrefillBudget()
         self._by_peer: dict[str, hints.Holding] = {}
@@ -128,10 +129,10 @@
         self._peak_since_ms = 0
 
     def count_free_slots(self, now_ms: int) -> int:
-        """Return how many decode slots are probably free.
+        """Return the estimated number of free decode slots.
 
-        :param now_ms: the present
-        :returns: a number of slots, never below zero
+        :param now_ms: current time in milliseconds
+        :returns: the number of slots, at least zero
         """
         if now_ms < self.full_until_ms:
             return 0
@@ -144,17 +145,17 @@
         return free if free > 0 else 0
 
     def count_free_blocks(self) -> int:
-        """Return how many KV cache blocks are probably free; -1 unknown."""
+        """Return the estimated number of free KV cache blocks; -1 unknown."""
         if self.total_blocks is None:
             return -1
         used = self.own_blocks + self.peer_blocks + self.unattributed_blocks
         return self.total_blocks - used
 
     def estimate_capacity(self, blocks: float, now_ms: int) -> int:
-        """Return how many more decodes of usual size probably fit.
+        """Return how many more decodes of typical size probably fit.
 
-        :param blocks: how many blocks one usually takes; 0 if not known
-        :param now_ms: the present
+        :param blocks: a decode's typical number of blocks; 0 if unknown
+        :param now_ms: current time in milliseconds
         """
         free = self.count_free_slots(now_ms)
         if self.total_blocks is None or not blocks:
@@ -162,37 +163,37 @@
         return min(free, max(int(self.count_free_blocks() / blocks), 0))
 
     def count_running(self) -> int:
-        """Return how many streams probably run here, all VMs together."""
+        """Return the estimated number of streams of all VMs together."""
         return self.own_decodes + self.peers + self.unattributed_decodes
 
     def has_blocks(self, blocks: int) -> bool:
-        """Tell whether a decode's KV cache probably fits.
+        """Return whether a decode's KV cache probably fits.
 
-        :param blocks: how many blocks it takes
-        :returns: true also while the engine has not told its size
+        :param blocks: number of blocks that it takes
+        :returns: whether it fits; true while the engine's size is unknown
         """
         if self.total_blocks is None:
             return True
         return blocks <= self.count_free_blocks()
 
     def estimate_prefill_wait_ms(self, now_ms: int) -> float:
-        """Return how long a prefill would wait before it begins.
+        """Return the estimated wait before a new prefill begins.
 
-        :param now_ms: the present
-        :returns: milliseconds
+        :param now_ms: current time in milliseconds
+        :returns: the wait in milliseconds
         """
         return max(self.busy_until_ms - now_ms, 0.0)
 
     def count_suspects(self) -> int:
-        """Return how many suspects of a crash run here, as far as known."""
+        """Return the known number of crash suspects that run here."""
         return self.own_suspects + self.peer_suspects
 
     def add_prefill(self, estimate_ms: float, now_ms: int) -> float:
-        """Count a prefill that is given to this upstream.
+        """Add a prefill that this router sends to the upstream.
 
-        :param estimate_ms: how long it takes by itself
-        :param now_ms: the present
-        :returns: when it probably ends
+        :param estimate_ms: estimated uncontended duration
+        :param now_ms: current time in milliseconds
+        :returns: its estimated end, in milliseconds
         """
         self.own_prefills += 1
         self.own_prefill_ms += estimate_ms
@@ -200,18 +201,18 @@
         return self.busy_until_ms
 
     def add_chunked_prefill(self, estimate_ms: float, now_ms: int) -> None:
-        """Count a prompt that this upstream reads for a decode of its own.
+        """Add a chunked prefill for a decode on the same upstream.
 
-        :param estimate_ms: how long it takes by itself
-        :param now_ms: the present
+        :param estimate_ms: estimated uncontended duration
+        :param now_ms: current time in milliseconds
         """
         self.own_prefill_ms += estimate_ms
         self._record_prefill_work(estimate_ms, now_ms)
 
     def cancel_prefill(self, estimate_ms: float) -> None:
-        """Take out a prefill that ended before its result.
+        """Remove a prefill that ended without a result.
 
-        :param estimate_ms: what it was thought to take
+        :param estimate_ms: its estimated uncontended duration
         """
         self.own_prefills -= 1
         self.busy_until_ms = max(self.busy_until_ms - estimate_ms, 0.0)
@@ -224,19 +225,19 @@
         started_ms: int,
         now_ms: int,
     ) -> None:
-        """Learn from a prefill that has ended well.
+        """Record a successful prefill and update the estimates.
 
-        :param estimate_ms: how long it was thought to take by itself
-        :param planned_ms: when it was thought to end, by what was known
-            right before
+        :param estimate_ms: its estimated uncontended duration
+        :param planned_ms: its estimated end, by the latest estimate before
+            the result
         :param tokens: its tokens that were not in the cache
-        :param started_ms: when it was sent
-        :param now_ms: the present
+        :param started_ms: time at which it was sent
+        :param now_ms: current time in milliseconds
         """
         self.own_prefills -= 1
         self.backoff_until_ms = 0
         self.backoff_exponent = 0
-        # The queue's end moves by as much as this prefill was late or early.
+        # The end of the queue moves by this prefill's delay.
         drift_ms = now_ms - planned_ms
         self.drift_ms += drift_ms
         self.busy_until_ms = max(self.busy_until_ms + drift_ms, 0.0)
@@ -249,10 +250,10 @@
         )
 
     def record_step(self, step_ms: float, now_ms: int) -> None:
-        """Learn from the gaps between tokens of a running stream.
+        """Record the inter-token gaps of a running stream.
 
-        :param step_ms: their mean since the last time
-        :param now_ms: the present
+        :param step_ms: their mean since the last call
+        :param now_ms: current time in milliseconds
         """
         self.step.note(step_ms)
         self.step_floor.note(step_ms)
@@ -260,7 +261,7 @@
         self._unsent_step_ms = step_ms
 
     def take_step_ms(self) -> int:
-        """Return the last gap that our own streams saw here, once.
+        """Return the last inter-token gap of an own stream, and clear it.
 
         :returns: milliseconds; 0 if there was none since the last call
         """
@@ -269,29 +270,29 @@
         return step_ms
 
     def take_prefill_ms(self, now_ms: int) -> int:
-        """Return the prefill work given here since the last call.
+        """Return the prefill work added by this router since the last call.
 
-        :param now_ms: the present
-        :returns: estimated milliseconds, without what has probably ended
+        :param now_ms: current time in milliseconds
+        :returns: estimated milliseconds, without work that probably ended
         """
         unsent_ms = int(self.own_prefill_ms) - self._sent_prefill_ms
         self._sent_prefill_ms += unsent_ms
         return min(unsent_ms, int(self.estimate_prefill_wait_ms(now_ms)))
 
     def start_decode(self, blocks: int, now_ms: int) -> None:
-        """Reserve a slot.
+        """Reserve a decode slot.
 
-        :param blocks: KV cache blocks that go with it
-        :param now_ms: the present
+        :param blocks: KV cache blocks to reserve with it
+        :param now_ms: current time in milliseconds
         """
         self.own_decodes += 1
         self.own_blocks += blocks
         self._update_peak(now_ms)
 
     def end_decode(self, blocks: int) -> None:
-        """Give a slot back.
+        """Release a decode slot.
 
-        :param blocks: what was reserved with it
+        :param blocks: KV cache blocks that were reserved with it
         """
         self.own_decodes -= 1
         self.own_blocks -= blocks
@@ -300,30 +301,30 @@
     def move_decode_to(
         self, other: "UpstreamView", blocks: int, now_ms: int
     ) -> None:
-        """Give a slot back here and reserve one there.
+        """Move a slot's reservation to another upstream.
 
         :param other: the other upstream
-        :param blocks: what was reserved with the slot
-        :param now_ms: the present
+        :param blocks: KV cache blocks that were reserved with the slot
+        :param now_ms: current time in milliseconds
         """
         self.own_decodes -= 1
         self.own_blocks -= blocks
         other.start_decode(blocks, now_ms)
 
     def record_full(self, now_ms: int) -> None:
-        """Take in the engine's own refusal.
+        """Record that the engine rejected a decode for lack of capacity.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self.full_until_ms = now_ms + FULL_BACKOFF_MS
 
     def record_prefill_refused(self, now_ms: int) -> None:
-        """Take in that the engine refused to read a prompt.
+        """Record that the engine rejected a prefill.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         if now_ms < self.backoff_until_ms:
-            # Prompts that were sent before the first refusal came.
+            # This prefill was sent before the first rejection arrived.
             return
         self.backoff_until_ms = now_ms + (
             FULL_BACKOFF_MS << self.backoff_exponent
@@ -333,17 +334,17 @@
         )
 
     def is_backing_off(self, now_ms: int) -> bool:
-        """Tell whether the engine refused to read a prompt just now.
+        """Return whether the engine is in backoff after rejected prefills.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         return now_ms < self.backoff_until_ms
 
     def record_load(self, load: upstreams.EngineLoad, now_ms: int) -> None:
-        """Take in a lagging report.
+        """Record a delayed load report.
 
         :param load: the report
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         """
         self._update_peak(now_ms)
         known = max(self._peak_decodes, self._previous_peak)
@@ -355,11 +356,11 @@
         self.unattributed_blocks = max(used - known_blocks, 0)
 
     def note_peer(self, vm: str, holding: hints.Holding, now_ms: int) -> None:
-        """Take in what a peer holds here.
+        """Apply a peer's announced load on this upstream.
 
         :param vm: the peer
-        :param holding: its newest holding
-        :param now_ms: the present
+        :param holding: its latest load
+        :param now_ms: current time in milliseconds
         """
         before = self._by_peer.get(vm) or hints.Holding("", "", 0, 0)
         if holding.prefill_ms:
@@ -372,8 +373,9 @@
         self.peer_suspects += holding.suspects - before.suspects
         self.peer_blocks += holding.blocks - before.blocks
         if holding.step_ms:
-            # A peer's streams are as good as ours: with nine routers each
-            # has two streams on an engine and alone would need seconds.
+            # Peers' measurements count like own ones.  With nine routers,
+            # each has about two streams on an engine and would need seconds
+            # to see a change by itself.
             self.step.note(holding.step_ms)
             self.step_floor.note(holding.step_ms)
             self.step_seen_ms = now_ms
@@ -381,7 +383,7 @@
         self._update_peak(now_ms)
 
     def forget_peer(self, vm: str) -> None:
-        """Drop what a peer holds, after its silence or its new incarnation.
+        """Remove a peer's load after its timeout or its new incarnation.
 
         :param vm: the peer
         """
@@ -394,11 +396,12 @@
     def fits_prefill(
         self, prefill_ms: float, now_ms: int, yield_ms: int = 0
     ) -> bool:
-        """Tell whether a read now keeps the pauses of all streams on time.
+        """Return whether a chunked prefill now keeps all gaps on target.
 
-        :param read_ms: how long the read takes by itself
-        :param now_ms: the present
-        :param yield_ms: for how long the engine must have been free to read
+        :param prefill_ms: its estimated uncontended duration
+        :param now_ms: current time in milliseconds
+        :param yield_ms: how long the engine must have been open for another
+            chunked prefill
         """
         if not self.count_running():
             return True
@@ -411,9 +414,9 @@
         )
 
     def fits_prefill_alone(self, prefill_ms: float) -> bool:
-        """Tell whether a read keeps pauses on time if none is near it.
+        """Return whether a single chunked prefill keeps all gaps on target.
 
-        :param read_ms: how long the read takes by itself
+        :param prefill_ms: its estimated uncontended duration
         """
         return chunked_prefill.fits_gap_limit(
             prefill_ms, self.pause_ms, self.step_floor.value
