--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -25,7 +25,7 @@
     :param token_gap_ms: longest inter-token gap on target, in milliseconds
     :param max_entries: most waiting jobs in each pool
     :param max_bytes: most bytes of waiting bodies in each pool
-    :param budget: the retry budget
+    :param budget: class of the pools' retry budgets
     :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
 
--- a/tests/policy_cases.py
+++ b/tests/policy_cases.py
@@ -1,4 +1,4 @@
-"""Pools and jobs that the tests of the decisions share."""
+"""Pools, jobs and load reports for tests of the scheduling policy."""
 
 from mulberryway import clock
 from mulberryway import tables
@@ -9,7 +9,7 @@
 
 
 def make_pool(prefills=2, decodes=2, slots=4, name="lm", leaving=()):
-    """A pool with engines p0.. for prefill and d0.. for decode."""
+    """Return a pool with prefill engines p0.. and decode engines d0.."""
     members = [("p", i, ROLES.PREFILL) for i in range(prefills)]
     members += [("d", i, ROLES.DECODE) for i in range(decodes)]
     rows = tuple(
@@ -26,25 +26,25 @@
 
 
 def make_reading_pool(prefills, decodes, **values):
-    """A pool of 64 slots whose decode engines can read prompts themselves.
+    """Return a pool of 64 slots with chunked prefill on decode engines.
 
-    Its memory, links and targets are a test's to tell.
+    Callers pass its memory, links and targets.
     """
     plain = make_pool(prefills, decodes, 64, leaving=values.pop("leaving", ()))
-    given = {"block_tokens": 16, "self_reading": True, "pause_ms": 300}
+    defaults = {"block_tokens": 16, "self_reading": True, "pause_ms": 300}
     return tables.Pool(
         plain.name,
         plain.kind,
         plain.upstreams,
         plain.models,
         slots=64,
-        **(given | values),
+        **(defaults | values),
     )
 
 
 def make_job(job_id, account="a", now_ms=0, within_ms=1_100, **values):
-    """A job with values that a test does not care for filled in."""
-    given = {
+    """Return a job with defaults for values that a test does not set."""
+    settings = {
         "weight": 1,
         "pool": "lm",
         "model": "m",
@@ -58,10 +58,10 @@
         account,
         arrived_ms=now_ms,
         deadline=clock.Deadline(now_ms + within_ms),
-        **given,
+        **settings,
     )
 
 
 def make_load(running=0, waiting=0, slots=4):
-    """A load report."""
+    """Return a load report."""
     return upstreams.EngineLoad(running, waiting, slots, 90, 100, ("m",))
--- a/tests/test_baselines.py
+++ b/tests/test_baselines.py
@@ -1,4 +1,4 @@
-"""The two schedulers that serve as baselines keep the seam's contract."""
+"""Tests that the baseline schedulers fulfil the scheduler's contract."""
 
 import unittest
 
@@ -19,7 +19,7 @@
             with self.subTest(kind=kind.__name__):
                 yield scheduler
 
-    def test_slots_are_given_back(self):
+    def test_slots_are_released(self):
         for scheduler in self.make_schedulers(decodes=1, slots=2):
             for i in range(3):
                 scheduler.submit(cases.make_job(f"j{i}"), 0)
@@ -32,7 +32,7 @@
             second = scheduler.dispatch(10)
             self.assertEqual([a.job_id for a in second.assignments], ["j2"])
 
-    def test_late_cancelled_and_unknown(self):
+    def test_expired_cancelled_and_unknown_jobs(self):
         for scheduler in self.make_schedulers(decodes=0):
             scheduler.submit(cases.make_job("late"), 0)
             scheduler.submit(cases.make_job("gone"), 0)
@@ -46,7 +46,7 @@
             other = cases.make_job("x", pool="none")
             self.assertTrue(scheduler.submit(other, 0).is_error())
 
-    def test_leaving_upstreams_get_nothing(self):
+    def test_draining_upstreams_get_no_jobs(self):
         for scheduler in self.make_schedulers(leaving=("p0", "d1")):
             for i in range(4):
                 scheduler.submit(cases.make_job(f"j{i}"), 0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's decisions, one situation at a time."""
+"""Tests of the scheduler's single decisions."""
 
 import unittest
 
@@ -30,21 +30,20 @@
 
 
 class AdmissionTest(SchedulerCase):
-    def test_a_hopeless_prompt_is_refused_at_once(self):
-        """A prompt takes four seconds to prefill and its first token is due
-        in one.  Started all the same, it would hold up every short prompt
-        behind it and its caller would get nothing in time.
+    def test_infeasible_prompt_is_rejected_immediately(self):
+        """A prompt takes four seconds to prefill and has a deadline of one.
+        If started anyway, it would block every short prompt behind it and
+        still miss its deadline.
         """
         router = self.make()
-        refused = self.submit(router, "j", prompt_tokens=40_000).error
-        self.assertIs(refused.code, errors.Code.DEADLINE_EXCEEDED)
-        self.assertIs(refused.run, errors.ExecutionStatus.NOT_RUN)
-        self.assertIsNone(refused.retry_after_ms)
-
-    def test_given_up_before_the_deadline(self):
-        """All slots are taken for longer than the first token may take.  A
-        caller who is told so only at the deadline has lost the time in
-        which another VM could have served it.
+        fault = self.submit(router, "j", prompt_tokens=40_000).error
+        self.assertIs(fault.code, errors.Code.DEADLINE_EXCEEDED)
+        self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
+        self.assertIsNone(fault.retry_after_ms)
+
+    def test_waiting_job_is_rejected_before_its_deadline(self):
+        """All slots are taken beyond a job's deadline.  A rejection at the
+        deadline would leave the caller no time to try another VM.
         """
         router = self.make(decodes=1, slots=20)
         for n in range(20):
@@ -59,37 +58,37 @@
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
         self.assertGreater(fault.retry_after_ms, 0)
 
-    def test_a_long_queue_refuses_early(self):
+    def test_long_queue_rejects_early(self):
         router = self.make(decodes=1, slots=1)
         self.submit(router, "runs")
         self.start(router)
         results = [
             self.submit(router, f"j{n}", 10, within_ms=9_000) for n in range(9)
         ]
-        refused = [one.error for one in results if one.is_error()]
-        self.assertTrue(refused)
+        rejected = [one.error for one in results if one.is_error()]
+        self.assertTrue(rejected)
         self.assertTrue(results[0].is_ok())
-        self.assertGreater(refused[-1].retry_after_ms, 500)
+        self.assertGreater(rejected[-1].retry_after_ms, 500)
 
-    def test_no_upstream(self):
+    def test_no_decode_upstream(self):
         router = self.make(decodes=0)
-        refused = self.submit(router, "j").error
-        self.assertIs(refused.code, errors.Code.NO_UPSTREAM)
+        fault = self.submit(router, "j").error
+        self.assertIs(fault.code, errors.Code.NO_UPSTREAM)
 
-    def test_repeats_are_limited(self):
-        """Every engine refuses for a while, and each refused request comes
-        again.  Without a limit the repeats alone keep the engines full.
+    def test_retries_are_limited(self):
+        """Every engine rejects requests for a while, and each rejected request
+        is retried.  Without a limit the retries alone keep the engines full.
         """
         router = self.make()
-        taken = sum(
+        admitted = sum(
             self.submit(router, f"j{n}", attempt=1, within_ms=60_000).is_ok()
             for n in range(200)
         )
-        self.assertLessEqual(taken, retries.MAX_BALANCE)
+        self.assertLessEqual(admitted, retries.MAX_BALANCE)
 
 
-class PlacingTest(SchedulerCase):
-    def test_the_slot_is_reserved_before_the_prefill(self):
+class PlacementTest(SchedulerCase):
+    def test_slot_is_reserved_before_the_prefill(self):
         router = self.make(decodes=2, slots=2)
         for n in range(6):
             self.submit(router, f"j{n}", prompt_tokens=100, within_ms=30_000)
@@ -99,10 +98,10 @@
         router.finish("j0", End.CANCELLED, "", 5)
         self.assertEqual(len(self.start(router, 5)), 1)
 
-    def test_short_prompts_keep_one_prefill_upstream(self):
-        """Several logs of nine thousand tokens come at once.  If each
-        prefill upstream gets one, every short question waits behind them
-        and misses its first token.
+    def test_one_prefill_upstream_is_kept_for_short_prompts(self):
+        """Several prompts of eight thousand tokens arrive at once.  If each
+        prefill upstream got one, every short prompt would wait behind them
+        and miss its first token target.
         """
         router = self.make(decodes=2, slots=8)
         for n in range(4):
@@ -114,45 +113,45 @@
         self.submit(router, "short", 5, prompt_tokens=100)
         self.assertNotIn(self.start(router, 5)["short"].prefill, used)
 
-    def test_a_prefill_engine_that_refuses_draws_nothing_for_a_while(self):
-        """A prefill engine changes its role, or sheds what it is sent.  It
-        is idle, so it looks best of all: every prompt went there and every
-        caller was refused, though the other engine had room.
+    def test_rejecting_prefill_engine_is_in_backoff(self):
+        """A prefill engine changes its role or sheds load.  It is idle and so
+        looked best: every prompt went there and every caller was rejected,
+        although the other engine had free capacity.
         """
         router = self.make(prefills=2, decodes=2, slots=8)
         self.submit(router, "j0", prompt_tokens=60)
-        refusing = self.start(router)["j0"].prefill
-        router.finish("j0", End.REFUSED_BY_ENGINE, refusing, 2)
+        rejecting = self.start(router)["j0"].prefill
+        router.finish("j0", End.REFUSED_BY_ENGINE, rejecting, 2)
         for n in range(1, 7):
             self.submit(router, f"j{n}", 2 + n, prompt_tokens=60)
             found = self.start(router, 2 + n)[f"j{n}"]
-            self.assertNotEqual(found.prefill, refusing)
+            self.assertNotEqual(found.prefill, rejecting)
             router.record_prefilled(f"j{n}", 2 + n)
 
-    def test_a_prefill_engine_that_goes_on_refusing_is_ejected(self):
-        """An engine's entry says prefill, and it has become a decode engine.
-        Each quarter of a second one more caller would be refused there, for
-        as long as the entry is wrong.
+    def test_backoff_grows_while_a_prefill_engine_rejects(self):
+        """An engine's entry still has the prefill role although it became a
+        decode engine.  With a constant backoff, one caller would be rejected
+        there every quarter of a second while the entry is wrong.
         """
         router = self.make(prefills=2, decodes=2, slots=8)
-        refused, now_ms = 0, 0
+        rejected, now_ms = 0, 0
         for n in range(400):
             now_ms += 10
             self.submit(router, f"j{n}", now_ms, prompt_tokens=60)
             found = self.start(router, now_ms)[f"j{n}"]
             if found.prefill == "p0":
-                refused += 1
-                end, blame = End.REFUSED_BY_ENGINE, "p0"
+                rejected += 1
+                outcome, at_fault = End.REFUSED_BY_ENGINE, "p0"
             else:
                 router.record_prefilled(f"j{n}", now_ms)
-                end, blame = End.DONE, ""
-            router.finish(f"j{n}", end, blame, now_ms)
-        self.assertLessEqual(refused, 5)
-
-    def test_unanswered_prefill_leaves_nothing_behind(self):
-        """A prefill engine falls silent, and decode engines read the prompts
-        instead.  Its queue must not be thought to grow for ever, and after
-        three in a row it gets no prompts for a while.
+                outcome, at_fault = End.DONE, ""
+            router.finish(f"j{n}", outcome, at_fault, now_ms)
+        self.assertLessEqual(rejected, 5)
+
+    def test_unanswered_prefill_is_removed_from_the_queue(self):
+        """A prefill engine is unresponsive, and decode engines prefill the
+        prompts instead.  Its estimated queue must not grow forever, and three
+        consecutive failures must eject it.
         """
         router = self.make(prefills=2, decodes=2, slots=8)
         for n in range(8):
@@ -167,7 +166,7 @@
         self.assertEqual(view.own_prefills, 0)
         self.assertTrue(view.health.is_ejected(100))
 
-    def test_prefix_hits_draw_a_prompt(self):
+    def test_prefix_hits_attract_a_prompt(self):
         router = self.make(prefills=3)
         hashes = tuple(f"h{n}" for n in range(6))
         event = upstreams.CacheEvent(1, hashes, ())
@@ -175,19 +174,20 @@
         self.submit(router, "j", prompt_tokens=6 * 1_024, prefix_hashes=hashes)
         self.assertEqual(self.start(router)["j"].prefill, "p2")
 
-    def test_a_report_counts_beyond_own_work(self):
+    def test_report_counts_only_unattributed_load(self):
         router = self.make(decodes=2, slots=4)
         router.record_load("lm", "d0", cases.make_load(running=4), 0)
         for n in range(6):
             self.submit(router, f"j{n}", prompt_tokens=100, within_ms=30_000)
         started = self.start(router)
         self.assertEqual({one.decode for one in started.values()}, {"d1"})
-        # The next report shows our own four; they are not others' work.
+        # The next report shows this router's own four streams, which are not
+        # unattributed load.
         router.record_load("lm", "d1", cases.make_load(running=4), 300)
         router.finish(next(iter(started)), End.DONE, "", 310)
         self.assertEqual(len(self.start(router, 310)), 1)
 
-    def test_a_full_engine_gets_nothing_for_a_while(self):
+    def test_full_decode_engine_is_in_backoff(self):
         router = self.make(decodes=2, slots=4)
         self.submit(router, "j0")
         full = self.start(router)["j0"].decode
@@ -197,7 +197,7 @@
         started = self.start(router, 10)
         self.assertNotIn(full, {one.decode for one in started.values()})
 
-    def test_a_refused_decode_moves(self):
+    def test_rejected_decode_is_reassigned(self):
         router = self.make(decodes=2, slots=1)
         self.submit(router, "j")
         first = self.start(router)["j"].decode
@@ -208,10 +208,10 @@
         views = router._pools["lm"].members.list_all()
         self.assertEqual([view.own_decodes for view in views], [0] * 4)
 
-    def test_a_failing_upstream_is_ejected_and_probed(self):
-        """An engine breaks each connection and so always looks idle.  It
-        would draw all new work and fail it; and once mended it must get
-        work again, by one probe at first.
+    def test_failing_upstream_is_ejected_and_probed(self):
+        """An engine closes each connection and so always looks idle.  It
+        would attract and fail all new requests.  After the ejection it must
+        get requests again, beginning with a single probe.
         """
         router = self.make(decodes=2, slots=8)
         self.submit(router, "j")
@@ -227,10 +227,10 @@
         self.assertEqual(used.count(bad), 1)
 
 
-class ShiftingTest(SchedulerCase):
-    def test_a_leaving_upstream_gets_nothing_more(self):
-        """Operators take an engine out while requests wait.  Whatever is
-        sent there after the change is cut when the engine stops.
+class PoolChangeTest(SchedulerCase):
+    def test_draining_upstream_gets_no_jobs(self):
+        """Operators drain an engine while requests wait.  A request that is
+        sent there after the change is aborted when the engine stops.
         """
         router = self.make(decodes=2, slots=8)
         for n in range(4):
@@ -244,7 +244,7 @@
         for job_id in before:
             router.finish(job_id, End.DONE, "", 20)
 
-    def test_counts_survive_a_row_that_goes_and_comes(self):
+    def test_counts_are_retained_while_a_row_is_removed(self):
         router = self.make(decodes=1, slots=2)
         self.submit(router, "j")
         self.start(router)
@@ -254,7 +254,7 @@
             self.submit(router, f"k{n}", 30)
         self.assertEqual(len(self.start(router, 30)), 1)
 
-    def test_a_changed_role_takes_hold(self):
+    def test_changed_role_takes_effect(self):
         router = self.make(prefills=2, decodes=1)
         pool = cases.make_pool(prefills=2, decodes=1)
         rows = [
@@ -274,7 +274,7 @@
         self.assertEqual({one.prefill for one in started}, {"p0"})
         self.assertEqual({one.decode for one in started}, {"p1", "d0"})
 
-    def test_jobs_of_a_dropped_pool_are_answered(self):
+    def test_jobs_of_a_removed_pool_are_rejected(self):
         router = self.make(decodes=1, slots=1)
         self.submit(router, "a")
         self.start(router)
@@ -285,7 +285,7 @@
         router.finish("a", End.DONE, "", 20)
 
 
-class RoomTest(unittest.TestCase):
+class KvReservationTest(unittest.TestCase):
     def start(self, engine_tokens):
         router = scheduler.FairScheduler("vm1", seed=2)
         pool = cases.make_reading_pool(1, 2, kv_capacity_tokens=engine_tokens)
@@ -294,9 +294,9 @@
         self.assertTrue(router.submit(job, 0).is_ok())
         return router.dispatch(0).assignments[0]
 
-    def test_the_prompts_room_is_reserved_where_few_streams_fit(self):
-        """Guards against prompts read for engines that others have filled
-        since they were heard last.
+    def test_prompt_is_reserved_where_few_streams_fit(self):
+        """Guards against wasted prefills for engines that peers have filled
+        since their last gossip message.
         """
         self.assertEqual(self.start(1_500).kv_tokens, 500)
         self.assertEqual(self.start(90_000).kv_tokens, 0)
@@ -309,9 +309,9 @@
             receiver.apply_hints(note, now_ms)
         return note
 
-    def test_a_peers_slots_count_until_it_is_silent(self):
-        """A router dies while it holds all slots.  If its holdings counted
-        for ever, the engines would look full to the others from then on.
+    def test_slots_of_a_peer_count_until_its_timeout(self):
+        """A router crashes while it holds all slots.  If its load counted
+        forever, the engines would always look full to the others.
         """
         one = self.make("vm1", decodes=1, slots=2)
         two = self.make("vm2", decodes=1, slots=2)
@@ -325,10 +325,10 @@
         self.submit(two, "c", 4_000)
         self.assertEqual(list(self.start(two, 4_000)), ["c"])
 
-    def test_a_free_slot_is_left_to_the_account_with_less(self):
+    def test_free_slot_is_yielded_to_the_account_with_less_service(self):
         """A small account's callers all use one VM and a large account's
-        another.  When a slot comes free at the large one's VM and is taken
-        there at once, the small account never gets any.
+        another.  If the large account's VM took each slot that becomes free
+        there, the small account would never get any.
         """
         large = self.make("vm1", decodes=1, slots=1)
         small = self.make("vm2", decodes=1, slots=1)
@@ -349,7 +349,7 @@
         self.exchange(large, small, 62)
         self.assertEqual(list(self.start(small, 62)), ["s"])
 
-    def test_a_slot_that_nobody_takes_is_used(self):
+    def test_unclaimed_slot_is_used(self):
         one = self.make("vm1", decodes=1, slots=1)
         two = self.make("vm2", decodes=1, slots=1)
         self.submit(one, "runs", account="big")
@@ -363,7 +363,7 @@
         started = [self.start(one, at) for at in range(50, 250, 10)]
         self.assertIn("l", {job for found in started for job in found})
 
-    def test_an_old_note_is_dropped(self):
+    def test_old_message_is_ignored(self):
         one = self.make("vm1", decodes=1, slots=2)
         two = self.make("vm2", decodes=1, slots=2)
         self.submit(one, "a")
@@ -375,17 +375,17 @@
         view = two._pools["lm"].members.find("d0")
         self.assertEqual(view.peers, 0)
 
-    def test_quiet_routers_say_little(self):
+    def test_idle_routers_send_few_messages(self):
         router = self.make()
-        notes = [router.drain_hints(at) for at in range(0, 10_000, 10)]
-        self.assertLessEqual(sum(note is not None for note in notes), 11)
+        messages = [router.drain_hints(at) for at in range(0, 10_000, 10)]
+        self.assertLessEqual(sum(note is not None for note in messages), 11)
 
 
 class OrderTest(SchedulerCase):
-    def test_goodput_puts_cheap_prompts_first_and_worst_served_does_not(self):
+    def test_only_goodput_starts_cheap_prompts_first(self):
         for name, expected in (("worst_served", "dear"), ("goodput", "cheap")):
-            weighed = scheduler.fairness.find_fairness_mode(name)
-            router = scheduler.FairScheduler("vm1", weighed=weighed)
+            mode = scheduler.fairness.find_fairness_mode(name)
+            router = scheduler.FairScheduler("vm1", weighed=mode)
             pool = cases.make_pool(decodes=1, slots=1)
             router.change_pools({"lm": pool}, 0)
             self.submit(router, "runs", account="c")
@@ -396,7 +396,7 @@
             with self.subTest(name):
                 self.assertEqual(list(self.start(router, 10)), [expected])
 
-    def test_a_blocked_long_job_lets_its_accounts_short_ones_pass(self):
+    def test_short_jobs_overtake_a_blocked_long_job(self):
         router = self.make(prefills=2, decodes=1, slots=8)
         for n in range(3):
             self.submit(router, f"long{n}", prompt_tokens=8_500)
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""Whatever happens, each job has one end and each slot is given back."""
+"""Property tests: each job has one outcome and each slot is released."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-ENDS = list(jobs.JobOutcome)
+OUTCOMES = list(jobs.JobOutcome)
 UPSTREAMS = ("p0", "p1", "d0", "d1", "")
 POOLS = (
     {"lm": cases.make_pool()},
@@ -18,7 +18,7 @@
     {"lm": cases.make_pool(leaving=("p0", "d1"))},
     {},
 )
-ACTS = strategies.lists(
+ACTIONS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(
             (
@@ -43,27 +43,31 @@
 
 
 class Ledger:
-    """Plays acts against a scheduler and keeps each job's end."""
+    """Runs actions on a scheduler and records each job's outcome."""
 
     def __init__(self):
         self.scheduler = scheduler.FairScheduler("vm1", seed=3)
         self.now_ms = 0
         self.pools = POOLS[0]
         self.scheduler.change_pools(self.pools, 0)
-        self.ends = {}
+        self.outcomes = {}
         self.running = {}
         self.sequence = 0
 
-    def end(self, job_id, how):
-        assert job_id not in self.ends, (job_id, how, self.ends[job_id])
-        self.ends[job_id] = how
+    def record(self, job_id, outcome):
+        assert job_id not in self.outcomes, (
+            job_id,
+            outcome,
+            self.outcomes[job_id],
+        )
+        self.outcomes[job_id] = outcome
 
-    def inject_all(self, act, number, later_ms):
+    def apply(self, action, number, later_ms):
         self.now_ms += later_ms
-        getattr(self, f"do_{act}")(number)
+        getattr(self, f"do_{action}")(number)
 
     def do_submit(self, number):
-        job_id = f"j{len(self.ends) + self.sequence}"
+        job_id = f"j{len(self.outcomes) + self.sequence}"
         self.sequence += 1
         job_id = f"{job_id}-{self.sequence}"
         job = cases.make_job(
@@ -75,12 +79,12 @@
             digest=f"x{number % 5}",
         )
         if self.scheduler.submit(job, self.now_ms).is_error():
-            self.end(job_id, "refused")
+            self.record(job_id, "refused")
 
     def do_dispatch(self, number):
         decided = self.scheduler.dispatch(self.now_ms)
         for refusal in decided.refusals:
-            self.end(refusal.job_id, "given up")
+            self.record(refusal.job_id, "given up")
         for assignment in decided.assignments:
             rows = {row.name: row for row in self.pools["lm"].upstreams}
             assert not rows[assignment.prefill].leaving
@@ -92,13 +96,13 @@
         for name, pool in self.pools.items():
             for row in pool.upstreams:
                 view = self.scheduler._pools[name].members.find(row.name)
-                mine = [
+                own = [
                     a for a in self.running.values() if a.decode == row.name
                 ]
-                assert view.own_decodes == len(mine), (
+                assert view.own_decodes == len(own), (
                     row.name,
                     view.own_decodes,
-                    mine,
+                    own,
                 )
 
     def pick(self, number):
@@ -113,18 +117,18 @@
 
     def do_finish(self, number):
         job_id = self.pick(number)
-        end = ENDS[number % len(ENDS)]
-        blamed = UPSTREAMS[number % len(UPSTREAMS)]
-        self.scheduler.finish(job_id, end, blamed, self.now_ms)
+        outcome = OUTCOMES[number % len(OUTCOMES)]
+        at_fault = UPSTREAMS[number % len(UPSTREAMS)]
+        self.scheduler.finish(job_id, outcome, at_fault, self.now_ms)
         if self.running.pop(job_id, None) is not None:
-            self.end(job_id, "finished")
+            self.record(job_id, "finished")
 
     def do_cancel(self, number):
         waiting = sorted(self.scheduler._waiting)
         if waiting:
             job_id = waiting[number % len(waiting)]
             assert self.scheduler.cancel(job_id, self.now_ms)
-            self.end(job_id, "cancelled")
+            self.record(job_id, "cancelled")
             assert not self.scheduler.cancel(job_id, self.now_ms)
 
     def do_pools(self, number):
@@ -148,7 +152,7 @@
         self.scheduler.apply_hints(note, self.now_ms)
         self.scheduler.drain_hints(self.now_ms)
 
-    def settle(self):
+    def finish_all(self):
         self.pools = POOLS[0]
         self.scheduler.change_pools(self.pools, self.now_ms)
         while self.running or self.scheduler._waiting:
@@ -159,17 +163,17 @@
 
 class PropertiesTest(unittest.TestCase):
     @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
-    @hypothesis.given(acts=ACTS)
-    def test_every_slot_returns_and_every_job_ends_once(self, acts):
-        """Upstreams refuse, fail and die, callers cancel, pools change in
-        any order.  A slot that is not given back is lost for good: after
-        some days the engine looks full and callers are refused while it
-        idles.  A job without an end leaves its caller waiting for ever.
+    @hypothesis.given(actions=ACTIONS)
+    def test_every_slot_is_released_and_every_job_ends_once(self, actions):
+        """Upstreams reject, fail and crash, callers cancel and pools change
+        in any order.  A slot that is not released is lost: after some days
+        an idle engine would look full and callers would be rejected.  A job
+        without an outcome would leave its caller waiting forever.
         """
         ledger = Ledger()
-        for act, number, later_ms in acts:
-            ledger.inject_all(act, number, later_ms)
-        ledger.settle()
+        for action, number, later_ms in actions:
+            ledger.apply(action, number, later_ms)
+        ledger.finish_all()
         for view in ledger.scheduler._pools["lm"].members.list_all():
             self.assertEqual(
                 (view.own_decodes, view.own_suspects, view.own_blocks),
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -1,4 +1,4 @@
-"""Pools of long answers: shape, room in memory, and who reads prompts."""
+"""Tests of pools with long responses: roles, KV capacity and prefill."""
 
 import unittest
 
@@ -8,11 +8,11 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-# The pattern that these answer, by the operators' sheets: prompts of 5,000
-# tokens that a prefill engine reads in 90 ms and a decode engine in 180,
-# answers of about 5,000 tokens that last for 4 s, engines that hold 96,693.
+# The traffic of the operators' data sheets: prompts of 5,000 tokens that take
+# 90 ms on a prefill engine and 180 ms on a decode engine, responses of about
+# 5,000 tokens that last for 4 s, engines with memory for 96,693 tokens.
 PROMPT = 5_000
-ANSWER = 5_180
+RESPONSE = 5_180
 TOKENS = 96_693
 GAP_MS = 300
 RATE = 0.018
@@ -32,7 +32,7 @@
 
 
 class Rig:
-    """One router's scheduler, with jobs of the pattern's size."""
+    """One router's scheduler with jobs of the traffic above."""
 
     def __init__(self, vm="vm1", **pool):
         self.scheduler = scheduler.FairScheduler(
@@ -53,7 +53,7 @@
             within_ms=1_980,
             prompt_tokens=prompt,
             max_tokens=9_620,
-            expected_tokens=ANSWER,
+            expected_tokens=RESPONSE,
             first_token_target_ms=now_ms + target_ms,
         )
         return self.scheduler.submit(job, now_ms)
@@ -62,11 +62,11 @@
         return self.scheduler.dispatch(now_ms).assignments
 
 
-class RoomTest(unittest.TestCase):
-    def test_burst_starts_only_what_memory_holds(self):
-        """A burst brings forty streams at once.  Each engine has 64 slots
-        and memory for ten such streams; were all started, most would be
-        refused by the engines after their prompt had been read.
+class CapacityTest(unittest.TestCase):
+    def test_burst_starts_only_what_fits_into_memory(self):
+        """A burst of forty streams arrives.  Each engine has 64 slots and
+        memory for ten such streams.  If all were started, the engines would
+        reject most of them after their prefill.
         """
         rig = Rig(decodes=2)
         for _ in range(40):
@@ -79,9 +79,9 @@
                 sum(one.decode == name for one in started), 10
             )
 
-    def test_other_routers_work_counts(self):
-        """Another router has filled an engine, and told so.  A router that
-        counted only its own streams would send more there.
+    def test_load_of_other_routers_counts(self):
+        """Another router has filled an engine and announced its load.  A
+        router that counted only its own streams would send more there.
         """
         one, other = Rig("vm1", decodes=1), Rig("vm2", decodes=1)
         for _ in range(20):
@@ -92,9 +92,9 @@
             other.submit(3)
         self.assertEqual(len(started) + len(other.start(3)), len(started))
 
-    def test_what_can_be_on_time_goes_first(self):
-        """Streams wait in a burst until their first event would be late.
-        Served by age, every later one would be late as well.
+    def test_jobs_that_can_meet_their_target_go_first(self):
+        """In a burst, jobs wait until they miss their first token target.
+        In order of age, every later job would miss its target as well.
         """
         rig = Rig(prefills=1, decodes=1)
         for _ in range(12):
@@ -108,25 +108,25 @@
         self.assertEqual(first[0].job_id, f"j{rig.count}")
 
 
-class SelfReadingTest(unittest.TestCase):
-    def test_prefill_engines_read_in_quiet_times(self):
+class ChunkedPrefillTest(unittest.TestCase):
+    def test_prefill_engine_is_used_under_light_load(self):
         rig = Rig()
         rig.submit(0)
         (one,) = rig.start(0)
         self.assertNotEqual(one.prefill, one.decode)
 
-    def test_without_prefill_engines_decode_engines_read(self):
-        """Every prefill engine is down.  Without this all streams would be
-        refused, though decode engines can serve them whole.
+    def test_decode_engines_prefill_without_prefill_engines(self):
+        """Every prefill engine is down.  Without chunked prefill, all streams
+        would be rejected, although decode engines can serve them alone.
         """
         rig = Rig(prefills=0)
         rig.submit(0)
         (one,) = rig.start(0)
         self.assertEqual(one.prefill, one.decode)
 
-    def test_one_prompt_at_a_time_beside_streams(self):
-        """A burst of prompts meets decode engines that run streams.  Two
-        prompts read in a row would make all of their pauses too long.
+    def test_one_chunked_prefill_at_a_time(self):
+        """A burst of prompts arrives at decode engines that run streams.  Two
+        consecutive prefills would exceed the inter-token gap of all streams.
         """
         rig = Rig(prefills=0, decodes=1)
         rig.submit(0)
@@ -144,12 +144,12 @@
         (one,) = rig.start(400)
         self.assertEqual(one.prefill, "p0")
 
-    def test_pool_that_does_not_read_itself_refuses(self):
+    def test_pool_without_chunked_prefill_rejects(self):
         rig = Rig(prefills=0, self_reading=False)
         self.assertTrue(rig.submit(0).is_error())
 
 
-class ShapeTest(unittest.TestCase):
+class RolePlannerTest(unittest.TestCase):
     def plan(self, planner, now_ms=0, **pool):
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
@@ -158,18 +158,18 @@
         self.assertEqual([one.row.name for one in found], ["p0", "p1"])
         self.assertEqual({one.argument for one in found}, {"decode"})
 
-    def test_pool_in_shape_needs_nothing(self):
+    def test_balanced_pool_needs_no_orders(self):
         planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=4), [])
         self.assertEqual(self.plan(planner, prefills=0, decodes=4), [])
 
-    def test_small_pool_stays_as_it_is(self):
+    def test_small_pool_keeps_its_roles(self):
         planner = role_planner.RolePlanner()
         self.assertEqual(self.plan(planner, prefills=2, decodes=0), [])
 
-    def test_order_is_not_repeated_while_it_may_be_under_way(self):
-        """An order got no answer, and may be carried out twelve seconds
-        later.  Repeated, it would empty another engine as well.
+    def test_order_is_not_retried_while_it_may_be_executed(self):
+        """An order got no response, and may be executed up to twelve seconds
+        later.  A new order before that would drain another engine as well.
         """
         planner = role_planner.RolePlanner()
         for order in self.plan(planner, prefills=4, decodes=3):
@@ -178,7 +178,7 @@
         again = self.plan(planner, 20_000, prefills=4, decodes=3)
         self.assertEqual(len(again), 2)
 
-    def test_leaving_engines_do_not_count(self):
+    def test_draining_engines_do_not_count(self):
         found = self.plan(
             role_planner.RolePlanner(),
             prefills=3,
