--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -194,7 +194,7 @@
         )
         if pool is None or view is None:
             return
-        view.note_peer(vm, holding, now_ms)
+        view.apply_peer_holding(vm, holding, now_ms)
         outcomes = holding.outcomes
         if outcomes.has_failures() and not self._trust.accepts(
             vm,
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -71,7 +71,7 @@
         if not slow:
             return usable
         probe_due = [
-            view for view in slow if now_ms - view.step_seen_ms >= PROBE_MS
+            view for view in slow if now_ms - view.step_updated_ms >= PROBE_MS
         ]
         if probe_due:
             # Without a probe from time to time, a recovered upstream would
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -68,7 +68,7 @@
         "speed",
         "step",
         "step_floor",
-        "step_seen_ms",
+        "step_updated_ms",
         "_unsent_step_ms",
         "health",
         "prefixes",
@@ -116,7 +116,7 @@
         self.step = health.Ewma(STEP_MS, STEP_SMOOTHING)
         # The decode step without chunked prefills in between.
         self.step_floor = health.LatencyFloor(STEP_MS)
-        self.step_seen_ms = 0
+        self.step_updated_ms = 0
         self._unsent_step_ms = 0.0
         self.health = health.OutlierDetector(random_)
         self.prefixes = prefix_index.PrefixIndex()
@@ -257,7 +257,7 @@
         """
         self.step.note(step_ms)
         self.step_floor.note(step_ms)
-        self.step_seen_ms = now_ms
+        self.step_updated_ms = now_ms
         self._unsent_step_ms = step_ms
 
     def take_step_ms(self) -> int:
@@ -355,7 +355,9 @@
         known_blocks = self.own_blocks + self.peer_blocks
         self.unattributed_blocks = max(used - known_blocks, 0)
 
-    def note_peer(self, vm: str, holding: hints.Holding, now_ms: int) -> None:
+    def apply_peer_holding(
+        self, vm: str, holding: hints.Holding, now_ms: int
+    ) -> None:
         """Apply a peer's announced load on this upstream.
 
         :param vm: the peer
@@ -378,7 +380,7 @@
             # to see a change by itself.
             self.step.note(holding.step_ms)
             self.step_floor.note(holding.step_ms)
-            self.step_seen_ms = now_ms
+            self.step_updated_ms = now_ms
         self._by_peer[vm] = holding
         self._update_peak(now_ms)
 
