--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -1,9 +1,9 @@
-"""The waiting jobs of one pool, in an order that is fair to accounts.
+"""Orders the waiting jobs of one pool by start-time fair queueing.
 
-Start-time fair queueing: each client account has a virtual start, in tokens
-by weight, which grows with what the account was given; the account with the
-least start goes next.  All operations take logarithmic time in the number of
-waiting accounts and entries.
+Each client account has a virtual start, in tokens divided by its weight,
+which grows with the tokens that were charged to it; the account with the
+smallest virtual start goes next.  All operations take logarithmic time in the
+number of waiting accounts and entries.
 """
 
 import collections.abc
@@ -17,17 +17,17 @@
 
 __all__ = ["AccountState", "QueueEntry", "FairQueue", "Lane"]
 
-# An account that has nothing waiting and no debt needs no state.  The limit
-# is above twice the accounts of the target (2,200), so that a sweep is rare.
+# An account with no waiting jobs and no debit needs no state.  The limit is
+# more than twice the design target of 2,200 accounts, so evictions are rare.
 MAX_IDLE_ACCOUNTS = 5_000
-# How far behind the present an account may start that was given little.  All
-# routers of a cell have to come to the same order, so the start is not moved
-# up to the very present when an account begins to wait, as textbooks do: only
-# one router would know of it.  And an account whose demand is about its due
-# sends nothing for a moment now and then, which a claim lets it make up.  The
-# harm of a claim is that an account which comes back after a pause goes first
-# until it has caught up: with fifteen ordinary requests, for two to three
-# seconds of a small pool.
+# How far behind the virtual time an idle account may start.  Textbook
+# start-time fair queueing moves the start of an account up to the virtual time
+# when it begins to wait.  Here all routers of a subset have to arrive at the
+# same order, and only one router would know of that move.  The credit also
+# lets an account whose demand is close to its fair share make up for short
+# idle periods.  Its cost is that an account which returns after an idle period
+# goes first until the credit is used up: about fifteen ordinary requests, or
+# two to three seconds of a small pool.
 MAX_CREDIT_TOKENS = 6_000.0
 
 
@@ -37,10 +37,10 @@
 
 
 class FairQueue:
-    """Entries of all accounts, and the virtual time that orders them.
+    """Holds the entries of all accounts in fair order.
 
-    :param max_entries: limit on what waits
-    :param max_bytes: limit on the bodies of what waits
+    :param max_entries: most waiting jobs
+    :param max_bytes: most bytes of waiting bodies
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
@@ -52,23 +52,23 @@
         self._entries: dict[str, QueueEntry] = {}
         self._accounts: dict[str, AccountState] = {}
         self._order = sortedcontainers.SortedList()
-        self._latest: list[tuple[int, int, str]] = []
+        self._expiry_heap: list[tuple[int, int, str]] = []
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def find_account(self, name: str, weight: int) -> AccountState:
-        """Return an account's state, made on first use.
+        """Return an account's state, created on first use.
 
         :param name: the account
-        :param weight: its weight, taken over if it has changed
+        :param weight: its current weight, which replaces the stored one
         :returns: the state
         """
         state = self._accounts.get(name)
         if state is None:
-            self._forget_idle()
-            state = AccountState(name, weight, self._read_least_start())
+            self._evict_idle()
+            state = AccountState(name, weight, self._get_min_start())
             self._accounts[name] = state
         elif state.weight != max(weight, 1):
             if state.waiting:
@@ -77,7 +77,7 @@
         return state
 
     def count_waiting(self, name: str) -> int:
-        """Return how many jobs of an account wait.
+        """Return the number of an account's waiting jobs.
 
         :param name: the account
         :returns: the number
@@ -86,15 +86,19 @@
         return state.waiting if state is not None else 0
 
     def get_virtual_start(self, name: str) -> float:
-        """Return where an account would stand in the order.
+        """Return the virtual start that orders an account.
 
         :param name: the account
         :returns: its virtual start
         """
         state = self._accounts.get(name)
         if state is None:
-            return self._read_least_start()
-        return state.start if state.waiting else self._start_of_idle(state)
+            return self._get_min_start()
+        return (
+            state.virtual_start
+            if state.waiting
+            else self._get_idle_start(state)
+        )
 
     def get_weight(self, name: str) -> int:
         """Return an account's weight; 1 for one without state.
@@ -106,12 +110,12 @@
         return state.weight if state is not None else 1
 
     def has_room(self, job: jobs.Job) -> bool:
-        """Tell whether another job may wait.
+        """Return whether the queue has capacity for another job.
 
-        Made for one account that sends several times its rate: it can fill
-        at most half of the room, so that the others' jobs are never refused
-        for want of it.  The limits themselves protect the VM's memory: the
-        bodies of what waits are held in full.
+        One account may use at most half of the queue, so that an account
+        which sends several times its rate never causes rejections of the
+        others.  The limits themselves bound the VM's memory, because bodies
+        of waiting jobs are kept in full.
 
         :param job: the job
         :returns: whether it fits
@@ -126,15 +130,15 @@
         )
 
     def push(self, entry: QueueEntry) -> None:
-        """Let a job wait.
+        """Add a job to the queue.
 
         :param entry: the job's entry
         """
         job = entry.job
         state = self.find_account(job.account, job.weight)
         if not state.waiting:
-            state.start = self._start_of_idle(state)
-            self._order.add((state.start, state.name))
+            state.virtual_start = self._get_idle_start(state)
+            self._order.add((state.virtual_start, state.name))
             self.weight_waiting += state.weight
         state.lanes[entry.lane][job.job_id] = entry
         state.waiting += 1
@@ -142,15 +146,15 @@
         self.bytes += job.body_bytes
         self._entries[job.job_id] = entry
         heapq.heappush(
-            self._latest,
+            self._expiry_heap,
             (entry.latest_start_ms, next(self._numbers), job.job_id),
         )
 
     def remove(self, job_id: str) -> QueueEntry | None:
-        """Take a job out without charging for it.
+        """Remove a job without charging its account.
 
         :param job_id: the job
-        :returns: its entry, or none if it did not wait
+        :returns: its entry, or none if it was not waiting
         """
         entry = self._entries.pop(job_id, None)
         if entry is None:
@@ -162,12 +166,12 @@
         state.bytes -= job.body_bytes
         self.bytes -= job.body_bytes
         if not state.waiting:
-            self._order.remove((state.start, state.name))
+            self._order.remove((state.virtual_start, state.name))
             self.weight_waiting -= state.weight
         return entry
 
     def move(self, job_id: str, lane: Lane) -> None:
-        """Put a waiting job at the end of another lane.
+        """Move a waiting job to the end of another lane.
 
         :param job_id: the job
         :param lane: the lane
@@ -179,75 +183,81 @@
         state.lanes[lane][job_id] = entry
 
     def pop_expired(self, now_ms: int) -> collections.abc.Iterator[QueueEntry]:
-        """Take out the jobs that can no longer start in time.
+        """Remove the jobs that can no longer meet their deadline.
 
-        :param now_ms: the present
+        :param now_ms: current time in milliseconds
         :returns: their entries
         """
-        while self._latest and self._latest[0][0] <= now_ms:
-            entry = self.remove(heapq.heappop(self._latest)[2])
+        while self._expiry_heap and self._expiry_heap[0][0] <= now_ms:
+            entry = self.remove(heapq.heappop(self._expiry_heap)[2])
             if entry is not None:
                 yield entry
 
     def get_next_expiry_ms(self) -> int | None:
-        """Return when the next waiting job becomes late."""
-        while self._latest and self._latest[0][2] not in self._entries:
-            heapq.heappop(self._latest)
-        return self._latest[0][0] if self._latest else None
-
-    def list_next(self, most: int) -> list[AccountState]:
-        """Return the accounts whose turn is next, without a change.
-
-        :param most: how many
-        :returns: at most that many accounts, in order
+        """Return when the next waiting job expires, in ms; none if empty."""
+        while (
+            self._expiry_heap and self._expiry_heap[0][2] not in self._entries
+        ):
+            heapq.heappop(self._expiry_heap)
+        return self._expiry_heap[0][0] if self._expiry_heap else None
+
+    def list_next(self, limit: int) -> list[AccountState]:
+        """Return the next accounts in fair order, without any change.
+
+        :param limit: maximum number of accounts
+        :returns: the accounts in order
         """
         return [
             self._accounts[name]
-            for _, name in itertools.islice(self._order, most)
+            for _, name in itertools.islice(self._order, limit)
         ]
 
     def charge(self, name: str, weight: int, tokens: float) -> None:
-        """Count tokens that an account was given, here or by a peer.
+        """Charge an account for tokens granted here or by a peer.
 
         :param name: the account
         :param weight: its weight
-        :param tokens: how many
+        :param tokens: number of tokens
         """
         state = self.find_account(name, weight)
-        start = state.start if state.waiting else self._start_of_idle(state)
+        start = (
+            state.virtual_start
+            if state.waiting
+            else self._get_idle_start(state)
+        )
         self.virtual_time = max(self.virtual_time, start)
-        self._move_start(state, start + tokens / state.weight)
+        self._set_start(state, start + tokens / state.weight)
 
     def adjust_charge(self, name: str, weight: int, tokens: float) -> None:
-        """Mend an earlier charge that was an estimate.
+        """Correct an earlier charge that was an estimate.
 
         :param name: the account
         :param weight: its weight
-        :param tokens: what is to be added; below zero to give back
+        :param tokens: tokens to add; negative for a refund
         """
         state = self.find_account(name, weight)
-        start = state.start + tokens / state.weight
-        # A peer may give back what it charged before we heard of it.
-        self._move_start(state, max(start, self._read_least_start()))
+        start = state.virtual_start + tokens / state.weight
+        # A peer's refund may arrive before the charge that it corrects.
+        self._set_start(state, max(start, self._get_min_start()))
 
-    def _read_least_start(self) -> float:
+    def _get_min_start(self) -> float:
         return max(self.virtual_time - MAX_CREDIT_TOKENS, 0.0)
 
-    def _move_start(self, state: AccountState, start: float) -> None:
+    def _set_start(self, state: AccountState, start: float) -> None:
         if state.waiting:
-            self._order.remove((state.start, state.name))
+            self._order.remove((state.virtual_start, state.name))
             self._order.add((start, state.name))
-        state.start = start
+        state.virtual_start = start
 
-    def _start_of_idle(self, state: AccountState) -> float:
-        return max(state.start, self._read_least_start())
+    def _get_idle_start(self, state: AccountState) -> float:
+        return max(state.virtual_start, self._get_min_start())
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         if len(self._accounts) < MAX_IDLE_ACCOUNTS:
             return
         self._accounts = {
             name: state
             for name, state in self._accounts.items()
             if state.waiting
-            or state.start > self.virtual_time - MAX_CREDIT_TOKENS
+            or state.virtual_start > self.virtual_time - MAX_CREDIT_TOKENS
         }
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -1,4 +1,4 @@
-"""The pools of models that a router knows, as the tables change."""
+"""Keeps the schedulers of a router's model pools in line with the tables."""
 
 import collections.abc
 import random
@@ -16,65 +16,65 @@
 
 
 class PoolSet:
-    """Makes, changes and retires the schedulers of pools.
+    """Creates, updates and retains the schedulers of model pools.
 
     :param vm: this VM's name
-    :param weighed: what the deployment weighs more
-    :param register: requests that may be poison
-    :param random_: a seeded source of chance
-    :param token_gap_ms: the most time between tokens that is still good
-    :param most_entries: limit on what waits in each pool
-    :param most_bytes: limit on the bodies of what waits in each pool
-    :param budget: what repeats are taken out of
-    :param prefill_rate: see :class:`shifting.Members`
+    :param fairness_mode: the deployment's fairness mode
+    :param register: registry of suspected poison requests
+    :param random_: seeded random generator
+    :param token_gap_ms: longest inter-token gap on target, in milliseconds
+    :param max_entries: most waiting jobs in each pool
+    :param max_bytes: most bytes of waiting bodies in each pool
+    :param budget: class of the pools' retry budgets
+    :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
 
     def __init__(
         self,
         vm: str,
-        weighed: fairness.FairnessMode,
+        fairness_mode: fairness.FairnessMode,
         register: poison.PoisonRegistry,
         random_: random.Random,
         token_gap_ms: int,
-        most_entries: int,
-        most_bytes: int,
+        max_entries: int,
+        max_bytes: int,
         budget: type[retries.RetryBudget] = retries.RetryBudget,
         prefill_rate: float = upstream_view.PREFILL_MS_PER_TOKEN,
     ) -> None:
         self.pools: dict[str, pool_scheduler.PoolScheduler] = {}
         self._vm = vm
-        self._weighed = weighed
+        self._fairness_mode = fairness_mode
         self._register = register
         self._random = random_
         self._token_gap_ms = token_gap_ms
-        self._most_entries = most_entries
-        self._most_bytes = most_bytes
+        self._max_entries = max_entries
+        self._max_bytes = max_bytes
         self._budget = budget
         self._prefill_rate = prefill_rate
         self._vms: tuple[str, ...] = (vm,)
-        self._endings: dict[str, job_completion.JobCompletion] = {}
-        self._retired: dict[str, pool_scheduler.PoolScheduler] = {}
+        self._completions: dict[str, job_completion.JobCompletion] = {}
+        self._retained: dict[str, pool_scheduler.PoolScheduler] = {}
 
     def find_any(self, name: str) -> pool_scheduler.PoolScheduler:
-        """Return a pool's scheduler, also of a pool that is gone.
+        """Return the scheduler of a current or removed pool.
 
-        Jobs that had started when the pool went still end there.
+        Jobs that had started when a pool was removed still finish there.
 
-        :param name: the pool's name, which must have been known
+        :param name: the name of a pool that exists or existed
         :returns: its scheduler
         """
-        return self.pools.get(name) or self._retired[name]
+        return self.pools.get(name) or self._retained[name]
 
-    def find_endings(self, name: str) -> job_completion.JobCompletion:
-        """Return what ends the jobs of a pool, also of one that is gone.
+    def find_completion(self, name: str) -> job_completion.JobCompletion:
+        """Return the job completion of a current or removed pool.
 
-        :param name: the pool's name, which must have been known
-        :returns: its endings
+        :param name: the name of a pool that exists or existed
+        :returns: its job completion
         """
-        return self._endings[name]
+        return self._completions[name]
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
-        """Take over the list of VMs that run a router.
+        """Apply a new list of VMs that run a router.
 
         :param vms: their names
         """
@@ -88,31 +88,31 @@
     def change(
         self, rows: collections.abc.Mapping[str, tables.Pool]
     ) -> list[str]:
-        """Take over a new table of pools.
+        """Apply a new table of pools.
 
         :param rows: the rows by name
-        :returns: names of pools that are gone
+        :returns: names of the removed pools
         """
         models = {
             name: row
             for name, row in rows.items()
             if row.kind is tables.PoolKind.MODEL
         }
-        gone = [name for name in self.pools if name not in models]
-        for name in gone:
-            self._retired[name] = self.pools.pop(name)
+        removed = [name for name in self.pools if name not in models]
+        for name in removed:
+            self._retained[name] = self.pools.pop(name)
         for name, row in models.items():
             if name not in self.pools:
                 self._add(name, row)
             self.pools[name].row = row
             self.pools[name].members.change(row, self._vms)
-        return gone
+        return removed
 
     def _add(self, name: str, row: tables.Pool) -> None:
-        pool = self._retired.pop(name, None)
+        pool = self._retained.pop(name, None)
         if pool is None:
             pool = self._make(row)
-            self._endings[name] = job_completion.JobCompletion(
+            self._completions[name] = job_completion.JobCompletion(
                 pool, self._register
             )
         self.pools[name] = pool
@@ -124,10 +124,10 @@
                 self._vm, self._random, self._prefill_rate
             ),
             self._register,
-            self._weighed,
+            self._fairness_mode,
             self._random,
             self._token_gap_ms,
-            self._most_entries,
-            self._most_bytes,
+            self._max_entries,
+            self._max_bytes,
             self._budget(),
         )
