--- a/mulberryway/policy/broadcast_queue.py
+++ b/mulberryway/policy/broadcast_queue.py
@@ -1,25 +1,25 @@
-"""Small notes that reach all VMs within seconds; hints, never promises."""
+"""Queue of small hints that gossip sends to all VMs; best effort."""
 
 import itertools
 
 __all__ = ["Hint", "BroadcastQueue"]
 
-# A board is bounded in number and size, so that no flood of notes eats a
-# VM's 15 KB/s or its memory: the oldest are forgotten first.
-MOST_HINTS = 256
-MOST_PAYLOAD_BYTES = 512
-MOST_TTL_MS = 600_000
-MOST_IN_MESSAGE = 4
+# The queue is bounded in number and size, so that a flood of hints cannot
+# exhaust a VM's 15 KB/s or its memory; the oldest hints are evicted first.
+MAX_HINTS = 256
+MAX_PAYLOAD_BYTES = 512
+MAX_TTL_MS = 600_000
+MAX_HINTS_PER_MESSAGE = 4
 
 
 class Hint:
-    """One note.
+    """One small message to all VMs.
 
-    :param kind: who it is for
-    :param key: what it is about; a newer note replaces an older one
-    :param payload: at most 512 bytes
-    :param number: tells newer from older; a wall time in milliseconds
-    :param until_ms: when it is forgotten, by this VM's clock
+    :param kind: the component that the hint is for
+    :param key: its subject; a newer hint replaces an older one
+    :param payload: at most :data:`MAX_PAYLOAD_BYTES`
+    :param number: orders hints by age; wall-clock time in ms
+    :param until_ms: when it expires, by this VM's clock
     """
 
     __slots__ = (
@@ -43,54 +43,55 @@
 
 
 class BroadcastQueue:
-    """The notes that this VM knows, and how often it passed each on."""
+    """The hints that this VM knows, and how often it sent each."""
 
     def __init__(self) -> None:
         self._hints: dict[tuple[str, str], Hint] = {}
 
     def add(self, hint: Hint, now_ms: int) -> bool:
-        """Take a note in.
+        """Add a hint.
 
-        :param hint: the note
-        :param now_ms: the present
-        :returns: whether it is news
+        :param hint: the hint
+        :param now_ms: current time in ms
+        :returns: whether it is new
         """
         known = self._hints.get((hint.kind, hint.key))
         is_known = known is not None and known.number >= hint.number
-        is_bad = len(hint.payload) > MOST_PAYLOAD_BYTES
-        if is_known or is_bad or hint.until_ms <= now_ms:
+        is_too_large = len(hint.payload) > MAX_PAYLOAD_BYTES
+        if is_known or is_too_large or hint.until_ms <= now_ms:
             return False
-        hint.until_ms = min(hint.until_ms, now_ms + MOST_TTL_MS)
+        hint.until_ms = min(hint.until_ms, now_ms + MAX_TTL_MS)
         self._hints.pop((hint.kind, hint.key), None)
         self._hints[(hint.kind, hint.key)] = hint
         self._trim(now_ms)
         return True
 
-    def take(self, most_sends: int, now_ms: int) -> list[Hint]:
-        """Choose notes to pass on with the next message.
+    def take(self, max_transmissions: int, now_ms: int) -> list[Hint]:
+        """Return the hints to piggyback on the next message.
 
-        :param most_sends: how often one VM passes a note on
-        :param now_ms: the present
-        :returns: a few notes, the least often sent first
+        :param max_transmissions: how often one VM sends a hint
+        :param now_ms: current time in ms
+        :returns: a few hints, the least often sent first
         """
         live = (
             hint
             for hint in self._hints.values()
-            if hint.transmissions < most_sends and hint.until_ms > now_ms
+            if hint.transmissions < max_transmissions
+            and hint.until_ms > now_ms
         )
         chosen = sorted(live, key=lambda hint: hint.transmissions)[
-            :MOST_IN_MESSAGE
+            :MAX_HINTS_PER_MESSAGE
         ]
         for hint in chosen:
             hint.transmissions += 1
         return chosen
 
     def list_kind(self, kind: str, now_ms: int) -> list[Hint]:
-        """Return the live notes of a kind.
+        """Return the unexpired hints of a kind.
 
         :param kind: the kind
-        :param now_ms: the present
-        :returns: notes
+        :param now_ms: current time in ms
+        :returns: the hints
         """
         return [
             hint
@@ -99,10 +100,10 @@
         ]
 
     def _trim(self, now_ms: int) -> None:
-        late = [
+        expired = [
             key for key, hint in self._hints.items() if hint.until_ms <= now_ms
         ]
-        surplus = len(self._hints) - len(late) - MOST_HINTS
+        surplus = len(self._hints) - len(expired) - MAX_HINTS
         oldest = itertools.islice(self._hints, max(surplus, 0))
-        for key in [*late, *oldest]:
+        for key in [*expired, *oldest]:
             self._hints.pop(key, None)
--- a/mulberryway/policy/claim_coordinators.py
+++ b/mulberryway/policy/claim_coordinators.py
@@ -1,7 +1,7 @@
-"""Which VM writes which shard's log of claims; a hint, never a promise.
+"""Chooses the VM that writes each shard of the claim log; advisory.
 
-Any VM may write any shard, and two that both think themselves the keeper
-only cost each other retries.
+Any VM may write any shard. Two VMs that both consider themselves the
+coordinator only cause each other retries.
 """
 
 import collections.abc
@@ -15,20 +15,20 @@
 def choose_coordinator(
     shard: int, members: collections.abc.Iterable[member.Member]
 ) -> member.Member | None:
-    """Return the VM that writes a shard, by rendezvous hashing.
+    """Return the coordinator of a shard, by rendezvous hashing.
 
-    The load that this is made for: calls that must run once arrive at all
-    VMs.  If each wrote its own claims, VMs would refuse each other's
-    updates, and the platform's writes would grow with the calls; a VM that
-    comes or goes moves only its own shards.
+    Calls that must run once arrive at all VMs. If each VM wrote its own
+    claims, concurrent updates would be rejected and the platform's writes
+    would grow with the number of calls. When a VM joins or leaves, only its
+    own shards move.
 
     :param shard: the shard's number
     :param members: the known VMs
-    :returns: one that takes callers, or none
+    :returns: a VM that accepts callers; none if there is none
     """
     return max(
-        (one for one in members if one.accepts_callers),
-        key=lambda one: _weigh(shard, one.name),
+        (vm for vm in members if vm.accepts_callers),
+        key=lambda vm: _weigh(shard, vm.name),
         default=None,
     )
 
--- a/mulberryway/policy/claim_records.py
+++ b/mulberryway/policy/claim_records.py
@@ -1,4 +1,4 @@
-"""What is written down about a call that must run at most once."""
+"""Records of calls that must run at most once."""
 
 import base64
 import enum
@@ -19,13 +19,13 @@
 KEY_VERSION = 7
 TIME_SHIFT = 80
 DIGEST_DIGITS = 20
-# A confirmation of a booking or a renewal is a few hundred bytes; what is
-# larger is not kept, and a repeat is told that the call ran.
-MOST_REPLY_BYTES = 4_096
+# A booking confirmation or a renewal is a few hundred bytes. Larger replies
+# are not cached, and a retry is answered that the call has run.
+MAX_REPLY_BYTES = 4_096
 
 
 class ClaimState(enum.Enum):
-    """How far a call has come."""
+    """State of a call in the claim log."""
 
     CLAIMED = "c"
     DONE = "d"
@@ -33,10 +33,10 @@
 
 
 class ClaimId:
-    """The name of one call, bound to the client account.
+    """Id of one call, bound to the client account.
 
-    :param digest: over account and key
-    :param time_ms: the time that the caller put into the key
+    :param digest: digest of account and key
+    :param time_ms: time in the caller's key, in ms since 1970
     """
 
     __slots__ = ("digest", "time_ms")
@@ -47,11 +47,11 @@
 
 
 def parse_claim_id(account: str, key: str) -> ClaimId | None:
-    """Return the id that a caller's key names, or none if it is no UUIDv7.
+    """Parse a caller's key into an id; return none if it is no UUIDv7.
 
     :param account: the client account
     :param key: the ``Idempotency-Key``
-    :returns: the id; two spellings of one UUID give the same
+    :returns: the id; different spellings of one UUID give the same id
     """
     try:
         parsed = uuid.UUID(key.strip())
@@ -65,10 +65,10 @@
 
 
 def make_uuid7(time_ms: int, number: int) -> str:
-    """Return a UUIDv7.
+    """Build a UUIDv7.
 
     :param time_ms: milliseconds since 1970
-    :param number: its other bits; random, unless a test wants them known
+    :param number: the remaining bits; random except in tests
     """
     low = number & ((1 << 62) - 1)
     middle = (number >> 62) & 0xFFF
@@ -77,22 +77,22 @@
 
 
 def fingerprint_call(method: str, target: str, body: bytes) -> str:
-    """Return a digest of what a call asks for.
+    """Return a digest of a call's method, target and body.
 
     :param method: the HTTP method
     :param target: path and query
-    :param body: the whole body
+    :param body: the complete body
     """
     head = f"{method}\0{target}\0".encode()
     return hashlib.sha256(head + body).hexdigest()[:DIGEST_DIGITS]
 
 
 class CachedReply:
-    """A plain service's reply as it is kept for repeats.
+    """A service's reply, cached for retries of the call.
 
     :param status: the HTTP status
-    :param headers: header pairs
-    :param body: the whole body
+    :param headers: name and value pairs
+    :param body: the complete body
     """
 
     __slots__ = ("status", "headers", "body")
@@ -105,9 +105,9 @@
         self.body = body
 
     def fits(self) -> bool:
-        """Tell whether it is small enough to be kept."""
+        """Return whether the reply is small enough to be cached."""
         size = sum(len(name) + len(value) for name, value in self.headers)
-        return size + len(self.body) <= MOST_REPLY_BYTES
+        return size + len(self.body) <= MAX_REPLY_BYTES
 
     def encode(self) -> list[typing.Any]:
         """Return the JSON value."""
@@ -125,11 +125,11 @@
     """One entry of a shard's log.
 
     :param digest: the call's id, see :class:`ClaimId`
-    :param time_ms: the time in the id
+    :param time_ms: the time in the id, in ms since 1970
     :param call: see :func:`fingerprint_call`
-    :param owner: names the one attempt that may run the call
-    :param state: how far it has come
-    :param reply: what the service replied, if it is known and was kept
+    :param owner: name of the one attempt that may run the call
+    :param state: the state of the call
+    :param reply: the service's reply, if it is known and was cached
     """
 
     __slots__ = ("digest", "time_ms", "call", "owner", "state", "reply")
@@ -151,7 +151,7 @@
         self.reply = reply
 
     def end(self, state: ClaimState, reply: CachedReply | None) -> "Record":
-        """Return the record that follows this claim.
+        """Return the record that completes or releases this claim.
 
         :param state: ``DONE`` or ``RELEASED``
         :param reply: what the service replied
@@ -161,7 +161,7 @@
         )
 
     def encode(self) -> list[typing.Any]:
-        """Return the JSON value; a list, since names would triple it."""
+        """Return the JSON value; a list, since keys would triple its size."""
         return [
             self.digest,
             self.time_ms,
@@ -173,10 +173,10 @@
 
     @classmethod
     def decode(cls, value: list[typing.Any]) -> "Record":
-        """Return the record that a JSON value holds.
+        """Decode a record from its JSON value.
 
-        :param value: what :meth:`encode` returned
-        :raises ValueError: if it is malformed
+        :param value: a value returned by :meth:`encode`
+        :raises ValueError: if the value is malformed
         """
         digest, time_ms, call, owner, state, reply = value
         return cls(
--- a/mulberryway/policy/claim_slots.py
+++ b/mulberryway/policy/claim_slots.py
@@ -1,4 +1,4 @@
-"""The platform objects of which a shard's log of claims is made."""
+"""Slots: the platform objects that store a shard's claim log."""
 
 import json
 import typing
@@ -11,13 +11,13 @@
 
 
 class Slot:
-    """One platform object of the ring, as last seen.
+    """One platform object of the ring, as last read.
 
-    :param sequence: the slot's place in the log, not in the ring
+    :param sequence: the slot's position in the log, not in the ring
     :param version: the platform's version of the object
-    :param is_full: whether the log goes on in the next slot
-    :param floor_ms: the shard's floor when it was written
-    :param records: its records in order
+    :param is_full: whether the log continues in the next slot
+    :param floor_ms: the shard's low-watermark when the slot was written
+    :param records: the slot's records in order
     """
 
     __slots__ = ("sequence", "version", "is_full", "floor_ms", "records")
@@ -38,14 +38,14 @@
 
 
 class Append:
-    """An append to be made.
+    """An append that has not been sent yet.
 
-    :param slot_index: the slot's place in the ring; the object's name
+    :param slot_index: the slot's index in the ring; names the object
     :param version: the version to update; none to create the object
-    :param sequence: the slot's place in the log
-    :param floor_ms: the shard's floor from now on
+    :param sequence: the slot's position in the log
+    :param floor_ms: the shard's low-watermark after this append
     :param records: all records of the slot
-    :param slot_bytes: a slot with so many bytes is full
+    :param slot_bytes: size in bytes at which a slot is full
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
         self.is_full = len(json.dumps(self._encoded)) >= slot_bytes
 
     def make_value(self) -> dict[str, typing.Any]:
-        """Return the object's whole new value."""
+        """Return the complete new value of the object."""
         return {
             "sequence": self.sequence,
             "floor_ms": self.floor_ms,
@@ -86,11 +86,11 @@
 
 
 def decode_slot(value: dict[str, typing.Any], version: int) -> Slot:
-    """Return the slot that a platform object holds.
+    """Decode a slot from a platform object.
 
     :param value: the object's value
-    :param version: its version
-    :raises ValueError: if it is malformed
+    :param version: the object's version
+    :raises ValueError: if the value is malformed
     """
     try:
         records = [Record.decode(item) for item in value["records"]]
@@ -102,4 +102,4 @@
             records,
         )
     except (KeyError, TypeError) as error:
-        raise ValueError(f"a malformed slot: {error}") from error
+        raise ValueError(f"malformed claim slot: {error}") from error
--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -1,22 +1,22 @@
-"""Which attempt may run a call that must run at most once: a promise.
-
-Claims are kept in shards.  A shard is a log on a ring of platform objects,
-its slots: records are appended to the newest slot by an update that is
-conditional on the slot's version, and once a slot is full the log goes on in
-the next one, over what stood there one round earlier.
-
-Why two VMs can never both hold a claim: a VM appends from what it knows of
-the log.  Whoever was faster has changed either the newest slot or, if that
-was full, the next one; both are the object that the slower VM updates, so
-its update is refused and it reads on before it decides again.  For that,
-whether a slot is full stands in the slot itself: two VMs that each judged by
-the size of what they append, or by limits of two releases, could go on in
-two different slots.
-
-Why a forgotten claim does not run again: overwriting a slot raises the
-shard's floor, written along with it, to the latest time in the ids that are
-lost with it.  Ids at or below the floor are refused.  The floor is part of
-the log, so no clock of any VM has to be right for this.
+"""Decides which attempt may run an at-most-once call; strongly consistent.
+
+Claims are stored in shards. A shard is a log on a ring buffer of platform
+objects, its slots. Records are appended to the newest slot by an update that
+is conditional on the slot's version. Once a slot is full, the log continues in
+the next one and overwrites the records of the previous round.
+
+No two VMs can hold the same claim: a VM appends on the basis of the log as it
+knows it. A concurrent append by another VM has changed either the newest slot
+or, if that was full, the next one. In both cases it is the object that this VM
+updates, so its update is rejected and it reads the log again before it
+decides. This requires that the slot itself records whether it is full: if each
+VM derived that from the size of its append, or from the limits of its release,
+two VMs could continue in different slots.
+
+An evicted claim does not allow a second run: overwriting a slot raises the
+shard's low-watermark, which is written in the same update, to the latest time
+in the ids that are lost. Ids at or below the low-watermark are rejected. The
+low-watermark is part of the log, so this does not depend on any VM's clock.
 """
 
 import enum
@@ -36,32 +36,33 @@
 Record = claim_records.Record
 ClaimState = claim_records.ClaimState
 
-# Fixed for a deployment's life: two VMs that disagreed would claim one call
-# in two shards.  16 shards of 256 slots hold some 80,000 calls in 16 MB.
+# Fixed for the lifetime of a deployment: VMs with different values would claim
+# one call in two shards. 16 shards of 256 slots hold about 80,000 calls in 16
+# MB.
 SHARD_COUNT = 16
 SLOTS = 256
-# An append sends the whole slot again, so small slots keep appends cheap.
+# An append rewrites the whole slot, so small slots make appends cheap.
 SLOT_BYTES = 4_096
-# An id whose time lies ahead would, once forgotten, raise the floor above
-# the ids of honest callers and have them refused.
-MOST_AHEAD_MS = 60_000
+# Once evicted, an id with a time in the future would raise the low-watermark
+# above the ids of other callers, which would then be rejected.
+MAX_AHEAD_MS = 60_000
 
 
 def pick_shard(digest: str, shards: int = SHARD_COUNT) -> int:
     """Return the shard that holds a call's claim.
 
     :param digest: see :class:`claim_records.ClaimId`
-    :param shards: how many there are
+    :param shards: number of shards
     """
     return int(digest[:8], 16) % shards
 
 
 class ClaimRequest:
-    """An attempt's wish to run a call.
+    """An attempt's request to claim a call.
 
     :param id_: the call's id
     :param call: see :func:`claim_records.fingerprint_call`
-    :param owner: names the attempt; no two attempts have the same
+    :param owner: unique name of the attempt
     """
 
     __slots__ = ("id", "call", "owner")
@@ -74,7 +75,7 @@
         self.owner = owner
 
     def make_record(self) -> Record:
-        """Return the claim to write."""
+        """Return the claim record to append."""
         return Record(
             self.id.digest,
             self.id.time_ms,
@@ -85,28 +86,28 @@
 
 
 class Verdict(enum.Enum):
-    """What an attempt may do."""
+    """Result of deciding on a claim request."""
 
-    # Free as far as is known: to be granted by a successful append.
+    # Not claimed as far as is known; granted by a successful append.
     FREE = "free"
-    # The claim stands in the log under this attempt's name.
+    # The log contains a claim owned by this attempt.
     OWNED = "owned"
-    # The call has run; its reply is known or was too large to keep.
+    # The call has run; its reply is cached or was too large to cache.
     RAN = "ran"
-    # Another attempt holds the claim, or held it when its VM died.
+    # Another attempt owns the claim and is running, or its VM crashed.
     UNFINISHED = "unfinished"
-    # The same id came with another call.
+    # The id was used before with a different call.
     REUSED = "reused"
-    # The id is so old that its claim may be forgotten.
+    # The id is so old that its claim may have been evicted.
     FORGOTTEN = "forgotten"
     # The id's time lies in the future.
     AHEAD = "ahead"
 
 
 class Decision:
-    """A verdict and the record behind it.
+    """A verdict and the record that it is based on.
 
-    :param verdict: what the attempt may do
+    :param verdict: whether the attempt may run
     :param record: the call's newest record, if there is one
     """
 
@@ -118,10 +119,10 @@
 
 
 class Shard:
-    """What one VM knows of one shard's log.
+    """One VM's copy of a shard's log.
 
-    :param slots: how many slots the ring has
-    :param slot_bytes: a slot with so many bytes is full
+    :param slots: number of slots in the ring
+    :param slot_bytes: size in bytes at which a slot is full
     """
 
     def __init__(
@@ -135,11 +136,12 @@
         self.floor_ms = 0
 
     def decide(self, request: ClaimRequest, now_ms: int) -> Decision:
-        """Say what an attempt may do as far as the log is known.
+        """Decide on a claim request from the known part of the log.
 
-        :param request: the wish
-        :param now_ms: milliseconds since 1970
-        :returns: the verdict; ``FREE`` holds only once the append succeeds
+        :param request: the claim request
+        :param now_ms: current time in ms since 1970
+        :returns: the verdict; ``FREE`` is only confirmed by a successful
+            append
         """
         record = self._records.get(request.id.digest)
         if record is not None and record.owner == request.owner:
@@ -147,7 +149,7 @@
                 return Decision(Verdict.OWNED, record)
         if self.next_floor_ms() >= request.id.time_ms:
             return Decision(Verdict.FORGOTTEN)
-        if request.id.time_ms > now_ms + MOST_AHEAD_MS:
+        if request.id.time_ms > now_ms + MAX_AHEAD_MS:
             return Decision(Verdict.AHEAD)
         if record is None:
             return Decision(Verdict.FREE)
@@ -160,7 +162,7 @@
         return Decision(Verdict.FREE)
 
     def next_floor_ms(self) -> int:
-        """Return the floor that the next append writes."""
+        """Return the low-watermark that the next append writes, in ms."""
         overwritten = self._slots.get(self.next_index())
         if overwritten is None or not self.is_newest_full():
             return self.floor_ms
@@ -172,8 +174,8 @@
     def plan_append(self, records: list[Record]) -> claim_slots.Append:
         """Return the update that appends records.
 
-        :param records: what to append
-        :returns: the update, refused by the platform if the log has moved
+        :param records: the records to append
+        :returns: the update; the platform rejects it if the log has changed
         """
         newest = self._slots.get(self.newest_index())
         if newest is not None and not newest.is_full:
@@ -191,50 +193,52 @@
         )
 
     def has_slots(self) -> bool:
-        """Tell whether any slot is known."""
+        """Return whether any slot is known."""
         return bool(self._slots)
 
     def newest_index(self) -> int:
-        """Return the newest slot's place in the ring."""
+        """Return the newest slot's index in the ring."""
         return self._newest % self._ring
 
     def next_index(self) -> int:
-        """Return the place at which the log goes on after the newest."""
+        """Return the index of the slot that follows the newest one."""
         return (self._newest + 1) % self._ring
 
     def is_newest_full(self) -> bool:
-        """Tell whether the log goes on after the newest slot."""
+        """Return whether the next append starts a new slot."""
         newest = self._slots.get(self.newest_index())
         return newest is not None and newest.is_full
 
     def apply_slot(
-        self, place: int, value: dict[str, typing.Any], version: int
+        self, slot_index: int, value: dict[str, typing.Any], version: int
     ) -> list[Record]:
-        """Take in a slot as the platform answered it.
+        """Merge a slot that was read from the platform.
 
-        An answer older than what is known, from a replica that has fallen
-        behind or a reply that came late, changes nothing: a claim that was
-        known would be forgotten, and the call would run again.
+        A version that is not newer than the known one, from a lagging replica
+        or a delayed response, is ignored. Otherwise a known claim would be
+        lost and the call could run twice.
 
-        :param place: the slot's place in the ring
+        :param slot_index: the slot's index in the ring
         :param value: the object's value
         :param version: the object's version
-        :returns: records that were not known before
+        :returns: the records that were not known before
         :raises ValueError: if the value is malformed
         """
-        known = self._slots.get(place)
+        known = self._slots.get(slot_index)
         if known is not None and version <= known.version:
             return []
-        return self._put(place, known, claim_slots.decode_slot(value, version))
+        return self._put(
+            slot_index, known, claim_slots.decode_slot(value, version)
+        )
 
     def apply_append(
         self, append: claim_slots.Append, version: int
     ) -> list[Record]:
-        """Take in what this VM has appended itself.
+        """Merge this VM's own successful append.
 
-        :param append: the append, which the platform has taken
+        :param append: the append that the platform accepted
         :param version: the object's new version
-        :returns: records that were not known before
+        :returns: the records that were not known before
         """
         slot = claim_slots.Slot(
             append.sequence,
@@ -249,11 +253,11 @@
 
     def _put(
         self,
-        place: int,
+        slot_index: int,
         known: claim_slots.Slot | None,
         slot: claim_slots.Slot,
     ) -> list[Record]:
-        self._slots[place] = slot
+        self._slots[slot_index] = slot
         self._newest = max(self._newest, slot.sequence)
         same = known is not None and known.sequence == slot.sequence
         fresh = slot.records[len(known.records) if same else 0 :]
@@ -264,12 +268,13 @@
         return fresh
 
     def is_whole(self) -> bool:
-        """Tell whether the log's last round is known without a gap.
+        """Return whether the last round of the log is known without a gap.
 
-        After the log has gone round while this VM did not look, or in a
-        list whose parts are of different ages, a slot is older than the
-        newest one says: of another round, or not full yet although the log
-        went on.  Decisions from it would miss claims.
+        If the log has wrapped around since this VM last read it, or if the
+        entries of a listing have different ages, a slot is older than the
+        newest one implies: it is of an earlier round, or not marked full
+        although the log has continued. Decisions based on such a copy would
+        miss claims.
         """
         oldest = max(self._newest - self._ring + 1, 0)
         return all(
--- a/mulberryway/policy/dissemination/__init__.py
+++ b/mulberryway/policy/dissemination/__init__.py
@@ -1,10 +1,10 @@
-"""Decides along which VMs hints travel to all VMs of a fleet.
+"""Disseminates gossip messages to all VMs of a fleet by way of relays.
 
 A VM sends an item once to each availability zone, to a relay there, which
-passes it on to the zone's other VMs together with what others have sent.  So
-what a VM sends, and what crosses zones, does not grow with the fleet.  Any VM
-may relay; none is set aside for it.  The state held here is which relays have
-acknowledged what, and what this VM has yet to pass on.
+forwards it to the zone's other VMs together with items of other VMs. So the
+traffic of a VM and between zones does not grow with the fleet. Any VM may
+relay; none is dedicated to it. The state here is which relays have
+acknowledged which items, and what this VM has yet to forward.
 """
 
 from mulberryway.policy.dissemination import batch
--- a/mulberryway/policy/dissemination/disseminator.py
+++ b/mulberryway/policy/dissemination/disseminator.py
@@ -1,4 +1,4 @@
-"""Sends items to all VMs by way of relays, and relays those of others."""
+"""Sends items to all VMs through relays, and relays those of others."""
 
 import collections.abc
 import itertools
@@ -9,15 +9,16 @@
 
 __all__ = ["Disseminator"]
 
-# In a zone with no more receivers a relay saves little and costs a hop.
-MOST_DIRECT = 4
+# In a zone with at most this many receivers, a relay saves little and costs a
+# hop.
+MAX_DIRECT = 4
 
 
 class Disseminator:
-    """One VM's part in the dissemination; without I/O, threads or clock.
+    """One VM's side of the dissemination; without I/O, threads or clock.
 
-    Items are hints: they may be lost, come twice or out of order.  An item
-    is sent again only where a relay did not acknowledge it.
+    Delivery is best effort: items may be lost, duplicated or reordered. An
+    item is sent again only if a relay did not acknowledge it.
 
     :param own: this VM
     """
@@ -34,9 +35,9 @@
     def set_receivers(
         self, receivers: collections.abc.Iterable[messages.Receiver]
     ) -> None:
-        """Take over which other VMs there are.
+        """Replace the set of other VMs.
 
-        :param receivers: all VMs that are thought to be alive
+        :param receivers: all VMs that are considered alive
         """
         zones: dict[str, list[messages.Receiver]] = {}
         for one in receivers:
@@ -47,18 +48,18 @@
             zone: self._outboxes.get(zone) or outbox.ZoneOutbox(zone)
             for zone in zones
         }
-        for zone, found in zones.items():
+        for zone, zone_receivers in zones.items():
             own = [self._own] if zone == self._own.zone else []
-            self._outboxes[zone].chooser.change(found + own)
+            self._outboxes[zone].chooser.change(zone_receivers + own)
 
     def publish(
         self, item: bytes, now_ms: int, is_deferrable: bool = False
     ) -> list[messages.Packet]:
-        """Return the packets that bring an item to all VMs.
+        """Return the packets that send an item to all VMs.
 
         :param item: the item
-        :param now_ms: the present
-        :param is_deferrable: whether relays may keep it for a moment
+        :param now_ms: current time in ms
+        :param is_deferrable: whether relays may delay it to batch it
         """
         return [
             packet
@@ -71,12 +72,12 @@
     def take(
         self, envelope: messages.Envelope, sender: str, now_ms: int
     ) -> list[messages.Packet]:
-        """Take in an envelope; its items are the caller's to read.
+        """Process a received envelope; the caller handles its items.
 
         :param envelope: the envelope
-        :param sender: ``host:port`` of the VM that sent it
-        :param now_ms: the present
-        :returns: what to send in turn
+        :param sender: ``host:port`` of the sending VM
+        :param now_ms: current time in ms
+        :returns: the packets to send in response
         """
         if envelope.acknowledged:
             for one in self._outboxes.values():
@@ -85,24 +86,24 @@
         if not envelope.relay_number:
             return []
         self.relayed += len(envelope.items)
-        answer = messages.Packet(
+        acknowledgement = messages.Packet(
             messages.Kind.ACKNOWLEDGEMENT,
             sender,
             "",
             messages.Envelope([], 0, envelope.relay_number),
         )
         relayed = self._relay(envelope.items, now_ms, envelope.is_deferrable)
-        return [answer, *relayed]
+        return [acknowledgement, *relayed]
 
     def poll(self, now_ms: int) -> list[messages.Packet]:
         """Return the packets that are due by time alone.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         packets = [
             packet
             for items in self._batch.pop_due(now_ms)
-            for packet in self._spread(items)
+            for packet in self._send_batch(items)
         ]
         for zone, box in self._outboxes.items():
             for one in box.pop_overdue(now_ms):
@@ -112,7 +113,7 @@
         return packets
 
     def read_due_ms(self) -> int | None:
-        """Return when to poll again; none while nothing is due."""
+        """Return when to poll again, in ms; none while nothing is due."""
         dues = [
             self._batch.read_due_ms(),
             *(box.read_due_ms() for box in self._outboxes.values()),
@@ -131,12 +132,12 @@
         self,
         zone: str,
         item: bytes,
-        tries: int,
+        attempts: int,
         now_ms: int,
         is_deferrable: bool,
     ) -> list[messages.Packet]:
         receivers = self._zones[zone]
-        if len(receivers) <= MOST_DIRECT:
+        if len(receivers) <= MAX_DIRECT:
             envelope = messages.Envelope([item])
             return _address(messages.Kind.DIRECT, receivers, envelope)
         box = self._outboxes[zone]
@@ -146,7 +147,7 @@
             return self._relay([item], now_ms, is_deferrable)
         number = next(self._numbers)
         return [
-            box.send(item, relay, number, now_ms, tries + 1, is_deferrable)
+            box.send(item, relay, number, now_ms, attempts + 1, is_deferrable)
         ]
 
     def _relay(
@@ -155,10 +156,10 @@
         return [
             packet
             for due in self._batch.add(items, now_ms, is_deferrable)
-            for packet in self._spread(due)
+            for packet in self._send_batch(due)
         ]
 
-    def _spread(self, items: list[bytes]) -> list[messages.Packet]:
+    def _send_batch(self, items: list[bytes]) -> list[messages.Packet]:
         receivers = self._zones.get(self._own.zone, [])
         envelope = messages.Envelope(items)
         return _address(messages.Kind.BATCH, receivers, envelope)
--- a/mulberryway/policy/dissemination/messages.py
+++ b/mulberryway/policy/dissemination/messages.py
@@ -1,4 +1,4 @@
-"""What the disseminators of two VMs exchange."""
+"""Messages that the disseminators of two VMs exchange."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """What a packet is for, as metrics name it."""
+    """Purpose of a packet, as named in metrics."""
 
     DIRECT = "direct"
     RELAY = "relay"
@@ -15,12 +15,12 @@
 
 
 class Receiver:
-    """A VM that takes items.
+    """A VM that receives items.
 
     :param name: the VM's name
-    :param address: ``host:port`` of its peers' port
+    :param address: ``host:port`` of its port for peers
     :param zone: its availability zone
-    :param link_mbps: the rate of its network link; 0 if not known
+    :param link_mbps: bandwidth of its network link in Mbit/s; 0 if not known
     """
 
     __slots__ = ("name", "address", "zone", "link_mbps")
@@ -35,14 +35,14 @@
 
 
 class Envelope:
-    """The content of one datagram.
-
-    :param items: encoded hints
-    :param relay_number: the receiver passes the items on to its zone and
-        acknowledges with this number; 0 if they are for it alone
-    :param acknowledged: a relay number of the receiver; 0 for none
-    :param is_deferrable: whether a relay may keep the items for a moment, to
-        send them along with others
+    """Content of one datagram.
+
+    :param items: encoded gossip messages
+    :param relay_number: the receiver forwards the items to its zone and
+        acknowledges with this number; 0 if they are only for the receiver
+    :param acknowledged: an acknowledged relay number of the receiver; 0 for
+        none
+    :param is_deferrable: whether a relay may delay the items to batch them
     """
 
     __slots__ = ("items", "relay_number", "acknowledged", "is_deferrable")
@@ -61,12 +61,12 @@
 
 
 class Packet:
-    """An envelope and where it goes.
+    """An envelope with its destination.
 
-    :param kind: what it is for
+    :param kind: the purpose
     :param address: ``host:port`` of the receiver
     :param zone: the receiver's availability zone; empty if not known
-    :param envelope: the content; packets to several VMs may share one
+    :param envelope: the content; packets to several VMs may share it
     """
 
     __slots__ = ("kind", "address", "zone", "envelope")
--- a/mulberryway/policy/dissemination/outbox.py
+++ b/mulberryway/policy/dissemination/outbox.py
@@ -1,4 +1,4 @@
-"""What was sent to one zone's relay and not acknowledged yet."""
+"""Items sent to one zone's relay and not acknowledged yet."""
 
 import collections
 
@@ -9,11 +9,11 @@
 
 # A relay acknowledges within a round trip and its own scheduling delay.
 ACKNOWLEDGE_MS = 150
-# Relays that one item is sent to; after that it is given up, as hints are
-# repeated in full from time to time anyway.
-MOST_RELAYS = 2
-# Items kept for a further relay; beyond that the oldest are given up.
-MOST_PENDING = 64
+# Maximum number of relays that an item is sent to. After that it is dropped,
+# since the full state is sent from time to time anyway.
+MAX_RELAYS = 2
+# Maximum number of unacknowledged items; beyond that the oldest are dropped.
+MAX_PENDING = 64
 
 
 class UnackedItem:
@@ -21,9 +21,9 @@
 
     :param item: the item
     :param relay: the relay's name
-    :param sent_ms: when it was sent
-    :param relays_: how many relays have got the item, this one included
-    :param is_deferrable: whether the relay may keep it for a moment
+    :param sent_ms: when it was sent, in ms
+    :param relays_: number of relays tried, including this one
+    :param is_deferrable: whether the relay may delay it to batch it
     """
 
     __slots__ = ("item", "relay", "sent_ms", "relays", "is_deferrable")
@@ -44,7 +44,7 @@
 
 
 class ZoneOutbox:
-    """Sends items to one zone's relay, and to another if that is silent.
+    """Sends items to one zone's relay, and to another if it is unresponsive.
 
     :param zone: the zone's name
     """
@@ -65,22 +65,22 @@
         relay: messages.Receiver,
         number: int,
         now_ms: int,
-        tries: int = 1,
+        attempts: int = 1,
         is_deferrable: bool = False,
     ) -> messages.Packet:
-        """Return the packet that brings an item to a relay.
+        """Return the packet that sends an item to a relay.
 
         :param item: the item
         :param relay: the relay
-        :param number: names the packet in its acknowledgement
-        :param now_ms: the present
-        :param tries: how many relays have got the item, this one included
-        :param is_deferrable: whether the relay may keep it for a moment
+        :param number: identifies the packet in its acknowledgement
+        :param now_ms: current time in ms
+        :param attempts: number of relays tried, including this one
+        :param is_deferrable: whether the relay may delay it to batch it
         """
         self._pending[number] = UnackedItem(
-            item, relay.name, now_ms, tries, is_deferrable
+            item, relay.name, now_ms, attempts, is_deferrable
         )
-        while len(self._pending) > MOST_PENDING:
+        while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
             self.given_up += 1
         return messages.Packet(
@@ -91,42 +91,43 @@
         )
 
     def acknowledge(self, number: int) -> bool:
-        """Forget an item that a relay has taken.
+        """Remove an acknowledged item.
 
         :param number: the packet's number
-        :returns: whether it was pending here
+        :returns: whether it was pending in this outbox
         """
         return self._pending.pop(number, None) is not None
 
     def pop_overdue(self, now_ms: int) -> list[UnackedItem]:
-        """Pass silent relays over, and return what has to be sent again.
+        """Back off from unresponsive relays, and return what to retransmit.
 
-        :param now_ms: the present
-        :returns: what was sent, in that order
+        :param now_ms: current time in ms
+        :returns: the items in the order in which they were sent
         """
         if not self._is_overdue(now_ms):
             return []
-        silent = {
+        unresponsive = {
             one.relay
             for one in self._pending.values()
             if now_ms - one.sent_ms >= ACKNOWLEDGE_MS
         }
-        for name in silent:
+        for name in unresponsive:
             self.chooser.note_silent(name, now_ms)
-        # What was sent to a silent relay later goes along, in order.
+        # Later items for an unresponsive relay are retransmitted too, in
+        # order.
         numbers = [
             number
             for number, one in self._pending.items()
-            if one.relay in silent
+            if one.relay in unresponsive
         ]
         overdue = [self._pending.pop(number) for number in numbers]
-        again = [one for one in overdue if one.relays < MOST_RELAYS]
-        self.resent += len(again)
-        self.given_up += len(overdue) - len(again)
-        return again
+        retransmitted = [one for one in overdue if one.relays < MAX_RELAYS]
+        self.resent += len(retransmitted)
+        self.given_up += len(overdue) - len(retransmitted)
+        return retransmitted
 
     def read_due_ms(self) -> int | None:
-        """Return when to look for overdue items; none if nothing pends."""
+        """Return when the next item is overdue, in ms; none if none pends."""
         oldest = next(iter(self._pending.values()), None)
         return None if oldest is None else oldest.sent_ms + ACKNOWLEDGE_MS
 
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Which VMs a caller is told to connect to; a hint, never a promise."""
+"""Chooses the router addresses that callers get; advisory."""
 
 import abc
 import random
@@ -14,7 +14,7 @@
 
 
 class Endpoint:
-    """One address that a caller may use.
+    """Address of a router for callers.
 
     :param address: ``host:port``
     :param zone: its availability zone
@@ -28,24 +28,24 @@
 
 
 class EndpointDirectory(abc.ABC):
-    """Knows which VMs take callers now."""
+    """Lists the routers that accept callers now."""
 
     @abc.abstractmethod
     def list_addresses(self, caller_zone: str) -> list[Endpoint]:
         """Return addresses in the order in which a caller should try them.
 
         :param caller_zone: the caller's zone; empty if not known
-        :returns: a few addresses; never empty while any VM is known
+        :returns: a few addresses; empty only if no VM is known
         """
 
 
-# A caller tries the next address when one fails, so a few are enough; more
-# would only let callers drift out of their zone.
-MOST_ADDRESSES = 3
-# A count of running requests that is older says little of the present.
+# A caller tries the next address if one fails, so a few are enough; more would
+# lead callers out of their zone.
+MAX_ADDRESSES = 3
+# An older count of running requests says little about the current load.
 FRESH_MS = 10_000
-# Callers that choose among all VMs take no more than these.
-MOST_ENTRIES = 64
+# Maximum number of endpoints for callers that choose among all VMs.
+MAX_ENDPOINTS = 64
 
 
 def choose_endpoints(
@@ -54,85 +54,85 @@
     rng: random.Random,
     now_ms: int,
 ) -> list[Endpoint]:
-    """Choose the addresses that a caller is told.
+    """Choose the addresses that a caller gets.
 
-    The load that this is made for: thousands of callers keep an answer for
-    some seconds each, and all VMs answer.  Choosing the least loaded VM
-    would send all of them to the same one, and its count would tell so only
-    later; so the less loaded of two random VMs is chosen each time, in the
-    caller's zone while it has one that takes callers.  The last address is
-    in another zone if there is one, for the case that the whole zone fails.
+    Thousands of callers cache a response for some seconds, and all VMs
+    respond. If each chose the least loaded VM, all callers would connect to
+    the same one, and its count would only show that later. So the choice is
+    the less loaded of two random VMs, in the caller's zone while that has one
+    which accepts callers. The last address is in another zone if there is one,
+    in case the whole zone fails.
 
-    VMs that stop, are suspected or cannot serve yet are left out while
-    others are there; with none left, wrong suspicion is likelier than the
-    death of all.
+    VMs that are stopping, suspected or starting are excluded while there are
+    others. If there are none, wrong suspicion is more likely than a crash of
+    all VMs.
 
-    :param members: all VMs that are known
+    :param members: all known VMs
     :param caller_zone: the caller's zone; empty if not known
-    :param rng: where the choice comes from
-    :param now_ms: the present
-    :returns: addresses in the order of trying; empty only without members
+    :param rng: random generator
+    :param now_ms: current time in ms
+    :returns: addresses in the order to try; empty only without members
     """
-    ranks = sorted({_rank(one) for one in members})
-    usable = [one for one in members if _rank(one) == ranks[0]]
-    near = [one for one in usable if one.zone == caller_zone]
-    far = [one for one in usable if one.zone != caller_zone]
-    chosen = _pick(near, MOST_ADDRESSES, rng, now_ms)
+    ranks = sorted({_rank(vm) for vm in members})
+    usable = [vm for vm in members if _rank(vm) == ranks[0]]
+    near = [vm for vm in usable if vm.zone == caller_zone]
+    far = [vm for vm in usable if vm.zone != caller_zone]
+    chosen = _pick(near, MAX_ADDRESSES, rng, now_ms)
     if near and far:
-        chosen = chosen[: MOST_ADDRESSES - 1]
-    missing = MOST_ADDRESSES - len(chosen)
+        chosen = chosen[: MAX_ADDRESSES - 1]
+    missing = MAX_ADDRESSES - len(chosen)
     chosen += _pick(far, missing, rng, now_ms)
-    return [Endpoint(one.entry, one.zone) for one in chosen]
+    return [Endpoint(vm.entry, vm.zone) for vm in chosen]
 
 
 def list_endpoints(
-    members: list[member.Member], silent: frozenset[str]
+    members: list[member.Member], unresponsive: frozenset[str]
 ) -> list[Endpoint]:
-    """Return all VMs that take callers, for callers that choose themselves.
+    """Return all VMs that accept callers, for callers that choose themselves.
 
-    A VM that is dead or cut off costs each caller that chooses it the wait
-    for a connection.  VMs send heartbeats, so a silent one is left out long
-    before its death is certain; unless all seem silent, for then it is this
-    VM that is cut off.
+    A dead or partitioned VM costs each caller that chooses it a connect
+    timeout. VMs send heartbeats, so an unresponsive one is excluded long
+    before it is marked as dead. If all seem unresponsive, this VM is the
+    partitioned one, and none is excluded.
 
-    :param members: all VMs that are known
-    :param silent: names of VMs that have fallen silent
-    :returns: their addresses, at most as many as fit an answer
+    :param members: all known VMs
+    :param unresponsive: names of unresponsive VMs
+    :returns: their addresses, at most :data:`MAX_ENDPOINTS`
     """
     usable = [
-        one
-        for one in members
-        if one.accepts_callers
-        and not one.is_starting
-        and one.name not in silent
+        vm
+        for vm in members
+        if vm.accepts_callers
+        and not vm.is_starting
+        and vm.name not in unresponsive
     ]
-    chosen = usable or [one for one in members if not one.is_stopping]
+    chosen = usable or [vm for vm in members if not vm.is_stopping]
     return [
-        Endpoint(one.entry, one.zone)
-        for one in (chosen or members)[:MOST_ENTRIES]
+        Endpoint(vm.entry, vm.zone)
+        for vm in (chosen or members)[:MAX_ENDPOINTS]
     ]
 
 
-def _rank(one: member.Member) -> tuple[int, bool]:
-    return (int(one.health), one.is_stopping or one.is_starting)
+def _rank(vm: member.Member) -> tuple[int, bool]:
+    return (int(vm.health), vm.is_stopping or vm.is_starting)
 
 
 def _pick(
     members: list[member.Member],
     count: int,
-    chance: random.Random,
+    rng: random.Random,
     now_ms: int,
 ) -> list[member.Member]:
-    left = list(members)
+    remaining = list(members)
     chosen: list[member.Member] = []
-    while left and len(chosen) < count:
-        pair = chance.sample(left, min(2, len(left)))
-        best = min(pair, key=lambda one: _read_streams(one, now_ms))
-        left.remove(best)
+    while remaining and len(chosen) < count:
+        pair = rng.sample(remaining, min(2, len(remaining)))
+        best = min(pair, key=lambda vm: _get_streams(vm, now_ms))
+        remaining.remove(best)
         chosen.append(best)
     return chosen
 
 
-def _read_streams(one: member.Member, now_ms: int) -> int:
-    is_fresh = one.heard_ms is not None and now_ms - one.heard_ms < FRESH_MS
-    return one.streams if is_fresh else 0
+def _get_streams(vm: member.Member, now_ms: int) -> int:
+    is_fresh = vm.heard_ms is not None and now_ms - vm.heard_ms < FRESH_MS
+    return vm.streams if is_fresh else 0
--- a/mulberryway/policy/failure_reports.py
+++ b/mulberryway/policy/failure_reports.py
@@ -1,56 +1,57 @@
-"""Whether a VM's word against upstreams counts for the other VMs."""
+"""Decides whether a VM's failure reports count for the other VMs."""
 
 import itertools
 
 __all__ = ["FailureReportFilter"]
 
-# What a VM says against upstreams is remembered for so long.
-BLAMED_MS = 30_000
-# A VM that blames more than this part of a pool, and more than so many of
-# its upstreams, is probably at fault itself: cut off, frozen or slow.
-MOST_PART = 0.25
-LEAST_BLAMED = 2
+# A failure report is remembered for this time.
+REPORT_TTL_MS = 30_000
+# A VM that reports failures of more than this fraction of a pool, and of more
+# than this number of its upstreams, is probably faulty itself: partitioned,
+# frozen or slow.
+MAX_REPORTED_FRACTION = 0.25
+MIN_REPORTED = 2
 
 
 class FailureReportFilter:
-    """Remembers which VM blamed which upstreams of late."""
+    """Remembers which VM recently reported which upstreams."""
 
-    __slots__ = ("_blamed",)
+    __slots__ = ("_reports",)
 
     def __init__(self) -> None:
-        # In the order in which the VMs were last heard to blame.
-        self._blamed: dict[str, dict[tuple[str, str], int]] = {}
+        # Ordered by the time of each VM's last failure report.
+        self._reports: dict[str, dict[tuple[str, str], int]] = {}
 
     @property
     def size(self) -> int:
-        """How many VMs are remembered."""
-        return len(self._blamed)
+        """Number of VMs that are remembered."""
+        return len(self._reports)
 
     def accepts(
         self, vm: str, upstream: tuple[str, str], size: int, now_ms: int
     ) -> bool:
-        """Count a VM's word against an upstream, and tell whether it counts.
+        """Record a failure report, and return whether it counts.
 
-        :param vm: the VM
+        :param vm: the VM that sent the report
         :param upstream: the names of the pool and the upstream
-        :param size: how many upstreams the pool has
-        :param now_ms: the present
+        :param size: number of upstreams in the pool
+        :param now_ms: current time in ms
         """
-        blamed = {
+        reported = {
             key: at_ms
-            for key, at_ms in self._blamed.pop(vm, {}).items()
-            if now_ms - at_ms < BLAMED_MS
+            for key, at_ms in self._reports.pop(vm, {}).items()
+            if now_ms - at_ms < REPORT_TTL_MS
         }
-        blamed[upstream] = now_ms
-        self._blamed[vm] = blamed
-        self._forget_old(now_ms)
-        in_pool = sum(pool == upstream[0] for pool, _ in blamed)
-        return in_pool <= max(int(size * MOST_PART), LEAST_BLAMED)
+        reported[upstream] = now_ms
+        self._reports[vm] = reported
+        self._evict_old(now_ms)
+        in_pool = sum(pool == upstream[0] for pool, _ in reported)
+        return in_pool <= max(int(size * MAX_REPORTED_FRACTION), MIN_REPORTED)
 
-    def _forget_old(self, now_ms: int) -> None:
+    def _evict_old(self, now_ms: int) -> None:
         is_old = itertools.takewhile(
-            lambda row: now_ms - max(row[1].values()) >= BLAMED_MS,
-            self._blamed.items(),
+            lambda item: now_ms - max(item[1].values()) >= REPORT_TTL_MS,
+            self._reports.items(),
         )
         for vm, _ in list(is_old):
-            del self._blamed[vm]
+            del self._reports[vm]
--- a/mulberryway/policy/hints.py
+++ b/mulberryway/policy/hints.py
@@ -1,9 +1,9 @@
-"""Hints that routers tell one another so as not to choose the same slot.
+"""Notes that routers exchange, so as not to choose the same slots.
 
-A note may be late, lost or repeated.  Gauges replace older ones, and running
-sums only grow.  What matters for a second or so goes as the amount since the
-last note: in a large fleet a VM hears of most upstreams from most others for
-the first time, so a running sum would say nothing of what has come just now.
+A note may be late, lost or duplicated. Gauges replace older ones, and running
+sums only grow. Short-lived values are sent as the amount since the last note:
+in a large fleet a VM receives notes on most upstreams from most other VMs for
+the first time, and a running sum would not show the recent part.
 """
 
 from mulberryway.policy import health
@@ -12,19 +12,19 @@
 
 
 class Holding:
-    """What one router has on one upstream.
+    """In-flight load and outcomes of one router on one upstream.
 
     :param pool: the pool's name
     :param upstream: the upstream's name
-    :param decodes: decode slots that it holds now
-    :param prefill_ms: prefill work given to it since the last note about the
-        upstream, in estimated milliseconds
-    :param suspects: suspects of a crash that run there now
-    :param blocks: KV cache blocks that its decodes take
-    :param step_ms: the mean time between tokens that its streams see there;
-        0 if it has seen none of late
-    :param outcomes: how its requests and probes there ended since its last
-        note about the upstream
+    :param decodes: number of decode slots in use
+    :param prefill_ms: prefill work started since the last note on the
+        upstream, as estimated milliseconds
+    :param suspects: number of crash suspects that run there now
+    :param blocks: KV cache blocks used by its decodes
+    :param step_ms: mean inter-token gap of its streams in ms; 0 if there was
+        none recently
+    :param outcomes: outcomes of its requests and probes since its last note on
+        the upstream
     """
 
     __slots__ = (
@@ -60,16 +60,16 @@
 
 
 class AccountNote:
-    """What one router did, and has waiting, for one client account.
+    """Usage and waiting jobs of one client account at one router.
 
     :param pool: the pool's name
     :param account: the client account's name
     :param weight: the account's weight
-    :param charged: tokens charged since the router began, less what was
-        given back; a running sum
-    :param waiting: jobs that wait now
-    :param oldest_ms: for how long the oldest of them has waited
-    :param prefill_ms: how long the prefill of that one takes by itself
+    :param charged: tokens charged since the router started, less refunds; a
+        running sum
+    :param waiting: number of waiting jobs
+    :param oldest_ms: how long the oldest of them has waited, in ms
+    :param prefill_ms: uncontended prefill time of that job, in ms
     """
 
     __slots__ = (
@@ -102,13 +102,13 @@
 
 
 class Death:
-    """An upstream died under a request, or the request was cleared.
+    """A crash of an upstream under a request, or the request's clearance.
 
-    :param digest: names account, model and body
+    :param digest: digest of account, model and body
     :param upstream: ``pool/name`` of the upstream; empty if cleared
-    :param age_ms: how long ago, by the sender's clock
-    :param proven: the request ran as a suspect, and no other suspect was
-        known to run there
+    :param age_ms: time since the crash, by the sender's clock
+    :param proven: whether the request ran as a suspect and no other suspect
+        was known to run there
     """
 
     __slots__ = ("digest", "upstream", "age_ms", "proven")
@@ -123,14 +123,14 @@
 
 
 class Note:
-    """One router's hints to another.
+    """One router's message to its peers.
 
     :param vm: the sender's VM
-    :param incarnation: which life of it; counters begin anew with each
-    :param sequence: grows with each note; an older one is dropped
-    :param holdings: upstreams where something changed
-    :param accounts: accounts where something changed or something waits
-    :param deaths: news about requests that may be poison
+    :param incarnation: the sender's incarnation; counters restart with it
+    :param sequence: increases with each note; older notes are ignored
+    :param holdings: upstreams whose state changed
+    :param accounts: accounts whose state changed or that have waiting jobs
+    :param deaths: updates on requests that may be poison
     """
 
     __slots__ = (
@@ -160,5 +160,5 @@
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether it only tells that its sender lives."""
+        """Whether it only shows that its sender is alive."""
         return not (self.holdings or self.accounts or self.deaths)
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -1,4 +1,4 @@
-"""What is learned, and let go, when a started job comes to its end."""
+"""Updates health, suspects and accounting when a started job ends."""
 
 from mulberryway.policy import jobs
 from mulberryway.policy import poison
@@ -8,15 +8,15 @@
 
 __all__ = ["JobCompletion"]
 
-# The requests of a batch that died are reported within this time.
+# The requests of a batch whose engine crashed are reported within this time.
 SAME_BATCH_MS = 2_000
 
 
 class JobCompletion:
-    """Ends jobs of one pool.
+    """Records the progress and outcome of one pool's jobs.
 
     :param pool: the pool's scheduler
-    :param register: requests that may be poison
+    :param register: the registry of requests that may be poison
     """
 
     __slots__ = ("_pool", "_register")
@@ -33,7 +33,7 @@
         """Count a job on the upstreams where it starts.
 
         :param job: the started job
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         for view in self._list_views(job):
             view.health.record_start(now_ms)
@@ -42,33 +42,33 @@
     def record_prefilled(
         self, job: running_jobs.RunningJob, now_ms: int
     ) -> None:
-        """Learn from a prefill that ended well.
+        """Record that a prefill completed.
 
         :param job: the job
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         if job.prefilled_ms is not None:
             return
         job.prefilled_ms = now_ms
         placement = job.placement
-        reader = placement.prefill
-        # Prompts in a queue are late by the same cause, which counts once.
-        later_ms = reader.drift_ms - placement.drift_ms
-        reader.record_prefilled(
+        engine = placement.prefill
+        # Queued prompts are delayed by the same cause, which is counted once.
+        later_ms = engine.drift_ms - placement.drift_ms
+        engine.record_prefilled(
             placement.prefill_ms,
             placement.ready_ms + later_ms,
             placement.tokens,
             job.started_ms,
             now_ms,
         )
-        reader.health.record_success(job.started_ms)
+        engine.health.record_success(job.started_ms)
 
     @staticmethod
     def record_first_token(job: running_jobs.RunningJob) -> bool:
-        """Learn that a decode engine works, before its stream ends.
+        """Record that a decode engine works, before its stream ends.
 
         :param job: the job
-        :returns: whether that is news to other VMs
+        :returns: whether this is a state change that other VMs need
         """
         decode = job.placement.decode
         return decode is not None and decode.health.record_success(
@@ -78,10 +78,10 @@
     def record_prefill_failed(
         self, job: running_jobs.RunningJob, now_ms: int
     ) -> None:
-        """Take in that a prefill failed and the decode engine reads instead.
+        """Record that a prefill failed and the decode engine prefills instead.
 
         :param job: the job
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         placement = job.placement
         if job.prefilled_ms is not None or placement.decode is None:
@@ -91,79 +91,80 @@
         failed.cancel_prefill(placement.prefill_ms)
         failed.health.record_failure(False, now_ms)
         failed.own_suspects -= job.is_suspect()
-        reader = placement.prefill = placement.decode
-        reader.add_chunked_prefill(
-            reader.speed.estimate_ms(placement.tokens), now_ms
+        engine = placement.prefill = placement.decode
+        engine.add_chunked_prefill(
+            engine.speed.estimate_ms(placement.tokens), now_ms
         )
 
     def finish(
         self,
         job: running_jobs.RunningJob,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> float:
-        """Give back everything that a job holds.
+        """Release all resources of a job.
 
         :param job: the job
-        :param end: how it ended
-        :param upstream: the upstream to blame; empty if none
-        :param now_ms: the present
-        :returns: tokens by which its charge has to be corrected
+        :param outcome: the outcome of the job
+        :param upstream: the upstream that caused the failure; empty if none
+        :param now_ms: current time in ms
+        :returns: tokens by which the job's charge has to be corrected
         """
         placement = job.placement
         if job.prefilled_ms is None:
             placement.prefill.cancel_prefill(placement.prefill_ms)
         if placement.decode is not None:
             placement.decode.end_decode(placement.blocks)
-        self._judge(job, end, upstream, now_ms)
+        self._record_outcome(job, outcome, upstream, now_ms)
         for view in self._list_views(job):
             view.own_suspects -= job.is_suspect()
-        return self._correct(job, end, now_ms)
+        return self._compute_cost_correction(job, outcome, now_ms)
 
-    def _judge(
+    def _record_outcome(
         self,
         job: running_jobs.RunningJob,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
         for view in self._list_views(job):
-            if end is jobs.JobOutcome.DONE:
+            if outcome is jobs.JobOutcome.DONE:
                 view.health.record_success(job.started_ms)
             elif view.row.name != upstream:
                 view.health.record_inconclusive()
             else:
-                self._blame(job, view, end, now_ms)
-        if end is jobs.JobOutcome.DONE:
+                self._record_upstream_outcome(job, view, outcome, now_ms)
+        if outcome is jobs.JobOutcome.DONE:
             self._register.record_success(job.entry.job.digest, now_ms)
 
-    def _blame(
+    def _record_upstream_outcome(
         self,
         job: running_jobs.RunningJob,
         view: upstream_view.UpstreamView,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         now_ms: int,
     ) -> None:
-        if end is jobs.JobOutcome.REFUSED_BY_ENGINE:
-            if self._refused_prefill(job, view):
+        if outcome is jobs.JobOutcome.REFUSED_BY_ENGINE:
+            if self._rejected_prefill(job, view):
                 view.record_prefill_refused(now_ms)
             else:
                 view.record_full(now_ms)
             view.health.record_inconclusive()
-        elif end is jobs.JobOutcome.CANCELLED:
+        elif outcome is jobs.JobOutcome.CANCELLED:
             view.health.record_inconclusive()
         else:
-            died = end is jobs.JobOutcome.DIED
-            # An engine that takes no connection will take none of the next
-            # either, and each costs its caller the wait for one.
-            is_down = died or end is jobs.JobOutcome.UNREACHED
+            crashed = outcome is jobs.JobOutcome.DIED
+            # An engine that accepts no connection will not accept the next one
+            # either, and each attempt delays its caller by the connect
+            # timeout.
+            is_down = crashed or outcome is jobs.JobOutcome.UNREACHED
             view.health.record_failure(is_down, now_ms)
-            if died:
-                self._suspect(job, view, now_ms)
+            if crashed:
+                self._record_crash(job, view, now_ms)
 
     @staticmethod
-    def _refused_prefill(
+    def _rejected_prefill(
         job: running_jobs.RunningJob, view: upstream_view.UpstreamView
     ) -> bool:
         placement = job.placement
@@ -173,16 +174,16 @@
             and job.prefilled_ms is None
         )
 
-    def _suspect(
+    def _record_crash(
         self,
         job: running_jobs.RunningJob,
         view: upstream_view.UpstreamView,
         now_ms: int,
     ) -> None:
-        # One request of a batch may crash each upstream that runs it, and the
-        # others are bystanders.  So each becomes a suspect, and a suspect runs
-        # as the only one on its upstream.  If that dies too, the others of its
-        # batch are not even suspected.
+        # One request of a batch may crash every upstream that runs it, while
+        # the others are not the cause. So each becomes a suspect, and a
+        # suspect is the only suspect on its upstream. If that upstream crashes
+        # too, the other requests of its batch are not even suspected.
         name = f"{self._pool.row.name}/{view.row.name}"
         digest = job.entry.job.digest
         others = view.count_suspects() - job.is_suspect()
@@ -191,23 +192,26 @@
             self._register.record_crash(digest, name, others == 0, now_ms)
             return
         died_ms = view.suspect_died_ms
-        is_explained = others > 0 or (
+        is_attributed = others > 0 or (
             died_ms is not None and now_ms - died_ms < SAME_BATCH_MS
         )
-        if not is_explained:
+        if not is_attributed:
             self._register.record_crash(digest, name, False, now_ms)
 
-    def _correct(
-        self, job: running_jobs.RunningJob, end: jobs.JobOutcome, now_ms: int
+    def _compute_cost_correction(
+        self,
+        job: running_jobs.RunningJob,
+        outcome: jobs.JobOutcome,
+        now_ms: int,
     ) -> float:
-        measured = self._pool.meters
+        meters = self._pool.meters
         step_ms = self._pool.placer.slowness.get_median_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
-        cost = measured.sum_cost(prompt, tokens)
-        if end is jobs.JobOutcome.DONE:
+        cost = meters.sum_cost(prompt, tokens)
+        if outcome is jobs.JobOutcome.DONE:
             hold_ms = now_ms - job.started_ms
-            measured.record_job(
+            meters.record_job(
                 job.entry.job.account, cost, tokens, max(hold_ms, 1)
             )
         return cost - job.entry.cost
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -1,33 +1,35 @@
-"""Tells entries that lapsed in an outage of the store from those that left.
+"""Distinguishes entries that expired in a store outage from deregistration.
 
-Servers renew their entries in the store.  While the store is away none can,
-and it drops those that it has not heard of for some heartbeats, although the
-servers live.  A server that leaves has its entry removed in the same way.
+Servers renew their entries in the store. During an outage none can, and the
+store removes the entries that were not renewed for some heartbeats, although
+the servers are alive. The entry of a server that deregisters is removed in the
+same way.
 """
 
 from mulberryway.policy import store_reachability
 
 __all__ = ["UnreachablePeriod", "MassExpiryDetector", "RegistrationLimits"]
 
-# An entry lapses when it was not renewed for so many heartbeats.
-LAPSE_BEATS = 3
-# After an outage servers that live renew their entries within so long.
+# An entry expires if it was not renewed for this number of heartbeats.
+EXPIRY_HEARTBEATS = 3
+# After an outage, live servers renew their entries within this time.
 REREGISTRATION_MS = 2_100
-# In an outage that is long enough for one entry to lapse, most do; servers
-# that leave do so a few at a time.
-LAPSE_PART = 0.5
-# Without an outage that was noticed, so many at once are a lapse at least.
-LEAST_LAPSE = 3
-# Of the time for which a server serves on after it has left; the rest is for
-# noticing the removal and for requests that were chosen just before.
-DRAIN_PART = 0.75
+# In an outage that is long enough for one entry to expire, most entries do;
+# servers deregister a few at a time.
+EXPIRY_FRACTION = 0.5
+# Without a detected outage, this number of removals at once is the minimum
+# that counts as mass expiry.
+MIN_MASS_EXPIRY = 3
+# Fraction of the drain time. The rest is reserved for noticing the removal and
+# for requests whose server was chosen just before.
+DRAIN_FRACTION = 0.75
 
 
 class RegistrationLimits:
-    """What the operators promise of servers' entries.
+    """Settings of the servers' registration, as guaranteed by the operators.
 
-    :param heartbeat_ms: how often a server renews its entry
-    :param drain_ms: how long a server that leaves serves on
+    :param heartbeat_ms: interval in ms at which a server renews its entry
+    :param drain_ms: how long a draining server continues to serve, in ms
     """
 
     __slots__ = ("heartbeat_ms", "drain_ms")
@@ -40,23 +42,23 @@
 
     @property
     def min_outage_ms(self) -> int:
-        """The shortest absence of the store in which an entry can lapse."""
-        return (LAPSE_BEATS - 1) * self.heartbeat_ms
+        """The shortest outage in which an entry can expire, in ms."""
+        return (EXPIRY_HEARTBEATS - 1) * self.heartbeat_ms
 
     @property
     def max_retention_ms(self) -> int:
-        """How long a removed entry may count at most without an outage."""
-        return int(self.drain_ms * DRAIN_PART)
+        """The maximum retention of an entry without an outage, in ms."""
+        return int(self.drain_ms * DRAIN_FRACTION)
 
 
 class UnreachablePeriod:
-    """A span in which the store did not answer this VM.
+    """Period in which the store did not respond to this VM.
 
-    It says nothing of the reason: the store may be down, refuse this VM, or
-    have lost one connection.
+    The reason is unknown: the store may be down, reject this VM, or have lost
+    one connection.
 
-    :param began_ms: since when the store may have been away
-    :param reason: how the first call failed
+    :param began_ms: earliest possible start of the period, in ms
+    :param reason: the error of the first failed call
     """
 
     __slots__ = ("began_ms", "reason", "ended_ms", "is_fleet_wide")
@@ -68,17 +70,17 @@
         self.is_fleet_wide = False
 
     def compute_duration_ms(self, now_ms: int) -> int:
-        """Return how long it lasted so far.
+        """Return the duration so far, in ms.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         ended_ms = now_ms if self.ended_ms is None else self.ended_ms
         return ended_ms - self.began_ms
 
     def is_recent(self, now_ms: int) -> bool:
-        """Tell whether entries that lapsed in it may still be missing.
+        """Return whether entries that expired in it may still be missing.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         return (
             self.ended_ms is None or now_ms - self.ended_ms < REREGISTRATION_MS
@@ -86,111 +88,118 @@
 
 
 class MassExpiryDetector:
-    """Decides whether removed entries still count, and for how long.
+    """Decides whether removed entries are retained, and for how long.
 
-    A VM that took its own trouble for an outage (refusals, a cut watch) would
-    send requests to servers that have left.  So a lapse needs an absence that
-    is long enough for one, that every VM which is heard has seen, and that
-    took most entries away.
+    A VM that mistook its own failure (rejections, a broken watch) for an
+    outage would send requests to servers that have deregistered. So mass
+    expiry requires an unreachable period that is long enough for an entry to
+    expire, that all VMs with a recent report confirm, and in which most entries were
+    removed.
 
-    :param limits: what the operators promise
-    :param outages_: what other VMs tell of the store
+    :param limits: settings of the servers' registration
+    :param reachability: other VMs' reports on the store
     """
 
-    __slots__ = ("_limits", "_outages", "_absence", "_removed")
+    __slots__ = ("_limits", "_reachability", "_period", "_removed")
 
     def __init__(
         self,
         limits: RegistrationLimits,
-        outages_: store_reachability.StoreReachability,
+        reachability: store_reachability.StoreReachability,
     ) -> None:
         self._limits = limits
-        self._outages = outages_
-        self._absence: UnreachablePeriod | None = None
-        # Names that were removed since the absence began, also those that
-        # have come back.
+        self._reachability = reachability
+        self._period: UnreachablePeriod | None = None
+        # Names removed since the period began, including those registered
+        # again.
         self._removed: set[str] = set()
 
     def record_failure(self, began_ms: int, reason: str) -> None:
-        """Tell that the store could not be asked.
+        """Record that a call to the store failed.
 
-        :param began_ms: since when it may have been away: the moment of a
-            refusal, or the beginning of a call that was not answered
-        :param reason: how the call failed
+        :param began_ms: earliest possible start of the outage in ms: the time
+            of a rejection, or the start of a call that got no response
+        :param reason: the error of the call
         """
-        if self._absence is None or self._absence.ended_ms is not None:
-            self._absence = UnreachablePeriod(began_ms, reason)
+        if self._period is None or self._period.ended_ms is not None:
+            self._period = UnreachablePeriod(began_ms, reason)
             self._removed.clear()
 
     def record_response(self, now_ms: int) -> None:
-        """Tell that the store has answered.
+        """Record that the store responded.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
-        absence = self._absence
-        if absence is None or absence.ended_ms is not None:
+        period = self._period
+        if period is None or period.ended_ms is not None:
             return
-        absence.ended_ms = now_ms
-        absence.is_fleet_wide = self._outages.is_fleet_wide(
-            absence.began_ms, now_ms
+        period.ended_ms = now_ms
+        period.is_fleet_wide = self._reachability.is_fleet_wide(
+            period.began_ms, now_ms
         )
 
     def find_unreachable_period(self, now_ms: int) -> UnreachablePeriod | None:
-        """Return the absence by which removals are judged now, or none.
+        """Return the period that explains removals now; none if there is none.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
-        absence = self._absence
-        if absence is None or not absence.is_recent(now_ms):
+        period = self._period
+        if period is None or not period.is_recent(now_ms):
             return None
-        return absence
+        return period
 
     def judge(
         self,
         removed: set[str],
-        left: set[str],
+        remaining: set[str],
         is_one_answer: bool,
         now_ms: int,
     ) -> int | None:
-        """Decide about entries that are gone from the store.
-
-        :param removed: names of those that went now
-        :param left: names of those that are there
-        :param is_one_answer: whether they went since the last answer of a
-            watch; a listing or a copy may cover a longer time
-        :param now_ms: the present
-        :returns: until when all that went since the absence began count; none
-            if the removals count at once
+        """Decide until when removed entries are retained.
+
+        :param removed: names of the entries that were removed now
+        :param remaining: names of the entries that are present
+        :param is_one_answer: whether all were removed since the last response
+            of a watch; a listing or a copy may cover a longer time
+        :param now_ms: current time in ms
+        :returns: the time in ms until which all entries removed since the
+            period began are retained; none if the removals take effect at once
         """
-        absence = self.find_unreachable_period(now_ms)
-        if absence is None:
-            most = max((len(left) + len(removed)) * LAPSE_PART, LEAST_LAPSE)
-            if not is_one_answer or len(removed) < most:
+        period = self.find_unreachable_period(now_ms)
+        if period is None:
+            min_count = max(
+                (len(remaining) + len(removed)) * EXPIRY_FRACTION,
+                MIN_MASS_EXPIRY,
+            )
+            if not is_one_answer or len(removed) < min_count:
                 return None
             return now_ms + self._limits.max_retention_ms
         self._removed |= removed
-        if not self._may_have_lapsed(absence, now_ms):
+        if not self._may_have_expired(period, now_ms):
             return None
-        if len(self._removed) < len(self._removed | left) * LAPSE_PART:
+        if (
+            len(self._removed)
+            < len(self._removed | remaining) * EXPIRY_FRACTION
+        ):
             return None
-        ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
+        ended_ms = now_ms if period.ended_ms is None else period.ended_ms
         return ended_ms + REREGISTRATION_MS
 
     def describe_peers(
-        self, absence: UnreachablePeriod, now_ms: int
+        self, period: UnreachablePeriod, now_ms: int
     ) -> dict[str, int]:
-        """Return what other VMs tell of an absence, for logs.
+        """Return other VMs' reports on an unreachable period, for logs.
 
-        :param absence: the absence
-        :param now_ms: the present
+        :param period: the unreachable period
+        :param now_ms: current time in ms
         """
-        return self._outages.describe(absence.began_ms, now_ms)
+        return self._reachability.describe(period.began_ms, now_ms)
 
-    def _may_have_lapsed(
-        self, absence: UnreachablePeriod, now_ms: int
+    def _may_have_expired(
+        self, period: UnreachablePeriod, now_ms: int
     ) -> bool:
-        if absence.compute_duration_ms(now_ms) < self._limits.min_outage_ms:
+        if period.compute_duration_ms(now_ms) < self._limits.min_outage_ms:
             return False
-        if absence.ended_ms is not None:
-            return absence.is_fleet_wide
-        return self._outages.is_fleet_wide(absence.began_ms, now_ms)
+        if period.ended_ms is not None:
+            return period.is_fleet_wide
+        return self._reachability.is_fleet_wide(period.began_ms, now_ms)
--- a/mulberryway/policy/member.py
+++ b/mulberryway/policy/member.py
@@ -1,4 +1,4 @@
-"""What is known of one VM; a hint, never a promise."""
+"""Record of one VM as spread by gossip; eventually consistent."""
 
 import enum
 import hashlib
@@ -7,7 +7,7 @@
 
 
 class MemberStatus(enum.IntEnum):
-    """What other VMs think of a VM; later values win over earlier ones."""
+    """Status of a VM; a later value overrides an earlier one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -15,24 +15,24 @@
 
 
 class Member:
-    """One life of one VM's router process, as it was last heard of.
+    """One incarnation of a VM's router process, as last announced.
 
     :param name: the VM's name
-    :param address: its IP number
-    :param peer_port: where it answers peers
-    :param router_port: where it answers callers
+    :param address: its IP address
+    :param peer_port: the port for peers
+    :param router_port: the port for callers
     :param zone: its availability zone
     :param region: its region
-    :param incarnation: grows with each start of the process; a new VM at an
-        old address has another one and is never taken for the old VM
-    :param version: grows with each change that the VM tells of itself, and
-        when it denies that it is dead
-    :param health: what the teller thinks of it
-    :param is_stopping: it wants no new callers
-    :param holdings: what it holds of the fleet's state, in a form that is
-        private to those who put it there; bounded
-    :param is_starting: it cannot serve callers yet
-    :param link_mbps: the rate of its network link; 0 if not known
+    :param incarnation: increases with each start of the process; distinguishes
+        a new VM at the same address from the old one
+    :param version: increases with each change that the VM announces, and when
+        it refutes a suspicion
+    :param health: its status as seen by the sender
+    :param is_stopping: whether it accepts no new callers
+    :param holdings: its part of the fleet's shared state, encoded by the
+        component that uses it; bounded
+    :param is_starting: whether it cannot serve callers yet
+    :param link_mbps: bandwidth of its network link in Mbit/s; 0 if not known
     """
 
     __slots__ = (
@@ -83,44 +83,45 @@
         self.holdings = holdings
         self.is_starting = is_starting
         self.link_mbps = link_mbps
-        # What only the VM itself tells, in each message; too lively to be
-        # passed on: running streams, when that was heard, its tables.
+        # Sent only by the VM itself in each message, and changing too often
+        # for gossip: running streams, time of receipt in ms, revision of its
+        # tables.
         self.streams = 0
         self.heard_ms: int | None = None
         self.revision = 0
 
     @property
     def peer(self) -> str:
-        """Where it answers peers, as ``host:port``."""
+        """Address for peers, as ``host:port``."""
         return f"{self.address}:{self.peer_port}"
 
     @property
     def entry(self) -> str:
-        """Where it answers callers, as ``host:port``."""
+        """Address for callers, as ``host:port``."""
         return f"{self.address}:{self.router_port}"
 
     @property
     def accepts_callers(self) -> bool:
-        """Whether it is thought to be alive and not about to stop."""
+        """Whether it is considered alive and is not stopping."""
         return self.health is MemberStatus.ALIVE and not self.is_stopping
 
     def copy(self) -> "Member":
-        """Return a copy that may be changed."""
-        twin = Member.__new__(Member)
+        """Return a copy that may be modified."""
+        duplicate = Member.__new__(Member)
         for attribute in Member.__slots__:
-            setattr(twin, attribute, getattr(self, attribute))
-        return twin
+            setattr(duplicate, attribute, getattr(self, attribute))
+        return duplicate
 
     def is_newer_than(self, other: "Member") -> bool:
-        """Tell whether this is later news of the same VM.
+        """Return whether this is a later record of the same VM.
 
-        :param other: what is known so far
-        :returns: whether it replaces what is known
+        :param other: the known record
+        :returns: whether it replaces the known record
         """
         return self._order() > other._order()
 
     def digest(self) -> int:
-        """Return a number that stands for this news, of 60 bits."""
+        """Return a digest of this record, of 60 bits."""
         text = f"{self.name}/{self.incarnation}/{self.version}/{self.health}"
         hashed = hashlib.blake2b(text.encode(), digest_size=8).digest()
         return int.from_bytes(hashed, "big") >> 4
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -1,8 +1,8 @@
-"""Which VMs there are, kept by probing and hearsay; hints, no promises.
+"""Membership by probes and gossip (SWIM); eventually consistent.
 
-Each VM probes one other in each period, asks three more to try when it gets
-no answer, and then suspects the silent VM.  A suspect that does not deny it
-in time is taken for dead.  News travel on the probes themselves.
+Each VM probes one other VM per period. If it gets no response, it asks three
+more VMs to probe the target, and then suspects it. A suspect that does not
+refute this in time is considered dead. Updates are piggybacked on the probes.
 """
 
 import functools
@@ -14,29 +14,30 @@
 
 __all__ = ["Membership"]
 
-# Each message carries at most this many members, so that what a VM sends
-# does not grow with the fleet; with one probe and one answer a second this
+# Each message carries at most this many updates, so that the bandwidth of a VM
+# does not grow with the fleet. With one probe and one response per second it
 # stays under 4 KB/s.
-MOST_IN_MESSAGE = 8
-# Each piece of news is passed on about this often times log2 of the fleet,
-# which reaches everybody with high probability.
-SENDS_FACTOR = 2
+MAX_UPDATES_PER_MESSAGE = 8
+# Each update is retransmitted about this many times log2 of the fleet size,
+# which reaches all VMs with high probability.
+RETRANSMIT_FACTOR = 2
 INDIRECT_PROBES = 3
-# A VM that pauses for a garbage collection or a slow link must not be thrown
-# out: it has this many periods, and more in a large fleet, to deny it.
+# A VM that is delayed by a garbage collection or a slow link must not be
+# removed. It has this many periods, and more in a large fleet, to refute the
+# suspicion.
 SUSPECT_PERIODS = 3
-# Dead VMs are remembered, else late hearsay would bring them back; and for
-# long, because those whose shares they held must know their incarnation.
-DEAD_MS = 600_000
+# Dead VMs are kept as tombstones; otherwise late gossip would revive them. The
+# time is long because VMs whose shares the dead VM held need its incarnation.
+TOMBSTONE_MS = 600_000
 SYNC_PERIODS = 5
 
 
 class Membership:
     """One VM's view of all VMs.
 
-    :param own: this VM
-    :param period_ms: the time between probes, in milliseconds
-    :param seed: makes the choice of whom to probe repeatable
+    :param own: this VM's member record
+    :param period_ms: time between probes, in ms
+    :param seed: seeds the random choice of probe targets
     """
 
     def __init__(
@@ -46,58 +47,58 @@
         self._period_ms = period_ms
         self._random = random.Random(f"{seed}/{own.name}")
         self._members: dict[str, member.Member] = {own.name: own}
-        self._digest = _weigh(own)
-        self._sends: dict[str, int] = {own.name: 0}
+        self._digest = _digest_member(own)
+        self._transmissions: dict[str, int] = {own.name: 0}
         self._since_ms: dict[str, int] = {}
         self._round: list[str] = []
         self._synced_ms: int | None = None
-        # Before this nothing expires; none if it has to be found out.
+        # Nothing expires before this time, in ms; none if it must be computed.
         self._expiry_ms: float | None = None
 
     def list_members(self) -> list[member.Member]:
-        """Return all known VMs, this one and dead ones included."""
+        """Return all known VMs, including this one and tombstones."""
         return list(self._members.values())
 
     def find(self, name: str) -> member.Member | None:
         """Return a VM by name.
 
         :param name: the VM's name
-        :returns: what is known, or none
+        :returns: its member record, or none if not known
         """
         return self._members.get(name)
 
     def digest(self) -> int:
-        """Return a number that two VMs share if they know the same."""
+        """Return a digest that is equal on two VMs with the same view."""
         return self._digest
 
-    def apply(self, news: member.Member, now_ms: int) -> bool:
-        """Take in what was said about a VM.
+    def apply(self, update: member.Member, now_ms: int) -> bool:
+        """Apply an update about a VM.
 
-        :param news: what was said
-        :param now_ms: the present
-        :returns: whether it was new
+        :param update: the received update
+        :param now_ms: current time in ms
+        :returns: whether it changed the view
         """
-        if news.name == self.own.name:
-            return self._defend(news)
-        known = self._members.get(news.name)
-        if known is not None and not news.is_newer_than(known):
+        if update.name == self.own.name:
+            return self._refute(update)
+        known = self._members.get(update.name)
+        if known is not None and not update.is_newer_than(known):
             return False
-        if known is None and news.health is member.MemberStatus.DEAD:
-            # Nobody needs to learn of a VM by its death; and tombstones
-            # which go round for ever would never be forgotten.
+        if known is None and update.health is member.MemberStatus.DEAD:
+            # A VM is not added by an update of its death. Otherwise tombstones
+            # would circulate for ever and never be removed.
             return False
-        self._put(self._keep_liveliness(news, known), now_ms)
+        self._put(self._copy_heartbeat(update, known), now_ms)
         return True
 
     def record_heartbeat(
         self, name: str, streams: int, revision: int, now_ms: int
     ) -> None:
-        """Take in what a VM told of itself just now.
+        """Record the state that a VM has just sent of itself.
 
         :param name: the VM
-        :param streams: its running requests
-        :param revision: of the tables that it has
-        :param now_ms: the present
+        :param streams: number of its running requests
+        :param revision: revision of its tables
+        :param now_ms: current time in ms
         """
         known = self._members.get(name)
         if known is not None:
@@ -106,11 +107,11 @@
             known.heard_ms = now_ms
 
     def note_silent(self, name: str, incarnation: int, now_ms: int) -> bool:
-        """Suspect a VM that neither this one nor its helpers could reach.
+        """Suspect a VM that failed both direct and indirect probes.
 
         :param name: the VM
-        :param incarnation: the life that was probed
-        :param now_ms: the present
+        :param incarnation: the incarnation that was probed
+        :param now_ms: current time in ms
         :returns: whether it is newly suspected
         """
         known = self._members.get(name)
@@ -121,53 +122,55 @@
         return True
 
     def expire(self, now_ms: int) -> list[member.Member]:
-        """Take suspects for dead, and forget those long dead.
+        """Mark overdue suspects as dead, and remove old tombstones.
 
-        :param now_ms: the present
-        :returns: the VMs that were newly taken for dead
+        :param now_ms: current time in ms
+        :returns: the VMs that were newly marked as dead
         """
         if self._expiry_ms is not None and now_ms < self._expiry_ms:
             return []
-        died = []
+        dead = []
         for known in list(self._members.values()):
             if now_ms < self._find_expiry_ms(known):
                 continue
             if known.health is member.MemberStatus.SUSPECT:
-                died.append(
+                dead.append(
                     self._set_health(known, member.MemberStatus.DEAD, now_ms)
                 )
             else:
-                self._forget(known)
+                self._remove(known)
         self._expiry_ms = min(
             map(self._find_expiry_ms, self._members.values())
         )
-        return died
+        return dead
 
     def _find_expiry_ms(self, known: member.Member) -> float:
-        """Return when a VM's health changes by time alone."""
+        """Return when a VM's status changes by time alone, in ms."""
         since_ms = self._since_ms.get(known.name, 0)
         if known.health is member.MemberStatus.SUSPECT:
             size = len(self._members)
             periods = SUSPECT_PERIODS + math.ceil(math.log2(size + 1))
             return since_ms + self._period_ms * periods
         if known.health is member.MemberStatus.DEAD:
-            return since_ms + DEAD_MS
+            return since_ms + TOMBSTONE_MS
         return math.inf
 
     def choose_probe_target(self) -> member.Member | None:
         """Return the VM to probe next.
 
-        Every VM is probed once in each shuffled round, so that the time
-        until a death is noticed has a limit, which plain random choice has
-        not.  Suspects are probed as well: it lets them deny it.  A VM that
-        is cut off takes all others for dead; then there is none to probe.
+        Every VM is probed once per shuffled round, which bounds the time until
+        a crash is detected; plain random choice has no bound. Suspects are
+        probed as well, so that they can refute the suspicion. A partitioned VM
+        considers all others dead and has none to probe.
+
+        :returns: a VM that is not dead, or none
         """
         while True:
             if not self._round:
                 self._round = [
-                    one.name
-                    for one in self._list_others()
-                    if one.health is not member.MemberStatus.DEAD
+                    vm.name
+                    for vm in self._list_others()
+                    if vm.health is not member.MemberStatus.DEAD
                 ]
                 self._random.shuffle(self._round)
                 if not self._round:
@@ -182,64 +185,65 @@
     def sample_alive(
         self, count: int, besides: str = ""
     ) -> list[member.Member]:
-        """Return random VMs that are thought to be alive.
+        """Return random VMs that are considered alive.
 
-        :param count: how many at most
-        :param besides: the name of a VM to leave out
-        :returns: VMs
+        :param count: maximum number of VMs
+        :param besides: the name of a VM to exclude
+        :returns: the VMs
         """
         alive = [
-            one
-            for one in self._list_others()
-            if one.health is member.MemberStatus.ALIVE and one.name != besides
+            vm
+            for vm in self._list_others()
+            if vm.health is member.MemberStatus.ALIVE and vm.name != besides
         ]
         return self._random.sample(alive, min(count, len(alive)))
 
     def sample_dead(self) -> member.Member | None:
-        """Return a random dead VM, to find out whether it is back.
+        """Return a random dead VM, to check whether it is reachable again.
 
-        After two regions have lost each other for minutes, each takes the
-        other's VMs for dead, and nobody would ever probe them again.
+        After a network partition of several minutes between two regions, each
+        region considers the other's VMs dead, and would otherwise never probe
+        them again.
         """
-        everybody = self._list_others()
-        dead = [
-            one for one in everybody if one.health is member.MemberStatus.DEAD
-        ]
+        members = self._list_others()
+        dead = [vm for vm in members if vm.health is member.MemberStatus.DEAD]
         return self._random.choice(dead) if dead else None
 
     def take_news(self) -> list[member.Member]:
-        """Choose what to pass on with the next message.
+        """Return the updates to piggyback on the next message.
 
-        :returns: a few VMs, those least often passed on first
+        :returns: a few updates, the least often sent first
         """
-        most = self.compute_retransmit_limit()
-        waiting = sorted(self._sends, key=lambda name: self._sends[name])
-        chosen = waiting[:MOST_IN_MESSAGE]
+        limit = self.compute_retransmit_limit()
+        waiting = sorted(
+            self._transmissions, key=lambda name: self._transmissions[name]
+        )
+        chosen = waiting[:MAX_UPDATES_PER_MESSAGE]
         for name in chosen:
-            self._sends[name] += 1
-        for name in [n for n in chosen if self._sends[n] >= most]:
-            del self._sends[name]
+            self._transmissions[name] += 1
+        for name in [n for n in chosen if self._transmissions[n] >= limit]:
+            del self._transmissions[name]
         return [self._members[name] for name in chosen]
 
     def compute_retransmit_limit(self) -> int:
-        """Return how often a VM passes a piece of news on."""
-        return SENDS_FACTOR * math.ceil(math.log2(len(self._members) + 1))
+        """Return how often a VM transmits an update."""
+        return RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._members) + 1))
 
     def needs_sync(self, digest: int, now_ms: int) -> bool:
-        """Tell whether to fetch all that another VM knows.
+        """Return whether to fetch another VM's full view.
 
-        Hearsay alone may miss a VM.  Views differ for a moment after each
-        change, so only a difference after a pause asks for everything.
+        Gossip alone may miss a VM. Views differ briefly after each change, so
+        a full view is fetched only after a pause since the last one.
 
         :param digest: the other VM's digest
-        :param now_ms: the present
-        :returns: whether to fetch; the next time is then some periods off
+        :param now_ms: current time in ms
+        :returns: whether to fetch; if so, the pause starts again
         """
         if digest == self._digest:
             return False
         pause_ms = self._period_ms * SYNC_PERIODS
-        # With n VMs a full view is n entries: asked for at most once in so
-        # many periods, its bytes a second stay the same in a larger fleet.
+        # With n VMs a full view has n entries. The pause grows with the fleet,
+        # so the bandwidth stays constant.
         pause_ms *= max(len(self._members) // 32, 1)
         if self._synced_ms is not None:
             if now_ms - self._synced_ms < pause_ms:
@@ -253,10 +257,10 @@
         holdings: bytes | None = None,
         is_starting: bool | None = None,
     ) -> None:
-        """Change what this VM tells of itself.
+        """Change what this VM announces of itself.
 
-        :param is_stopping: whether it wants no new callers
-        :param holdings: what it holds of the fleet's state
+        :param is_stopping: whether it accepts no new callers
+        :param holdings: its part of the fleet's shared state, encoded
         :param is_starting: whether it cannot serve callers yet
         """
         if is_starting is not None:
@@ -265,52 +269,53 @@
             self.own.is_stopping = is_stopping
         if holdings is not None:
             self.own.holdings = holdings
-        self._speak_up(self.own.version + 1)
-
-    def _defend(self, news: member.Member) -> bool:
-        """Deny what was wrongly said about this VM itself."""
-        if news.incarnation > self.own.incarnation:
-            # An earlier life had a clock that was ahead.  Without a larger
-            # number this life would be taken for the old one for ever.
-            self.own.incarnation = news.incarnation + 1
-            self._speak_up(0)
+        self._announce(self.own.version + 1)
+
+    def _refute(self, update: member.Member) -> bool:
+        """Refute a wrong update about this VM."""
+        if update.incarnation > self.own.incarnation:
+            # The clock of an earlier incarnation was ahead. Without a larger
+            # number, other VMs would mistake this incarnation for an outdated
+            # one for ever.
+            self.own.incarnation = update.incarnation + 1
+            self._announce(0)
             return True
-        is_old = news.incarnation < self.own.incarnation
-        if is_old or news.health is member.MemberStatus.ALIVE:
+        is_old = update.incarnation < self.own.incarnation
+        if is_old or update.health is member.MemberStatus.ALIVE:
             return False
-        self._speak_up(max(news.version, self.own.version) + 1)
+        self._announce(max(update.version, self.own.version) + 1)
         return True
 
-    def _speak_up(self, version: int) -> None:
-        # The digest is of what others know, so it follows every change.
+    def _announce(self, version: int) -> None:
+        # The digest covers what other VMs know, so every change updates it.
         self.own.version = version
         self._digest = functools.reduce(
-            operator.xor, map(_weigh, self._members.values())
+            operator.xor, map(_digest_member, self._members.values())
         )
-        self._sends[self.own.name] = 0
+        self._transmissions[self.own.name] = 0
 
-    def _put(self, news: member.Member, now_ms: int) -> None:
-        known = self._members.get(news.name)
+    def _put(self, update: member.Member, now_ms: int) -> None:
+        known = self._members.get(update.name)
         if known is None:
             # A new VM is probed within the current round.
-            place = self._random.randint(0, len(self._round))
-            self._round.insert(place, news.name)
+            index = self._random.randint(0, len(self._round))
+            self._round.insert(index, update.name)
         else:
-            self._digest ^= _weigh(known)
-        self._members[news.name] = news
+            self._digest ^= _digest_member(known)
+        self._members[update.name] = update
         self._expiry_ms = None
-        self._digest ^= _weigh(news)
-        self._since_ms[news.name] = now_ms
-        self._sends[news.name] = 0
+        self._digest ^= _digest_member(update)
+        self._since_ms[update.name] = now_ms
+        self._transmissions[update.name] = 0
 
-    def _keep_liveliness(
-        self, news: member.Member, known: member.Member | None
+    def _copy_heartbeat(
+        self, update: member.Member, known: member.Member | None
     ) -> member.Member:
-        if known is not None and known.incarnation == news.incarnation:
-            news.streams = known.streams
-            news.revision = known.revision
-            news.heard_ms = known.heard_ms
-        return news
+        if known is not None and known.incarnation == update.incarnation:
+            update.streams = known.streams
+            update.revision = known.revision
+            update.heard_ms = known.heard_ms
+        return update
 
     def _set_health(
         self, known: member.Member, health: member.MemberStatus, now_ms: int
@@ -320,17 +325,18 @@
         self._put(changed, now_ms)
         return changed
 
-    def _forget(self, known: member.Member) -> None:
+    def _remove(self, known: member.Member) -> None:
         del self._members[known.name]
         self._expiry_ms = None
         self._since_ms.pop(known.name, None)
-        self._sends.pop(known.name, None)
+        self._transmissions.pop(known.name, None)
 
     def _list_others(self) -> list[member.Member]:
-        everybody = self._members.values()
-        return [one for one in everybody if one is not self.own]
+        members = self._members.values()
+        return [vm for vm in members if vm is not self.own]
 
 
-def _weigh(known: member.Member) -> int:
-    # Dead VMs are forgotten at different times; that is no difference.
+def _digest_member(known: member.Member) -> int:
+    # Tombstones are removed at different times on each VM, which must not make
+    # the digests differ.
     return 0 if known.health is member.MemberStatus.DEAD else known.digest()
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -1,7 +1,7 @@
-"""Copies of what the platform's store holds, never older than before.
+"""Copies of the objects in the platform's store, which never go back.
 
-A copy comes from the store or from another VM; which of two is newer is
-told by the store's own revision alone, never by the time of arrival.
+A copy comes from the store or from another VM. Which of two copies is newer
+depends on the store's revision alone, never on the time of receipt.
 """
 
 import collections.abc
@@ -13,14 +13,14 @@
 
 
 class RetainedObject:
-    """An object that counts although the store has removed it.
+    """An object that is still in use although the store has removed it.
 
     :param object_: the object
-    :param revision: the store's revision up to which the removal was told
-    :param noticed_ms: when it was noticed
-    :param until_ms: how long the object still counts
-    :param absence: the absence of the store in which it lapsed; none where
-        the removals themselves, or another VM, told of the lapse
+    :param revision: the store's revision up to which removals are known
+    :param noticed_ms: when the removal was noticed, in ms
+    :param until_ms: until when the object is retained, in ms
+    :param absence: the unreachable period in which the entry expired; none if
+        the mass expiry was detected from the removals or by another VM
     """
 
     __slots__ = ("object", "revision", "noticed_ms", "until_ms", "absence")
@@ -41,17 +41,16 @@
 
 
 class Mirror:
-    """One kind of objects as far as it is known.
+    """One VM's copy of one kind of objects.
 
     :param kind: the plural kind
-    :param detector: decides whether removed objects have lapsed and still
-        count for a while; without it removals count at once
-
-    ``objects`` are those that the store holds.  ``revision`` grows with any
-    change in the store, and a watch goes on from it; ``changed_revision`` only
-    with changes of this kind, so that two VMs which know the same tell the
-    same. ``edits`` counts changes of the copy itself, also those that the
-    store did not tell.
+    :param detector: decides whether removed objects have expired and are
+        retained; without it, removals take effect at once ``objects`` holds
+        the objects of the store. ``revision`` grows with every change in the
+        store, and a watch continues from it. ``changed_revision`` grows only
+        with changes of this kind, so VMs with the same copy report the same
+        value. ``edits`` counts all changes of the copy, including those that
+        do not come from the store.
     """
 
     __slots__ = (
@@ -63,7 +62,7 @@
         "_detector",
         "_removed",
         "_removed_after",
-        "_kept",
+        "_retained",
         "_unreported",
     )
 
@@ -76,26 +75,27 @@
         self.changed_revision = 0
         self.edits = 0
         self._detector = detector
-        # Objects that were removed in or after one absence; that they lapsed
-        # may show only when more of them go.
+        # Objects removed during or after one unreachable period; whether they
+        # expired may only become clear when more are removed.
         self._removed: dict[str, base.StoredObject] = {}
         self._removed_after: mass_expiry.UnreachablePeriod | None = None
-        self._kept: dict[str, RetainedObject] = {}
+        self._retained: dict[str, RetainedObject] = {}
         self._unreported: list[RetainedObject] = []
 
     def record_failure(self, began_ms: int, reason: str = "") -> None:
-        """Tell that the store could not be asked.
+        """Record that a call to the store failed.
 
-        :param began_ms: see :meth:`lapses.LapseDetector.record_failure`
-        :param reason: how the call failed
+        :param began_ms: see
+            :meth:`mass_expiry.MassExpiryDetector.record_failure`
+        :param reason: the error of the call
         """
         if self._detector is not None:
             self._detector.record_failure(began_ms, reason)
 
     def record_response(self, now_ms: int) -> None:
-        """Tell that the store has answered.
+        """Record that the store responded.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         if self._detector is not None:
             self._detector.record_response(now_ms)
@@ -106,12 +106,12 @@
         revision: int,
         now_ms: int,
     ) -> bool:
-        """Take over a whole copy.
+        """Replace the copy by a listing from the store.
 
         :param objects: all objects of the kind
-        :param revision: the store's revision of the copy
-        :param now_ms: the present
-        :returns: whether it was newer
+        :param revision: the store's revision of the listing
+        :param now_ms: current time in ms
+        :returns: whether the listing was newer
         """
         if revision <= self.revision:
             return False
@@ -119,14 +119,14 @@
         found = {one.name: one for one in objects}
         newest = max((one.version for one in found.values()), default=0)
         self.changed_revision = max(self.changed_revision, newest)
-        gone = self.objects.keys() - found.keys()
-        removed = {name: self.objects.pop(name) for name in gone}
-        if gone:
-            # No object left bears the revision of a removal.
+        removed_names = self.objects.keys() - found.keys()
+        removed = {name: self.objects.pop(name) for name in removed_names}
+        if removed_names:
+            # No remaining object has the revision of a removal.
             self.changed_revision = max(self.changed_revision, revision)
         for one in found.values():
             self._put(one)
-        self._judge(removed, gone, False, now_ms)
+        self._retain_expired(removed, removed_names, False, now_ms)
         return True
 
     def replace_from_peer(
@@ -134,18 +134,18 @@
         objects: collections.abc.Iterable[base.StoredObject],
         changed: int,
         now_ms: int,
-        kept: collections.abc.Iterable[RetainedObject] = (),
+        retained: collections.abc.Iterable[RetainedObject] = (),
     ) -> bool:
-        """Take over another VM's copy.
+        """Replace the copy by a newer one from a peer.
 
-        It holds every change up to the one that it tells, so it is newer
-        exactly if it tells a later one.
+        A copy contains all changes up to the reported revision, so it is newer
+        if and only if that revision is.
 
-        :param objects: all objects of the kind that the store holds
-        :param changed: the revision of the last change that is in it
-        :param now_ms: the present
-        :param kept: the objects that the other VM keeps
-        :returns: whether it was newer
+        :param objects: all objects of the kind in the store
+        :param changed: revision of the last change in the copy
+        :param now_ms: current time in ms
+        :param retained: the objects that the peer retains
+        :returns: whether the peer's copy was newer
         """
         if changed <= self.changed_revision:
             return False
@@ -153,8 +153,8 @@
         known, self.revision = self.revision, 0
         self.replace(objects, changed, now_ms)
         self.revision = max(known, changed)
-        for one in kept:
-            self._adopt_kept(one)
+        for one in retained:
+            self._merge_retained(one)
         return True
 
     def apply(
@@ -163,18 +163,18 @@
         revision: int,
         now_ms: int,
     ) -> bool:
-        """Take in changes.
+        """Apply changes from a watch.
 
         :param events: the changes in order
-        :param revision: the store's revision up to which they reach
-        :param now_ms: the present
-        :returns: whether anything has changed
+        :param revision: the store's revision up to which they are complete
+        :param now_ms: current time in ms
+        :returns: whether anything changed
         """
         if revision <= self.revision:
             return False
         self.revision = revision
         has_changed = False
-        gone: set[str] = set()
+        removed_names: set[str] = set()
         removed: dict[str, base.StoredObject] = {}
         for event in events:
             has_changed = True
@@ -183,74 +183,77 @@
                 self.changed_revision, event.object.version
             )
             if event.type is base.EventType.DELETED:
-                # The version is that of the object's last content, which
-                # says nothing of when it went.
+                # The version is that of the object's last content, not that of
+                # its removal.
                 self.changed_revision = revision
-                gone.add(name)
+                removed_names.add(name)
                 if name in self.objects:
                     removed[name] = self.objects.pop(name)
             else:
                 removed.pop(name, None)
                 self._put(event.object)
-        self._judge(removed, gone, True, now_ms)
+        self._retain_expired(removed, removed_names, True, now_ms)
         return has_changed
 
     def expire(self, now_ms: int) -> list[RetainedObject]:
-        """Give up kept objects whose time is over.
+        """Remove retained objects whose time has expired.
 
-        :param now_ms: the present
-        :returns: those that count no longer
+        :param now_ms: current time in ms
+        :returns: the objects that were removed
         """
         expired = [
-            one for one in self._kept.values() if one.until_ms <= now_ms
+            one for one in self._retained.values() if one.until_ms <= now_ms
         ]
         for one in expired:
-            del self._kept[one.object.name]
+            del self._retained[one.object.name]
         if expired:
             self.edits += 1
         return expired
 
     def list_objects(self) -> list[base.StoredObject]:
-        """Return the objects that count."""
-        kept = (one.object for one in self._kept.values())
-        return [*self.objects.values(), *kept]
+        """Return the objects in use, including the retained ones."""
+        retained = (one.object for one in self._retained.values())
+        return [*self.objects.values(), *retained]
 
     def list_retained(self) -> list[RetainedObject]:
-        """Return the objects that count although they were removed."""
-        return list(self._kept.values())
+        """Return the objects that are retained after their removal."""
+        return list(self._retained.values())
 
     def find_expiry_ms(self) -> int | None:
-        """Return when the next kept object's time is over, or none."""
-        return min((one.until_ms for one in self._kept.values()), default=None)
+        """Return when the next retained object expires, in ms, or none."""
+        return min(
+            (one.until_ms for one in self._retained.values()), default=None
+        )
 
     def drain_newly_retained(self) -> list[RetainedObject]:
-        """Return the objects that are kept since the last call."""
+        """Return and clear the list of newly retained objects."""
         found, self._unreported = self._unreported, []
         return found
 
     def _put(self, one: base.StoredObject) -> None:
         self.edits += 1
-        self._kept.pop(one.name, None)
+        self._retained.pop(one.name, None)
         self._removed.pop(one.name, None)
         before = self.objects.get(one.name)
         if before is None or one.version >= before.version:
             self.objects[one.name] = one
 
-    def _judge(
+    def _retain_expired(
         self,
         removed: dict[str, base.StoredObject],
-        gone: set[str],
+        removed_names: set[str],
         is_one_answer: bool,
         now_ms: int,
     ) -> None:
-        """Keep removed objects for a while if they have lapsed.
+        """Retain removed objects for some time if they have expired.
 
         :param removed: the objects that are missing now
-        :param gone: names of all that went, also if they have come back
-        :param is_one_answer: see :meth:`lapses.LapseDetector.judge`
-        :param now_ms: the present
+        :param removed_names: names of all removed objects, including those
+            that were added again
+        :param is_one_answer: see :meth:`mass_expiry.MassExpiryDetector.judge`
+        :param now_ms: current time in ms
         """
-        if not gone:
+        if not removed_names:
             return
         self.edits += 1
         if self._detector is None:
@@ -261,29 +264,29 @@
         self._removed_after = absence
         self._removed |= removed
         until_ms = self._detector.judge(
-            gone, set(self.objects), is_one_answer, now_ms
+            removed_names, set(self.objects), is_one_answer, now_ms
         )
         if until_ms is None:
             return
         for one in self._removed.values():
-            self._keep(
+            self._retain(
                 RetainedObject(one, self.revision, now_ms, until_ms, absence)
             )
         self._removed.clear()
 
-    def _adopt_kept(self, kept: RetainedObject) -> None:
-        """Keep what another VM keeps, and no longer than it does."""
-        name = kept.object.name
+    def _merge_retained(self, retained: RetainedObject) -> None:
+        """Retain what a peer retains, for no longer than the peer does."""
+        name = retained.object.name
         if name in self.objects:
             return
-        own = self._kept.get(name)
-        if own is None:
-            self._keep(kept)
+        existing = self._retained.get(name)
+        if existing is None:
+            self._retain(retained)
         else:
-            own.until_ms = min(own.until_ms, kept.until_ms)
+            existing.until_ms = min(existing.until_ms, retained.until_ms)
 
-    def _keep(self, kept: RetainedObject) -> None:
-        if kept.object.name in self._kept:
+    def _retain(self, retained: RetainedObject) -> None:
+        if retained.object.name in self._retained:
             return
-        self._kept[kept.object.name] = kept
-        self._unreported.append(kept)
+        self._retained[retained.object.name] = retained
+        self._unreported.append(retained)
--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -1,4 +1,4 @@
-"""What a router heard from its peers, and for how long it counts."""
+"""Applies notes from peers, and expires the state of unresponsive peers."""
 
 import collections.abc
 
@@ -9,37 +9,43 @@
 
 __all__ = ["NoteReceiver"]
 
-# A router that died holds no slots; one whose notes are lost for a moment
-# still does.  Three missed heartbeats tell the two apart well enough, since
-# engines have the last word.
-SILENT_MS = 3_000
-# A peer that holds nothing may be silent for longer; after this what is known
-# of its notes' order is dropped.
-GONE_MS = 60_000
-SWEEP_MS = 500
-# How often the order of notes about upstreams that have left is dropped.
+# A crashed router uses no slots, but one whose notes are lost for a moment
+# does. Three missed heartbeats distinguish the two well enough, since the
+# engines make the final decision.
+UNRESPONSIVE_MS = 3_000
+# An idle peer may send nothing for longer. After this time, the order of its
+# notes is evicted as well.
+EVICTION_MS = 60_000
+EXPIRY_CHECK_MS = 500
+# Interval for evicting the order of notes on deregistered upstreams.
 PRUNE_MS = 10_000
 FRESH_MS = 1_500
 HOLDING = "holding"
 ACCOUNT = "account"
 
 
-class _Heard:
-    """What was heard of one life of a peer."""
+class _PeerState:
+    """State of one incarnation of a peer."""
 
-    __slots__ = ("incarnation", "sequence", "at_ms", "applied", "is_silent")
+    __slots__ = (
+        "incarnation",
+        "sequence",
+        "at_ms",
+        "applied",
+        "is_unresponsive",
+    )
 
     def __init__(self, incarnation: int, at_ms: int) -> None:
         self.incarnation = incarnation
         self.sequence = 0
         self.at_ms = at_ms
-        # The newest note by what it was about: notes may overtake each
-        # other, and each tells of what has changed only.
+        # Sequence number of the newest note by subject: notes may arrive out
+        # of order, and each contains only changes.
         self.applied: dict[tuple[str, str, str], int] = {}
-        self.is_silent = False
+        self.is_unresponsive = False
 
     def accepts(self, key: tuple[str, str, str], sequence: int) -> bool:
-        """Tell whether a note is the newest about something."""
+        """Return whether a note is the newest on its subject."""
         if sequence <= self.applied.get(key, 0):
             return False
         self.applied[key] = sequence
@@ -47,18 +53,18 @@
 
 
 class NoteReceiver:
-    """Takes in notes, and forgets peers that fall silent.
+    """Applies notes, and expires peers that become unresponsive.
 
-    :param vm: this VM's name; its own notes are passed over
-    :param register: requests that may be poison
+    :param vm: this VM's name; its own notes are ignored
+    :param register: the registry of requests that may be poison
     """
 
     def __init__(self, vm: str, register: poison.PoisonRegistry) -> None:
         self._vm = vm
         self._register = register
-        self._heard: dict[str, _Heard] = {}
-        self._trust = failure_reports.FailureReportFilter()
-        self._swept_ms = 0
+        self._peers: dict[str, _PeerState] = {}
+        self._report_filter = failure_reports.FailureReportFilter()
+        self._checked_ms = 0
         self._pruned_ms = 0
 
     def note(
@@ -67,44 +73,44 @@
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
-        """Take in a note.
+        """Apply a note.
 
         :param note: the peer's note
         :param pools_: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         if note.vm == self._vm:
             return
-        # News of crashes is true whatever the order in which it comes.
+        # Crash updates are valid in any order of receipt.
         self._register.note_news(note.deaths, now_ms)
-        heard = self._find(note, pools_, now_ms)
-        if heard is None:
+        peer = self._find(note, pools_, now_ms)
+        if peer is None:
             return
-        if note.sequence > heard.sequence:
-            heard.sequence = note.sequence
-            heard.at_ms = now_ms
-            heard.is_silent = False
+        if note.sequence > peer.sequence:
+            peer.sequence = note.sequence
+            peer.at_ms = now_ms
+            peer.is_unresponsive = False
         for holding in note.holdings:
             key = (HOLDING, holding.pool, holding.upstream)
-            if heard.accepts(key, note.sequence):
-                self._take_holding(note.vm, holding, pools_, now_ms)
+            if peer.accepts(key, note.sequence):
+                self._apply_holding(note.vm, holding, pools_, now_ms)
         for account in note.accounts:
             pool = pools_.get(account.pool)
             key = (ACCOUNT, account.pool, account.account)
-            if pool is not None and heard.accepts(key, note.sequence):
+            if pool is not None and peer.accepts(key, note.sequence):
                 pool.neighbours.note(note.vm, account, now_ms)
 
     def compute_max_age_ms(self, now_ms: int) -> int:
-        """Return how long ago the longest silent peer was heard.
+        """Return the age of the oldest note among responsive peers.
 
-        :param now_ms: the present
-        :returns: milliseconds; 0 where no peer is known
+        :param now_ms: current time in ms
+        :returns: age in ms; 0 if no peer is known
         """
         return max(
             (
-                now_ms - heard.at_ms
-                for heard in self._heard.values()
-                if not heard.is_silent
+                now_ms - peer.at_ms
+                for peer in self._peers.values()
+                if not peer.is_unresponsive
             ),
             default=0,
         )
@@ -114,40 +120,40 @@
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
-        """Forget silent peers, and tell the placers whether they are blind.
+        """Remove the state of unresponsive peers, and update the placers.
 
-        A pool is blind if its reports show others' work of which no peer has
-        told; routers that choose by the same stale reports would all send to
-        the engine that looks best.
+        A pool is without peer state if its reports show load that no peer has
+        accounted for. Routers that decide by the same stale reports would all
+        choose the engine that looks best.
 
         :param pools_: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
-        if now_ms - self._swept_ms < SWEEP_MS:
+        if now_ms - self._checked_ms < EXPIRY_CHECK_MS:
             return
-        self._swept_ms = now_ms
-        for vm, heard in list(self._heard.items()):
-            silent_ms = now_ms - heard.at_ms
-            if silent_ms >= SILENT_MS and not heard.is_silent:
-                heard.is_silent = True
-                _forget(vm, pools_)
-            if silent_ms >= GONE_MS:
-                del self._heard[vm]
+        self._checked_ms = now_ms
+        for vm, peer in list(self._peers.items()):
+            age_ms = now_ms - peer.at_ms
+            if age_ms >= UNRESPONSIVE_MS and not peer.is_unresponsive:
+                peer.is_unresponsive = True
+                _remove_peer(vm, pools_)
+            if age_ms >= EVICTION_MS:
+                del self._peers[vm]
         if now_ms - self._pruned_ms >= PRUNE_MS:
             self._pruned_ms = now_ms
             self._prune(pools_)
-        hears = any(
-            now_ms - heard.at_ms < FRESH_MS for heard in self._heard.values()
+        has_recent_peer = any(
+            now_ms - peer.at_ms < FRESH_MS for peer in self._peers.values()
         )
         for pool in pools_.values():
-            pool.placer.is_without_peer_state = not hears and any(
+            pool.placer.is_without_peer_state = not has_recent_peer and any(
                 view.unattributed_decodes for view in pool.members.list_all()
             )
 
     @property
     def size(self) -> int:
-        """About how many things of all peers the order of notes is kept."""
-        return sum(len(heard.applied) for heard in self._heard.values())
+        """Number of subjects whose order of notes is stored."""
+        return sum(len(peer.applied) for peer in self._peers.values())
 
     def _prune(
         self,
@@ -158,10 +164,10 @@
             for name, pool in pools_.items()
             for view in pool.members.list_all()
         }
-        for heard in self._heard.values():
-            heard.applied = {
+        for peer in self._peers.values():
+            peer.applied = {
                 key: sequence
-                for key, sequence in heard.applied.items()
+                for key, sequence in peer.applied.items()
                 if key[0] == ACCOUNT or key[1:] in known
             }
 
@@ -170,18 +176,18 @@
         note: hints.Note,
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
-    ) -> _Heard | None:
-        """Return what was heard of the sender's life; none if it is over."""
-        heard = self._heard.get(note.vm)
-        if heard is not None and note.incarnation < heard.incarnation:
+    ) -> _PeerState | None:
+        """Return the sender's state; none if its incarnation is outdated."""
+        peer = self._peers.get(note.vm)
+        if peer is not None and note.incarnation < peer.incarnation:
             return None
-        if heard is None or note.incarnation > heard.incarnation:
-            if heard is not None:
-                _forget(note.vm, pools_)
-            heard = self._heard[note.vm] = _Heard(note.incarnation, now_ms)
-        return heard
+        if peer is None or note.incarnation > peer.incarnation:
+            if peer is not None:
+                _remove_peer(note.vm, pools_)
+            peer = self._peers[note.vm] = _PeerState(note.incarnation, now_ms)
+        return peer
 
-    def _take_holding(
+    def _apply_holding(
         self,
         vm: str,
         holding: hints.Holding,
@@ -196,7 +202,7 @@
             return
         view.note_peer(vm, holding, now_ms)
         outcomes = holding.outcomes
-        if outcomes.has_failures() and not self._trust.accepts(
+        if outcomes.has_failures() and not self._report_filter.accepts(
             vm,
             (holding.pool, holding.upstream),
             len(pool.members.list_all()),
@@ -210,7 +216,7 @@
         view.health.note_peer(outcomes, now_ms)
 
 
-def _forget(
+def _remove_peer(
     vm: str, pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler]
 ) -> None:
     for pool in pools_.values():
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -1,4 +1,4 @@
-"""What a router tells its peers, and when."""
+"""Collects changes of a router and sends them to its peers as notes."""
 
 import collections.abc
 import itertools
@@ -9,41 +9,42 @@
 
 __all__ = ["NoteSender"]
 
-# A note for each change would cost a busy router (22 requests a second, each
-# with three changes) more than its 15 KB a second; within this time changes
-# go together, and a peer's view is that much late.
-LEAST_PAUSE_MS = 5
-# A change that nobody waits for goes along with the next note, and by itself
-# after this time.
+# One note per change would exceed the 15 KB per second of a busy router (22
+# requests per second with three changes each). Changes within this interval
+# are sent together, which delays a peer's view by that much.
+MIN_INTERVAL_MS = 5
+# A deferrable change is piggybacked on the next note, and is sent in a note of
+# its own after this time.
 MAX_DEFER_MS = 250
-# An empty note tells that the router lives; what it holds counts until it
-# has been silent for three of these.
+# An empty note shows that the router is alive. Its in-flight load counts until
+# it has been unresponsive for three of these.
 HEARTBEAT_MS = 1_000
-# A router that holds nothing has nothing to lose by silence.  In a fleet of
-# more VMs than this it beats more seldom, in proportion, so that the notes
-# that a VM gets from idle ones stay the same in number.
-HEARTBEAT_VMS = 12
-# Everything is told anew now and then, which mends what a lost note spoilt.
-WHOLE_MS = 5_000
-# Jobs that wait are told of again so often.  In a fleet of more than
-# ``HEARTBEAT_VMS`` the first time may be as late: most wait for less, and
-# their start is news.
+# An idle router has no in-flight load that could be expired. In a fleet of
+# more VMs than this its heartbeat interval grows in proportion, so that the
+# number of notes that a VM receives from idle ones stays constant.
+HEARTBEAT_SCALING_VMS = 12
+# All state is sent again at this interval, which corrects the effect of lost
+# notes.
+FULL_NOTE_MS = 5_000
+# Interval for sending waiting jobs again. In a fleet of more than
+# ``HEARTBEAT_SCALING_VMS`` the first time may be delayed as much: most jobs
+# wait for less, and their start is sent as a change.
 WAITING_MS = 100
-# Accounts told of at once: those that were given least and have jobs
-# waiting.  With more, a cell of six routers would exchange all 2,200.
-MOST_ACCOUNTS = 16
-# Upstreams in one note, so that it fits a datagram.  The others follow with
-# the next note: what they tell is the amount since their last one, so none of
-# it may be left out.
-MOST_HOLDINGS = 64
+# Maximum number of accounts in a note: those with the least service and with
+# waiting jobs. With more, a subset of six routers would exchange all 2,200.
+MAX_ACCOUNTS = 16
+# Maximum number of upstreams in a note, so that it fits a datagram. The others
+# follow in the next note: their values are amounts since their last note, so
+# none may be omitted.
+MAX_HOLDINGS = 64
 
 
 class NoteSender:
     """Collects changes into notes.
 
     :param vm: this VM's name
-    :param incarnation: which life of its router this is
-    :param register: requests that may be poison
+    :param incarnation: the incarnation of its router
+    :param register: the registry of requests that may be poison
     """
 
     def __init__(
@@ -53,23 +54,23 @@
         self._incarnation = incarnation
         self._register = register
         self._numbers = itertools.count(1)
-        # How many VMs exchange notes.
+        # Number of VMs that exchange notes.
         self.vms = 1
         self._views: set[tuple[str, str]] = set()
-        # Views that may wait for a note of others, and since when they do.
-        self._later: set[tuple[str, str]] = set()
-        self._later_since_ms = 0
-        # What was told since the last whole note, which repeats it.
+        # Views that may wait for the next note, and since when they do, in ms.
+        self._deferred: set[tuple[str, str]] = set()
+        self._deferred_since_ms = 0
+        # Views sent since the last full note; the next one includes them.
         self._recent: set[tuple[str, str]] = set()
         self._accounts: set[tuple[str, str]] = set()
         self._charged: dict[tuple[str, str], float] = {}
         self._weights: dict[tuple[str, str], int] = {}
-        self._told_waiting: dict[tuple[str, str], tuple[int, int]] = {}
+        self._sent_waiting: dict[tuple[str, str], tuple[int, int]] = {}
         self._at_ms: int | None = None
-        self._whole_ms: int | None = None
+        self._full_note_ms: int | None = None
 
     def mark_changed(self, pool: str, upstream: str) -> None:
-        """Mark an upstream where something of ours began or ended.
+        """Mark an upstream where a request of this router started or ended.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
@@ -79,25 +80,25 @@
     def mark_changed_deferred(
         self, pool: str, upstream: str, now_ms: int
     ) -> None:
-        """Mark an upstream of which the news may wait a bit.
+        """Mark an upstream whose changes may wait for the next note.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
-        if not self._later:
-            self._later_since_ms = now_ms
-        self._later.add((pool, upstream))
+        if not self._deferred:
+            self._deferred_since_ms = now_ms
+        self._deferred.add((pool, upstream))
 
     def record_charge(
         self, pool: str, account: str, weight: int, tokens: float
     ) -> None:
-        """Add to what an account was charged.
+        """Add to the tokens charged to an account.
 
         :param pool: the pool's name
         :param account: the account
         :param weight: its weight
-        :param tokens: how many; below zero if given back
+        :param tokens: number of tokens; negative for a refund
         """
         key = pool, account
         self._charged[key] = self._charged.get(key, 0.0) + tokens
@@ -109,42 +110,44 @@
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> hints.Note | None:
-        """Return what peers should hear now.
+        """Return the note that is due now, if any.
 
         :param pools_: the pools by name
-        :param now_ms: the present
+        :param now_ms: current time in ms
         :returns: a note, or none if nothing is due
         """
-        pause_ms = None if self._at_ms is None else now_ms - self._at_ms
-        if pause_ms is not None and pause_ms < LEAST_PAUSE_MS:
+        elapsed_ms = None if self._at_ms is None else now_ms - self._at_ms
+        if elapsed_ms is not None and elapsed_ms < MIN_INTERVAL_MS:
             return None
         waiting = self._list_waiting(pools_)
-        is_beating = pause_ms is None or self._has_to_beat(pause_ms, pools_)
-        has_waited = self._has_to_tell_waiting(waiting, pause_ms)
+        is_heartbeat_due = elapsed_ms is None or self._is_heartbeat_due(
+            elapsed_ms, pools_
+        )
+        must_send_waiting = self._must_send_waiting(waiting, elapsed_ms)
         deaths = self._register.take_news(now_ms)
-        if self._later and now_ms - self._later_since_ms >= MAX_DEFER_MS:
-            self._views |= self._later
+        if self._deferred and now_ms - self._deferred_since_ms >= MAX_DEFER_MS:
+            self._views |= self._deferred
         changed = self._views or self._accounts or deaths
-        if not (changed or has_waited or is_beating):
+        if not (changed or must_send_waiting or is_heartbeat_due):
             return None
-        self._views |= self._later
-        self._later = set()
+        self._views |= self._deferred
+        self._deferred = set()
         changed_views = set(self._views)
-        self._mark_whole(pools_, now_ms)
+        self._mark_all_if_due(pools_, now_ms)
         self._recent |= changed_views
         return self._build(pools_, waiting, deaths, now_ms)
 
-    def _has_to_tell_waiting(
+    def _must_send_waiting(
         self,
         waiting: dict[tuple[str, str], tuple[int, int]],
-        pause_ms: int | None,
+        elapsed_ms: int | None,
     ) -> bool:
-        told = self._told_waiting
-        if pause_ms is None or pause_ms >= WAITING_MS:
-            return bool(waiting or told)
-        has_gone = bool(told.keys() - waiting.keys())
-        has_changed = has_gone or bool(waiting and waiting != told)
-        return has_changed and self.vms <= HEARTBEAT_VMS
+        sent = self._sent_waiting
+        if elapsed_ms is None or elapsed_ms >= WAITING_MS:
+            return bool(waiting or sent)
+        has_removed = bool(sent.keys() - waiting.keys())
+        has_changed = has_removed or bool(waiting and waiting != sent)
+        return has_changed and self.vms <= HEARTBEAT_SCALING_VMS
 
     def _build(
         self,
@@ -153,7 +156,7 @@
         deaths: list[hints.Death],
         now_ms: int,
     ) -> hints.Note:
-        accounts = self._accounts | waiting.keys() | self._told_waiting.keys()
+        accounts = self._accounts | waiting.keys() | self._sent_waiting.keys()
         views = sorted(self._views)
         note = hints.Note(
             self._vm,
@@ -161,31 +164,34 @@
             next(self._numbers),
             [
                 holding
-                for pool, upstream in views[:MOST_HOLDINGS]
-                for holding in _read_holding(
+                for pool, upstream in views[:MAX_HOLDINGS]
+                for holding in _make_holdings(
                     pools_.get(pool), upstream, now_ms
                 )
             ],
             [
-                self._read_account(pools_[pool], account, now_ms)
+                self._make_account_note(pools_[pool], account, now_ms)
                 for pool, account in sorted(accounts)
                 if pool in pools_
             ],
             deaths,
         )
-        self._views, self._accounts = set(views[MOST_HOLDINGS:]), set()
-        self._told_waiting = waiting
+        self._views, self._accounts = set(views[MAX_HOLDINGS:]), set()
+        self._sent_waiting = waiting
         self._at_ms = now_ms
         return note
 
-    def _mark_whole(
+    def _mark_all_if_due(
         self,
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
         now_ms: int,
     ) -> None:
-        if self._whole_ms is not None and now_ms - self._whole_ms < WHOLE_MS:
+        if (
+            self._full_note_ms is not None
+            and now_ms - self._full_note_ms < FULL_NOTE_MS
+        ):
             return
-        self._whole_ms = now_ms
+        self._full_note_ms = now_ms
         self._views |= self._recent | {
             (name, view.row.name)
             for name, pool in pools_.items()
@@ -194,20 +200,20 @@
         }
         self._recent = set()
 
-    def _has_to_beat(
+    def _is_heartbeat_due(
         self,
-        pause_ms: int,
+        elapsed_ms: int,
         pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler],
     ) -> bool:
-        if pause_ms < HEARTBEAT_MS:
+        if elapsed_ms < HEARTBEAT_MS:
             return False
-        holds = any(
+        has_load = any(
             view.own or view.own_prefills
             for pool in pools_.values()
             for view in pool.members.list_all()
         )
-        scale = max(self.vms / HEARTBEAT_VMS, 1.0)
-        return holds or pause_ms >= HEARTBEAT_MS * scale
+        scale = max(self.vms / HEARTBEAT_SCALING_VMS, 1.0)
+        return has_load or elapsed_ms >= HEARTBEAT_MS * scale
 
     @staticmethod
     def _list_waiting(
@@ -219,10 +225,10 @@
                 state.list_heads()[0].job.arrived_ms,
             )
             for name, pool in pools_.items()
-            for state in pool.queue.list_next(MOST_ACCOUNTS)
+            for state in pool.queue.list_next(MAX_ACCOUNTS)
         }
 
-    def _read_account(
+    def _make_account_note(
         self, pool: pool_scheduler.PoolScheduler, account: str, now_ms: int
     ) -> hints.AccountNote:
         key = pool.row.name, account
@@ -242,7 +248,7 @@
         )
 
 
-def _read_holding(
+def _make_holdings(
     pool: pool_scheduler.PoolScheduler | None, upstream: str, now_ms: int
 ) -> list[hints.Holding]:
     view = pool.members.find(upstream) if pool is not None else None
--- a/mulberryway/policy/orders.py
+++ b/mulberryway/policy/orders.py
@@ -1,4 +1,4 @@
-"""Which orders engines need, and how many may run at once."""
+"""Decides which orders engines need, and how many may run at once."""
 
 import abc
 import collections.abc
@@ -8,12 +8,12 @@
 
 __all__ = ["OrderPlanner", "PlannedOrder", "Planner"]
 
-# The weight store is rate-limited, and loading engines serve nothing: loads
-# that share its rate would all end late.
-MOST_LOADS = 2
-# A load that is not seen in the engine's report by then is ordered again.
+# The weight store is rate-limited and engines serve no requests while they
+# load; more loads at once would share its rate and all finish late.
+MAX_LOADS = 2
+# A load that does not appear in the engine's report by then is sent again.
 LOAD_TIMEOUT_MS = 300_000
-# What was refused or got no answer is not ordered again at once.
+# Time in ms before a rejected or unanswered order is sent again.
 RETRY_MS = 15_000
 
 
@@ -37,15 +37,15 @@
         self.argument = argument
 
     def get_key(self) -> tuple[str, str, str, str]:
-        """Return what tells this order from others."""
+        """Return the key that identifies this order."""
         return self.pool, self.row.name, self.verb, self.argument
 
 
 class Planner(abc.ABC):
     """Decides which orders engines need."""
 
-    # Whether an engine is asked for its state right before an order, which
-    # then holds only for that state.
+    # Whether the engine's state is queried immediately before an order, which
+    # is then valid for that state only.
     needs_state: bool = True
 
     @abc.abstractmethod
@@ -55,47 +55,47 @@
         loads: collections.abc.Mapping[tuple[str, str], upstreams.EngineLoad],
         now_ms: int,
     ) -> list[PlannedOrder]:
-        """Return the orders that may be given now.
+        """Return the orders that may be sent now.
 
         :param pools: the pools by name
         :param loads: the newest reports by pool and upstream
-        :param now_ms: the present
-        :returns: orders
+        :param now_ms: current time in ms
+        :returns: the orders
         """
 
     @abc.abstractmethod
     def record_accepted(self, order: PlannedOrder, now_ms: int) -> None:
-        """Tell that an engine took an order.
+        """Record that an engine accepted an order.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
 
     @abc.abstractmethod
     def record_failed(self, order: PlannedOrder, now_ms: int) -> None:
-        """Tell that an order was refused or got no answer.
+        """Record that an order was rejected or not answered.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
 
     @abc.abstractmethod
     def forget(self) -> None:
-        """Forget all, for this VM is the issuer no longer."""
+        """Clear all state, because this VM is no longer the leader."""
 
 
 class OrderPlanner(Planner):
-    """Compares the table of pools with what engines report.
+    """Compares the table of pools with the reports of engines.
 
-    :param most_loads: how many loads may run at once, over all pools
+    :param most_loads: maximum number of concurrent loads, over all pools
     """
 
     needs_state = False
 
-    def __init__(self, most_loads: int = MOST_LOADS) -> None:
-        self._most_loads = most_loads
+    def __init__(self, most_loads: int = MAX_LOADS) -> None:
+        self._max_loads = most_loads
         self._loading: dict[tuple[str, str, str, str], int] = {}
-        self._given_roles: dict[tuple[str, str], str] = {}
+        self._accepted_roles: dict[tuple[str, str], str] = {}
         self._failed_ms: dict[tuple[str, str, str, str], int] = {}
 
     def plan(
@@ -104,15 +104,15 @@
         loads: collections.abc.Mapping[tuple[str, str], upstreams.EngineLoad],
         now_ms: int,
     ) -> list[PlannedOrder]:
-        """Return the orders that may be given now.
+        """Return the orders that may be sent now.
 
-        An engine whose report is not known gets no load or unload, for it
-        may have the model already.  Leaving engines get nothing.
+        An engine whose report is not known gets no load or unload, because it
+        may already have the model. Draining engines get no orders.
 
         :param pools: the pools by name
         :param loads: the newest reports by pool and upstream
-        :param now_ms: the present
-        :returns: orders, roles first
+        :param now_ms: current time in ms
+        :returns: the orders, roles first
         """
         needed = [
             order
@@ -122,45 +122,46 @@
             if not row.leaving
             for order in self._list_needed(name, pool, row, loads)
         ]
-        self._forget_done(needed, now_ms)
+        self._remove_finished(needed, now_ms)
         ready = [order for order in needed if self._is_ready(order, now_ms)]
-        room = max(self._most_loads - len(self._loading), 0)
+        free_loads = max(self._max_loads - len(self._loading), 0)
         loading = [order for order in ready if order.verb == "load"]
-        return [o for o in ready if o.verb != "load"] + loading[:room]
+        return [o for o in ready if o.verb != "load"] + loading[:free_loads]
 
     def record_accepted(self, order: PlannedOrder, now_ms: int) -> None:
-        """Tell that an engine took an order.
+        """Record that an engine accepted an order.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         if order.verb == "load":
             self._loading[order.get_key()] = now_ms
         elif order.verb == "role":
             key = order.pool, order.row.name
-            self._given_roles[key] = order.argument
+            self._accepted_roles[key] = order.argument
         else:
             self._failed_ms[order.get_key()] = now_ms
 
     def record_failed(self, order: PlannedOrder, now_ms: int) -> None:
-        """Tell that an order was refused or got no answer.
+        """Record that an order was rejected or not answered.
 
-        All orders are idempotent, so one that may have arrived is repeated.
+        All orders are idempotent, so an order that may have arrived is sent
+        again.
 
         :param order: the order
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         self._failed_ms[order.get_key()] = now_ms
 
     def forget(self) -> None:
-        """Forget all, for this VM is the issuer no longer.
+        """Clear all state, because this VM is no longer the leader.
 
-        Loads that run go on to use the weight store's rate; a new issuer
-        counts those that reports do not show yet only from its own orders,
-        so for one load time there may be twice as many.
+        Running loads continue to use the weight store's rate. A new leader
+        knows loads that are not yet in reports only if it sent them itself, so
+        for the duration of one load there may be twice as many.
         """
         self._loading.clear()
-        self._given_roles.clear()
+        self._accepted_roles.clear()
         self._failed_ms.clear()
 
     def _list_needed(
@@ -172,7 +173,7 @@
     ) -> list[PlannedOrder]:
         orders = []
         role = row.role.value
-        if self._given_roles.get((name, row.name)) != role:
+        if self._accepted_roles.get((name, row.name)) != role:
             orders.append(PlannedOrder(name, row, "role", role))
         load = loads.get((name, row.name))
         if load is None or not pool.models:
@@ -182,7 +183,7 @@
             for model in pool.models
             if model not in load.models
         ]
-        # A model goes only when all that replace it are there.
+        # A model is unloaded only after all its replacements are loaded.
         if set(pool.models) <= set(load.models):
             orders += [
                 PlannedOrder(name, row, "unload", model)
@@ -191,7 +192,9 @@
             ]
         return orders
 
-    def _forget_done(self, needed: list[PlannedOrder], now_ms: int) -> None:
+    def _remove_finished(
+        self, needed: list[PlannedOrder], now_ms: int
+    ) -> None:
         keys = {order.get_key() for order in needed}
         self._loading = {
             key: at_ms
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -1,29 +1,29 @@
-"""What peers told of the client accounts: work done, and work waiting."""
+"""Client accounts' usage and waiting jobs, as reported by peers."""
 
 from mulberryway.policy import fair_queue
 from mulberryway.policy import hints
 
 __all__ = ["PeerAccounts"]
 
-# A peer tells again of what waits each 100 ms, so after three times that a
-# waiting job counts as gone.
+# A peer reports waiting jobs every 100 ms; a report is ignored after three
+# times that.
 WAITING_FRESH_MS = 300
 
 
 class _Waiting:
-    __slots__ = ("jobs", "since_ms", "prefill_ms", "told_ms")
+    __slots__ = ("jobs", "since_ms", "prefill_ms", "received_ms")
 
-    def __init__(self, note: hints.AccountNote, told_ms: int) -> None:
+    def __init__(self, note: hints.AccountNote, received_ms: int) -> None:
         self.jobs = note.waiting
-        self.since_ms = told_ms - note.oldest_ms
+        self.since_ms = received_ms - note.oldest_ms
         self.prefill_ms = note.prefill_ms
-        self.told_ms = told_ms
+        self.received_ms = received_ms
 
 
 class PeerAccounts:
-    """The accounts of one pool as the other routers of the cell see them.
+    """One pool's accounts as reported by the other routers of the subset.
 
-    :param fair: the pool's own queue, which orders the accounts
+    :param fair: the pool's fair queue, which orders the accounts
     """
 
     __slots__ = ("_fair", "_charged", "_waiting")
@@ -34,11 +34,11 @@
         self._waiting: dict[str, dict[str, _Waiting]] = {}
 
     def note(self, vm: str, note: hints.AccountNote, now_ms: int) -> None:
-        """Take in what a peer told of one account.
+        """Apply a peer's report on one account.
 
         :param vm: the peer
-        :param note: its news
-        :param now_ms: the present
+        :param note: the report
+        :param now_ms: current time in ms
         """
         charged = self._charged.setdefault(vm, {})
         more = note.charged - charged.get(note.account, note.charged)
@@ -54,7 +54,7 @@
             waiting.pop(note.account, None)
 
     def forget(self, vm: str) -> None:
-        """Drop what a peer told, after its silence.
+        """Remove the state of an unresponsive peer.
 
         :param vm: the peer
         """
@@ -68,27 +68,28 @@
         slack_tokens: int,
         now_ms: int,
     ) -> int:
-        """Return how many of the peers' jobs should go before one of ours.
-
-        A router on which a slot comes free would take it for whatever waits
-        there, and a small account whose callers all use another router would
-        starve.  A peer tells of a few accounts, so the cost is bounded.
-
-        :param state: our job's account
-        :param entry: our job
-        :param slack_tokens: among accounts whose starts differ by no more,
-            the cheaper prompt goes first, as in our own queue
-        :param now_ms: the present
-        :returns: a number of jobs
+        """Return how many of the peers' jobs should precede a local job.
+
+        Without this, a router would give each free slot to a job that waits
+        locally, and a small account whose callers all use another router would
+        starve. A peer reports only a few accounts, so the cost is bounded.
+
+        :param state: the account of the local job
+        :param entry: the local job
+        :param slack_tokens: between accounts whose virtual start times differ
+            by less than this, the cheaper prompt goes first, as in the local
+            queue
+        :param now_ms: current time in ms
+        :returns: the number of jobs
         """
         return sum(
-            self._count_of(account, waiting, state, entry, slack_tokens)
+            self._count_account(account, waiting, state, entry, slack_tokens)
             for accounts in self._waiting.values()
             for account, waiting in accounts.items()
-            if now_ms - waiting.told_ms <= WAITING_FRESH_MS
+            if now_ms - waiting.received_ms <= WAITING_FRESH_MS
         )
 
-    def _count_of(
+    def _count_account(
         self,
         account: str,
         waiting: _Waiting,
@@ -104,16 +105,16 @@
         return waiting.jobs if lead > 0 else 0
 
     def sum_waiting_weight(self, now_ms: int) -> int:
-        """Return the weights of accounts that wait only at peers.
+        """Return the total weight of accounts that wait only at peers.
 
-        :param now_ms: the present
-        :returns: their sum, each account counted once
+        :param now_ms: current time in ms
+        :returns: the sum of weights, with each account counted once
         """
         names: set[str] = {
             account
             for accounts in self._waiting.values()
             for account, waiting in accounts.items()
-            if now_ms - waiting.told_ms <= WAITING_FRESH_MS
+            if now_ms - waiting.received_ms <= WAITING_FRESH_MS
             and not self._fair.count_waiting(account)
         }
         return sum(map(self._fair.get_weight, names))
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -1,8 +1,8 @@
-"""Requests that crash upstreams: suspects, quarantine, and news of both.
+"""Registry of requests that crash upstreams: suspects and quarantine.
 
-A digest of client account, model and body stands for a request, so that
-another request id or another VM makes no difference.  All of it is a hint
-between routers, bounded in size and time.
+A request is identified by a digest of client account, model and body, so a
+retry with another request id or through another VM is recognised. The state is
+best effort, exchanged between routers, and bounded in size and time.
 """
 
 import collections
@@ -18,29 +18,30 @@
     "digest_request",
 ]
 
-# Every request of an upstream that dies is a suspect; the loss of a zone, or a
-# caller that makes up bodies, must not fill the VM's memory.
+# Every request on an upstream that crashes is a suspect. The loss of a zone,
+# or a caller that generates bodies, must not fill the VM's memory.
 MAX_DIGESTS = 4_096
-# A caller repeats within seconds to minutes.  Each refused repeat renews the
-# quarantine, so a request which keeps coming stays out, and a model that was
-# mended serves it again ten minutes after the last try.
+# A caller retries within seconds to minutes. Each rejected retry renews the
+# quarantine, so a request that keeps coming stays quarantined, and a model
+# that was fixed serves it again ten minutes after the last attempt.
 QUARANTINE_MS = 600_000
-# A request that was in two batches which died, without having run as the only
-# suspect there, may be an innocent that many callers send.  It stays out for
-# long enough that the caller's quick repeats cost no third upstream, and then
-# runs again, as the only suspect on its upstream.
+# A request that was in two batches whose upstream crashed, without having been
+# the only suspect there, may be a harmless one that many callers send. Its
+# quarantine is long enough that the caller's quick retries do not crash a
+# third upstream. After it the request runs again, as the only suspect on its
+# upstream.
 UNPROVEN_QUARANTINE_MS = 60_000
-DEATHS_TO_QUARANTINE = 2
-# Several requests with one digest may die with the same upstream, and each
-# router tells of its own; all that within this time is one death.  It is less
-# than an upstream's first ejection, so a repeat on the same upstream, started
-# again meanwhile, counts as another.
-SAME_DEATH_MS = 900
-MOST_DEATHS_KEPT = 4
+CRASHES_TO_QUARANTINE = 2
+# Several requests with one digest may run on the upstream that crashes, and
+# each router reports its own; reports within this time are one crash. It is
+# shorter than an upstream's first ejection, so that a retry which crashes the
+# same, restarted upstream counts as another crash.
+SAME_CRASH_MS = 900
+MAX_CRASHES_PER_REQUEST = 4
 
 
 def digest_request(account: str, model: str, body: bytes) -> str:
-    """Return the digest that recognises a request's repeats.
+    """Return the digest that identifies a request and its retries.
 
     :param account: the client account's name
     :param model: the model's name
@@ -55,14 +56,14 @@
 
 
 class QuarantineState(enum.Enum):
-    """How a request is regarded."""
+    """Quarantine state of a request."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
     QUARANTINED = "quarantined"
 
 
-class _SeenDeath:
+class _Crash:
     __slots__ = ("upstream", "at_ms", "proven")
 
     def __init__(self, upstream: str, at_ms: int, proven: bool) -> None:
@@ -72,19 +73,19 @@
 
 
 class _Record:
-    __slots__ = ("deaths", "is_proven", "touched_ms")
+    __slots__ = ("deaths", "is_proven", "used_ms")
 
     def __init__(self, now_ms: int) -> None:
-        self.deaths: list[_SeenDeath] = []
+        self.deaths: list[_Crash] = []
         self.is_proven = False
-        self.touched_ms = now_ms
+        self.used_ms = now_ms
 
     def read_standing(self, now_ms: int) -> QuarantineState:
-        if len(self.deaths) < DEATHS_TO_QUARANTINE:
+        if len(self.deaths) < CRASHES_TO_QUARANTINE:
             return QuarantineState.SUSPECT
-        is_doubtful = not self.is_proven
+        is_unproven = not self.is_proven
         if (
-            is_doubtful
+            is_unproven
             and now_ms - self.deaths[-1].at_ms >= UNPROVEN_QUARANTINE_MS
         ):
             return QuarantineState.SUSPECT
@@ -92,65 +93,65 @@
 
 
 class PoisonRegistry:
-    """The digests under which upstreams died, here and at other VMs."""
+    """Digests of requests under which upstreams crashed, fleet-wide."""
 
     def __init__(self) -> None:
         self._records: collections.OrderedDict[str, _Record] = (
             collections.OrderedDict()
         )
-        self._news: list[tuple[hints.Death, int]] = []
+        self._updates: list[tuple[hints.Death, int]] = []
 
     def __len__(self) -> int:
         return len(self._records)
 
     def read_standing(self, digest: str, now_ms: int) -> QuarantineState:
-        """Tell how a request is regarded.
+        """Return the quarantine state of a request.
 
         :param digest: see :func:`digest_request`; empty is always clear
-        :param now_ms: the present
-        :returns: its standing
+        :param now_ms: current time in ms
+        :returns: the state
         """
         record = self._records.get(digest)
         if record is None:
             return QuarantineState.CLEAR
-        if now_ms - record.touched_ms >= QUARANTINE_MS:
+        if now_ms - record.used_ms >= QUARANTINE_MS:
             del self._records[digest]
             return QuarantineState.CLEAR
         return record.read_standing(now_ms)
 
     def renew_quarantine(self, digest: str, now_ms: int) -> None:
-        """Renew a quarantine because the request came again.
+        """Renew a quarantine because the request was sent again.
 
         :param digest: the request's digest
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         record = self._records.get(digest)
         if record is not None:
-            self._touch(digest, record, now_ms)
+            self._mark_used(digest, record, now_ms)
 
     def record_crash(
         self, digest: str, upstream: str, proven: bool, now_ms: int
     ) -> None:
-        """Count an upstream that died under a request, and tell peers.
+        """Record that an upstream crashed under a request; queue it for peers.
 
         :param digest: the request's digest
         :param upstream: ``pool/name`` of the upstream
-        :param proven: it ran as a suspect, and no other suspect was known
-            to run there
-        :param now_ms: the present
+        :param proven: whether the request ran as a suspect and no other
+            suspect was known to run there
+        :param now_ms: current time in ms
         """
         if not digest:
             return
-        seen = _SeenDeath(upstream, now_ms, proven)
-        if self._count(digest, seen, now_ms):
+        crash = _Crash(upstream, now_ms, proven)
+        if self._count(digest, crash, now_ms):
             death = hints.Death(digest, upstream, 0, proven)
-            self._tell(death, now_ms)
+            self._queue_update(death, now_ms)
 
     def record_success(self, digest: str, now_ms: int) -> None:
-        """Clear a suspect that ran to its end, and tell peers.
+        """Clear a suspect that completed; queue that for peers.
 
         :param digest: the request's digest
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         record = self._records.get(digest)
         if record is None or (
@@ -158,25 +159,25 @@
         ):
             return
         del self._records[digest]
-        self._tell(hints.Death(digest, "", 0, True), now_ms)
+        self._queue_update(hints.Death(digest, "", 0, True), now_ms)
 
     def take_news(self, now_ms: int) -> list[hints.Death]:
-        """Return what peers have not been told yet, and forget it.
+        """Return the updates not yet sent to peers, and clear them.
 
-        :param now_ms: the present
-        :returns: the news, oldest first
+        :param now_ms: current time in ms
+        :returns: the updates, oldest first
         """
-        news = self._news
-        self._news = []
-        for death, at_ms in news:
+        updates = self._updates
+        self._updates = []
+        for death, at_ms in updates:
             death.age_ms = now_ms - at_ms
-        return [death for death, _ in news]
+        return [death for death, _ in updates]
 
     def list_crashes(self, now_ms: int) -> list[hints.Death]:
-        """Return all that is known, for a router that has just begun.
+        """Return all known crashes, for a router that has just started.
 
-        :param now_ms: the present
-        :returns: at most the register's limit times the deaths of each
+        :param now_ms: current time in ms
+        :returns: at most :data:`MAX_DIGESTS` times the crashes of each
         """
         return [
             hints.Death(
@@ -187,49 +188,49 @@
         ]
 
     def note_news(self, deaths: list[hints.Death], now_ms: int) -> None:
-        """Take in what a peer told.
+        """Apply updates received from a peer.
 
-        :param deaths: the peer's news
-        :param now_ms: the present
+        :param deaths: the peer's updates
+        :param now_ms: current time in ms
         """
         for death in deaths:
             if not death.upstream:
                 self._clear_by_peer(death.digest, now_ms)
             elif 0 <= death.age_ms < QUARANTINE_MS:
-                seen = _SeenDeath(
+                crash = _Crash(
                     death.upstream, now_ms - death.age_ms, death.proven
                 )
-                self._count(death.digest, seen, now_ms)
+                self._count(death.digest, crash, now_ms)
 
     def _clear_by_peer(self, digest: str, now_ms: int) -> None:
         if self.read_standing(digest, now_ms) is QuarantineState.SUSPECT:
             del self._records[digest]
 
-    def _count(self, digest: str, seen: _SeenDeath, now_ms: int) -> bool:
+    def _count(self, digest: str, crash: _Crash, now_ms: int) -> bool:
         record = self._records.get(digest)
-        if record is not None and now_ms - record.touched_ms >= QUARANTINE_MS:
+        if record is not None and now_ms - record.used_ms >= QUARANTINE_MS:
             record = None
         if record is None:
             record = self._records[digest] = _Record(now_ms)
         same = any(
-            death.upstream == seen.upstream
-            and abs(death.at_ms - seen.at_ms) < SAME_DEATH_MS
+            death.upstream == crash.upstream
+            and abs(death.at_ms - crash.at_ms) < SAME_CRASH_MS
             for death in record.deaths
         )
         if same:
             return False
-        record.is_proven |= bool(record.deaths) and seen.proven
-        record.deaths.append(seen)
-        del record.deaths[:-MOST_DEATHS_KEPT]
-        self._touch(digest, record, now_ms)
+        record.is_proven |= bool(record.deaths) and crash.proven
+        record.deaths.append(crash)
+        del record.deaths[:-MAX_CRASHES_PER_REQUEST]
+        self._mark_used(digest, record, now_ms)
         return True
 
-    def _touch(self, digest: str, record: _Record, now_ms: int) -> None:
-        record.touched_ms = now_ms
+    def _mark_used(self, digest: str, record: _Record, now_ms: int) -> None:
+        record.used_ms = now_ms
         self._records.move_to_end(digest)
         while len(self._records) > MAX_DIGESTS:
             self._records.popitem(last=False)
 
-    def _tell(self, death: hints.Death, now_ms: int) -> None:
-        self._news.append((death, now_ms))
-        del self._news[:-MAX_DIGESTS]
+    def _queue_update(self, death: hints.Death, now_ms: int) -> None:
+        self._updates.append((death, now_ms))
+        del self._updates[:-MAX_DIGESTS]
--- a/mulberryway/policy/probes.py
+++ b/mulberryway/policy/probes.py
@@ -1,4 +1,4 @@
-"""Which ejected upstreams are to be probed."""
+"""Ejected upstreams that need an active probe."""
 
 __all__ = ["EjectedUpstream"]
 
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -1,113 +1,124 @@
-"""A budget for repeats, so that they do not multiply load."""
+"""Retry budgets, which bound the load that retries add."""
 
 import collections
 
 __all__ = ["FleetRetryBudget", "UnlimitedRetryBudget", "RetryBudget"]
 
-# Each repeat costs another prefill just when there is least room.  One for ten
-# first attempts keeps the added load under a tenth; the most that may be saved
-# up is what two dying engines of twenty slots set free at once.
-REPEATS_PER_FIRST = 0.1
+# Each retry costs another prefill when free capacity is lowest. One retry per
+# ten first attempts keeps the added load under a tenth. The cap of the balance
+# is the number of requests that two crashing engines with twenty slots each
+# release at once.
+RETRIES_PER_FIRST_ATTEMPT = 0.1
 MAX_BALANCE = 40.0
 
 
 class RetryBudget:
-    """Earned by first attempts, spent by repeats."""
+    """Budget with a deposit per first attempt and a withdrawal per retry."""
 
-    __slots__ = ("_saved",)
+    __slots__ = ("_balance",)
 
     def __init__(self) -> None:
-        self._saved = MAX_BALANCE
+        self._balance = MAX_BALANCE
 
     def deposit(self) -> None:
         """Count a first attempt."""
-        self._saved = min(self._saved + REPEATS_PER_FIRST, MAX_BALANCE)
+        self._balance = min(
+            self._balance + RETRIES_PER_FIRST_ATTEMPT, MAX_BALANCE
+        )
 
     def try_withdraw(self) -> bool:
-        """Take one repeat out.
+        """Withdraw one retry.
 
-        :returns: false if none is left; the repeat must not run
+        :returns: false if the balance is too low; the retry must not run
         """
-        if self._saved < 1.0:
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
 
 
 class UnlimitedRetryBudget(RetryBudget):
-    """Lets every repeat through, where another budget counts them."""
+    """Admits every retry, where another budget counts them."""
 
     __slots__ = ()
 
     def try_withdraw(self) -> bool:
-        """Let a repeat through."""
+        """Admit a retry."""
         return True
 
 
 class FleetRetryBudget:
-    """One VM's part of a budget that all VMs share, by pool.
+    """One VM's share of a retry budget for all VMs, by pool.
 
-    Operators allow, in any window, a part of the pool's requests and a
-    number on top, over all VMs.  A VM takes the part of its own requests and
-    its share of the number, so that nobody has to be asked.  VMs that are
-    taken for dead keep their shares, since they may only be cut off.
+    In any window, operators allow a fraction of the pool's requests and a
+    fixed number in addition, over all VMs. A VM uses the fraction of its own
+    requests and its share of the number, so no coordination is needed. VMs
+    that are considered dead keep their shares, since they may only be
+    partitioned.
 
-    :param part: repeats for each request
-    :param window_ms: the window's length
-    :param slack: repeats on top, over all VMs
+    :param part: retries allowed per request, as a fraction
+    :param window_ms: length of the window in ms
+    :param slack: retries in addition, over all VMs
     """
 
-    # What the shares may add up to; the rest covers a VM that others do not
-    # know of yet.
-    SHARED_PART = 0.8
+    # Upper bound of the sum of all shares; the rest covers a VM that others do
+    # not know yet.
+    SHARED_FRACTION = 0.8
 
-    __slots__ = ("_part", "_window_ms", "_slack", "_vms", "_firsts", "_spent")
+    __slots__ = (
+        "_part",
+        "_window_ms",
+        "_slack",
+        "_vms",
+        "_requests",
+        "_retries",
+    )
 
     def __init__(self, part: float, window_ms: int, slack: int) -> None:
         self._part = part
         self._window_ms = window_ms
         self._slack = slack
         self._vms = 1
-        self._firsts: dict[str, collections.deque[int]] = {}
-        self._spent: dict[str, collections.deque[int]] = {}
+        self._requests: dict[str, collections.deque[int]] = {}
+        self._retries: dict[str, collections.deque[int]] = {}
 
     def change_vms(self, count: int) -> None:
-        """Take over how many VMs share the budget.
+        """Set the number of VMs that share the budget.
 
-        :param count: the VMs that are known, this one among them
+        :param count: the number of known VMs, including this one
         """
         self._vms = max(count, 1)
 
     def deposit(self, pool: str, now_ms: int) -> None:
         """Count a request.
 
-        :param pool: the pool that it is for
-        :param now_ms: the present
+        :param pool: the pool of the request
+        :param now_ms: current time in ms
         """
-        self._read(self._firsts, pool, now_ms).append(now_ms)
+        self._get_window(self._requests, pool, now_ms).append(now_ms)
 
     def try_withdraw(self, pool: str, now_ms: int) -> bool:
-        """Take one repeat out.
+        """Withdraw one retry.
 
-        :param pool: the pool that it is for
-        :param now_ms: the present
-        :returns: false if none is left; the repeat must not be sent
+        :param pool: the pool of the request
+        :param now_ms: current time in ms
+        :returns: false if the budget is exhausted; the retry must not be sent
         """
-        spent = self._read(self._spent, pool, now_ms)
-        firsts = len(self._read(self._firsts, pool, now_ms))
-        slack = self._slack * self.SHARED_PART / self._vms
-        if len(spent) + 1 > self._part * firsts + slack:
+        retries = self._get_window(self._retries, pool, now_ms)
+        requests = len(self._get_window(self._requests, pool, now_ms))
+        slack = self._slack * self.SHARED_FRACTION / self._vms
+        if len(retries) + 1 > self._part * requests + slack:
             return False
-        spent.append(now_ms)
+        retries.append(now_ms)
         return True
 
-    def _read(
+    def _get_window(
         self,
         counts: dict[str, collections.deque[int]],
         pool: str,
         now_ms: int,
     ) -> collections.deque[int]:
-        found = counts.setdefault(pool, collections.deque())
-        while found and now_ms - found[0] >= self._window_ms:
-            found.popleft()
-        return found
+        window = counts.setdefault(pool, collections.deque())
+        while window and now_ms - window[0] >= self._window_ms:
+            window.popleft()
+        return window
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -1,34 +1,35 @@
-"""Whether the platform's store is away for all VMs, or only for this one."""
+"""Distinguishes a fleet-wide outage of the store from a local one."""
 
 import collections.abc
 import hashlib
 
 __all__ = ["WATCHER_COUNT", "StoreReachability", "choose_watchers"]
 
-# A VM that has told nothing for so long is not asked for its opinion; it is
-# two heartbeats of a fleet of ninety.
+# A VM that has sent nothing for this long is ignored; it is two heartbeats of
+# a fleet of ninety VMs.
 PEER_REPORT_TTL_MS = 5_000
-# The store counts each waiting watch as a call, and its rates grow more slowly
-# than the fleet.  So many VMs watch, and tell the others of changes at once;
-# each other one asks the store only while it hears no VM that it answers.
+# The store counts each waiting watch as a call, and its rate limits grow more
+# slowly than the fleet. So this number of VMs watch and immediately send
+# changes to the others; the other VMs poll the store only while no VM reports
+# that it is reachable.
 WATCHER_COUNT = 9
 
 
 class _Peer:
-    __slots__ = ("heard_ms", "away_ms", "is_reached")
+    __slots__ = ("heard_ms", "unreachable_ms", "is_reached")
 
     def __init__(self) -> None:
         self.heard_ms = 0
         self.is_reached = False
-        self.away_ms: int | None = None
+        self.unreachable_ms: int | None = None
 
 
 class StoreReachability:
-    """What VMs tell of the store.
+    """Reports of VMs on whether they reach the store.
 
-    A store may turn some VMs away while it serves the others.  A VM that took
-    its own trouble for an outage would go on sending to servers that have
-    left meanwhile.
+    A store may reject some VMs while it serves the others. A VM that mistook
+    its own failure for an outage would continue to send to servers that have
+    deregistered meanwhile.
     """
 
     __slots__ = ("_peers", "_vms", "_watchers")
@@ -39,12 +40,12 @@
         self._watchers: list[str] = []
 
     def note_peer(self, vm: str, is_reached: bool | None, now_ms: int) -> None:
-        """Take in what another VM tells.
+        """Record another VM's report.
 
-        :param vm: its name
-        :param is_reached: whether the store answers it; none if it does not
-            ask
-        :param now_ms: the present
+        :param vm: name of the VM
+        :param is_reached: whether the store responds to it; none if it does
+            not poll
+        :param now_ms: current time in ms
         """
         if is_reached is None:
             self._peers.pop(vm, None)
@@ -53,49 +54,51 @@
         peer.heard_ms = now_ms
         peer.is_reached = is_reached
         if not is_reached:
-            peer.away_ms = now_ms
+            peer.unreachable_ms = now_ms
 
     def is_fleet_wide(self, since_ms: int, now_ms: int) -> bool:
-        """Tell whether every VM that is heard has missed the store since.
+        """Return whether all VMs with a recent report lost the store.
 
         :param since_ms: when the store stopped answering this VM
-        :param now_ms: the present
-        :returns: true also where nobody is heard
+        :param now_ms: current time in ms
+        :returns: true also if there is no recent report
         """
         return all(
-            _was_away(peer, since_ms) for peer in self._list_heard(now_ms)
+            _was_unreachable(peer, since_ms)
+            for peer in self._list_recent(now_ms)
         )
 
     def describe(self, since_ms: int, now_ms: int) -> dict[str, int]:
-        """Return what decides whether an outage is shared, for logs.
+        """Return the facts behind :meth:`is_fleet_wide`, for logs.
 
         :param since_ms: when the store stopped answering this VM
-        :param now_ms: the present
-        :returns: how many other VMs are heard, and how many of these missed
-            the store
+        :param now_ms: current time in ms
+        :returns: number of other VMs with a recent report, and how many of
+            them lost the store
         """
-        heard = self._list_heard(now_ms)
-        away = sum(_was_away(peer, since_ms) for peer in heard)
-        return {"vms_heard": len(heard), "vms_away": away}
+        recent = self._list_recent(now_ms)
+        unreachable = sum(_was_unreachable(peer, since_ms) for peer in recent)
+        return {"vms_heard": len(recent), "vms_away": unreachable}
 
     def must_poll(self, vm: str, vms: tuple[str, ...], now_ms: int) -> bool:
-        """Tell whether a VM has to ask the store itself.
+        """Return whether a VM has to poll the store itself.
 
         :param vm: the VM
-        :param vms: all VMs that are thought to live, this one among them
-        :param now_ms: the present
+        :param vms: all VMs that are considered alive, including this one
+        :param now_ms: current time in ms
         """
         if vms != self._vms:
-            # Ranking all VMs for each of some thirty calls a second takes
-            # longer than anything else a VM of a large fleet does at rest.
+            # Ranking all VMs for each of about thirty calls per second costs
+            # more time than anything else that an idle VM of a large fleet
+            # does.
             self._vms = vms
             self._watchers = choose_watchers(vms)
         if vm in self._watchers:
             return True
-        return not any(peer.is_reached for peer in self._list_heard(now_ms))
+        return not any(peer.is_reached for peer in self._list_recent(now_ms))
 
-    def _list_heard(self, now_ms: int) -> list[_Peer]:
-        # Other threads take in what VMs tell meanwhile.
+    def _list_recent(self, now_ms: int) -> list[_Peer]:
+        # Other threads record reports concurrently.
         known = list(self._peers.items())
         for vm, peer in known:
             if now_ms - peer.heard_ms >= PEER_REPORT_TTL_MS:
@@ -108,18 +111,19 @@
 
 
 def choose_watchers(vms: collections.abc.Iterable[str]) -> list[str]:
-    """Return the VMs that watch the store for all.
+    """Return the VMs that watch the store on behalf of all.
 
-    By a hash of their names, so that a VM's going moves one watch only.
+    They are ranked by a hash of their names, so a VM that leaves moves only
+    one watch.
 
-    :param vms: all VMs that are thought to live
+    :param vms: all VMs that are considered alive
     :returns: at most :data:`WATCHER_COUNT`
     """
     return sorted(vms, key=_hash)[:WATCHER_COUNT]
 
 
-def _was_away(peer: _Peer, since_ms: int) -> bool:
-    return peer.away_ms is not None and peer.away_ms >= since_ms
+def _was_unreachable(peer: _Peer, since_ms: int) -> bool:
+    return peer.unreachable_ms is not None and peer.unreachable_ms >= since_ms
 
 
 def _hash(vm: str) -> bytes:
