--- a/mulberryway/policy/dissemination/disseminator.py
+++ b/mulberryway/policy/dissemination/disseminator.py
@@ -40,9 +40,9 @@
         :param receivers: all VMs that are considered alive
         """
         zones: dict[str, list[messages.Receiver]] = {}
-        for one in receivers:
-            if one.name != self._own.name:
-                zones.setdefault(one.zone, []).append(one)
+        for receiver in receivers:
+            if receiver.name != self._own.name:
+                zones.setdefault(receiver.zone, []).append(receiver)
         self._zones = zones
         self._outboxes = {
             zone: self._outboxes.get(zone) or outbox.ZoneOutbox(zone)
@@ -80,8 +80,8 @@
         :returns: the packets to send in response
         """
         if envelope.acknowledged:
-            for one in self._outboxes.values():
-                if one.acknowledge(envelope.acknowledged):
+            for zone_outbox in self._outboxes.values():
+                if zone_outbox.acknowledge(envelope.acknowledged):
                     break
         if not envelope.relay_number:
             return []
@@ -106,9 +106,13 @@
             for packet in self._send_batch(items)
         ]
         for zone, box in self._outboxes.items():
-            for one in box.pop_overdue(now_ms):
+            for unacked in box.pop_overdue(now_ms):
                 packets += self._publish_zone(
-                    zone, one.item, one.relays, now_ms, one.is_deferrable
+                    zone,
+                    unacked.item,
+                    unacked.relays,
+                    now_ms,
+                    unacked.is_deferrable,
                 )
         return packets
 
@@ -171,6 +175,6 @@
     envelope: messages.Envelope,
 ) -> list[messages.Packet]:
     return [
-        messages.Packet(kind, one.address, one.zone, envelope)
-        for one in receivers
+        messages.Packet(kind, receiver.address, receiver.zone, envelope)
+        for receiver in receivers
     ]
--- a/mulberryway/policy/dissemination/outbox.py
+++ b/mulberryway/policy/dissemination/outbox.py
@@ -107,9 +107,9 @@
         if not self._is_overdue(now_ms):
             return []
         unresponsive = {
-            one.relay
-            for one in self._pending.values()
-            if now_ms - one.sent_ms >= ACKNOWLEDGE_MS
+            pending.relay
+            for pending in self._pending.values()
+            if now_ms - pending.sent_ms >= ACKNOWLEDGE_MS
         }
         for name in unresponsive:
             self.chooser.note_silent(name, now_ms)
@@ -117,11 +117,13 @@
         # order.
         numbers = [
             number
-            for number, one in self._pending.items()
-            if one.relay in unresponsive
+            for number, pending in self._pending.items()
+            if pending.relay in unresponsive
         ]
         overdue = [self._pending.pop(number) for number in numbers]
-        retransmitted = [one for one in overdue if one.relays < MAX_RELAYS]
+        retransmitted = [
+            pending for pending in overdue if pending.relays < MAX_RELAYS
+        ]
         self.resent += len(retransmitted)
         self.given_up += len(overdue) - len(retransmitted)
         return retransmitted
--- a/mulberryway/policy/dissemination/relays.py
+++ b/mulberryway/policy/dissemination/relays.py
@@ -34,7 +34,7 @@
         :param receivers: the VMs that may relay
         """
         self._ranked = sorted(receivers, key=self._rank)
-        names = {one.name for one in receivers}
+        names = {receiver.name for receiver in receivers}
         self._backoff_until_ms = {
             name: until_ms
             for name, until_ms in self._backoff_until_ms.items()
@@ -53,7 +53,7 @@
                 return receiver
         return min(
             self._ranked,
-            key=lambda one: self._backoff_until_ms[one.name],
+            key=lambda receiver: self._backoff_until_ms[receiver.name],
             default=None,
         )
 
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -93,8 +93,8 @@
     A VM that mistook its own failure (rejections, a broken watch) for an
     outage would send requests to servers that have deregistered. So mass
     expiry requires an unreachable period that is long enough for an entry to
-    expire, that all VMs with a recent report confirm, and in which most entries were
-    removed.
+    expire, that all VMs with a recent report confirm, and in which most
+    entries were removed.
 
     :param limits: settings of the servers' registration
     :param reachability: other VMs' reports on the store
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -116,16 +116,18 @@
         if revision <= self.revision:
             return False
         self.revision = revision
-        found = {one.name: one for one in objects}
-        newest = max((one.version for one in found.values()), default=0)
+        listed = {object_.name: object_ for object_ in objects}
+        newest = max(
+            (object_.version for object_ in listed.values()), default=0
+        )
         self.changed_revision = max(self.changed_revision, newest)
-        removed_names = self.objects.keys() - found.keys()
+        removed_names = self.objects.keys() - listed.keys()
         removed = {name: self.objects.pop(name) for name in removed_names}
         if removed_names:
             # No remaining object has the revision of a removal.
             self.changed_revision = max(self.changed_revision, revision)
-        for one in found.values():
-            self._put(one)
+        for object_ in listed.values():
+            self._put(object_)
         self._retain_expired(removed, removed_names, False, now_ms)
         return True
 
@@ -153,8 +155,8 @@
         known, self.revision = self.revision, 0
         self.replace(objects, changed, now_ms)
         self.revision = max(known, changed)
-        for one in retained:
-            self._merge_retained(one)
+        for item in retained:
+            self._merge_retained(item)
         return True
 
     def apply(
@@ -202,17 +204,17 @@
         :returns: the objects that were removed
         """
         expired = [
-            one for one in self._retained.values() if one.until_ms <= now_ms
+            item for item in self._retained.values() if item.until_ms <= now_ms
         ]
-        for one in expired:
-            del self._retained[one.object.name]
+        for item in expired:
+            del self._retained[item.object.name]
         if expired:
             self.edits += 1
         return expired
 
     def list_objects(self) -> list[base.StoredObject]:
         """Return the objects in use, including the retained ones."""
-        retained = (one.object for one in self._retained.values())
+        retained = (item.object for item in self._retained.values())
         return [*self.objects.values(), *retained]
 
     def list_retained(self) -> list[RetainedObject]:
@@ -222,7 +224,7 @@
     def find_expiry_ms(self) -> int | None:
         """Return when the next retained object expires, in ms, or none."""
         return min(
-            (one.until_ms for one in self._retained.values()), default=None
+            (item.until_ms for item in self._retained.values()), default=None
         )
 
     def drain_newly_retained(self) -> list[RetainedObject]:
@@ -230,13 +232,13 @@
         found, self._unreported = self._unreported, []
         return found
 
-    def _put(self, one: base.StoredObject) -> None:
+    def _put(self, object_: base.StoredObject) -> None:
         self.edits += 1
-        self._retained.pop(one.name, None)
-        self._removed.pop(one.name, None)
-        before = self.objects.get(one.name)
-        if before is None or one.version >= before.version:
-            self.objects[one.name] = one
+        self._retained.pop(object_.name, None)
+        self._removed.pop(object_.name, None)
+        before = self.objects.get(object_.name)
+        if before is None or object_.version >= before.version:
+            self.objects[object_.name] = object_
 
     def _retain_expired(
         self,
@@ -268,9 +270,11 @@
         )
         if until_ms is None:
             return
-        for one in self._removed.values():
+        for object_ in self._removed.values():
             self._retain(
-                RetainedObject(one, self.revision, now_ms, until_ms, absence)
+                RetainedObject(
+                    object_, self.revision, now_ms, until_ms, absence
+                )
             )
         self._removed.clear()
 
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Items that spread over a fleet by relays, without a network."""
+"""Tests of the dissemination over relays, without a network."""
 
 import unittest
 
@@ -7,9 +7,9 @@
 
 VMS = 195
 ZONES = 5
-# Stream starts and ends, counts and heartbeats of a fleet at its usual load.
+# Stream starts and ends, counts and heartbeats of a fleet at normal load.
 ITEMS_PER_S = 250
-# A placement in a burst wants to know of others' placements by then.
+# A placement in a burst needs the other VMs' placements within this time.
 FRESH_MS = 50
 
 
@@ -18,11 +18,11 @@
 
 
 def find_relay(zone):
-    """Return the VM that all others use as their relay in a zone."""
+    """Return the VM that all other VMs use as their relay in a zone."""
     fleet = make_fleet()
     source = next(n for n in fleet.nodes.values() if n.own.zone != zone)
     packets = source.disseminator.publish(b"x" * 20, 0)
-    return next(one.address for one in packets if one.zone == zone)
+    return next(packet.address for packet in packets if packet.zone == zone)
 
 
 class FleetTest(unittest.TestCase):
@@ -34,29 +34,29 @@
             if name != publisher
         )
 
-    def test_all_vms_hear_soon_at_a_few_datagrams(self):
-        """Guards against traffic that grows with the square of the fleet."""
+    def test_all_vms_receive_quickly_with_few_datagrams(self):
+        """Guard against traffic that grows with the square of the fleet."""
         fleet = make_fleet()
         fleet.run(2_000, ITEMS_PER_S)
-        found = fleet.summarize(2_000)
-        self.assertLess(found.worst_age_ms, FRESH_MS)
-        self.assertLess(found.missed, 0.02)
+        result = fleet.summarize(2_000)
+        self.assertLess(result.worst_age_ms, FRESH_MS)
+        self.assertLess(result.missed, 0.02)
         direct = model.SimulatedNetwork(VMS, ZONES, model.DirectNode)
         direct.run(2_000, ITEMS_PER_S)
-        before = direct.summarize(2_000)
-        self.assertLess(found.zone_bytes * 10, before.zone_bytes)
-        self.assertLess(found.received * 2, before.received)
+        baseline = direct.summarize(2_000)
+        self.assertLess(result.zone_bytes * 10, baseline.zone_bytes)
+        self.assertLess(result.received * 2, baseline.received)
 
-    def test_a_small_fleet_hears_directly(self):
-        """Guards small deployments against a second hop."""
+    def test_small_fleet_sends_directly(self):
+        """Guard against a second hop in small deployments."""
         fleet = make_fleet(vms=9, zones=3)
         packets = fleet.nodes["vm0"].disseminator.publish(b"x", 0)
-        kinds = {one.kind for one in packets}
+        kinds = {packet.kind for packet in packets}
         self.assertEqual(len(packets), 8)
         self.assertEqual(kinds, {dissemination.Kind.DIRECT})
 
-    def test_a_relay_freezes(self):
-        """Guards against a zone that hears nothing while its relay stands."""
+    def test_frozen_relay_is_replaced(self):
+        """Guard against a zone that receives nothing from a frozen relay."""
         fleet = make_fleet()
         relay = find_relay("z1")
         fleet.frozen.add(relay)
@@ -68,8 +68,8 @@
         fleet.run(fleet.now_ms + FRESH_MS)
         self.assertEqual(self.count_missing(fleet, later, alive), 0)
 
-    def test_a_relay_is_cut_off_one_way(self):
-        """Guards against a relay that is heard and does not hear."""
+    def test_relay_that_receives_nothing_is_replaced(self):
+        """Guard against a relay that can send but not receive."""
         fleet = make_fleet()
         relay = find_relay("z2")
         fleet.cut |= {(name, relay) for name in fleet.names}
@@ -78,8 +78,8 @@
         alive = [name for name in fleet.names if name != relay]
         self.assertEqual(self.count_missing(fleet, item, alive), 0)
 
-    def test_acknowledgements_are_lost(self):
-        """Guards against items sent without end where no answer comes."""
+    def test_lost_acknowledgements_bound_retransmits(self):
+        """Guard against endless retransmits without acknowledgements."""
         fleet = make_fleet()
         fleet.cut |= {
             (name, "vm100") for name in fleet.names if name != "vm100"
@@ -88,12 +88,12 @@
             fleet.publish("vm100")
             fleet.run(fleet.now_ms + 50)
         fleet.run(fleet.now_ms + 2_000)
-        # To two relays of each zone at most.
+        # To at most two relays per zone.
         self.assertLessEqual(fleet.sent["vm100"], 20 * 2 * ZONES)
         self.assertIsNone(fleet.nodes["vm100"].disseminator.read_due_ms())
 
-    def test_all_vms_publish_at_once(self):
-        """Guards against a burst of datagrams when all VMs start together."""
+    def test_burst_from_all_vms_is_batched(self):
+        """Guard against a burst of datagrams when all VMs start together."""
         fleet = make_fleet()
         items = [fleet.publish(name) for name in fleet.names]
         fleet.run(100)
@@ -101,7 +101,7 @@
             self.count_missing(fleet, item, fleet.names) for item in items
         )
         self.assertLess(missing, 0.02 * VMS * VMS)
-        # A direct exchange would bring each VM one datagram of each other.
+        # A direct exchange would send each VM one datagram per other VM.
         relays = {find_relay(f"z{n}") for n in range(ZONES)}
         busiest = max(
             count
@@ -111,26 +111,26 @@
         self.assertLess(busiest, VMS / 2)
 
     def test_relays_have_fast_links(self):
-        """Guards VMs with slow links against relaying for their zone."""
+        """Guard against VMs with slow links as relays of their zone."""
         fleet = make_fleet()
         for zone in range(ZONES):
             relay = find_relay(f"z{zone}")
             self.assertEqual(fleet.nodes[relay].own.link_mbps, 100)
 
-    def test_a_vm_that_left_gets_nothing(self):
-        """Guards against items for VMs that are gone."""
+    def test_removed_vm_receives_nothing(self):
+        """Guard against items for VMs that have left the fleet."""
         fleet = make_fleet()
-        gone = find_relay("z3")
-        left = [one for one in fleet.receivers if one.name != gone]
+        removed = find_relay("z3")
+        remaining = [vm for vm in fleet.receivers if vm.name != removed]
         node = fleet.nodes["vm0"].disseminator
-        node.set_receivers(left)
+        node.set_receivers(remaining)
         self.assertNotIn(
-            gone, [one.address for one in node.publish(b"x" * 20, 0)]
+            removed, [packet.address for packet in node.publish(b"x" * 20, 0)]
         )
 
 
 class BatchTest(unittest.TestCase):
-    def test_a_single_item_goes_at_once(self):
+    def test_single_item_is_sent_at_once(self):
         batch = dissemination.RelayBatch()
         self.assertEqual(batch.add([b"a"], 0), [[b"a"]])
         self.assertEqual(batch.add([b"b"], 5), [])
@@ -139,19 +139,19 @@
         self.assertIsNone(batch.read_due_ms())
 
     def test_heartbeats_share_a_batch(self):
-        """Guards against a datagram for every few heartbeats."""
+        """Guard against a datagram for every few heartbeats."""
         batch = dissemination.RelayBatch()
         sent = [
-            one
+            item
             for now_ms in range(0, 1_000, 8)
-            for one in batch.add([b"beat"], now_ms, is_deferrable=True)
+            for item in batch.add([b"beat"], now_ms, is_deferrable=True)
             + batch.pop_due(now_ms)
         ]
         self.assertLessEqual(len(sent), 10)
         self.assertGreaterEqual(sum(map(len, sent)), 110)
 
-    def test_news_takes_waiting_heartbeats_along(self):
-        """Guards news against the wait that heartbeats may have."""
+    def test_urgent_item_flushes_waiting_heartbeats(self):
+        """Guard against urgent items that wait as long as heartbeats may."""
         batch = dissemination.RelayBatch()
         self.assertEqual(batch.add([b"beat"], 0, is_deferrable=True), [])
         self.assertEqual(batch.add([b"news"], 10), [[b"beat", b"news"]])
@@ -160,22 +160,24 @@
         self.assertEqual(batch.add([b"news"], 15), [])
         self.assertEqual(batch.read_due_ms(), 30)
 
-    def test_a_batch_fits_one_frame(self):
-        """Guards against datagrams that are lost with any fragment."""
+    def test_batch_fits_one_frame(self):
+        """Guard against datagrams that are fragmented, and lost as a whole."""
         batch = dissemination.RelayBatch()
         batch.add([b"a"], 0)
         items = [bytes(300)] * 9
         batches = batch.add(items, 1) + batch.pop_due(100)
         self.assertEqual(sum(map(len, batches)), 9)
-        self.assertLessEqual(max(sum(map(len, one)) for one in batches), 1_300)
+        self.assertLessEqual(
+            max(sum(map(len, packed)) for packed in batches), 1_300
+        )
 
 
 class OutboxTest(unittest.TestCase):
     def test_pending_items_are_bounded(self):
-        """Guards a VM's memory while no relay answers."""
-        box = dissemination.ZoneOutbox("z")
+        """Guard against unbounded memory while no relay acknowledges."""
+        zone_outbox = dissemination.ZoneOutbox("z")
         relay = dissemination.Receiver("r", "r", "z")
         for number in range(1, 1_001):
-            box.send(b"item", relay, number, 0)
-        self.assertLessEqual(len(box.pop_overdue(1_000)), 64)
-        self.assertGreaterEqual(box.given_up, 900)
+            zone_outbox.send(b"item", relay, number, 0)
+        self.assertLessEqual(len(zone_outbox.pop_overdue(1_000)), 64)
+        self.assertGreaterEqual(zone_outbox.given_up, 900)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection by what all VMs have seen, and probes after it."""
+"""Tests of outlier ejection over all VMs, and of probes after it."""
 
 import heapq
 import itertools
@@ -20,28 +20,28 @@
 from mulberryway.policy import scheduler
 from tests import policy_cases as cases
 
-End = jobs.JobOutcome
-# How late other VMs hear of something in a large fleet.
-NEWS_MS = 30
+Outcome = jobs.JobOutcome
+# Delay of gossip messages in a large fleet, in ms.
+GOSSIP_DELAY_MS = 30
 
 
-class TrustTest(unittest.TestCase):
-    def test_vms_that_are_gone_are_forgotten(self):
-        """Guards against a memory that grows with every VM that ever was."""
-        remembered = failure_reports.FailureReportFilter()
+class FailureReportFilterTest(unittest.TestCase):
+    def test_old_reports_are_evicted(self):
+        """Guard against memory that grows with every VM that ever reported."""
+        report_filter = failure_reports.FailureReportFilter()
         for number in range(1_000):
             now_ms = number * 1_000
-            remembered.accepts(f"vm{number}", ("lm", "d0"), 8, now_ms)
-            remembered.accepts("steady", ("lm", "d1"), 8, now_ms)
-        self.assertLessEqual(remembered.size, 32)
+            report_filter.accepts(f"vm{number}", ("lm", "d0"), 8, now_ms)
+            report_filter.accepts("steady", ("lm", "d1"), 8, now_ms)
+        self.assertLessEqual(report_filter.size, 32)
 
 
-class HearingTest(unittest.TestCase):
-    def test_upstreams_that_have_left_are_forgotten(self):
-        """Guards against a memory that grows with every engine that was."""
+class NoteReceiverTest(unittest.TestCase):
+    def test_deregistered_upstreams_are_evicted(self):
+        """Guard against memory that grows with all engines ever registered."""
         register = poison.PoisonRegistry()
-        hearer = note_receiver.NoteReceiver("vm1", register)
-        known = pool_set.PoolSet(
+        receiver = note_receiver.NoteReceiver("vm1", register)
+        pool_set_ = pool_set.PoolSet(
             "vm1",
             fairness.find_fairness_mode("goodput"),
             register,
@@ -55,18 +55,18 @@
         for number in range(100):
             now_ms = number * 1_000
             pool = cases.make_pool(1, 4, name=f"lm-{number % 50}")
-            known.change({pool.name: pool})
+            pool_set_.change({pool.name: pool})
             holdings = [
                 hints.Holding(pool.name, f"d{decode}", 1, 0)
                 for decode in range(4)
             ]
             note = hints.Note("vm2", 1, number + 1, holdings, [], [])
-            hearer.note(note, known.pools, now_ms)
-            hearer.expire_peers(known.pools, now_ms)
-        self.assertLessEqual(hearer.size, 4 * 11)
+            receiver.note(note, pool_set_.pools, now_ms)
+            receiver.expire_peers(pool_set_.pools, now_ms)
+        self.assertLessEqual(receiver.size, 4 * 11)
 
 
-class TellingTest(unittest.TestCase):
+class NoteSenderTest(unittest.TestCase):
     names = tuple(f"d{number}" for number in range(60))
 
     def setUp(self):
@@ -80,8 +80,8 @@
         for pool, name in itertools.product(pools, self.names):
             self.router.record_probe(pool, name, True, 50)
 
-    def test_what_is_too_much_for_one_note_is_told_in_several(self):
-        """Guards against outcomes that are lost beyond a note's limit."""
+    def test_excess_holdings_follow_in_further_notes(self):
+        """Guard against losing the outcomes that exceed a note's limit."""
         received = [
             gossip_messages.decode_datagram(
                 gossip_messages.encode_note(note)
@@ -89,15 +89,15 @@
             for now_ms in (100, 200, 300)
             if (note := self.router.drain_hints(now_ms)) is not None
         ]
-        told = [
+        sent = [
             holding.outcomes.probes_passed
             for note in received
             for holding in note.holdings
         ]
-        self.assertEqual(sum(told), 2 * len(self.names))
+        self.assertEqual(sum(sent), 2 * len(self.names))
 
-    def test_a_changed_pace_goes_along_with_other_news(self):
-        """Guards against a note for each stream and second of a fleet."""
+    def test_changed_pace_is_piggybacked(self):
+        """Guard against a note per stream and second of a fleet."""
         while self.router.drain_hints(100) is not None:
             pass
         self.router.submit(cases.make_job("j"), 100)
@@ -108,45 +108,48 @@
         notes = []
         tokens = 0
         for step, now_ms in enumerate(range(200, 2_200, 20)):
-            # A pace that changes by more than the part that is news.
+            # The pace changes by more than the fraction that is worth a note.
             tokens += (8, 80)[step % 2]
             self.router.record_tokens("j", tokens, now_ms)
             notes.append(self.router.drain_hints(now_ms))
-        told = [
+        sent = [
             note
             for note in filter(None, notes)
-            if any(one.upstream == started.decode for one in note.holdings)
+            if any(
+                holding.upstream == started.decode for holding in note.holdings
+            )
         ]
-        self.assertLessEqual(len(told), 2_000 / note_sender.MAX_DEFER_MS + 1)
-        self.assertGreaterEqual(len(told), 4)
+        self.assertLessEqual(len(sent), 2_000 / note_sender.MAX_DEFER_MS + 1)
+        self.assertGreaterEqual(len(sent), 4)
 
-    def test_a_note_fits_a_datagram(self):
-        """Guards against notes that are too large to be sent."""
+    def test_note_fits_a_datagram(self):
+        """Guard against notes that are too large to be sent."""
         payload = gossip_messages.encode_note(self.router.drain_hints(100))
         self.assertLessEqual(len(payload), datagrams.MOST_PAYLOAD_BYTES)
 
 
-class HealthTest(unittest.TestCase):
+class OutlierDetectorTest(unittest.TestCase):
     def setUp(self):
         self.health = health.OutlierDetector(random.Random(1))
 
-    def test_failures_of_several_vms_count_in_a_row(self):
-        """Guards against each VM learning of a resetting engine by itself."""
+    def test_failures_of_several_vms_are_consecutive(self):
+        """Guard against each VM detecting a resetting engine on its own."""
         self.health.record_failure(False, 0)
         self.health.note_peer(health.Outcomes(failed=1), 10)
         self.assertFalse(self.health.is_ejected(10))
         self.health.note_peer(health.Outcomes(failed=1), 20)
         self.assertTrue(self.health.is_ejected(20))
 
-    def test_a_success_of_another_vm_ends_the_row(self):
+    def test_success_at_a_peer_resets_failures(self):
         for now_ms in range(0, 100, 10):
             self.health.note_peer(health.Outcomes(failed=1), now_ms)
             self.health.note_peer(health.Outcomes(succeeded=1), now_ms + 5)
         self.assertFalse(self.health.is_ejected(100))
 
-    def test_a_stream_that_began_before_the_failure_proves_nothing(self):
-        """Guards against old streams that end well at an engine which resets
-        all new connections.
+    def test_earlier_stream_does_not_reset_failure(self):
+        """An old stream ends well at an engine that resets new connections.
+
+        Its success must not end the ejection.
         """
         self.health.record_failure(True, 1_000)
         self.health.record_success(started_ms=500)
@@ -155,47 +158,48 @@
         self.health.record_success(started_ms=1_050)
         self.assertFalse(self.health.is_ejected(1_100))
 
-    def test_an_old_success_is_not_told_after_a_failure(self):
-        """Guards against an ejection that ends by news from before it."""
+    def test_earlier_success_is_not_sent_after_a_failure(self):
+        """Guard against an ejection that is ended by an earlier success."""
         self.health.record_success(started_ms=100)
         self.health.note_peer(health.Outcomes(unreached=1), 200)
         self.assertEqual(self.health.take_news().succeeded, 0)
 
-    def test_a_probe_that_passes_ends_the_ejection_of_what_was_down(self):
+    def test_passed_probe_ends_ejection_of_unreachable(self):
         self.health.record_failure(True, 0)
         self.assertFalse(self.health.needs_probe(50))
         self.assertTrue(self.health.needs_probe(150))
         self.health.record_probe(True, 150)
         self.assertFalse(self.health.is_ejected(150))
-        # On trial: one failure more ejects it, and for longer.
+        # Half-open: one more failure ejects it, and for longer.
         self.health.record_failure(False, 200)
         self.assertTrue(self.health.is_ejected(1_500))
 
-    def test_a_probe_says_nothing_of_requests_that_fail(self):
-        """Guards against an engine that answers probes and resets requests."""
+    def test_passed_probe_keeps_ejection_for_failures(self):
+        """Guard against an engine that answers probes and resets requests."""
         for now_ms in range(3):
             self.health.record_failure(False, now_ms)
         self.health.record_probe(True, 600)
         self.assertTrue(self.health.is_ejected(700))
 
-    def test_probes_that_fail_keep_requests_away(self):
+    def test_failed_probes_extend_the_ejection(self):
         self.health.record_failure(True, 0)
         for now_ms in range(500, 5_000, 500):
             self.health.note_peer(health.Outcomes(probes_failed=1), now_ms)
             self.assertTrue(self.health.is_ejected(now_ms + 499))
 
-    def test_one_request_probes_for_the_fleet(self):
-        """Guards against a whole prompt of each VM as its probe."""
+    def test_one_trial_request_per_fleet(self):
+        """Guard against each VM sending a full prompt as its trial."""
         self.health.record_failure(True, 0)
-        # The other VM's ejection has ended a little sooner than this one's.
+        # The peer's ejection has expired slightly earlier than this VM's.
         self.health.record_peer_start(900)
         self.assertTrue(self.health.is_ejected(1_500))
         self.health.note_peer(health.Outcomes(succeeded=1), 1_700)
         self.assertFalse(self.health.is_ejected(1_700))
 
-    def test_the_trial_is_left_to_requests_that_may_move(self):
-        """Guards against streams that cannot be resumed and fail as trials
-        of an engine which still resets them.
+    def test_trial_requires_a_request_that_may_move(self):
+        """Guard against trial requests that cannot be resumed.
+
+        They would fail at an engine that still resets its streams.
         """
         for now_ms in range(3):
             self.health.record_failure(False, now_ms)
@@ -206,7 +210,7 @@
 
 
 class Fleet:
-    """Schedulers of many VMs that hear each other's notes a little late."""
+    """Schedulers of many VMs that exchange notes with a delay."""
 
     def __init__(self, vms, prefills, decodes):
         self.routers = [
@@ -222,22 +226,22 @@
         self.events = []
         self.sent = []
 
-    def at(self, at_ms, act):
-        heapq.heappush(self.events, (at_ms, next(self.order), act))
+    def schedule(self, at_ms, action):
+        heapq.heappush(self.events, (at_ms, next(self.order), action))
 
     def run(self, until_ms):
         while self.events and self.events[0][0] <= until_ms:
-            at_ms, _, act = heapq.heappop(self.events)
-            act(at_ms)
+            at_ms, _, action = heapq.heappop(self.events)
+            action(at_ms)
 
-    def tell(self, vm, now_ms):
+    def send_note(self, vm, now_ms):
         note = self.routers[vm].drain_hints(now_ms)
         if note is None:
             return
-        others = [one for n, one in enumerate(self.routers) if n != vm]
-        self.at(
-            now_ms + NEWS_MS,
-            lambda at_ms: [one.apply_hints(note, at_ms) for one in others],
+        others = [router for n, router in enumerate(self.routers) if n != vm]
+        self.schedule(
+            now_ms + GOSSIP_DELAY_MS,
+            lambda at_ms: [other.apply_hints(note, at_ms) for other in others],
         )
 
     def serve(self, now_ms, fails):
@@ -252,40 +256,47 @@
             router.cancel(job_id, now_ms)
             return
         self.sent.append((now_ms, vm, found[0].decode))
-        self.tell(vm, now_ms)
+        self.send_note(vm, now_ms)
 
-        def end(at_ms):
+        def finish(at_ms):
             router.record_prefilled(job_id, at_ms)
             if fails(found[0].decode, vm):
-                router.finish(job_id, End.FAILED, found[0].decode, at_ms)
+                router.finish(job_id, Outcome.FAILED, found[0].decode, at_ms)
             else:
                 router.record_first_token(job_id, at_ms)
-                router.finish(job_id, End.DONE, "", at_ms + 5)
-            self.at(at_ms + 10, lambda later_ms: self.tell(vm, later_ms))
+                router.finish(job_id, Outcome.DONE, "", at_ms + 5)
+            self.schedule(
+                at_ms + 10, lambda later_ms: self.send_note(vm, later_ms)
+            )
 
-        self.at(now_ms + 40, end)
+        self.schedule(now_ms + 40, finish)
 
     def serve_all(self, until_ms, each_ms, fails):
         for at_ms in range(0, until_ms, each_ms):
-            self.at(at_ms, lambda now_ms: self.serve(now_ms, fails))
+            self.schedule(at_ms, lambda now_ms: self.serve(now_ms, fails))
         self.run(until_ms)
 
 
 class LargeFleetTest(unittest.TestCase):
-    def test_an_engine_that_resets_is_left_by_all_at_once(self):
-        """Guards against prompts that each of 195 VMs reads in vain for an
-        engine which takes connections and resets them.
+    def test_resetting_engine_is_ejected_by_all_vms(self):
+        """Guard against prefills wasted by each of 195 VMs on one engine.
+
+        The engine accepts connections and resets them.
         """
         fleet = Fleet(195, 2, 6)
         fleet.serve_all(7_000, 40, lambda decode, vm: decode == "d0")
-        lost = [at_ms for at_ms, _, decode in fleet.sent if decode == "d0"]
-        # Three in a row, what was under way by then, and three probes.
-        self.assertLess(len(lost), 14)
+        failed_ms = [
+            at_ms for at_ms, _, decode in fleet.sent if decode == "d0"
+        ]
+        # Three consecutive failures, requests in flight by then, and three
+        # probes.
+        self.assertLess(len(failed_ms), 14)
         self.assertEqual(len(fleet.sent), 7_000 // 40)
 
-    def test_a_vm_at_fault_does_not_condemn_all_engines(self):
-        """Guards a fleet against the word of one VM that is cut off from all
-        engines and not from the other VMs.
+    def test_faulty_vm_does_not_eject_all_engines(self):
+        """Guard against failure reports of one VM that reaches no engine.
+
+        The VM is partitioned from all engines, but not from the other VMs.
         """
         fleet = Fleet(40, 2, 8)
         fleet.serve_all(10_000, 20, lambda decode, vm: vm == 7)
@@ -293,10 +304,10 @@
         self.assertGreater(served, 0.95 * 500 * 39 / 40)
         for router in fleet.routers:
             views = router._pools["lm"].members.decodes
-            ejected = sum(one.health.is_ejected(10_000) for one in views)
+            ejected = sum(view.health.is_ejected(10_000) for view in views)
             self.assertTrue(ejected <= 2 or router is fleet.routers[7])
 
-    def test_probes_are_listed_until_the_engine_answers(self):
+    def test_probe_is_listed_until_the_engine_responds(self):
         fleet = Fleet(2, 1, 2)
         router = fleet.routers[0]
         router.record_probe("lm", "d0", True, 0)
@@ -304,7 +315,8 @@
         view.health.record_failure(True, 0)
         found = router.list_ejected(200)
         self.assertEqual(
-            [(one.upstream, one.is_due) for one in found], [("d0", True)]
+            [(upstream.upstream, upstream.is_due) for upstream in found],
+            [("d0", True)],
         )
         router.record_probe("lm", "d0", True, 200)
         self.assertEqual(router.list_ejected(200), [])
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -1,8 +1,8 @@
-"""Servers that leave and entries that lapse, in fleets of several sizes.
+"""Model of deregistered servers and expired entries, in virtual time.
 
-A model of the store, its servers and the VMs' mirrors in virtual time: the
-store refuses all VMs, or goes away itself, for 0.1 to 12 s, and a server
-leaves at any moment.
+It contains the store, its servers and the mirrors of fleets of several sizes.
+The store rejects all VMs, or has an outage itself, for 0.1 to 12 s, and a
+server deregisters at a random time.
 """
 
 import random
@@ -15,31 +15,31 @@
 
 HEARTBEAT_MS = 1_200
 DRAIN_MS = 2_000
-# A VM reads what the store tells within so long, and other VMs hear of it.
+# VMs poll the store and exchange their state at these intervals.
 POLL_MS = 50
-TOLD_MS = 60
+EXCHANGE_MS = 60
 SHORTEST_MS, LONGEST_MS = 100, 12_000
 END_MS = 30_000
-# Days by how many VMs the fleet has.
-DAYS = {6: 40, 79: 2, 195: 1}
-# Right after an outage of the store operators bound nothing.
+# Number of runs by number of VMs.
+RUNS_BY_VMS = {6: 40, 79: 2, 195: 1}
+# No bound applies immediately after an outage of the store.
 SETTLE_MS = 3_000
 
 
 class Store:
-    """Servers' entries, and the changes that watches tell.
+    """Servers' entries, and the changes that watches return.
 
-    :param servers: how many there are
-    :param drawn: draws when each server renews its entry
+    :param servers: number of servers
+    :param rng: chooses when each server renews its entry
     """
 
-    def __init__(self, servers, drawn):
+    def __init__(self, servers, rng):
         self.revision = 0
         self.entries = {}
         self.changes = []
         self.renewed_ms = {}
         self.phase_ms = {
-            f"s{n}": drawn.randrange(HEARTBEAT_MS) for n in range(servers)
+            f"s{n}": rng.randrange(HEARTBEAT_MS) for n in range(servers)
         }
         for name in self.phase_ms:
             self.put(name, 0)
@@ -48,120 +48,127 @@
         self.renewed_ms[name] = now_ms
         if name not in self.entries:
             self.revision += 1
-            found = base.StoredObject("servers", name, self.revision, {})
-            self.entries[name] = found
-            self.changes.append((self.revision, False, found))
+            entry = base.StoredObject("servers", name, self.revision, {})
+            self.entries[name] = entry
+            self.changes.append((self.revision, False, entry))
 
-    def drop(self, name):
-        found = self.entries.pop(name, None)
-        if found is not None:
+    def remove(self, name):
+        entry = self.entries.pop(name, None)
+        if entry is not None:
             self.revision += 1
-            self.changes.append((self.revision, True, found))
+            self.changes.append((self.revision, True, entry))
 
-    def advance(self, now_ms, is_away, live):
-        """Let servers renew their entries, and drop those that lapsed."""
+    def advance(self, now_ms, is_down, live):
+        """Let servers renew their entries, and remove those that expired."""
         for name in live:
-            is_beat = (now_ms - self.phase_ms[name]) % HEARTBEAT_MS < POLL_MS
-            if is_beat and not is_away:
+            is_renewal_due = (
+                now_ms - self.phase_ms[name]
+            ) % HEARTBEAT_MS < POLL_MS
+            if is_renewal_due and not is_down:
                 self.put(name, now_ms)
         for name in list(self.entries):
             if now_ms - self.renewed_ms[name] > 3 * HEARTBEAT_MS:
-                self.drop(name)
+                self.remove(name)
 
     def list_events(self, revision):
         return [
             base.WatchEvent(
-                base.EventType.DELETED if is_gone else base.EventType.MODIFIED,
-                found,
+                base.EventType.DELETED
+                if is_deleted
+                else base.EventType.MODIFIED,
+                entry,
             )
-            for changed, is_gone, found in self.changes
+            for changed, is_deleted, entry in self.changes
             if changed > revision
         ]
 
 
 class Vm:
-    """One VM's mirror, and when it asks the store next."""
+    """One VM's mirror, and the time of its next poll."""
 
     def __init__(self, name):
         self.name = name
-        self.outages = store_reachability.StoreReachability()
+        self.reachability = store_reachability.StoreReachability()
         limits = mass_expiry.RegistrationLimits(HEARTBEAT_MS, DRAIN_MS)
         self.mirror = mirrors.Mirror(
-            "servers", mass_expiry.MassExpiryDetector(limits, self.outages)
+            "servers",
+            mass_expiry.MassExpiryDetector(limits, self.reachability),
         )
         self.is_reached = True
-        self.get_next_event_ms = 0
+        self.next_poll_ms = 0
 
-    def step(self, store, is_answered, now_ms, pause_ms):
-        """Ask the store if it is time to, and give up what is due."""
+    def step(self, store, is_answered, now_ms, backoff_ms):
+        """Poll the store if that is due, and expire retained objects."""
         self.mirror.expire(now_ms)
-        if now_ms < self.get_next_event_ms:
+        if now_ms < self.next_poll_ms:
             return
         self.is_reached = is_answered
         if not is_answered:
             self.mirror.record_failure(now_ms, "refused")
-            self.get_next_event_ms = now_ms + pause_ms
+            self.next_poll_ms = now_ms + backoff_ms
             return
         self.mirror.record_response(now_ms)
         events = store.list_events(self.mirror.revision)
         self.mirror.apply(events, store.revision, now_ms)
 
     def names(self):
-        return {one.name for one in self.mirror.list_objects()}
+        return {object_.name for object_ in self.mirror.list_objects()}
 
 
-class Day:
-    """One drawn day.
+class Run:
+    """One simulated run with random times.
 
-    :param size: how many VMs
-    :param seed: draws all times
-    :param is_outage: whether the store itself is away, so that servers cannot
+    :param size: number of VMs
+    :param seed: seed of the random generator
+    :param is_outage: whether the store itself is down, so that servers cannot
         renew their entries either
     """
 
     def __init__(self, size, seed, is_outage):
-        self.drawn = random.Random(seed)
+        self.rng = random.Random(seed)
         self.is_outage = is_outage
         self.vms = [Vm(f"a{n}") for n in range(size)]
-        self.store = Store(8, self.drawn)
+        self.store = Store(8, self.rng)
         self.live = set(self.store.phase_ms)
-        self.from_ms = self.drawn.randrange(4_000, 6_000)
-        self.to_ms = self.from_ms + self.drawn.randrange(
-            SHORTEST_MS, LONGEST_MS
-        )
-        self.leaves_ms = self.drawn.randrange(4_000, END_MS - 6_000)
-        self.leaving = self.drawn.choice(sorted(self.live))
+        self.from_ms = self.rng.randrange(4_000, 6_000)
+        self.to_ms = self.from_ms + self.rng.randrange(SHORTEST_MS, LONGEST_MS)
+        self.deregister_ms = self.rng.randrange(4_000, END_MS - 6_000)
+        self.leaving = self.rng.choice(sorted(self.live))
         self.left_ms = END_MS
-        self.late_ms = 0
-        self.fewest = len(self.live)
-        self.told_ms = -TOLD_MS
+        self.max_stale_ms = 0
+        self.min_servers = len(self.live)
+        self.exchanged_ms = -EXCHANGE_MS
 
-    def inject_all(self):
+    def execute(self):
         for now_ms in range(0, END_MS, POLL_MS):
-            is_away = self.from_ms <= now_ms < self.to_ms
-            if now_ms >= self.leaves_ms and self.leaving in self.live:
-                if not (is_away and self.is_outage):
+            is_unreachable = self.from_ms <= now_ms < self.to_ms
+            if now_ms >= self.deregister_ms and self.leaving in self.live:
+                if not (is_unreachable and self.is_outage):
                     self.live.discard(self.leaving)
-                    self.store.drop(self.leaving)
+                    self.store.remove(self.leaving)
                     self.left_ms = now_ms
-            self.store.advance(now_ms, is_away and self.is_outage, self.live)
+            self.store.advance(
+                now_ms, is_unreachable and self.is_outage, self.live
+            )
             for vm in self.vms:
-                pause_ms = self.drawn.randrange(100, 1_250)
-                vm.step(self.store, not is_away, now_ms, pause_ms)
+                backoff_ms = self.rng.randrange(100, 1_250)
+                vm.step(self.store, not is_unreachable, now_ms, backoff_ms)
             self.exchange(now_ms)
-            self.judge(now_ms)
+            self.measure(now_ms)
         return self
 
     def exchange(self, now_ms):
-        """Tell who is reached, and pass on copies to those who are behind."""
-        if now_ms - self.told_ms < TOLD_MS:
+        """Exchange reachability reports and copies between VMs."""
+        if now_ms - self.exchanged_ms < EXCHANGE_MS:
             return
-        self.told_ms = now_ms
+        self.exchanged_ms = now_ms
         newest = max(self.vms, key=lambda vm: vm.mirror.changed_revision)
         for vm in self.vms:
-            for other in self.drawn.sample(self.vms, min(len(self.vms), 12)):
+            for other in self.rng.sample(self.vms, min(len(self.vms), 12)):
                 if other is not vm:
-                    vm.outages.note_peer(other.name, other.is_reached, now_ms)
+                    vm.reachability.note_peer(
+                        other.name, other.is_reached, now_ms
+                    )
             if vm.mirror.changed_revision < newest.mirror.changed_revision:
                 vm.mirror.replace_from_peer(
                     list(newest.mirror.objects.values()),
@@ -169,48 +176,53 @@
                     now_ms,
                     [
                         mirrors.RetainedObject(
-                            one.object, one.revision, now_ms, one.until_ms
+                            item.object, item.revision, now_ms, item.until_ms
                         )
-                        for one in newest.mirror.list_retained()
+                        for item in newest.mirror.list_retained()
                     ],
                 )
 
-    def find_bound(self):
-        """Return from when on the server's leaving counts."""
+    def compute_bound_ms(self):
+        """Return from when on the server counts as deregistered, in ms."""
         if not self.from_ms <= self.left_ms < self.to_ms + SETTLE_MS:
             return self.left_ms
         if self.is_outage:
             return END_MS
-        # Where no VM was answered none could have known.
+        # No VM could know earlier, because the store answered none.
         return max(self.left_ms, self.to_ms)
 
-    def judge(self, now_ms):
+    def measure(self, now_ms):
         for vm in self.vms:
             names = vm.names()
             if self.leaving in names and self.leaving not in self.live:
-                self.late_ms = max(self.late_ms, now_ms - self.find_bound())
-            self.fewest = min(self.fewest, len(names & self.live))
+                self.max_stale_ms = max(
+                    self.max_stale_ms, now_ms - self.compute_bound_ms()
+                )
+            self.min_servers = min(self.min_servers, len(names & self.live))
 
 
-class LapseModelTest(unittest.TestCase):
-    def list_days(self, is_outage):
-        for size, days in DAYS.items():
-            for seed in range(days):
-                yield size, seed, Day(size, seed, is_outage).inject_all()
+class MassExpiryModelTest(unittest.TestCase):
+    def run_all(self, is_outage):
+        for size, runs in RUNS_BY_VMS.items():
+            for seed in range(runs):
+                yield size, seed, Run(size, seed, is_outage).execute()
 
-    def test_server_that_leaves_beside_refusals_is_given_up_in_time(self):
-        """Guards against requests for a server that has left, whatever kept
-        all VMs from the store meanwhile.
+    def test_deregistered_server_is_removed_despite_rejections(self):
+        """Guard against requests to a deregistered server.
+
+        All VMs are rejected by the store around the time of the
+        deregistration.
         """
-        for size, seed, day in self.list_days(is_outage=False):
+        for size, seed, run in self.run_all(is_outage=False):
             with self.subTest(vms=size, seed=seed):
-                self.assertLess(day.late_ms, DRAIN_MS)
+                self.assertLess(run.max_stale_ms, DRAIN_MS)
+
+    def test_entries_expired_in_an_outage_are_retained(self):
+        """Guard against VMs without servers after an outage of the store.
 
-    def test_entries_that_lapse_in_an_outage_cost_no_server(self):
-        """Guards against VMs without servers after an outage of the store in
-        which all entries lapsed.
+        All entries expire in the outage.
         """
-        for size, seed, day in self.list_days(is_outage=True):
+        for size, seed, run in self.run_all(is_outage=True):
             with self.subTest(vms=size, seed=seed):
-                self.assertGreaterEqual(day.fewest, len(day.live) // 2)
-                self.assertLess(day.late_ms, DRAIN_MS)
+                self.assertGreaterEqual(run.min_servers, len(run.live) // 2)
+                self.assertLess(run.max_stale_ms, DRAIN_MS)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -1,4 +1,4 @@
-"""Hints between routers, in datagrams on loopback."""
+"""Tests of notes between routers, in datagrams on loopback."""
 
 import socket
 import unittest
@@ -15,35 +15,36 @@
 HOST = "127.0.0.1"
 
 
-class SharingTest(unittest.TestCase):
-    def test_each_engine_has_one_reporter_among_those_that_share_it(self):
+class PoolSubsetTest(unittest.TestCase):
+    def test_each_engine_has_one_load_poller_per_subset(self):
         vms = [f"vm{n}" for n in range(41)]
         pool = cases.make_pool(prefills=160, decodes=320)
-        asked = []
+        polled = []
         for vm in vms:
-            share = pool_subsets.find_pool_subset(pool, vm, vms)
-            self.assertLess(len(share.peers), 8)
-            asked += [
+            subset = pool_subsets.find_pool_subset(pool, vm, vms)
+            self.assertLess(len(subset.peers), 8)
+            polled += [
                 name
-                for name in share.upstreams
-                if pool_subsets.choose_load_poller(name, [*share.peers, vm])
+                for name in subset.upstreams
+                if pool_subsets.choose_load_poller(name, [*subset.peers, vm])
                 == vm
             ]
         self.assertEqual(
-            sorted(asked), sorted(one.name for one in pool.upstreams)
+            sorted(polled),
+            sorted(upstream.name for upstream in pool.upstreams),
         )
 
-    def test_a_small_pool_is_shared_by_all(self):
-        share = pool_subsets.find_pool_subset(
+    def test_small_pool_is_one_subset(self):
+        subset = pool_subsets.find_pool_subset(
             cases.make_pool(), "b", ("a", "b", "c")
         )
-        self.assertEqual(share.upstreams, ["p0", "p1", "d0", "d1"])
-        self.assertEqual(sorted(share.peers), ["a", "c"])
+        self.assertEqual(subset.upstreams, ["p0", "p1", "d0", "d1"])
+        self.assertEqual(sorted(subset.peers), ["a", "c"])
 
 
 class CodecTest(unittest.TestCase):
-    def test_reads_on_after_a_broken_message(self):
-        """Guards against a thread that reads nothing after one bad packet."""
+    def test_decodes_after_a_malformed_message(self):
+        """Guard against a receive thread that stops at a malformed packet."""
         payload = gossip_messages.encode_note(
             hints.Note("a", 7, 3, [], [], [])
         )
@@ -57,27 +58,27 @@
 
 class DatagramsTest(unittest.TestCase):
     def setUp(self):
-        self.got = []
+        self.received = []
         self.receiver = self.open("secret")
         self.sender = self.open("secret")
         self.address = f"{HOST}:{self.receiver.port}"
 
     def open(self, secret):
-        opened = datagrams.DatagramTransport(
+        transport = datagrams.DatagramTransport(
             HOST,
             0,
             secret,
-            lambda payload, sender: self.got.append(payload),
+            lambda payload, sender: self.received.append(payload),
             clock.SystemClock(),
         )
-        opened.start()
-        self.addCleanup(opened.stop)
-        return opened
+        transport.start()
+        self.addCleanup(transport.stop)
+        return transport
 
     def wait_for(self, payload):
-        self.assertTrue(processes.wait_until(lambda: payload in self.got))
+        self.assertTrue(processes.wait_until(lambda: payload in self.received))
 
-    def test_note_and_news_arrive_as_they_were(self):
+    def test_note_arrives_unchanged(self):
         note = hints.Note(
             "a",
             7,
@@ -89,42 +90,44 @@
         payload = gossip_messages.encode_note(note)
         self.sender.send(self.address, payload)
         self.wait_for(payload)
-        back = gossip_messages.decode_datagram(self.got[-1]).note
-        self.assertEqual(gossip_messages.encode_note(back), payload)
-        self.assertEqual(back.holdings[0].blocks, 12)
-        self.assertEqual(back.holdings[0].step_ms, 41)
-        self.assertEqual(back.accounts[0].prefill_ms, 77)
-        self.assertTrue(back.deaths[0].proven)
-
-    def test_a_long_list_of_events_keeps_the_newest(self):
+        decoded = gossip_messages.decode_datagram(self.received[-1]).note
+        self.assertEqual(gossip_messages.encode_note(decoded), payload)
+        self.assertEqual(decoded.holdings[0].blocks, 12)
+        self.assertEqual(decoded.holdings[0].step_ms, 41)
+        self.assertEqual(decoded.accounts[0].prefill_ms, 77)
+        self.assertTrue(decoded.deaths[0].proven)
+
+    def test_long_event_list_keeps_the_newest(self):
         events = [
             upstreams.CacheEvent(n, tuple(f"{n:016x}" for _ in range(9)), ())
             for n in range(100)
         ]
-        news = gossip_messages.EngineReport(
+        report = gossip_messages.EngineReport(
             "lm", "p0", cases.make_load(running=3), events
         )
-        payload = gossip_messages.encode_report(news)
+        payload = gossip_messages.encode_report(report)
         self.assertLess(len(payload), datagrams.MOST_PAYLOAD_BYTES)
-        back = gossip_messages.decode_datagram(payload).news[0]
-        self.assertEqual(back.load.running, 3)
-        self.assertEqual(back.events[-1].stored, events[-1].stored)
-        numbers = [one.sequence for one in back.events]
+        decoded = gossip_messages.decode_datagram(payload).news[0]
+        self.assertEqual(decoded.load.running, 3)
+        self.assertEqual(decoded.events[-1].stored, events[-1].stored)
+        numbers = [event.sequence for event in decoded.events]
         self.assertEqual(numbers, list(range(numbers[0], 100)))
 
-    def test_strangers_and_diverted_datagrams_are_dropped(self):
-        """Somebody without the secret sends hints, or passes on a datagram
-        that was meant for another VM.  Believed, they would steer all
-        requests to one upstream.
+    def test_unauthenticated_and_replayed_datagrams_are_dropped(self):
+        """A sender without the secret, and a datagram replayed to another VM.
+
+        If they were accepted, they could direct all requests to one upstream.
         """
-        stranger = self.open("guess")
-        stranger.send(self.address, b"forged")
-        spy = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.addCleanup(spy.close)
-        spy.bind((HOST, 0))
-        self.sender.send(f"{HOST}:{spy.getsockname()[1]}", b"for another")
-        diverted = spy.recv(1_000)
-        spy.sendto(diverted, (HOST, self.receiver.port))
+        unauthenticated = self.open("guess")
+        unauthenticated.send(self.address, b"forged")
+        interceptor = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.addCleanup(interceptor.close)
+        interceptor.bind((HOST, 0))
+        self.sender.send(
+            f"{HOST}:{interceptor.getsockname()[1]}", b"for another"
+        )
+        intercepted = interceptor.recv(1_000)
+        interceptor.sendto(intercepted, (HOST, self.receiver.port))
         self.sender.send(self.address, b"genuine")
         self.wait_for(b"genuine")
-        self.assertEqual(self.got, [b"genuine"])
+        self.assertEqual(self.received, [b"genuine"])
--- a/tests/test_poison_router.py
+++ b/tests/test_poison_router.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines, through a router and real processes."""
+"""Tests of a request that crashes engines, with a router and processes."""
 
 import unittest
 
@@ -6,12 +6,12 @@
 from tests import processes
 from tests import router_fixture
 
-# Long enough that the engine dies during the prefill.
+# Long enough that the engine crashes during the prefill.
 POISON = "POISON in the log " + "x" * 10_000
 ROLES = ("prefill", "prefill", "prefill", "prefill", "decode")
 
 
-class PoisonTest(unittest.TestCase):
+class PoisonRouterTest(unittest.TestCase):
     def setUp(self):
         self.group = processes.Group()
         self.addCleanup(self.group.stop)
@@ -31,23 +31,25 @@
             timeout_ms=5_000,
         )
         fair = scheduler.FairScheduler("vm1", seed=1)
-        self.rig = router_fixture.RouterFixture(tables, scheduler=fair)
-        self.rig.__enter__()
-        self.addCleanup(self.rig.__exit__)
+        self.fixture = router_fixture.RouterFixture(tables, scheduler=fair)
+        self.fixture.__enter__()
+        self.addCleanup(self.fixture.__exit__)
 
-    def count_dead(self):
-        return sum(one.popen.poll() is not None for one in self.engines)
+    def count_crashed(self):
+        return sum(
+            process.popen.poll() is not None for process in self.engines
+        )
+
+    def test_quarantined_after_second_crash(self):
+        """A caller retries a request that crashes every engine that runs it.
 
-    def test_the_second_engine_is_the_last(self):
-        """A caller's request crashes every engine that runs it, and the
-        caller sends it again and again.  Other callers must go on to be
-        served.
+        Other callers must still be served.
         """
         for _ in range(4):
-            answer = self.rig.complete(POISON)
-            self.assertNotEqual(answer.status, 200)
-        self.assertEqual(self.count_dead(), 2)
-        self.assertIn(b"quarantined", answer.body)
-        self.assertIn(b'"not_run"', answer.body)
-        self.assertEqual(self.rig.complete("why did it drift").status, 200)
-        self.assertEqual(self.count_dead(), 2)
+            response = self.fixture.complete(POISON)
+            self.assertNotEqual(response.status, 200)
+        self.assertEqual(self.count_crashed(), 2)
+        self.assertIn(b"quarantined", response.body)
+        self.assertIn(b'"not_run"', response.body)
+        self.assertEqual(self.fixture.complete("why did it drift").status, 200)
+        self.assertEqual(self.count_crashed(), 2)
