--- a/mulberryway/policy/failure_reports.py
+++ b/mulberryway/policy/failure_reports.py
@@ -4,7 +4,7 @@
 
 __all__ = ["FailureReportFilter"]
 
-# A failure report is remembered for this time.
+# Time in ms for which a failure report is remembered.
 REPORT_TTL_MS = 30_000
 # A VM that reports failures of more than this fraction of a pool, and of more
 # than this number of its upstreams, is probably faulty itself: partitioned,
--- a/mulberryway/policy/health.py
+++ b/mulberryway/policy/health.py
@@ -55,7 +55,7 @@
     :param value: the assumption before the first observation
     """
 
-    # A lower observation has half the weight. A higher one is capped at 1.5
+    # A lower observation has a weight of 0.5. A higher one is capped at 1.5
     # times the estimate, and weighs less after the first ones: a single
     # prefill that got stuck must not make an engine look so slow that it gets
     # no more requests.
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -20,8 +20,9 @@
 # Without a detected outage, this number of removals at once is the minimum
 # that counts as mass expiry.
 MIN_MASS_EXPIRY = 3
-# Fraction of the drain time. The rest is reserved for noticing the removal and
-# for requests whose server was chosen just before.
+# Fraction of the drain time for which entries are retained without an outage.
+# The rest is reserved for noticing the removal and for requests whose server
+# was chosen just before.
 DRAIN_FRACTION = 0.75
 
 
