--- a/mulberryway/controllers/__init__.py
+++ b/mulberryway/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Threads that keep the process's state in step with the fleet."""
+"""Background threads that synchronize local state with the fleet."""
--- a/mulberryway/controllers/base.py
+++ b/mulberryway/controllers/base.py
@@ -1,4 +1,4 @@
-"""A controller: one thread that keeps one piece of state up to date."""
+"""Base class for controllers, which run one background thread each."""
 
 import abc
 import logging
@@ -12,15 +12,15 @@
 
 
 class Controller(abc.ABC):
-    """Calls ``step`` again and again until it is stopped.
+    """Calls ``step`` periodically until it is stopped.
 
-    A step that raises is logged and repeated after the usual pause: one bad
-    answer must not silence a controller for the rest of the process's life,
-    which would show only much later, as stale state.
+    An exception in a step is logged, and the next step runs after the usual
+    period.  Otherwise a single bad response would end the thread, which
+    would only show up much later as stale state.
 
     :param name: the thread's name, also used in logs
-    :param clock_: where the time comes from
-    :param period_ms: the pause between steps, in milliseconds
+    :param clock_: the clock
+    :param period_ms: the interval between steps, in milliseconds
     """
 
     def __init__(self, name: str, clock_: clock.Clock, period_ms: int) -> None:
@@ -35,20 +35,20 @@
 
     @abc.abstractmethod
     def step(self) -> None:
-        """Do one round of work; return soon after ``is_stopping``."""
+        """Do one round of work; return soon once ``is_stopping`` is true."""
 
     def start(self) -> None:
-        """Begin to call ``step`` on a thread of its own."""
+        """Start calling ``step`` on the controller's own thread."""
         self._thread.start()
 
     def wake(self) -> None:
-        """Let the next step begin now."""
+        """Run the next step immediately."""
         self._wake.set()
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """End the thread.
+        """Stop the thread.
 
-        :param wait_ms: the longest wait for the current step
+        :param wait_ms: maximum wait for the current step, in milliseconds
         """
         self._stopping.set()
         self._wake.set()
@@ -56,7 +56,7 @@
             self._thread.join(wait_ms / 1000)
 
     def is_stopping(self) -> bool:
-        """Tell whether ``stop`` was called."""
+        """Return whether ``stop`` was called."""
         return self._stopping.is_set()
 
     def _run(self) -> None:
--- a/mulberryway/controllers/cancelling.py
+++ b/mulberryway/controllers/cancelling.py
@@ -1,4 +1,4 @@
-"""Repeats cancels until the engines have confirmed them."""
+"""Retries cancels until the engines have confirmed them."""
 
 import collections
 import concurrent.futures
@@ -17,12 +17,12 @@
 
 PERIOD_MS = 100
 IDLE_MS = 5_000
-# An engine that has not confirmed for so long has lost its memory anyway,
-# or the reconcilers of all VMs find what it still holds.
+# An engine that has not confirmed by then has either lost its state, or the
+# VMs' reconcilers find the requests that it still holds.
 CANCEL_TIMEOUT_MS = 60_000
 MAX_BACKOFF_MS = 2_000
-# A stopping process waits this long for a confirmation; what it leaves
-# unconfirmed, other VMs' reconcilers find.
+# A stopping process waits this long for a confirmation.  Other VMs'
+# reconcilers handle the cancels that are still unconfirmed.
 RECENT_CANCEL_MS = 3_000
 WORKERS = 8
 
@@ -40,17 +40,18 @@
         self.label = label
         self.due_ms = now_ms
         self.delay_ms = PERIOD_MS
-        self.give_up_ms = now_ms + CANCEL_TIMEOUT_MS
+        self.abandon_at_ms = now_ms + CANCEL_TIMEOUT_MS
 
 
 class CancelController(base.Controller):
-    """Frees engine memory that nobody waits for any more.
+    """Frees engine memory of requests whose results are no longer needed.
 
     A cancel is lost when its connection breaks, and the engine would then
-    generate to the end for nobody; full decode engines would show it.  So
-    each is repeated, ever more slowly, until an engine has answered.
+    generate an unused answer to its end and occupy a decode slot.
+    Therefore each cancel is retried with exponential backoff until the
+    engine has answered.
 
-    :param clock_: where the time comes from
+    :param clock_: the clock
     :param metrics_: counts the results
     """
 
@@ -60,47 +61,47 @@
         self._lock = threading.Lock()
         self._waiting: collections.deque[_Cancel] = collections.deque()
         self._open = 0
-        self._newest_ms = 0
-        # One silent engine must not hold up cancels for the others.
+        self._last_cancel_ms = 0
+        # An unresponsive engine must not delay cancels for the others.
         self._workers = concurrent.futures.ThreadPoolExecutor(
             WORKERS, "cancel"
         )
 
     @property
     def open(self) -> int:
-        """How many cancels are not confirmed yet."""
+        """Number of cancels that are not confirmed yet."""
         return self._open
 
     @property
-    def is_fresh(self) -> bool:
-        """Whether an engine may soon confirm what is open."""
-        newest_ms = self._newest_ms
-        return self.clock.now_ms() - newest_ms < RECENT_CANCEL_MS
+    def has_recent_cancels(self) -> bool:
+        """Whether a cancel was sent so recently that it may be confirmed."""
+        last_cancel_ms = self._last_cancel_ms
+        return self.clock.now_ms() - last_cancel_ms < RECENT_CANCEL_MS
 
     def cancel(
         self, engine: upstreams.Engine, label: upstreams.AttemptLabel
     ) -> None:
-        """Free what an engine holds for an attempt; returns at once.
+        """Cancel an attempt at an engine without waiting for the answer.
 
         :param engine: the engine
-        :param label: names the attempt
+        :param label: identifies the attempt
         """
         now_ms = self.clock.now_ms()
         with self._lock:
             self._open += 1
-            self._newest_ms = now_ms
+            self._last_cancel_ms = now_ms
         self._submit(_Cancel(engine, label, now_ms))
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """End the threads.
+        """Stop the threads.
 
-        :param wait_ms: the longest wait for the current step
+        :param wait_ms: maximum wait for the current step, in milliseconds
         """
         super().stop(wait_ms)
         self._workers.shutdown(wait=False, cancel_futures=True)
 
     def step(self) -> None:
-        """Send again what is due."""
+        """Retry the cancels that are due."""
         now_ms = self.clock.now_ms()
         with self._lock:
             waiting, self._waiting = self._waiting, collections.deque()
@@ -108,20 +109,20 @@
             if cancel.due_ms <= now_ms:
                 self._submit(cancel)
             else:
-                self._keep(cancel)
+                self._requeue(cancel)
         self.period_ms = PERIOD_MS if self._waiting else IDLE_MS
 
     def _submit(self, cancel: _Cancel) -> None:
         try:
             self._workers.submit(self._send, cancel)
         except RuntimeError:
-            LOG.debug("a cancel came after the stop")
+            LOG.debug("cancel ignored: the controller has stopped")
 
-    def _wait(self, cancel: _Cancel) -> None:
-        self._keep(cancel)
+    def _requeue_and_wake(self, cancel: _Cancel) -> None:
+        self._requeue(cancel)
         self.wake()
 
-    def _keep(self, cancel: _Cancel) -> None:
+    def _requeue(self, cancel: _Cancel) -> None:
         with self._lock:
             self._waiting.append(cancel)
 
@@ -129,21 +130,21 @@
         result = cancel.engine.cancel(cancel.label)
         now_ms = self.clock.now_ms()
         if result.is_ok():
-            self._end(cancel, "held" if result.ok else "not_held")
-        elif now_ms >= cancel.give_up_ms:
+            self._complete(cancel, "held" if result.ok else "not_held")
+        elif now_ms >= cancel.abandon_at_ms:
             LOG.warning(
-                "a cancel was never confirmed",
+                "cancel abandoned without a confirmation",
                 extra=logs.make_extra(
                     result.error, request_id=cancel.label.request_id
                 ),
             )
-            self._end(cancel, "given_up")
+            self._complete(cancel, "given_up")
         else:
             cancel.due_ms = now_ms + cancel.delay_ms
             cancel.delay_ms = min(cancel.delay_ms * 2, MAX_BACKOFF_MS)
-            self._wait(cancel)
+            self._requeue_and_wake(cancel)
 
-    def _end(self, cancel: _Cancel, result: str) -> None:
+    def _complete(self, cancel: _Cancel, result: str) -> None:
         self._metrics.cancels.add(1, {"result": result})
         with self._lock:
             self._open -= 1
--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -1,4 +1,4 @@
-"""Has a shard's log written by its keeper, and answers VMs as one."""
+"""Sends claims to each shard's coordinator and serves other VMs as one."""
 
 import collections.abc
 import threading
@@ -21,19 +21,20 @@
     "make_coordinator_finder",
 ]
 
-# Given a shard's number, returns the keeper's peer address, or none if that
-# is this VM.
+# Given a shard's number, returns the coordinator's peer address, or None if
+# this VM is the coordinator.
 FindCoordinator = collections.abc.Callable[[int], str | None]
 
 Record = claim_records.Record
 PendingClaim = claim_queue.PendingClaim
 
-# What a keeper may take of an attempt's time; the rest is for writing here.
+# Fraction of an attempt's remaining time that the coordinator may use.  The
+# rest is left for writing to the log from this VM.
 COORDINATOR_DEADLINE_FRACTION = 0.5
 ENDS_TIMEOUT_MS = 500
 BUSY_RETRY_DELAY_MS = 30
-# The peers' server has eight threads, and membership needs some of them: a
-# slow platform must not make this VM look dead.
+# The peer server has eight threads, and membership needs some of them: if a
+# slow platform blocked them all, other VMs would consider this VM dead.
 MAX_CONCURRENT_REQUESTS = 4
 
 
@@ -41,33 +42,36 @@
     own: str,
     list_members: collections.abc.Callable[[], list[member.Member]],
 ) -> FindCoordinator:
-    """Return what finds keepers among the members.
+    """Return a function that finds a shard's coordinator.
 
     :param own: this VM's name
-    :param list_members: the known VMs
+    :param list_members: returns the known VMs
     """
 
     def find(shard: int) -> str | None:
-        keeper = claim_coordinators.choose_coordinator(shard, list_members())
-        if keeper is None or keeper.name == own:
+        coordinator = claim_coordinators.choose_coordinator(
+            shard, list_members()
+        )
+        if coordinator is None or coordinator.name == own:
             return None
-        return keeper.peer
+        return coordinator.peer
 
     return find
 
 
 class ShardClient:
-    """One shard as this VM uses it.
+    """Resolves one shard's claims through its coordinator.
 
-    Attempts go to the keeper in batches; if it does not answer well, this
-    VM writes for itself.  That is safe whatever the keeper did with them:
-    a claim bears its attempt's name, so both can only write the same.
+    Claim requests go to the coordinator in batches.  If it does not answer
+    in time, this VM writes to the log itself.  That is safe whether or not
+    the coordinator wrote them: a claim carries the name of its attempt, so
+    both VMs can only write the same claim.
 
     :param number: the shard's number
-    :param writer: this VM's own end of the log
+    :param writer: writes the shard's log from this VM
     :param peers: calls other VMs
-    :param find_keeper: see :data:`FindCoordinator`
-    :param clock_: where the time comes from
+    :param find_coordinator: see :data:`FindCoordinator`
+    :param clock_: the clock
     """
 
     def __init__(
@@ -75,55 +79,57 @@
         number: int,
         writer: claim_writer.ClaimWriter,
         peers: client.PeerClient,
-        find_keeper: FindCoordinator,
+        find_coordinator: FindCoordinator,
         clock_: clock.Clock,
     ) -> None:
         self.writer = writer
         self._number = number
         self._peers = peers
-        self._find_keeper = find_keeper
+        self._find_coordinator = find_coordinator
         self._clock = clock_
-        self._queue = claim_queue.ClaimQueue(clock_, self._ask)
+        self._queue = claim_queue.ClaimQueue(clock_, self._process_batch)
         self._lock = threading.Lock()
         self._ends: dict[str, Record] = {}
 
     def submit(
-        self, waiters: list[PendingClaim], deadline: clock.Deadline
+        self, pending_claims: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
-        """Find out what attempts may do.
+        """Resolve pending claims of this VM.
 
-        :param waiters: attempts of this VM; each has a result afterwards
-        :param deadline: when those that still wait are refused
+        :param pending_claims: the claims; each has a result afterwards
+        :param deadline: when the claims that are still pending are rejected
         """
-        if self._find_keeper(self._number) is None:
+        if self._find_coordinator(self._number) is None:
             self._move_ends()
-            self.writer.submit(waiters, deadline)
+            self.writer.submit(pending_claims, deadline)
         else:
-            self._queue.submit(waiters, deadline)
-            for waiter in waiters:
-                self.writer.abandon(waiter)
+            self._queue.submit(pending_claims, deadline)
+            for pending in pending_claims:
+                self.writer.abandon(pending)
 
-    def note_end(self, record: Record) -> None:
-        """Have the end of a call written by the keeper, soon.
+    def record_end(self, record: Record) -> None:
+        """Queue a call's completion record for the coordinator.
 
         :param record: ``DONE`` or ``RELEASED``
         """
         with self._lock:
             self._ends[record.digest] = record
-        if self._find_keeper(self._number) is None:
+        if self._find_coordinator(self._number) is None:
             self._move_ends()
 
     def flush(self, deadline: clock.Deadline, at_once: bool = False) -> None:
-        """Pass on what has ended.
+        """Send the queued completion records.
 
-        :param deadline: when to give up for now
-        :param at_once: whether it should be in the log afterwards
+        :param deadline: when to stop; the rest stays queued
+        :param at_once: whether the coordinator writes them before it answers
         """
         if self._ends:
-            # Finding the keeper costs a look at all members, which a VM
-            # without such calls should not pay for each shard again.
-            keeper = self._find_keeper(self._number)
-            sent = keeper and self._send_ends(keeper, deadline, at_once)
+            # Finding the coordinator takes a pass over all members, which a
+            # VM without such calls need not do for every shard.
+            coordinator = self._find_coordinator(self._number)
+            sent = coordinator and self._send_ends(
+                coordinator, deadline, at_once
+            )
             if not sent:
                 self._move_ends()
         self.writer.flush(deadline)
@@ -132,10 +138,10 @@
         with self._lock:
             ends, self._ends = self._ends, {}
         for record in ends.values():
-            self.writer.note_end(record)
+            self.writer.record_end(record)
 
     def _send_ends(
-        self, keeper: str, deadline: clock.Deadline, at_once: bool
+        self, coordinator: str, deadline: clock.Deadline, at_once: bool
     ) -> bool:
         with self._lock:
             ends = [*self._ends.values()]
@@ -143,7 +149,7 @@
             return True
         limit_ms = deadline.left_ms(self._clock.now_ms())
         sent = self._peers.call(
-            keeper,
+            coordinator,
             Claims.Client,
             "note_ends",
             self._number,
@@ -159,49 +165,56 @@
                     del self._ends[record.digest]
         return True
 
-    def _ask(
+    def _process_batch(
         self, batch: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
-        """Let the keeper serve a batch, or else this VM's own writer."""
-        keeper = self._find_keeper(self._number)
-        if keeper is not None:
-            sent = [waiter for waiter in batch if waiter.mark_sent()]
-            self._ask_keeper(keeper, sent, deadline)
-        left = [waiter for waiter in batch if waiter.result is None]
+        """Send a batch to the coordinator; write what it did not resolve."""
+        coordinator = self._find_coordinator(self._number)
+        if coordinator is not None:
+            sent = [pending for pending in batch if pending.mark_sent()]
+            self._send_batch(coordinator, sent, deadline)
+        left = [pending for pending in batch if pending.result is None]
         if left:
             self.writer.submit(left, deadline)
 
-    def _ask_keeper(
-        self, keeper: str, sent: list[PendingClaim], deadline: clock.Deadline
+    def _send_batch(
+        self,
+        coordinator: str,
+        sent: list[PendingClaim],
+        deadline: clock.Deadline,
     ) -> None:
-        # Ends go first: a repeat of a call that ended here must find it.
-        self._send_ends(keeper, deadline, False)
+        # Completion records go first: a retry of a call that ended on this VM
+        # must find its record.
+        self._send_ends(coordinator, deadline, False)
         wishes = [
-            claim_messages.pack_request(waiter.request) for waiter in sent
+            claim_messages.pack_request(pending.request) for pending in sent
         ]
         left_ms = deadline.left_ms(self._clock.now_ms())
         limit = clock.Deadline(
             self._clock.now_ms() + int(left_ms * COORDINATOR_DEADLINE_FRACTION)
         )
-        verdicts = self._call_keeper(keeper, wishes, limit)
-        if verdicts is None or len(verdicts) != len(sent):
+        results = self._call_coordinator(coordinator, wishes, limit)
+        if results is None or len(results) != len(sent):
             return
-        for waiter, verdict in zip(sent, verdicts, strict=True):
+        for pending, verdict in zip(sent, results, strict=True):
             result = claim_messages.unpack_result(verdict)
             if result.is_ok():
-                self._settle(waiter, result)
+                self._resolve(pending, result)
 
-    def _call_keeper(
-        self, keeper: str, wishes: list[ttypes.Wish], limit: clock.Deadline
+    def _call_coordinator(
+        self,
+        coordinator: str,
+        wishes: list[ttypes.Wish],
+        limit: clock.Deadline,
     ) -> list[ttypes.Verdict] | None:
-        """Return the keeper's verdicts, or none if it gives none.
+        """Return the coordinator's verdicts, or None if it gives none.
 
-        A busy keeper is asked again after a pause: to write here at once
-        would only make it write twice.
+        A busy coordinator is asked again after a delay, because a write from
+        this VM would only compete with the coordinator's own write.
         """
         while left_ms := limit.left_ms(self._clock.now_ms()):
             answered = self._peers.call(
-                keeper,
+                coordinator,
                 Claims.Client,
                 "decide",
                 self._number,
@@ -216,23 +229,25 @@
             self._clock.sleep_ms(BUSY_RETRY_DELAY_MS)
         return None
 
-    def _settle(
-        self, waiter: PendingClaim, result: claim_queue.ClaimResult
+    def _resolve(
+        self, pending: PendingClaim, result: claim_queue.ClaimResult
     ) -> None:
         record = result.ok.record
-        if waiter.settle(result) or record is None:
+        if pending.resolve(result) or record is None:
             return
-        gave_up = waiter.result.is_error()
-        if gave_up and record.owner == waiter.request.owner:
-            # The attempt was told "not run" meanwhile; see ClaimWriter.
-            self.note_end(record.end(claim_records.ClaimState.RELEASED, None))
+        has_timed_out = pending.result.is_error()
+        if has_timed_out and record.owner == pending.request.owner:
+            # The attempt was reported as not run; see ClaimWriter.abandon.
+            self.record_end(
+                record.end(claim_records.ClaimState.RELEASED, None)
+            )
 
 
 class ClaimHandler(Claims.Iface):
-    """Answers other VMs as the keeper of shards.
+    """Serves other VMs' claims as the coordinator of shards.
 
-    :param writers: this VM's ends of all shards' logs
-    :param clock_: where the time comes from
+    :param writers: writes each shard's log from this VM
+    :param clock_: the clock
     """
 
     def __init__(
@@ -240,48 +255,53 @@
     ) -> None:
         self._writers = writers
         self._clock = clock_
-        self._places = threading.BoundedSemaphore(MAX_CONCURRENT_REQUESTS)
+        self._request_slots = threading.BoundedSemaphore(
+            MAX_CONCURRENT_REQUESTS
+        )
 
     def decide(
         self, shard: int, wishes: list[ttypes.Wish], limit_ms: int
     ) -> list[ttypes.Verdict]:
-        """Decide about other VMs' attempts.
+        """Resolve claim requests of other VMs.
 
         :param shard: the shard's number
-        :param wishes: what they wish
-        :param limit_ms: how long they wait
-        :returns: a verdict for each, or nothing at all if this VM is busy
+        :param wishes: the claim requests
+        :param limit_ms: how long the other VM waits, in milliseconds
+        :returns: a verdict for each request, or an empty list if this VM is
+            busy
         """
-        waiters = [
+        pending_claims = [
             PendingClaim(claim_messages.unpack_request(wish), is_own=False)
             for wish in wishes
         ]
-        if not self._places.acquire(blocking=False):
+        if not self._request_slots.acquire(blocking=False):
             return []
         try:
             limit = clock.Deadline(self._clock.now_ms() + limit_ms)
-            self._writers[shard].submit(waiters, limit)
+            self._writers[shard].submit(pending_claims, limit)
         finally:
-            self._places.release()
-        return [claim_messages.pack_result(one.result) for one in waiters]
+            self._request_slots.release()
+        return [
+            claim_messages.pack_result(one.result) for one in pending_claims
+        ]
 
     def note_ends(self, shard: int, records: list[str], at_once: bool) -> bool:
-        """Take ends of other VMs' calls.
+        """Accept completion records of other VMs' calls.
 
         :param shard: the shard's number
-        :param records: the ends
-        :param at_once: whether to write them before the answer
-        :returns: whether they are taken, and written if asked to
+        :param records: the encoded records
+        :param at_once: whether to write them before answering
+        :returns: whether they were accepted, and written if ``at_once``
         """
         writer = self._writers[shard]
         for text in records:
-            writer.note_end(claim_messages.decode_record(text))
+            writer.record_end(claim_messages.decode_record(text))
         if not at_once:
             return True
-        if not self._places.acquire(blocking=False):
+        if not self._request_slots.acquire(blocking=False):
             return False
         try:
             limit = clock.Deadline(self._clock.now_ms() + ENDS_TIMEOUT_MS)
             return writer.flush(limit)
         finally:
-            self._places.release()
+            self._request_slots.release()
--- a/mulberryway/controllers/claim_log.py
+++ b/mulberryway/controllers/claim_log.py
@@ -1,4 +1,4 @@
-"""Reads and appends to one shard's log of claims in the platform."""
+"""Reads and appends to one shard's claim log in the platform's store."""
 
 import collections.abc
 import logging
@@ -23,16 +23,16 @@
 
 
 class ClaimLog:
-    """A view of a shard, kept in step with the platform.
+    """Local view of one shard's log; used by one thread at a time.
 
-    Used by one thread at a time.  ``is_known`` tells that there is no reason
-    to think that the log has moved on, ``is_fresh`` that it was read since
-    its user last reset this.
+    ``is_current`` is false if the log may have records that the view does
+    not have.  ``has_been_read`` is set when the log is read; its user
+    resets it.
 
     :param kind: the shard's kind in the platform
-    :param store: the platform
+    :param store: the platform's store
     :param make_shard: makes an empty view
-    :param on_new_records: gets the records that were not known before
+    :param on_new_records: called with the records that were not known before
     """
 
     def __init__(
@@ -43,33 +43,36 @@
         on_new_records: OnNewRecords,
     ) -> None:
         self.shard = make_shard()
-        self.is_known = False
-        self.is_fresh = False
+        self.is_current = False
+        self.has_been_read = False
         self._kind = kind
         self._store = store
         self._make_shard = make_shard
-        self._on_fresh = on_new_records
+        self._on_new_records = on_new_records
 
-    def forget(self) -> None:
-        """Drop the view; it is read again when it is needed."""
+    def discard_view(self) -> None:
+        """Discard the view; it is read again when it is needed."""
         self.shard = self._make_shard()
-        self.is_known = False
+        self.is_current = False
 
     def append(
         self, records: list[claim_records.Record]
     ) -> errors.Fault | None:
-        """Append records.
+        """Append records to the log.
 
-        :param records: what to append
-        :returns: why it is not known whether they stand in the log, or none
+        :param records: the records
+        :returns: the fault if the write was rejected or may have failed
         """
         append = self.shard.plan_append(records)
         written = self._send(append)
         if written.is_error():
-            # Whether it was refused or its reply was lost, the log tells.
-            self.is_known = False
+            # The log shows whether the write was rejected or only its reply
+            # was lost.
+            self.is_current = False
             return written.error
-        self._on_fresh(self.shard.apply_append(append, written.ok.version))
+        self._on_new_records(
+            self.shard.apply_append(append, written.ok.version)
+        )
         return None
 
     def _send(
@@ -84,25 +87,25 @@
         )
 
     def catch_up(self) -> errors.Fault | None:
-        """Bring the view up to date if there is reason to.
+        """Update the view if it may be outdated.
 
-        :returns: why the view cannot be trusted, or none
+        :returns: the fault if the view could not be updated, or None
         """
-        if self.is_known:
+        if self.is_current:
             return None
         try:
-            fault = self._follow_log() or self._read_whole_log()
+            fault = self._read_new_slots() or self._read_whole_log()
         except ValueError:
-            LOG.exception("a malformed slot in %s", self._kind)
-            return _distrust("a malformed slot")
-        self.is_known = self.is_fresh = fault is None
+            LOG.exception("malformed slot in claim log %s", self._kind)
+            return _make_fault("malformed slot in the claim log")
+        self.is_current = self.has_been_read = fault is None
         return fault
 
-    def _follow_log(self) -> errors.Fault | None:
-        """Read the newest slot and those after it."""
+    def _read_new_slots(self) -> errors.Fault | None:
+        """Read the newest known slot again and the slots after it."""
         while self.shard.has_slots():
-            place = self.shard.newest_index()
-            fault = self._read_slot(place)
+            index = self.shard.newest_index()
+            fault = self._read_slot(index)
             if fault is not None:
                 return fault
             if not self.shard.is_newest_full():
@@ -110,44 +113,44 @@
             fault = self._read_slot(self.shard.next_index())
             if fault is not None:
                 return fault
-            if self.shard.newest_index() == place:
+            if self.shard.newest_index() == index:
                 break
         return None
 
-    def _read_slot(self, place: int) -> errors.Fault | None:
-        found = self._store.read(self._kind, str(place), PURPOSE)
+    def _read_slot(self, index: int) -> errors.Fault | None:
+        found = self._store.read(self._kind, str(index), PURPOSE)
         if found.is_ok():
-            self._take_slot(place, found.ok.value, found.ok.version)
+            self._apply_slot(index, found.ok.value, found.ok.version)
             return None
         if found.error.code is errors.Code.NOT_FOUND:
             return None
         return found.error
 
     def _read_whole_log(self) -> errors.Fault | None:
-        """Read all slots at first, or if the log went round unseen."""
+        """Read all slots if there is no view, or if the log wrapped around."""
         if self.shard.has_slots() and self.shard.is_whole():
             return None
         listed = self._store.read_all(self._kind, PURPOSE)
         if listed.is_error():
             return listed.error
         self.shard = self._make_shard()
-        for item in sorted(listed.ok, key=_sequence_of):
-            self._take_slot(int(item.name), item.value, item.version)
+        for item in sorted(listed.ok, key=_get_sequence):
+            self._apply_slot(int(item.name), item.value, item.version)
         if not self.shard.is_whole():
-            return _distrust("the log is known in part only")
+            return _make_fault("the claim log has missing slots")
         return None
 
-    def _take_slot(
-        self, place: int, value: dict[str, typing.Any], version: int
+    def _apply_slot(
+        self, index: int, value: dict[str, typing.Any], version: int
     ) -> None:
-        self._on_fresh(self.shard.apply_slot(place, value, version))
+        self._on_new_records(self.shard.apply_slot(index, value, version))
 
 
-def _sequence_of(item: base.StoredObject) -> int:
+def _get_sequence(item: base.StoredObject) -> int:
     return int(item.value.get("sequence", -1))
 
 
-def _distrust(message: str) -> errors.Fault:
+def _make_fault(message: str) -> errors.Fault:
     return errors.Fault(
         errors.Code.PLATFORM_UNAVAILABLE,
         errors.Step.PLATFORM,
--- a/mulberryway/controllers/claim_messages.py
+++ b/mulberryway/controllers/claim_messages.py
@@ -1,4 +1,4 @@
-"""Wishes, verdicts and records between their own classes and Thrift."""
+"""Converts claim requests, results and records to and from Thrift."""
 
 import json
 
@@ -20,7 +20,7 @@
 
 
 def encode_record(record: claim_records.Record) -> str:
-    """Return a record as text.
+    """Encode a record as JSON.
 
     :param record: the record
     """
@@ -28,18 +28,18 @@
 
 
 def decode_record(text: str) -> claim_records.Record:
-    """Return the record in a text.
+    """Decode a record.
 
-    :param text: what :func:`encode_record` returned
+    :param text: the text that :func:`encode_record` returned
     :raises ValueError: if it is malformed
     """
     return claim_records.Record.decode(json.loads(text))
 
 
 def pack_request(request: claims.ClaimRequest) -> ttypes.Wish:
-    """Return an attempt's wish as a message.
+    """Convert a claim request to its message.
 
-    :param request: the wish
+    :param request: the claim request
     """
     return ttypes.Wish(
         request.id.digest, request.id.time_ms, request.call, request.owner
@@ -47,7 +47,7 @@
 
 
 def unpack_request(wish: ttypes.Wish) -> claims.ClaimRequest:
-    """Return the wish in a message.
+    """Convert a message to its claim request.
 
     :param wish: the message
     """
@@ -56,9 +56,9 @@
 
 
 def pack_result(result: claim_queue.ClaimResult) -> ttypes.Verdict:
-    """Return what became of a wish as a message.
+    """Convert a claim's result to its message.
 
-    :param result: the verdict, or a fault
+    :param result: the decision, or a fault
     """
     if result.is_error():
         return ttypes.Verdict(fault=result.error.message)
@@ -70,7 +70,7 @@
 
 
 def unpack_result(verdict: ttypes.Verdict) -> claim_queue.ClaimResult:
-    """Return what a message says became of a wish.
+    """Convert a message to a claim's result.
 
     :param verdict: the message
     :raises ValueError: if it is malformed
--- a/mulberryway/controllers/claim_queue.py
+++ b/mulberryway/controllers/claim_queue.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for their verdicts, served many at a time."""
+"""Queue that resolves pending claims in batches."""
 
 import collections.abc
 import threading
@@ -11,8 +11,8 @@
 
 __all__ = ["ClaimQueue", "ClaimResult", "PendingClaim", "refuse"]
 
-# A batch is bounded so that a slot stays far below the platform's megabyte
-# and one caller's wait does not grow with everybody's.
+# The limit keeps a slot far below the platform's object size limit of one
+# megabyte, and bounds the time that a caller waits for one batch.
 MAX_BATCH_SIZE = 256
 RETRY_AFTER_MS = 1_000
 RESOLVE_LOCK = threading.Lock()
@@ -21,11 +21,12 @@
 
 
 class PendingClaim:
-    """One attempt that waits for its verdict.
+    """Claim request of an attempt that has no result yet.
 
-    :param request: its wish
-    :param is_own: whether it waits on this VM, so that this VM knows when
-        it will not run; another VM's attempt may go on by another way
+    :param request: the claim request
+    :param is_own: whether the attempt waits on this VM, which then knows
+        when it will not run; another VM's attempt may still get its claim
+        from another writer
     """
 
     __slots__ = ("request", "is_own", "result", "may_be_written")
@@ -36,19 +37,19 @@
         self.request = request
         self.is_own = is_own
         self.result: ClaimResult | None = None
-        # Its claim was sent, so it may stand in the log.
+        # Set before the claim is sent: it may be in the log from then on.
         self.may_be_written = False
 
-    def settle(self, result: ClaimResult) -> bool:
+    def resolve(self, result: ClaimResult) -> bool:
         """Set the result unless there is one already.
 
-        An attempt may stand in two queues, the keeper's and this VM's own.
-        If one told it "not run" and the other let it run, its claim would
-        be released under it and the call would run a second time; so the
-        first result stays, and whoever comes second is told.
+        An attempt may be in two queues, the coordinator's and this VM's own.
+        If one rejected it and the other granted it, its claim would be
+        released while the call runs, and the call could run a second time.
+        Therefore the first result wins.
 
-        :param result: the verdict, or a fault
-        :returns: whether the attempt gets it
+        :param result: the decision, or a fault
+        :returns: whether this is now the attempt's result
         """
         with RESOLVE_LOCK:
             if self.result is None:
@@ -57,9 +58,9 @@
             return self.result is result
 
     def mark_sent(self) -> bool:
-        """Note that its claim is about to be sent.
+        """Record that the claim is about to be sent.
 
-        :returns: false if it has a result already
+        :returns: False if it already has a result
         """
         with RESOLVE_LOCK:
             self.may_be_written |= self.result is None
@@ -70,14 +71,15 @@
 
 
 class ClaimQueue:
-    """Lets whoever comes first serve all that wait.
+    """Resolves pending claims in batches on the callers' threads.
 
-    Whoever comes while nobody serves does so for all that wait; the others
-    wait for that.  So a batch holds all that came during the one before.
+    A caller that finds no batch in progress runs the next one for all
+    pending claims; the others wait for it.  So a batch holds all claims
+    that arrived during the one before.
 
-    :param clock_: where the time comes from
-    :param serve: settles a batch; called by one thread at a time
-    :param min_interval_ms: the least time between two batches
+    :param clock_: the clock
+    :param serve: resolves a batch; called by one thread at a time
+    :param min_interval_ms: minimum time between two batches, in milliseconds
     """
 
     def __init__(
@@ -85,38 +87,38 @@
     ) -> None:
         self._clock = clock_
         self._serve = serve
-        self._pace_ms = min_interval_ms
-        self._served_ms = clock_.now_ms() - min_interval_ms
+        self._min_interval_ms = min_interval_ms
+        self._last_batch_ms = clock_.now_ms() - min_interval_ms
         self._lock = threading.Lock()
         self._serving = threading.Lock()
-        self._waiters: list[PendingClaim] = []
+        self._pending: list[PendingClaim] = []
 
     def submit(
-        self, waiters: list[PendingClaim], deadline: clock.Deadline
+        self, pending_claims: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
-        """Wait until attempts have their verdicts.
+        """Wait until claims are resolved.
 
-        :param waiters: the attempts; each has a result afterwards
-        :param deadline: when those that still wait are refused
+        :param pending_claims: the claims; each has a result afterwards
+        :param deadline: when the claims that are still pending are rejected
         """
         with self._lock:
-            self._waiters += waiters
-        while any(waiter.result is None for waiter in waiters):
+            self._pending += pending_claims
+        while any(pending.result is None for pending in pending_claims):
             left_s = deadline.left_ms(self._clock.now_ms()) / 1000
             if not self._serving.acquire(timeout=left_s):
-                self._give_up(waiters)
+                self._time_out(pending_claims)
                 return
             try:
-                if any(waiter.result is None for waiter in waiters):
-                    self._serve_next(deadline)
+                if any(pending.result is None for pending in pending_claims):
+                    self._run_next_batch(deadline)
             finally:
                 self._serving.release()
 
     def run_batch_now(self, deadline: clock.Deadline) -> bool:
-        """Serve once, also if nobody waits; the pace is for attempts only.
+        """Run one batch, even an empty one, ignoring the minimum interval.
 
-        :param deadline: when to give up
-        :returns: whether it came to that
+        :param deadline: when to stop waiting for the batch in progress
+        :returns: whether a batch was run
         """
         left_s = deadline.left_ms(self._clock.now_ms()) / 1000
         if not self._serving.acquire(timeout=left_s):
@@ -127,33 +129,33 @@
             self._serving.release()
         return True
 
-    def _serve_next(self, deadline: clock.Deadline) -> None:
+    def _run_next_batch(self, deadline: clock.Deadline) -> None:
         now_ms = self._clock.now_ms()
-        pause_ms = self._served_ms + self._pace_ms - now_ms
-        self._clock.sleep_ms(min(pause_ms, deadline.left_ms(now_ms)))
-        self._served_ms = self._clock.now_ms()
+        delay_ms = self._last_batch_ms + self._min_interval_ms - now_ms
+        self._clock.sleep_ms(min(delay_ms, deadline.left_ms(now_ms)))
+        self._last_batch_ms = self._clock.now_ms()
         self._serve(self._take_batch(), deadline)
 
     def _take_batch(self) -> list[PendingClaim]:
         with self._lock:
-            batch = self._waiters[:MAX_BATCH_SIZE]
-            del self._waiters[:MAX_BATCH_SIZE]
+            batch = self._pending[:MAX_BATCH_SIZE]
+            del self._pending[:MAX_BATCH_SIZE]
         return batch
 
-    def _give_up(self, waiters: list[PendingClaim]) -> None:
-        fault = refuse("the claim was not made in time")
+    def _time_out(self, pending_claims: list[PendingClaim]) -> None:
+        fault = refuse("the claim was not written before its deadline")
         with self._lock:
-            self._waiters = [
-                one for one in self._waiters if one not in waiters
+            self._pending = [
+                one for one in self._pending if one not in pending_claims
             ]
-        for waiter in waiters:
-            waiter.settle(expression.Error(fault))
+        for pending in pending_claims:
+            pending.resolve(expression.Error(fault))
 
 
 def refuse(message: str) -> errors.Fault:
-    """Return the fault of an attempt that will not run its call.
+    """Return the fault for an attempt that must not run its call.
 
-    :param message: why
+    :param message: the reason
     """
     return errors.Fault(
         errors.Code.PLATFORM_UNAVAILABLE,
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -1,4 +1,4 @@
-"""Appends to one shard's log of claims, many attempts in one write."""
+"""Appends claims to one shard's log in batches."""
 
 import collections.abc
 import threading
@@ -19,28 +19,30 @@
 ClaimState = claim_records.ClaimState
 PendingClaim = claim_queue.PendingClaim
 
-# Ends of calls that are not written yet, as in an outage.  What is dropped
-# beyond this answers repeats with "may have run" instead of the reply.
+# Completion records that are not written yet, for example in an outage.  For
+# a record that is dropped beyond this limit, retries of the call get "may
+# have run" instead of the reply.
 MAX_PENDING_ENDS = 4_096
 MAX_END_BYTES = 65_536
 MAX_ABANDONED = 16_384
-# The least time between two writes of claims to one shard.  With one writer
-# a shard, all shards together write at most 160 times a second, however many
-# calls there are, and twice a second each for ends that no claim took along;
-# a call that comes after a quiet time does not wait.
+# Minimum time between two writes of claims to one shard.  With one writer per
+# shard, all shards together write claims at most 160 times a second at any
+# call rate.  Completion records without a claim add at most two writes a
+# second per shard.  A call on an idle shard does not wait.
 MIN_WRITE_INTERVAL_MS = 100
-# A VM that no longer writes a shard need not keep its megabyte in memory.
+# A VM that no longer writes a shard discards its view, about a megabyte.
 VIEW_IDLE_TIMEOUT_MS = 60_000
 
 
 class ClaimWriter:
     """Writes one shard's log.
 
-    Every VM may do so; it is cheap while only one does.
+    Any VM may write it, but concurrent writers cost extra store calls for
+    conflicts, so usually only the coordinator does.
 
     :param kind: the shard's kind in the platform
-    :param store: the platform
-    :param clock_: where the time comes from
+    :param store: the platform's store
+    :param clock_: the clock
     :param make_shard: makes an empty view of the log
     """
 
@@ -55,7 +57,7 @@
             kind, store, make_shard, self._release_abandoned
         )
         self._clock = clock_
-        self._used_ms = clock_.now_ms()
+        self._last_used_ms = clock_.now_ms()
         self._lock = threading.Lock()
         self._queue = claim_queue.ClaimQueue(
             clock_, self._write, MIN_WRITE_INTERVAL_MS
@@ -64,38 +66,38 @@
         self._abandoned: dict[str, None] = {}
 
     def submit(
-        self, waiters: list[PendingClaim], deadline: clock.Deadline
+        self, pending_claims: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
-        """Find out what attempts may do; ``OWNED`` means: run the call.
+        """Resolve pending claims; an attempt with ``OWNED`` runs its call.
 
-        :param waiters: the attempts; afterwards each has a verdict other
-            than ``FREE``, or a fault that says that it was not run
-        :param deadline: when those that still wait are refused
+        :param pending_claims: the claims; afterwards each has a verdict
+            other than ``FREE``, or a fault for a call that was not run
+        :param deadline: when the claims that are still pending are rejected
         """
-        self._queue.submit(waiters, deadline)
-        for waiter in waiters:
-            self.abandon(waiter)
+        self._queue.submit(pending_claims, deadline)
+        for pending in pending_claims:
+            self.abandon(pending)
 
-    def abandon(self, waiter: PendingClaim) -> None:
-        """Remember that an attempt will not run though its claim may stand.
+    def abandon(self, pending: PendingClaim) -> None:
+        """Record that an attempt will not run but may have a claim in the log.
 
-        Its caller was told "not run" and may repeat the call; the claim
-        that arrives late would answer "may have run" for ever.  It is
-        released as soon as it is seen.
+        Its caller got "not run" and may retry the call.  If the claim arrived
+        in the log later and stayed there, every retry would get "may have
+        run".  Therefore the claim is released when it is seen.
 
-        :param waiter: an attempt that has its result
+        :param pending: the claim of the attempt; it has a result
         """
-        if waiter.result is None or waiter.result.is_ok():
+        if pending.result is None or pending.result.is_ok():
             return
-        if not waiter.may_be_written or not waiter.is_own:
+        if not pending.may_be_written or not pending.is_own:
             return
         with self._lock:
-            self._abandoned[waiter.request.owner] = None
+            self._abandoned[pending.request.owner] = None
             while len(self._abandoned) > MAX_ABANDONED:
                 self._abandoned.pop(next(iter(self._abandoned)))
 
-    def note_end(self, record: Record) -> None:
-        """Have the end of a call written along with the next append.
+    def record_end(self, record: Record) -> None:
+        """Queue a call's completion record for the next append.
 
         :param record: ``DONE`` or ``RELEASED``
         """
@@ -105,94 +107,99 @@
                 self._ends.pop(next(iter(self._ends)))
 
     def flush(self, deadline: clock.Deadline) -> bool:
-        """Write what has ended if no attempt did so.
+        """Write the completion records that no claim's append included.
 
-        :param deadline: when to give up for now
-        :returns: whether nothing is left to be written
+        :param deadline: when to stop; the rest stays queued
+        :returns: whether all completion records are written
         """
         with self._lock:
             has_ends = bool(self._ends)
-        if has_ends or self._is_unused():
+        if has_ends or self._is_idle():
             self._queue.run_batch_now(deadline)
         with self._lock:
             return not self._ends
 
-    def _is_unused(self) -> bool:
+    def _is_idle(self) -> bool:
         return (
             self.log.shard.has_slots()
-            and self._clock.now_ms() - self._used_ms > VIEW_IDLE_TIMEOUT_MS
+            and self._clock.now_ms() - self._last_used_ms
+            > VIEW_IDLE_TIMEOUT_MS
         )
 
     def _write(
         self, batch: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
-        """Write for a batch; only one thread at a time does."""
-        if not batch and not self._ends and self._is_unused():
-            self.log.forget()
+        """Resolve a batch; runs on one thread at a time."""
+        if not batch and not self._ends and self._is_idle():
+            self.log.discard_view()
             return
-        fault = claim_queue.refuse("the log moved too often")
-        self.log.is_fresh = False
-        self._used_ms = self._clock.now_ms()
+        fault = claim_queue.refuse("too many conflicting writes to the log")
+        self.log.has_been_read = False
+        self._last_used_ms = self._clock.now_ms()
         while not deadline.has_passed(self._clock.now_ms()):
-            found = self._try_once(batch)
+            found = self._append_once(batch)
             if found is None:
                 return
             fault = found
-            if fault.code is not errors.Code.CONFLICT and not _is_lost(fault):
+            if fault.code is not errors.Code.CONFLICT and not _may_have_run(
+                fault
+            ):
                 break
         refusal = claim_queue.refuse(fault.message)
-        for waiter in batch:
-            waiter.settle(expression.Error(refusal))
+        for pending in batch:
+            pending.resolve(expression.Error(refusal))
 
-    def _try_once(self, batch: list[PendingClaim]) -> errors.Fault | None:
-        """Decide and append once; return why it has to be done again."""
+    def _append_once(self, batch: list[PendingClaim]) -> errors.Fault | None:
+        """Decide and append once; return a fault if it has to be repeated."""
         fault = self.log.catch_up()
         if fault is not None:
             return fault
-        free, ends = self._sort_out(batch)
-        if not self.log.is_known:
-            return _moved()
+        free, ends = self._select_records(batch)
+        if not self.log.is_current:
+            return _make_conflict()
         if not free and not ends:
             return None
-        records = [waiter.request.make_record() for waiter in free]
+        records = [pending.request.make_record() for pending in free]
         fault = self.log.append([*ends, *records])
         if fault is None:
-            self._settle_written(free, ends)
+            self._resolve_written(free, ends)
         return fault
 
-    def _sort_out(
+    def _select_records(
         self, batch: list[PendingClaim]
     ) -> tuple[list[PendingClaim], list[Record]]:
-        """Settle whom the log answers; return who needs an append.
+        """Resolve claims from the log, and select the records to append.
 
-        :returns: attempts to grant, at most one for each call, and ends of
-            calls to write
+        :returns: claims to grant, at most one per call, and completion
+            records to write
         """
         ends = self._pick_ends()
         known = {record.digest: record for record in ends}
         claimed: dict[str, PendingClaim] = {}
-        for waiter in batch:
-            if waiter.result is not None:
+        for pending in batch:
+            if pending.result is not None:
                 continue
-            digest = waiter.request.id.digest
-            decision = self._decide(waiter, known.get(digest))
+            digest = pending.request.id.digest
+            decision = self._decide(pending, known.get(digest))
             unfinished = decision.verdict is claims.Verdict.UNFINISHED
-            if unfinished and not self.log.is_fresh:
+            if unfinished and not self.log.has_been_read:
                 # The other attempt may have ended since the log was read;
-                # a repeat would be told "may have run" again and again.
-                self.log.is_known = False
+                # without a new read every retry would get "may have run".
+                self.log.is_current = False
             elif decision.verdict is not claims.Verdict.FREE:
-                self._settle(waiter, decision)
+                self._resolve(pending, decision)
             elif digest in claimed:
                 first = claimed[digest].request
-                self._settle(waiter, _follow(waiter.request, first))
+                self._resolve(
+                    pending, _decide_duplicate(pending.request, first)
+                )
             else:
-                claimed[digest] = waiter
+                claimed[digest] = pending
         free = [one for one in claimed.values() if one.mark_sent()]
         return free, ends
 
     def _pick_ends(self) -> list[Record]:
-        """Return the ends that the next append takes along."""
+        """Return the completion records to include in the next append."""
         picked = []
         size = 0
         with self._lock:
@@ -207,61 +214,69 @@
         return picked
 
     def _decide(
-        self, waiter: PendingClaim, end: Record | None
+        self, pending: PendingClaim, end: Record | None
     ) -> claims.Decision:
-        decision = self.log.shard.decide(waiter.request, self._clock.wall_ms())
+        decision = self.log.shard.decide(
+            pending.request, self._clock.wall_ms()
+        )
         unfinished = decision.verdict is claims.Verdict.UNFINISHED
         if end is None or not unfinished or decision.record.owner != end.owner:
             return decision
         if end.state is ClaimState.DONE:
             return claims.Decision(claims.Verdict.RAN, end)
-        # The release is appended in the same write, before this claim.
+        # The release is written by the same append, before this claim.
         return claims.Decision(claims.Verdict.FREE)
 
-    def _settle(self, waiter: PendingClaim, decision: claims.Decision) -> None:
-        waiter.settle(expression.Ok(decision))
+    def _resolve(
+        self, pending: PendingClaim, decision: claims.Decision
+    ) -> None:
+        pending.resolve(expression.Ok(decision))
 
-    def _settle_written(
+    def _resolve_written(
         self, free: list[PendingClaim], ends: list[Record]
     ) -> None:
-        for waiter in free:
+        for pending in free:
             decision = self.log.shard.decide(
-                waiter.request, self._clock.wall_ms()
+                pending.request, self._clock.wall_ms()
             )
-            is_heard = waiter.settle(expression.Ok(decision))
-            if not is_heard and waiter.is_own and waiter.result.is_error():
-                # It gave up while its claim was being written.
-                claim = waiter.request.make_record()
-                self.note_end(claim.end(ClaimState.RELEASED, None))
+            is_accepted = pending.resolve(expression.Ok(decision))
+            if (
+                not is_accepted
+                and pending.is_own
+                and pending.result.is_error()
+            ):
+                # The attempt timed out while its claim was being written.
+                claim = pending.request.make_record()
+                self.record_end(claim.end(ClaimState.RELEASED, None))
         with self._lock:
             for record in ends:
                 if self._ends.get(record.digest) is record:
                     del self._ends[record.digest]
 
-    def _release_abandoned(self, fresh: list[Record]) -> None:
+    def _release_abandoned(self, new_records: list[Record]) -> None:
         found = [
             record
-            for record in fresh
+            for record in new_records
             if record.state is ClaimState.CLAIMED
             and record.owner in self._abandoned
         ]
         for record in found:
             self._abandoned.pop(record.owner, None)
-            self.note_end(record.end(ClaimState.RELEASED, None))
+            self.record_end(record.end(ClaimState.RELEASED, None))
 
 
-def _follow(
+def _decide_duplicate(
     request: claims.ClaimRequest, first: claims.ClaimRequest
 ) -> claims.Decision:
-    """Decide for an attempt behind another one of the same batch."""
+    """Decide a claim whose call is claimed by another one in the batch."""
     if request.call != first.call:
         return claims.Decision(claims.Verdict.REUSED, first.make_record())
     return claims.Decision(claims.Verdict.UNFINISHED, first.make_record())
 
 
-def _is_lost(fault: errors.Fault) -> bool:
+def _may_have_run(fault: errors.Fault) -> bool:
     return fault.run is errors.ExecutionStatus.MAY_HAVE_RUN
 
 
-def _moved() -> errors.Fault:
+def _make_conflict() -> errors.Fault:
     return errors.Fault(errors.Code.CONFLICT, errors.Step.PLATFORM)
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -1,7 +1,7 @@
-"""Claims for calls that must run at most once: a promise.
+"""Claims for calls that must run at most once; this is guaranteed.
 
-A claim never lapses, so a VM that was paused after it got one may still run
-its call: nobody else ever may.
+A claim never expires.  A VM that was paused after it got a claim may
+therefore still run its call, because no other attempt can ever get that claim.
 """
 
 import collections.abc
@@ -26,11 +26,11 @@
 FLUSH_MS = 500
 FLUSH_TIMEOUT_MS = 1_000
 RELEASE_TIMEOUT_MS = 200
-# A claim takes some milliseconds.  A platform that takes calls and does not
-# answer is told from that long before a caller's own patience ends.
+# A claim takes some milliseconds.  The timeout detects a platform that accepts
+# calls and does not answer, long before callers' own timeouts.
 DECIDE_TIMEOUT_MS = 3_000
-# A repeat that waits for the first attempt holds a worker thread; a caller
-# that repeats a slow call in a loop must not take all of them.
+# A duplicate request that waits for the original occupies a worker thread.  A
+# caller that retries a slow call in a loop must not occupy all of them.
 MAX_WAITING_DUPLICATES = 8
 RETRY_AFTER_MS = 1_000
 
@@ -42,10 +42,10 @@
 
 
 class Grant:
-    """The right to run a call, once.
+    """Permission to run a call once.
 
-    :param claim: the record that gives it
-    :param ended: set when the call has come to its end here
+    :param claim: the record of the claim
+    :param ended: set when the call has ended on this VM
     """
 
     __slots__ = ("claim", "ended")
@@ -56,17 +56,17 @@
 
 
 class ClaimStore(base.Controller):
-    """Grants calls through the platform and writes down how they ended.
+    """Grants calls through the platform's store and records their outcomes.
 
-    :param store: the platform
-    :param clock_: where the time comes from
+    :param store: the platform's store
+    :param clock_: the clock
     :param vm: this VM's name
-    :param incarnation: which life of this VM's router this is
-    :param shards: how many shards there are; the same on all VMs
+    :param incarnation: the incarnation of this VM's router
+    :param shards: the number of shards; the same on all VMs
     :param make_shard: makes an empty view of one shard's log
     :param peers: calls other VMs
-    :param find_coordinator: finds the VM that writes a shard; without it this
-        VM writes all of them
+    :param find_coordinator: finds a shard's coordinator; without it this VM
+        writes all shards
     """
 
     def __init__(
@@ -100,21 +100,21 @@
         ]
         self._lock = threading.Lock()
         self._running: dict[str, Grant] = {}
-        self._followers = 0
+        self._waiting_duplicates = 0
 
     def step(self) -> None:
-        """Write the ends of calls that no later claim took along."""
+        """Write the completion records that no claim's append included."""
         for shard in self._shards:
             if self.is_stopping():
                 return
-            shard.flush(self._limit(FLUSH_TIMEOUT_MS))
+            shard.flush(self._make_deadline(FLUSH_TIMEOUT_MS))
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """Write what is left, then end the thread.
+        """Stop the thread and write the remaining completion records.
 
-        :param wait_ms: the longest wait for both
+        :param wait_ms: maximum wait for both, in milliseconds
         """
-        limit = self._limit(wait_ms)
+        limit = self._make_deadline(wait_ms)
         super().stop(wait_ms)
         for shard in self._shards:
             shard.flush(limit, at_once=True)
@@ -122,26 +122,25 @@
     def begin(
         self, account: str, key: str, call: str, deadline: clock.Deadline
     ) -> BeginResult:
-        """Ask to run a call.
+        """Claim a call.
 
         :param account: the client account
         :param key: its ``Idempotency-Key``
         :param call: see :func:`claim_records.fingerprint_call`
-        :param deadline: when the attempt gives up
-        :returns: the right to run it, or the reply that it had before, or
-            why neither
+        :param deadline: the attempt's deadline
+        :returns: a grant to run the call, its stored reply, or a fault
         """
         id_ = claim_records.parse_claim_id(account, key)
         if id_ is None:
-            return _refuse(
+            return _reject(
                 errors.Code.REQUEST_ID_REQUIRED,
-                "the Idempotency-Key has to be a UUID of version 7",
+                "the Idempotency-Key must be a UUID of version 7",
             )
         while True:
             decided = self._decide(id_, call, deadline)
             if decided.is_error():
                 return expression.Error(decided.error)
-            if not self._follow(decided.ok, deadline):
+            if not self._wait_for_original(decided.ok, deadline):
                 return self._answer(decided.ok)
 
     def end(
@@ -150,24 +149,25 @@
         run: errors.ExecutionStatus,
         reply: claim_records.CachedReply | None = None,
     ) -> None:
-        """Note how a granted call came to its end; called once.
+        """Record the outcome of a granted call; called once per grant.
 
-        The caller gets its answer without waiting for the write: a VM that
-        dies before it leaves a claim without an end, which answers repeats
-        with "may have run".  A call that did not run is released first, so
-        that a caller who was told so can repeat it at once.
+        The caller gets its answer without waiting for the write.  A VM that
+        crashes before the write leaves a claim without a completion record,
+        and retries get "may have run".  The release of a call that did not
+        run is written before the answer, because its caller gets "not run"
+        and may retry immediately.
 
-        :param grant: the right that was used
+        :param grant: the grant of the call
         :param run: whether the call was run
-        :param reply: what the service replied
+        :param reply: the service's reply
         """
         shard = self._find_shard(grant.claim.digest)
         if run is errors.ExecutionStatus.RAN:
             kept = reply if reply is not None and reply.fits() else None
-            shard.note_end(grant.claim.end(ClaimState.DONE, kept))
+            shard.record_end(grant.claim.end(ClaimState.DONE, kept))
         elif run is errors.ExecutionStatus.NOT_RUN:
-            shard.note_end(grant.claim.end(ClaimState.RELEASED, None))
-            shard.flush(self._limit(RELEASE_TIMEOUT_MS), at_once=True)
+            shard.record_end(grant.claim.end(ClaimState.RELEASED, None))
+            shard.flush(self._make_deadline(RELEASE_TIMEOUT_MS), at_once=True)
         with self._lock:
             self._running.pop(grant.claim.owner, None)
         grant.ended.set()
@@ -177,11 +177,11 @@
     ) -> claim_queue.ClaimResult:
         owner = f"{self._prefix}{next(self._numbers)}"
         request = claims.ClaimRequest(id_, call, owner)
-        limit = self._limit(DECIDE_TIMEOUT_MS)
+        limit = self._make_deadline(DECIDE_TIMEOUT_MS)
         limit.at_ms = min(limit.at_ms, deadline.at_ms)
-        waiter = claim_queue.PendingClaim(request)
-        self._find_shard(id_.digest).submit([waiter], limit)
-        return waiter.result
+        pending = claim_queue.PendingClaim(request)
+        self._find_shard(id_.digest).submit([pending], limit)
+        return pending.result
 
     def _answer(self, decision: claims.Decision) -> BeginResult:
         if decision.verdict is Verdict.OWNED:
@@ -192,72 +192,75 @@
         if decision.verdict is Verdict.RAN:
             if decision.record.reply is not None:
                 return expression.Ok(decision.record.reply)
-            return _refuse_repeat(
+            return _reject_duplicate(
                 errors.ExecutionStatus.RAN,
-                "the call ran; its reply was too large to keep",
+                "the call ran; its reply was too large to store",
             )
-        return _explain(decision)
+        return _make_rejection(decision)
 
-    def _follow(
+    def _wait_for_original(
         self, decision: claims.Decision, deadline: clock.Deadline
     ) -> bool:
-        """Wait for the same call if it runs on this VM.
+        """Wait for the original call if it runs on this VM.
 
-        :param decision: the verdict on the repeat
-        :param deadline: when the repeat gives up
-        :returns: whether it has ended, so that the log tells how
+        :param decision: the decision for the duplicate request
+        :param deadline: the duplicate request's deadline
+        :returns: whether the original has ended and its outcome is recorded
         """
         if decision.verdict is not Verdict.UNFINISHED:
             return False
         with self._lock:
             grant = self._running.get(decision.record.owner)
-            if grant is None or self._followers >= MAX_WAITING_DUPLICATES:
+            if (
+                grant is None
+                or self._waiting_duplicates >= MAX_WAITING_DUPLICATES
+            ):
                 return False
-            self._followers += 1
+            self._waiting_duplicates += 1
         try:
             left_ms = deadline.left_ms(self.clock.now_ms())
             return grant.ended.wait(left_ms / 1000)
         finally:
             with self._lock:
-                self._followers -= 1
+                self._waiting_duplicates -= 1
 
     def _find_shard(self, digest: str) -> claim_coordination.ShardClient:
         return self._shards[claims.pick_shard(digest, len(self._shards))]
 
-    def _limit(self, limit_ms: int) -> clock.Deadline:
+    def _make_deadline(self, limit_ms: int) -> clock.Deadline:
         return clock.Deadline(self.clock.now_ms() + limit_ms)
 
 
-def _explain(decision: claims.Decision) -> BeginResult:
+def _make_rejection(decision: claims.Decision) -> BeginResult:
     if decision.verdict is Verdict.REUSED:
-        return _refuse(
+        return _reject(
             errors.Code.REQUEST_ID_REUSED,
             "the Idempotency-Key was used for another call",
         )
     if decision.verdict is Verdict.AHEAD:
-        return _refuse(
+        return _reject(
             errors.Code.BAD_REQUEST,
-            "the Idempotency-Key's time lies in the future",
+            "the Idempotency-Key's time is in the future",
         )
     if decision.verdict is Verdict.FORGOTTEN:
-        return _refuse_repeat(
+        return _reject_duplicate(
             errors.ExecutionStatus.MAY_HAVE_RUN,
-            "the Idempotency-Key is too old to tell whether the call ran",
+            "the Idempotency-Key is too old to determine whether the call ran",
         )
-    return _refuse_repeat(
+    return _reject_duplicate(
         errors.ExecutionStatus.MAY_HAVE_RUN,
-        "the same call was begun before and its end is not known",
+        "the same call was started before and its outcome is not known",
         RETRY_AFTER_MS,
     )
 
 
-def _refuse(code: errors.Code, message: str) -> BeginResult:
+def _reject(code: errors.Code, message: str) -> BeginResult:
     return expression.Error(
         errors.Fault(code, errors.Step.ADMISSION, message=message)
     )
 
 
-def _refuse_repeat(
+def _reject_duplicate(
     run: errors.ExecutionStatus,
     message: str,
     retry_after_ms: int | None = None,
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""Brings the newest accepted tables to this VM, and passes them on."""
+"""Fetches the newest accepted tables from the platform and other VMs."""
 
 import json
 import logging
@@ -25,27 +25,30 @@
 
 READ_PURPOSE = "configuration_read"
 PERIOD_MS = 1_000
-# The chosen VMs ask the platform this often, so that confirmations spread.
+# Interval at which the selected VMs read the root from the platform.  Other
+# VMs get the confirmation from them.
 CONFIRM_INTERVAL_MS = 2_000
-# A VM whose confirmation is older than passing on explains asks the
-# platform itself.  Each waits longer the more VMs there are, so that a cut
-# between VMs costs the platform at most some twenty reads a second.
+# A confirmation older than this cannot be explained by the delay between VMs,
+# so the VM reads from the platform itself.  The interval grows with the number
+# of VMs: a network partition between them adds at most some twenty reads a
+# second at the platform.
 STALE_CONFIRMATION_MS = 8_000
 READ_SPACING_MS = 50
 PEER_SAMPLE_SIZE = 3
-# With an old confirmation, most VMs are asked within this many steps; with
-# 410 VMs that is 41 questions a second until the platform answers again.
+# With a stale confirmation, a majority of the VMs is asked within this many
+# steps; with 410 VMs each sends 41 requests a second until the platform
+# answers again.
 QUORUM_STEPS = 5
 
 
 class Configuration(base.Controller):
-    """Asks one random VM a second, the platform where it has to.
+    """Keeps the active tables current from random peers and the platform.
 
     :param settings_: this VM's settings
-    :param store: the platform
-    :param peers: other VMs
-    :param clock_: where the time comes from
-    :param rng: for the choice of VMs
+    :param store: the platform's store
+    :param peers: calls other VMs
+    :param clock_: the clock
+    :param rng: random generator that selects VMs
     """
 
     def __init__(
@@ -68,26 +71,26 @@
         self._peers = peers
         self._random = rng
         self._lock = threading.Lock()
-        self._news: set[str] = set()
+        self._newer_addresses: set[str] = set()
         self._next_read_ms = 0
-        self._last_judged: freshness.Freshness | None = None
-        self._heard_ms: dict[str, int] = {}
+        self._last_freshness: freshness.Freshness | None = None
+        self._witness_reply_ms: dict[str, int] = {}
         self._fleet = peak_fleet_size.PeakFleetSize()
 
     def step(self) -> None:
-        """Follow news, ask a peer or the platform, and judge freshness."""
+        """Fetch newer roots, refresh the confirmation and log freshness."""
         peers = self._peers.list_peers()
         self._fleet.note(1 + len(peers), self.clock.now_ms())
-        for address in self._take_news():
+        for address in self._drain_newer_addresses():
             self.pull(address)
         if self._must_read_platform(peers):
             self.read_platform()
         self._ask_peers(peers)
-        self.active_tables.set_quorum_time(self._find_quorum())
+        self.active_tables.set_quorum_time(self._find_quorum_time())
         self._report()
 
-    def note_news(self, address: str, revision: int) -> None:
-        """Hear of another VM's root; the next step asks for it.
+    def record_newer_root(self, address: str, revision: int) -> None:
+        """Record another VM's root revision; the next step fetches the root.
 
         :param address: the VM's ``host:port``
         :param revision: its root's revision
@@ -95,22 +98,22 @@
         if revision <= self.active_tables.root.revision:
             return
         with self._lock:
-            self._news.add(address)
+            self._newer_addresses.add(address)
         self.wake()
 
     def install_accepted(
         self, content: bytes, new_segments: dict[str, bytes]
     ) -> bool:
-        """Take over a root that the administration API hands over.
+        """Install a root that the administration API has sent.
 
-        The platform may go down in the moment after it has accepted an
-        edit, before any VM has read it.  All VMs would then go on without
-        the edit for as long as the outage lasts, with nothing to see but
-        an age; so whoever made it hands it over itself.
+        The platform may become unreachable right after it has accepted an
+        edit, before any VM has read it.  All VMs would then use the old tables
+        until the outage ends, and only the tables' age would show it.
+        Therefore the administration API also sends the root itself.
 
         :param content: the root as canonical JSON
         :param new_segments: contents by digest
-        :returns: whether it, or a newer one, is in force now
+        :returns: whether this root or a newer one is active now
         """
         root = self._read_content(content, "the administration API")
         if root is None:
@@ -127,7 +130,7 @@
         return self.active_tables.root.revision >= root.revision
 
     def list_members(self) -> list[configuration_peers.PeerVm]:
-        """Return the VMs that are known, this one first."""
+        """Return all known VMs, this one first."""
         own = configuration_peers.PeerVm(
             self._settings.vm_name,
             self._settings.vm_zone,
@@ -137,7 +140,7 @@
         return [own, *self._peers.list_known()]
 
     def is_watcher(self) -> bool:
-        """Tell whether this VM is one of those that watch the platform."""
+        """Return whether this VM is selected to watch the platform."""
         region = self._settings.vm_region
         names = [
             peer.name
@@ -151,9 +154,9 @@
         )
 
     def read_platform(self) -> bool:
-        """Ask the platform for the root.
+        """Read the root from the platform.
 
-        :returns: whether it confirmed or brought a root
+        :returns: whether the active root has a newer confirmation now
         """
         asked_ms = self.clock.now_ms()
         found = self._store.read(
@@ -169,10 +172,10 @@
         )
 
     def offer_value(self, value: dict[str, object]) -> int | None:
-        """Offer a root as the platform holds it.
+        """Offer a root from the platform to the active tables.
 
-        :param value: the root's plain values
-        :returns: its revision if it is in force now
+        :param value: the root as stored in the platform
+        :returns: its revision if it is active now, or None
         """
         try:
             root = roots.Root.decode(value)
@@ -182,7 +185,7 @@
         return self._offer(root, "")
 
     def pull(self, address: str) -> bool:
-        """Ask a VM for its root, and take it and its confirmation over.
+        """Fetch a VM's root and its confirmation, and apply both.
 
         :param address: the VM's ``host:port``
         :returns: whether it answered
@@ -204,7 +207,7 @@
             )
         is_known = 0 < reply.revision <= self.active_tables.root.revision
         if is_known and reply.is_witness:
-            self._heard_ms[address] = asked_ms
+            self._witness_reply_ms[address] = asked_ms
         return True
 
     def _offer_content(self, content: bytes, address: str) -> int | None:
@@ -229,7 +232,7 @@
         return root.revision if offer in good else None
 
     def _fetch(self, missing: list[str], address: str) -> dict[str, bytes]:
-        """Get segments from the VM that has the root, else the platform."""
+        """Fetch segments from the VM that sent the root, else the platform."""
         found: dict[str, bytes] = {}
         while address and len(found) < len(missing):
             wanted = [digest for digest in missing if digest not in found]
@@ -272,49 +275,51 @@
             any(self.pull(peer.address) for peer in asked)
             return
         shuffled = self._random.sample(peers, len(peers))
-        longest_ago = sorted(
-            shuffled, key=lambda peer: self._heard_ms.get(peer.address, 0)
+        least_recent = sorted(
+            shuffled,
+            key=lambda peer: self._witness_reply_ms.get(peer.address, 0),
         )
         needed = freshness.count_quorum_peers(self._fleet.maximum)
         count = PEER_SAMPLE_SIZE + needed // QUORUM_STEPS
-        for peer in longest_ago[:count]:
+        for peer in least_recent[:count]:
             self.pull(peer.address)
 
-    def _find_quorum(self) -> int | None:
-        """Return since when most VMs have told what they know, or none."""
+    def _find_quorum_time(self) -> int | None:
+        """Return the time since which a majority has replied, or None."""
         now_ms = self.clock.now_ms()
         limit_ms = now_ms - self._settings.configuration_fresh_ms
-        self._heard_ms = {
+        self._witness_reply_ms = {
             address: at_ms
-            for address, at_ms in self._heard_ms.items()
+            for address, at_ms in self._witness_reply_ms.items()
             if at_ms >= limit_ms
         }
         confirmation = self.active_tables.confirmation
         if confirmation is None:
             return None
-        # A VM that was started during a cut has a small fleet confirmed;
-        # what it has seen alive since counts too.
+        # The confirmation of a VM that was started during a network partition
+        # may contain a fleet that is too small, so VMs seen alive since then
+        # are counted too.
         fleet_size = max(confirmation.fleet_size, self._fleet.maximum)
         needed = freshness.count_quorum_peers(fleet_size)
         if not self.active_tables.is_witness():
             needed += 1
-        times = sorted(self._heard_ms.values(), reverse=True)
+        times = sorted(self._witness_reply_ms.values(), reverse=True)
         if needed == 0:
             return now_ms
         return times[needed - 1] if len(times) >= needed else None
 
-    def _take_news(self) -> list[str]:
+    def _drain_newer_addresses(self) -> list[str]:
         with self._lock:
-            news, self._news = self._news, set()
+            news, self._newer_addresses = self._newer_addresses, set()
         return sorted(news)
 
     def _report(self) -> None:
-        judged = self.active_tables.judge()
-        if judged is not self._last_judged:
+        current = self.active_tables.evaluate_freshness()
+        if current is not self._last_freshness:
             LOG.warning(
                 "tables are %s: revision %d, confirmed %s ms ago",
-                judged.value,
+                current.value,
                 self.active_tables.root.revision,
                 self.active_tables.age_ms(),
             )
-        self._last_judged = judged
+        self._last_freshness = current
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -1,4 +1,4 @@
-"""Answers other VMs' questions about the tables."""
+"""Serves the tables to other VMs."""
 
 from mulberryway import clock
 from mulberryway.controllers import configuration
@@ -9,15 +9,15 @@
 
 __all__ = ["ConfigurationHandler"]
 
-# Well under the transport's limit on a frame; the asker asks again.
+# Well below the transport's frame limit; the caller requests the rest again.
 MAX_REPLY_BYTES = 500_000
 
 
 class ConfigurationHandler(Configuration.Iface):
-    """Answers other VMs.
+    """Handles the configuration service's calls from other VMs.
 
-    :param controller: this VM's configuration
-    :param clock_: where the time comes from
+    :param controller: this VM's configuration controller
+    :param clock_: the clock
     """
 
     def __init__(
@@ -27,34 +27,35 @@
         self._clock = clock_
 
     def read_root(self, known_revision: int) -> ttypes.RootReply:
-        """Return the root in force and the age of its confirmation.
+        """Return the active root and the age of its confirmation.
 
-        :param known_revision: the revision that the asker holds
+        :param known_revision: the revision that the calling VM has
         """
-        in_force = self._controller.active_tables
-        # Read in this order: a root taken in between has a younger
-        # confirmation, which must not be told of the older root.
-        confirmation = in_force.confirmation
-        root = in_force.root
+        active = self._controller.active_tables
+        # The confirmation has to be read first: a root that is installed in
+        # between has a newer confirmation, which must not be sent with the
+        # older root.
+        confirmation = active.confirmation
+        root = active.root
         is_newer = root.revision > known_revision
         age_ms, fleet_size = -1, 0
         if confirmation is not None:
             age_ms = self._clock.now_ms() - confirmation.at_ms
             fleet_size = confirmation.fleet_size
-        judged = in_force.judge()
+        state = active.evaluate_freshness()
         return ttypes.RootReply(
             root.revision,
             roots.encode_content(root.encode()) if is_newer else b"",
             age_ms,
             fleet_size,
-            judged is not freshness.Freshness.PARTITIONED,
-            in_force.is_witness(),
+            state is not freshness.Freshness.PARTITIONED,
+            active.is_witness(),
         )
 
     def read_segments(self, digests: list[str]) -> list[ttypes.Segment]:
-        """Return those segments that are here, as many as fit.
+        """Return the known ones of the segments, as many as fit.
 
-        :param digests: what is wanted
+        :param digests: the digests of the requested segments
         """
         found: list[ttypes.Segment] = []
         size = 0
@@ -71,17 +72,17 @@
     def offer_root(
         self, content: bytes, segments: list[ttypes.Segment]
     ) -> bool:
-        """Take over a root that has just been accepted.
+        """Install a root that the platform has just accepted.
 
         :param content: the root as canonical JSON
-        :param segments: what is new in it
+        :param segments: its new segments
         """
         return self._controller.install_accepted(
             content, {one.digest: one.content for one in segments}
         )
 
     def list_members(self) -> list[ttypes.Member]:
-        """Return the VMs that this one knows, itself included."""
+        """Return all VMs that this VM knows, including itself."""
         return [
             ttypes.Member(vm.name, vm.zone, vm.region, vm.address, vm.is_alive)
             for vm in self._controller.list_members()
--- a/mulberryway/controllers/configuration_peers.py
+++ b/mulberryway/controllers/configuration_peers.py
@@ -1,4 +1,4 @@
-"""What the configuration controller asks of other VMs."""
+"""Interface through which the configuration controller calls other VMs."""
 
 import abc
 
@@ -10,13 +10,13 @@
 
 
 class PeerVm:
-    """A VM as this one knows it.
+    """A VM in this VM's view of the fleet.
 
     :param name: the VM's name
     :param zone: its availability zone
     :param region: its region
-    :param address: where its peers' side listens, ``host:port``
-    :param is_alive: whether it is believed to be alive
+    :param address: ``host:port`` of its peer server
+    :param is_alive: whether it is considered alive
     """
 
     __slots__ = ("name", "zone", "region", "address", "is_alive")
@@ -37,14 +37,15 @@
 
 
 class RootReply:
-    """The root that another VM holds.
+    """Another VM's active root and its confirmation.
 
-    :param revision: its revision; 0 if it holds none
-    :param content: canonical JSON; empty if not newer than what was asked
+    :param revision: its revision; 0 if the VM has none
+    :param content: canonical JSON; empty if it is not newer than the
+        caller's revision
     :param age_ms: milliseconds since the platform confirmed it, by that
         VM's clock; -1 for never
-    :param fleet_size: how many VMs were alive at that confirmation
-    :param is_serving: whether that VM serves with it
+    :param fleet_size: the number of VMs alive at that confirmation
+    :param is_serving: whether that VM serves requests with it
     :param is_witness: whether the platform has confirmed that VM's root
         since the VM was started
     """
@@ -76,21 +77,21 @@
 
 
 class PeerSource(abc.ABC):
-    """Other VMs, as far as the tables are concerned."""
+    """Calls other VMs for their tables."""
 
     @abc.abstractmethod
     def list_peers(self) -> list[PeerVm]:
-        """Return the VMs believed to be alive, without this one."""
+        """Return the VMs considered alive, without this one."""
 
     def list_known(self) -> list[PeerVm]:
-        """Return all VMs known, dead ones included, without this one."""
+        """Return all known VMs, including dead ones, without this one."""
         return self.list_peers()
 
     @abc.abstractmethod
     def read_root(
         self, address: str, known_revision: int
     ) -> expression.Result[RootReply, errors.Fault]:
-        """Ask a VM for its root.
+        """Fetch a VM's root.
 
         :param address: the peer's ``host:port``
         :param known_revision: the content is sent only if it is newer
@@ -101,9 +102,9 @@
     def read_segments(
         self, address: str, digests: list[str]
     ) -> expression.Result[dict[str, bytes], errors.Fault]:
-        """Ask a VM for segments.
+        """Fetch segments from a VM.
 
         :param address: the peer's ``host:port``
-        :param digests: what is wanted
-        :returns: contents by digest, perhaps not all, or a fault
+        :param digests: the digests of the requested segments
+        :returns: contents by digest, possibly incomplete, or a fault
         """
--- a/mulberryway/controllers/configuration_rpc.py
+++ b/mulberryway/controllers/configuration_rpc.py
@@ -1,4 +1,4 @@
-"""Other VMs as a source of tables, over the peers' transport."""
+"""Fetches tables from other VMs over the peer transport."""
 
 import collections.abc
 
@@ -14,10 +14,10 @@
 
 
 class RpcPeerSource(configuration_peers.PeerSource):
-    """Other VMs over the peers' transport.
+    """Calls other VMs over the peer transport.
 
     :param client: the transport
-    :param list_known: returns all VMs known, without this one
+    :param list_known: returns all known VMs, without this one
     """
 
     def __init__(
@@ -31,17 +31,17 @@
         self._list_known = list_known
 
     def list_peers(self) -> list[configuration_peers.PeerVm]:
-        """Return the VMs believed to be alive; see the base class."""
+        """Return the VMs considered alive; see the base class."""
         return [peer for peer in self._list_known() if peer.is_alive]
 
     def list_known(self) -> list[configuration_peers.PeerVm]:
-        """Return all VMs known; see the base class."""
+        """Return all known VMs; see the base class."""
         return self._list_known()
 
     def read_root(
         self, address: str, known_revision: int
     ) -> expression.Result[configuration_peers.RootReply, errors.Fault]:
-        """Ask a VM for its root; see the base class."""
+        """Fetch a VM's root; see the base class."""
         answer = self._client.call(
             address,
             Configuration.Client,
@@ -54,7 +54,7 @@
     def read_segments(
         self, address: str, digests: list[str]
     ) -> expression.Result[dict[str, bytes], errors.Fault]:
-        """Ask a VM for segments; see the base class."""
+        """Fetch segments from a VM; see the base class."""
         answer = self._client.call(
             address,
             Configuration.Client,
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -1,4 +1,4 @@
-"""All that one VM needs to hold the tables, put together."""
+"""Combines the components that keep the tables of one VM."""
 
 import random
 
@@ -25,16 +25,16 @@
 
 
 class ConfigurationService:
-    """The tables in force, and the threads that keep them so.
+    """The active tables and the threads that update them.
 
-    ``source`` is what the rest of the router reads the tables from;
-    ``processor`` belongs to the peers' server under the name ``SERVICE``.
+    The router reads the tables from ``source``.  ``processor`` has to be
+    registered with the peer server under the name ``SERVICE``.
 
     :param settings_: this VM's settings
-    :param store: the platform
+    :param store: the platform's store
     :param client: calls other VMs
-    :param members: knows the other VMs, and spreads revisions
-    :param clock_: where the time comes from
+    :param members: lists the other VMs and gossips revisions
+    :param clock_: the clock
     """
 
     def __init__(
@@ -64,52 +64,52 @@
             )
         )
         self.source.subscribe(
-            lambda taken: members.announce_revision(taken.revision)
+            lambda installed: members.announce_revision(installed.revision)
         )
-        members.subscribe_newer_tables(self._note_newer)
+        members.subscribe_newer_tables(self._record_newer)
 
     def start(self) -> None:
-        """Begin to follow the platform and the other VMs."""
+        """Start the threads."""
         self._controller.start()
         self._watch.start()
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads."""
         self._controller.stop()
         self._watch.stop()
 
     def report(self, metrics_: metrics.Metrics) -> None:
-        """Let revision and age appear among the process's metrics.
+        """Register metrics for the tables' revision, age and use.
 
         :param metrics_: the process's instruments
         """
-        in_force = self._controller.active_tables
+        active = self._controller.active_tables
         metrics_.register_gauge(
             "tables.revision",
             "revision of the tables in force",
-            lambda: in_force.root.revision,
+            lambda: active.root.revision,
         )
         metrics_.register_gauge(
             "tables.age_ms",
             "milliseconds since the platform confirmed them; -1: never",
-            lambda: _known(in_force.age_ms()),
+            lambda: _get_age_or_minus_one(active.age_ms()),
         )
         metrics_.register_gauge(
             "tables.is_serving",
             "1 if requests are served with them",
-            lambda: int(in_force.read_tables() is not None),
+            lambda: int(active.read_tables() is not None),
         )
 
-    def _note_newer(self, newer: member.Member) -> None:
-        self._controller.note_news(newer.peer, newer.revision)
+    def _record_newer(self, newer: member.Member) -> None:
+        self._controller.record_newer_root(newer.peer, newer.revision)
 
 
 def list_known(
     members: membership.MembershipController,
 ) -> list[configuration_peers.PeerVm]:
-    """Return the other VMs; suspects count as alive, as most are.
+    """Return the other VMs; suspected ones count as alive, as most are.
 
-    :param members: what this VM knows of the others
+    :param members: this VM's view of the fleet
     """
     return [
         configuration_peers.PeerVm(
@@ -124,5 +124,5 @@
     ]
 
 
-def _known(age_ms: int | None) -> int:
+def _get_age_or_minus_one(age_ms: int | None) -> int:
     return -1 if age_ms is None else age_ms
--- a/mulberryway/controllers/configuration_watch.py
+++ b/mulberryway/controllers/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Watches the platform's root on a few chosen VMs of each region."""
+"""Watches the platform's root from a few selected VMs in each region."""
 
 import collections.abc
 import hashlib
@@ -22,15 +22,15 @@
 def is_selected_watcher(
     name: str, others: collections.abc.Collection[str], count: int
 ) -> bool:
-    """Tell whether a VM is among those that watch, by rendezvous hashing.
+    """Return whether rendezvous hashing selects a VM as a watcher.
 
-    Each VM decides for itself from the VMs that it believes alive.  Where
-    they disagree a few more or fewer watch, which costs a call or some
-    milliseconds and breaks nothing.
+    Each VM decides from the VMs that it considers alive.  If the VMs' views
+    differ, a few more or fewer watch: that costs some calls or delays an edit
+    by milliseconds, and is otherwise harmless.
 
-    :param name: the VM
+    :param name: the VM's name
     :param others: the other live VMs of its region
-    :param count: how many are to watch
+    :param count: the number of watchers
     """
     best = heapq.nsmallest(count, {name, *others}, key=_hash)
     return name in best
@@ -41,32 +41,32 @@
 
 
 class WatchTarget(typing.Protocol):
-    """What a watch reports to."""
+    """Receives the roots that a watch reports."""
 
     def is_watcher(self) -> bool:
-        """Tell whether this VM is to watch."""
+        """Return whether this VM is selected to watch."""
 
     def read_platform(self) -> bool:
-        """Read the root now."""
+        """Read the root from the platform."""
 
     def offer_value(self, value: dict[str, object]) -> int | None:
-        """Take over a root that the watch reported."""
+        """Install a root that the watch reported, if it is newer."""
 
     def wake(self) -> None:
-        """Pass on what was taken."""
+        """Run the next step immediately after a root was installed."""
 
 
 class RootWatch(base.Controller):
-    """Keeps a watch open while this VM is chosen.
+    """Keeps a watch open while this VM is selected.
 
-    Events speed an edit up; they confirm nothing.  Lines that wait in a
-    socket while the process is paused look new when they are read, so only
-    a question asked and answered confirms a root.
+    Events only make an edit arrive sooner.  They do not confirm a root:
+    lines that were buffered in the socket while the process was paused look
+    new when they are read, so only a request and its response confirm one.
 
-    :param target: what to report to
-    :param store: the platform
-    :param clock_: where the time comes from
-    :param idle_timeout_ms: the longest wait for a line
+    :param target: receives the roots
+    :param store: the platform's store
+    :param clock_: the clock
+    :param idle_timeout_ms: maximum wait for a line, in milliseconds
     """
 
     def __init__(
@@ -79,32 +79,32 @@
         super().__init__("root-watch", clock_, PERIOD_MS)
         self._target = target
         self._store = store
-        self._silence_ms = idle_timeout_ms
+        self._idle_timeout_ms = idle_timeout_ms
 
     def step(self) -> None:
-        """Watch until the watch ends or another VM is chosen."""
+        """Watch until the watch ends or this VM is no longer selected."""
         if not self._target.is_watcher():
             return
         found = self._store.read(roots.KIND, roots.NAME, WATCH_PURPOSE)
         version = 0
         if found.is_ok():
             version = found.ok.version
-            self._take(found.ok.value)
+            self._offer(found.ok.value)
         events = self._store.watch(
-            roots.KIND, version, self._silence_ms, WATCH_PURPOSE
+            roots.KIND, version, self._idle_timeout_ms, WATCH_PURPOSE
         )
         for event in events:
             if event.is_error():
-                LOG.info("the watch of roots ended: %s", event.error.message)
+                LOG.info("watch of the root ended: %s", event.error.message)
                 return
             if event.ok.type in (
                 platform.EventType.ADDED,
                 platform.EventType.MODIFIED,
             ):
-                self._take(event.ok.object.value)
+                self._offer(event.ok.object.value)
             if self.is_stopping() or not self._target.is_watcher():
                 return
 
-    def _take(self, value: dict[str, object]) -> None:
+    def _offer(self, value: dict[str, object]) -> None:
         if self._target.offer_value(value) is not None:
             self._target.wake()
--- a/mulberryway/controllers/dissemination.py
+++ b/mulberryway/controllers/dissemination.py
@@ -1,4 +1,4 @@
-"""Brings hints to the other VMs, and relays those of others."""
+"""Sends gossip messages to the other VMs and relays those of others."""
 
 import collections.abc
 import threading
@@ -13,23 +13,24 @@
 
 __all__ = ["DisseminationController"]
 
-# Nothing is due by itself while nothing pends.
+# Period of the thread while no message is pending.
 IDLE_MS = 1_000
-# In a fleet of more VMs than this, what they tell comes by the hundred
-# datagrams a second, and may wait a little to be read together.
+# A fleet of more VMs than this sends hundreds of datagrams a second to each
+# VM, so received datagrams are collected for a moment and handled in batches.
 MAX_UNBATCHED_VMS = 40
 RECEIVE_BATCH_MS = 20
 DIRECTIONS = {True: "sent", False: "received"}
 
 
 class DisseminationController(base.Controller):
-    """Holds the lock around a disseminator, and sends what it decides.
+    """Locks a disseminator and sends the packets that it returns.
 
-    ``datagrams`` is set by whoever opens the port with ``take`` as receiver,
-    ``on_items`` by whoever reads the items; it must return quickly.
+    ``datagrams`` is set by the code that opens the port, with ``take`` as its
+    receiver.  ``on_items`` is set by the receiver of the items; it must
+    return quickly.
 
     :param own: this VM
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(self, own: member.Member, clock_: clock.Clock) -> None:
@@ -40,14 +41,14 @@
         )
         self._lock = threading.Lock()
         self._addresses: dict[str, str] = {}
-        self._disseminator = dissemination.Disseminator(_describe(own))
+        self._disseminator = dissemination.Disseminator(_make_receiver(own))
 
     def update_members(self, alive: list[member.Member]) -> None:
-        """Take over which VMs there are.
+        """Replace the list of receivers.
 
-        :param alive: those that are thought to be alive
+        :param alive: the VMs considered alive
         """
-        receivers = list(map(_describe, alive))
+        receivers = list(map(_make_receiver, alive))
         with self._lock:
             self._addresses = {one.name: one.address for one in receivers}
             self._disseminator.set_receivers(receivers)
@@ -56,17 +57,17 @@
             self.datagrams.batch_delay_ms = RECEIVE_BATCH_MS if is_large else 0
 
     def find_address(self, name: str) -> str:
-        """Return where a VM answers peers; empty if it is not known.
+        """Return the address of a VM's peer server; empty if unknown.
 
         :param name: the VM's name
         """
         return self._addresses.get(name, "")
 
     def publish(self, item: bytes, is_urgent: bool = True) -> None:
-        """Send an item to all VMs that are thought to be alive.
+        """Send an item to all VMs considered alive.
 
-        :param item: an encoded hint
-        :param is_urgent: whether it says anything new; heartbeats do not
+        :param item: an encoded gossip message
+        :param is_urgent: whether it has new contents; false for heartbeats
         """
         with self._lock:
             packets = self._disseminator.publish(
@@ -77,10 +78,10 @@
         self._wake_by(due_ms)
 
     def send(self, item: bytes, names: collections.abc.Iterable[str]) -> None:
-        """Send an item to some VMs, each by itself.
+        """Send an item directly to some VMs, without relays.
 
-        :param item: an encoded hint
-        :param names: names of VMs; unknown ones are passed over
+        :param item: an encoded gossip message
+        :param names: names of VMs; unknown ones are skipped
         """
         addresses = filter(None, map(self._addresses.get, names))
         envelope = dissemination.Envelope([item])
@@ -94,7 +95,7 @@
         )
 
     def take(self, payload: bytes, sender: str) -> None:
-        """Take in a datagram.
+        """Handle a received datagram.
 
         :param payload: its payload
         :param sender: ``host:port`` of the VM that sent it
@@ -112,15 +113,15 @@
             self._wake_by(due_ms)
 
     def step(self) -> None:
-        """Send what is due by time alone."""
+        """Send the packets that are due."""
         with self._lock:
             packets = self._disseminator.poll(self.clock.now_ms())
             due_ms = self._disseminator.read_due_ms()
         self._send(packets)
-        self.period_ms = self._read_pause_ms(due_ms)
+        self.period_ms = self._compute_delay_ms(due_ms)
 
     def report(self, metrics_: metrics.Metrics) -> None:
-        """Let traffic, resent and lost items appear among the metrics.
+        """Register metrics for traffic and for relayed, resent and lost items.
 
         :param metrics_: the process's instruments
         """
@@ -177,17 +178,17 @@
             )
 
     def _wake_by(self, due_ms: int | None) -> None:
-        """Wake the thread if it would sleep beyond a time."""
-        pause_ms = self._read_pause_ms(due_ms)
-        if pause_ms < self.period_ms:
-            self.period_ms = pause_ms
+        """Wake the thread if it would otherwise sleep past ``due_ms``."""
+        delay_ms = self._compute_delay_ms(due_ms)
+        if delay_ms < self.period_ms:
+            self.period_ms = delay_ms
             self.wake()
 
-    def _read_pause_ms(self, due_ms: int | None) -> int:
+    def _compute_delay_ms(self, due_ms: int | None) -> int:
         if due_ms is None:
             return IDLE_MS
         return min(max(due_ms - self.clock.now_ms(), 1), IDLE_MS)
 
 
-def _describe(one: member.Member) -> dissemination.Receiver:
+def _make_receiver(one: member.Member) -> dissemination.Receiver:
     return dissemination.Receiver(one.name, one.peer, one.zone, one.link_mbps)
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -1,4 +1,4 @@
-"""Asks engines for their load and cache events on behalf of a cell."""
+"""Polls engines' load and cache events on behalf of a peer group."""
 
 import concurrent.futures
 
@@ -14,27 +14,29 @@
 
 __all__ = ["EngineReportController"]
 
-# An engine's report lags by some hundred milliseconds itself, so asking more
-# often than this tells nothing new.
+# An engine's report is itself some hundred milliseconds old, so polling more
+# often would return nothing new.
 MIN_PERIOD_MS = 500
-# Bounds the processor time that reports take: with more engines each is asked
-# more seldom.
+# Bounds the processor time spent on reports: with more engines, each is polled
+# less often.
 MAX_CALLS_PER_S = 12
 CALLS_PER_ENGINE = 2
 MS_IN_S = 1_000
-# One engine that does not answer must not hold the others' reports up.
+# An unresponsive engine must not delay the reports of the others.
 WORKERS = 4
 
 
 class EngineReportController(base.Controller):
-    """Asks the engines that fall to this router, and tells its cell.
+    """Polls the engines assigned to this router and gossips their reports.
 
-    :param notes_: knows the cell, and carries what was learnt to it
-    :param scheduling_: takes it in here
+    The peer group consists of the routers that share upstreams with this one.
+
+    :param notes_: knows the peer group and sends the reports to it
+    :param scheduling_: the scheduler that uses the reports on this VM
     :param directory_: finds engines
-    :param source: the tables in force
+    :param source: the active tables
     :param vm: this VM's name
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         clock_: clock.Clock,
     ) -> None:
         super().__init__("engine-reports", clock_, MIN_PERIOD_MS)
-        self._notes = notes_
+        self._gossip = notes_
         self._scheduling = scheduling_
         self._directory = directory_
         self._source = source
@@ -58,48 +60,50 @@
         )
 
     def step(self) -> None:
-        """Ask each engine that falls to this router once."""
+        """Poll each engine assigned to this router once."""
         found = self._source.read_tables()
         if found is None:
             return
-        asked = self._list_asked(found)
-        calls = len(asked) * CALLS_PER_ENGINE
+        assigned = self._list_assigned(found)
+        calls = len(assigned) * CALLS_PER_ENGINE
         self.period_ms = max(MIN_PERIOD_MS, calls * MS_IN_S // MAX_CALLS_PER_S)
-        list(self._workers.map(lambda one: self._ask(*one), asked))
+        list(self._workers.map(lambda one: self._poll_engine(*one), assigned))
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """End the thread and its helpers.
+        """Stop the thread and its worker threads.
 
-        :param wait_ms: the longest wait for the current step
+        :param wait_ms: maximum wait for the current step, in milliseconds
         """
         super().stop(wait_ms)
         self._workers.shutdown(wait=False, cancel_futures=True)
 
     def list_assigned_engines(self) -> list[upstreams.Engine]:
-        """Return the engines that fall to this router."""
+        """Return the engines assigned to this router by rendezvous hashing."""
         found = self._source.read_tables()
         if found is None:
             return []
         return [
             self._directory.find_engine(pool, upstream)
-            for _, pool, upstream in self._list_asked(found)
+            for _, pool, upstream in self._list_assigned(found)
         ]
 
-    def _list_asked(
+    def _list_assigned(
         self, found: tables.Tables
     ) -> list[tuple[pool_subsets.PoolSubset, tables.Pool, tables.Upstream]]:
         return [
-            (share, found.pools[share.pool], upstream)
-            for share in self._notes.shares
-            if share.pool in found.pools
-            for upstream in self._list_own(share, found.pools[share.pool])
+            (subset, found.pools[subset.pool], upstream)
+            for subset in self._gossip.subsets
+            if subset.pool in found.pools
+            for upstream in self._list_assigned_upstreams(
+                subset, found.pools[subset.pool]
+            )
         ]
 
-    def _list_own(
-        self, share: pool_subsets.PoolSubset, pool: tables.Pool
+    def _list_assigned_upstreams(
+        self, subset: pool_subsets.PoolSubset, pool: tables.Pool
     ) -> list[tables.Upstream]:
-        vms = [*share.peers, self._vm]
-        considered = set(share.upstreams)
+        vms = [*subset.peers, self._vm]
+        considered = set(subset.upstreams)
         return [
             upstream
             for upstream in pool.upstreams
@@ -107,9 +111,9 @@
             and pool_subsets.choose_load_poller(upstream.name, vms) == self._vm
         ]
 
-    def _ask(
+    def _poll_engine(
         self,
-        share: pool_subsets.PoolSubset,
+        subset: pool_subsets.PoolSubset,
         pool: tables.Pool,
         upstream: tables.Upstream,
     ) -> None:
@@ -117,22 +121,22 @@
         load = engine.report_load()
         if load.is_error():
             return
-        events = self._read_events(engine, (pool.name, upstream.name))
+        events = self._fetch_events(engine, (pool.name, upstream.name))
         self._scheduling.record_load(pool.name, upstream.name, load.ok)
         self._scheduling.record_cache_events(pool.name, upstream.name, events)
-        news = gossip_messages.EngineReport(
+        report_ = gossip_messages.EngineReport(
             pool.name, upstream.name, load.ok, events
         )
-        self._notes.send(gossip_messages.encode_report(news), share.peers)
+        self._gossip.send(gossip_messages.encode_report(report_), subset.peers)
 
-    def _read_events(
+    def _fetch_events(
         self, engine: upstreams.Engine, key: tuple[str, str]
     ) -> list[upstreams.CacheEvent]:
         after = self._sequences.get(key, 0)
         found = engine.read_cache_events(after)
         if found.is_error():
-            # A restarted engine counts anew; its events are asked for from
-            # the start, else none would ever come again.
+            # A restarted engine numbers its events from the start again.  With
+            # the old number none of them would be returned.
             self._sequences.pop(key, None)
             return []
         if found.ok:
--- a/mulberryway/controllers/expiry.py
+++ b/mulberryway/controllers/expiry.py
@@ -1,4 +1,4 @@
-"""Does what is due by time, whatever calls other threads wait for."""
+"""Runs time-based expiry on a separate thread."""
 
 import collections.abc
 
@@ -7,20 +7,20 @@
 
 __all__ = ["ExpiryController"]
 
-# How often to look where nothing is due; a change wakes the thread.
+# Period while nothing is due; a change wakes the thread earlier.
 IDLE_MS = 60_000
 
 
 class ExpiryController(base.Controller):
-    """Calls a function whenever something of an owner's state is due.
+    """Calls a function whenever an entry expires.
 
-    A controller that does this between two calls of its own does it when the
-    call ends, which may be seconds late.
+    A controller that checks for expired entries between two blocking calls
+    notices them only when the call ends, which may be seconds late.
 
     :param name: the thread's name
-    :param clock_: where the time comes from
-    :param expire: does what is due; must not block
-    :param find_due_ms: returns when something is due next; none if nothing
+    :param clock_: the clock
+    :param expire: removes expired entries; must not block
+    :param find_due_ms: returns when the next entry expires, in ms, or None
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._find_due_ms = find_due_ms
 
     def step(self) -> None:
-        """Do what is due, and find out when to look again."""
+        """Remove expired entries and schedule the next step."""
         self._expire()
         due_ms = self._find_due_ms()
         if due_ms is None:
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -1,4 +1,4 @@
-"""Logs and metrics of objects that count although the store removed them."""
+"""Logs and metrics of objects retained after their removal in the store."""
 
 import collections.abc
 import logging
@@ -13,7 +13,7 @@
 
 LOG = logging.getLogger(__name__)
 
-# Names in one log line, whose length is bounded so.
+# Bounds the length of a log line.
 MAX_LOGGED_NAMES = 8
 
 Kept = collections.abc.Sequence[mirrors.RetainedObject]
@@ -21,14 +21,15 @@
 
 
 class RetainedObjectReport:
-    """Counts one kind's removals that take effect late, and logs them.
+    """Counts and logs the deferred removals of one kind of object.
 
     :param kind: the plural kind
-    :param detector: knows by which outage they were judged; none where no
-        object is kept
+    :param detector: describes the outage behind a deferral; None for kinds
+        whose objects are not retained
 
-    ``kept`` is how many objects are kept now; ``expired`` and ``delay_ms``
-    are the removals that took effect late so far, and by how much together.
+    ``kept`` is the number of objects that are retained now.  ``expired`` is
+    the number of deferred removals that have taken effect, and ``delay_ms``
+    is the sum of their delays.
     """
 
     __slots__ = ("kind", "kept", "expired", "delay_ms", "_detector")
@@ -43,10 +44,10 @@
         self._detector = detector
 
     def report_retained(self, kept: Kept, now_ms: int) -> None:
-        """Tell of objects that are kept from now on.
+        """Log objects that are retained from now on.
 
         :param kept: the objects, at least one
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         first = kept[0]
         LOG.warning(
@@ -54,15 +55,15 @@
             extra=logs.make_extra(
                 **self._describe(kept),
                 keeps_ms=first.until_ms - now_ms,
-                **self._describe_absence(first.absence, now_ms),
+                **self._describe_outage(first.absence, now_ms),
             ),
         )
 
     def report_expired(self, expired: Kept, now_ms: int) -> None:
-        """Tell of objects that count no longer.
+        """Count and log objects whose retention has expired.
 
         :param expired: the objects, at least one
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         self.expired += len(expired)
         self.delay_ms += sum(now_ms - one.noticed_ms for one in expired)
@@ -83,7 +84,7 @@
             "revision": max(one.revision for one in kept),
         }
 
-    def _describe_absence(
+    def _describe_outage(
         self, absence: mass_expiry.UnreachablePeriod | None, now_ms: int
     ) -> Fields:
         if absence is None or self._detector is None:
@@ -102,9 +103,9 @@
     reports: collections.abc.Collection[RetainedObjectReport],
     metrics_: metrics.Metrics,
 ) -> None:
-    """Let removals that take effect late appear among a process's metrics.
+    """Register metrics for deferred removals.
 
-    :param reports: of all kinds
+    :param reports: the reports of all kinds
     :param metrics_: the process's instruments
     """
     metrics_.register_gauge(
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Keeps this VM's view of all VMs up to date; hints, no promises."""
+"""Keeps this VM's view of all VMs up to date; eventually consistent."""
 
 import collections
 import collections.abc
@@ -17,16 +17,18 @@
 
 __all__ = ["MembershipController", "choose_incarnation"]
 
-# A new piece of urgent news goes to this many VMs at once, and each of them
-# does the same: with 410 VMs everybody has it after about five hops.
+# An urgent update goes to this many VMs immediately, and each of them does the
+# same: with 410 VMs it reaches all of them after about five hops.
 FAN_OUT = 3
-# A flood of news must not turn into a flood of messages: what comes within
-# this pause goes out with the next regular probe at the latest.
+# Minimum time between two urgent steps, so that many updates do not cause as
+# many messages.  Updates within this time are sent with the next regular probe
+# at the latest.
 URGENT_MIN_INTERVAL_MS = 50
-# All VMs together read the platform's list this often; each of n reads it
-# every n times this, so the platform's load does not grow with the fleet.
+# Interval at which the fleet as a whole reads the platform's VM list.  Each of
+# n VMs reads it every n intervals, so the platform's load does not grow with
+# the fleet.
 LIST_INTERVAL_MS = 10_000
-# A VM that knows nobody has nothing else to go by.
+# A VM that knows no other VM can find them only through the list.
 ISOLATED_LIST_INTERVAL_MS = 5_000
 DEAD_PROBE_PERIODS = 10
 
@@ -37,17 +39,17 @@
     peers: client.PeerClient,
     clock_: clock.Clock,
 ) -> int:
-    """Return a number that is greater than those of a VM's earlier lives.
+    """Return an incarnation greater than those of a VM's previous ones.
 
-    A VM keeps nothing, so its wall clock counts its lives.  Should the clock
-    have gone back, others would take the new life for an old one, believe
-    its requests to be those of a dead owner, and cancel them at the engines.
-    So those that may know an earlier life are asked before anything begins.
+    A VM stores nothing between runs, so its incarnation is its wall clock.
+    If the clock was set back, other VMs would take the new incarnation for
+    an old one, consider its requests orphaned and cancel them at the
+    engines.  Therefore the seeds are asked for previous incarnations first.
 
     :param name: the VM's name
     :param seeds: addresses ``host:port`` of peers
     :param peers: calls other VMs
-    :param clock_: where the time comes from
+    :param clock_: the clock
     :returns: the incarnation
     """
     answers = (
@@ -65,14 +67,15 @@
 
 
 class MembershipController(base.Controller, endpoints.EndpointDirectory):
-    """Probes other VMs, answers their probes, and spreads hints.
+    """Probes other VMs, answers their probes and gossips updates.
 
     :param own: this VM
-    :param seeds: addresses ``host:port`` of peers to begin with
+    :param seeds: addresses ``host:port`` of the first peers to contact
     :param peers: calls other VMs
-    :param store: the platform, for its list of VMs; none to do without
-    :param clock_: where the time comes from
-    :param period_ms: the time between probes
+    :param store: the platform's store, for its list of VMs; None to use
+        only the seeds
+    :param clock_: the clock
+    :param period_ms: the time between probes, in milliseconds
     """
 
     def __init__(
@@ -90,12 +93,12 @@
             own, period_ms, self._random.getrandbits(32)
         )
         self.exchange = membership_exchange.MembershipExchange(
-            self._view, peers, clock_, self._hurry
+            self._view, peers, clock_, self._request_urgent_step
         )
         self._lock = self.exchange.lock
         self._seeds = collections.deque(seeds)
         self._store = store
-        self._urgent_ms = 0
+        self._last_urgent_ms = 0
         self._is_urgent = False
         self._steps = 0
         self._next_list_ms = 0
@@ -104,28 +107,28 @@
 
     @property
     def own(self) -> member.Member:
-        """This VM, as it tells of itself."""
+        """This VM's own entry, as it is gossiped."""
         return self._view.own
 
     def list_members(self) -> list[member.Member]:
-        """Return copies of all known VMs, this one and dead ones included."""
+        """Return copies of all known VMs, including this one and dead ones."""
         with self._lock:
             self._expire()
             return [one.copy() for one in self._view.list_members()]
 
     def count_members(self) -> int:
-        """Return how many VMs are known, dead ones included.
+        """Return the number of known VMs, including dead ones.
 
-        A VM that is cut off takes all others for dead although they live.
+        A partitioned VM considers all others dead although they are alive.
         """
         with self._lock:
             return len(self._view.list_members())
 
     def list_alive(self) -> tuple[str, ...]:
-        """Return the names of all VMs that are not thought to be dead.
+        """Return the names of all VMs that are not considered dead.
 
         :returns: sorted names; the same object until the view changes, so
-            that whoever derives something from it can keep that
+            that callers can cache values derived from it
         """
         with self._lock:
             self._expire()
@@ -144,7 +147,7 @@
     def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         """Return addresses in the order in which a caller should try them.
 
-        :param caller_zone: the caller's zone; empty if not known
+        :param caller_zone: the caller's zone; empty if unknown
         :returns: a few addresses; never empty
         """
         with self._lock:
@@ -161,14 +164,14 @@
             )
 
     def set_streams(self, streams: int) -> None:
-        """Tell how many requests run here, for other VMs' entry answers.
+        """Set the number of running requests, for VMs' discovery responses.
 
-        :param streams: running requests
+        :param streams: the number of requests running on this VM
         """
         self.exchange.streams = streams
 
     def announce_revision(self, revision: int) -> None:
-        """Tell which tables this VM has; a newer one is told to others.
+        """Announce the revision of this VM's tables to the other VMs.
 
         :param revision: the root's revision
         """
@@ -176,15 +179,15 @@
             is_newer = revision > self.exchange.revision
             self.exchange.revision = max(revision, self.exchange.revision)
         if is_newer:
-            self._hurry()
+            self._request_urgent_step()
 
     def subscribe_newer_tables(
         self, on_newer: membership_exchange.OnNewerTables
     ) -> None:
-        """Call a function when a VM is heard of that has newer tables.
+        """Call a function when another VM announces newer tables.
 
-        :param on_newer: gets the VM, on a thread of the peers' server or of
-            this controller; must return quickly
+        :param on_newer: called with the VM, on a thread of the peer server
+            or of this controller; must return quickly
         """
         self.exchange.on_newer.append(on_newer)
 
@@ -194,25 +197,26 @@
         holdings: bytes | None = None,
         is_starting: bool | None = None,
     ) -> None:
-        """Change what this VM tells of itself, and tell it at once.
+        """Update this VM's own entry and gossip it immediately.
 
-        :param is_stopping: whether it wants no new callers
-        :param holdings: what it holds of the fleet's state
+        :param is_stopping: whether the VM takes no new callers
+        :param holdings: encoded summary of the fleet state that it holds
         :param is_starting: whether it cannot serve callers yet
         """
         with self._lock:
             self._view.update_local(is_stopping, holdings, is_starting)
-        self._hurry()
+        self._request_urgent_step()
 
     def publish(
         self, kind: str, key: str, payload: bytes, ttl_ms: int
     ) -> None:
-        """Tell all VMs something small, for a while.
+        """Gossip a small message to all VMs until it expires.
 
-        :param kind: who it is for
-        :param key: what it is about; replaces an older note
-        :param payload: at most 512 bytes
-        :param ttl_ms: how long it matters, in milliseconds
+        :param kind: the message's kind, to which receivers subscribe
+        :param key: identifies the subject; replaces an older message with
+            the same key
+        :param payload: the contents, at most 512 bytes
+        :param ttl_ms: the time to live, in milliseconds
         """
         now_ms = self.clock.now_ms()
         hint = broadcast_queue.Hint(
@@ -221,27 +225,27 @@
         with self._lock:
             is_new = self.exchange.board.add(hint, now_ms)
         if is_new:
-            self._hurry()
+            self._request_urgent_step()
 
     def subscribe(
         self, kind: str, on_hint: membership_exchange.OnHint
     ) -> None:
-        """Call a function for each new note of a kind from other VMs.
+        """Call a function for each new message of a kind from other VMs.
 
         :param kind: the kind
-        :param on_hint: gets the note; must return quickly
+        :param on_hint: called with the message; must return quickly
         """
         self.exchange.on_hint.setdefault(kind, []).append(on_hint)
 
     def update_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take over other addresses to begin with.
+        """Replace the seeds.
 
         :param seeds: addresses ``host:port`` of peers
         """
         self._seeds = collections.deque(seeds)
 
     def step(self) -> None:
-        """Probe one VM, and more when there is urgent news."""
+        """Probe one VM, or more if an urgent update is pending."""
         self._steps += 1
         with self._lock:
             is_urgent, self._is_urgent = self._is_urgent, False
@@ -250,35 +254,35 @@
         for one in others:
             self.exchange.probe_peer(one.peer, one.name)
         if target is None:
-            self._join()
+            self._probe_seed()
         else:
-            self._check(target)
+            self._probe_target(target)
         self._probe_dead()
         with self._lock:
             self._expire()
-        self._read_list()
+        self._fetch_vm_list()
 
     def _expire(self) -> None:
-        """Take over what is due by time; with the lock held.
+        """Apply timeouts to the view; the lock must be held.
 
-        Probes and the store's list may take seconds, so readers do not wait
-        for the end of a step.
+        Probes and the store's list may take seconds, so readers apply them
+        too and do not depend on the end of a step.
         """
         self._view.expire(self.clock.now_ms())
 
-    def _hurry(self) -> None:
+    def _request_urgent_step(self) -> None:
         self._is_urgent = True
         now_ms = self.clock.now_ms()
-        if now_ms - self._urgent_ms >= URGENT_MIN_INTERVAL_MS:
-            self._urgent_ms = now_ms
+        if now_ms - self._last_urgent_ms >= URGENT_MIN_INTERVAL_MS:
+            self._last_urgent_ms = now_ms
             self.wake()
 
-    def _join(self) -> None:
+    def _probe_seed(self) -> None:
         if self._seeds:
             self._seeds.rotate(-1)
             self.exchange.probe_peer(self._seeds[0], "")
 
-    def _check(self, target: member.Member) -> None:
+    def _probe_target(self, target: member.Member) -> None:
         if self.exchange.probe_peer(target.peer, target.name):
             return
         with self._lock:
@@ -304,9 +308,9 @@
         if dead is not None:
             self.exchange.probe_peer(dead.peer, dead.name)
         elif self._seeds:
-            self._join()
+            self._probe_seed()
 
-    def _read_list(self) -> None:
+    def _fetch_vm_list(self) -> None:
         now_ms = self.clock.now_ms()
         if self._store is None or now_ms < self._next_list_ms:
             return
@@ -317,17 +321,17 @@
             if count == 1
             else LIST_INTERVAL_MS * count
         )
-        # Spread, else VMs that started together would read together.
+        # The jitter keeps VMs that started together from reading together.
         spread_ms = self._random.randint(pause_ms // 2, pause_ms * 3 // 2)
         self._next_list_ms = now_ms + spread_ms
         listed = self._store.list_vms("membership")
         if listed.is_ok():
-            self._meet(listed.ok)
+            self._contact_unknown(listed.ok)
 
-    def _meet(self, listed: list[platform.ListedVm]) -> None:
+    def _contact_unknown(self, listed: list[platform.ListedVm]) -> None:
         with self._lock:
             unknown = [vm for vm in listed if self._view.find(vm.name) is None]
-        # Meeting a few is enough: they know the rest.
+        # A few are enough, because they know the others.
         chosen = self._random.sample(unknown, min(len(unknown), FAN_OUT))
         for vm in chosen:
             has_port = ":" in vm.address
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -1,4 +1,4 @@
-"""What VMs tell one another on each probe and its answer; hints only."""
+"""Exchanges membership gossip with probes and their answers; best effort."""
 
 import collections.abc
 import threading
@@ -23,12 +23,13 @@
 
 
 class MembershipExchange(service.Iface):
-    """Sends and answers probes, and keeps the view and the notes.
+    """Sends and answers probes, and applies the gossip in them.
 
     :param view: this VM's view of all VMs
     :param peers: calls other VMs
-    :param clock_: where the time comes from
-    :param on_urgent: called when something is to be passed on at once
+    :param clock_: the clock
+    :param on_urgent: called when a received message must be forwarded
+        immediately
     """
 
     def __init__(
@@ -50,16 +51,16 @@
         self._on_urgent = on_urgent
 
     def probe(self, news: ttypes.News) -> ttypes.News:
-        """Answer that this VM lives; news go both ways.
+        """Answer a probe; both VMs exchange gossip.
 
-        :param news: the caller's news
-        :returns: this VM's news
+        :param news: the calling VM's gossip
+        :returns: this VM's gossip
         """
-        self._take(news)
-        return self._make_news(news.sender.name)
+        self._apply_message(news)
+        return self._make_message(news.sender.name)
 
     def probe_for(self, peer: str, name: str) -> bool:
-        """Probe another VM on behalf of one that cannot reach it.
+        """Probe another VM for a VM that cannot reach it.
 
         :param peer: its ``host:port``
         :param name: its name
@@ -68,22 +69,22 @@
         return self.probe_peer(peer, name)
 
     def list_all(self) -> list[ttypes.Member]:
-        """Return messages of all that this VM knows."""
+        """Return the entries of all VMs that this VM knows."""
         with self.lock:
             known = self.view.list_members()
             return list(map(membership_messages.pack_member, known))
 
     def probe_peer(self, peer: str, name: str) -> bool:
-        """Probe a VM; an answer of another VM at its address is no answer.
+        """Probe a VM; an answer from another VM at its address does not count.
 
         :param peer: its ``host:port``
-        :param name: its name; empty to take whoever answers
+        :param name: its name; empty to accept any VM
         :returns: whether it answered
         """
-        answer = self.call(peer, "probe", self._make_news(name))
+        answer = self.call(peer, "probe", self._make_message(name))
         if not answer.is_ok():
             return False
-        self._take(answer.ok, peer)
+        self._apply_message(answer.ok, peer)
         return name in ("", answer.ok.sender.name)
 
     def call(
@@ -100,7 +101,7 @@
             peer, service.Client, method, *arguments, is_idempotent=True
         )
 
-    def _make_news(self, receiver: str) -> ttypes.News:
+    def _make_message(self, receiver: str) -> ttypes.News:
         pack_member = membership_messages.pack_member
         with self.lock:
             now_ms = self._clock.now_ms()
@@ -124,11 +125,12 @@
         known = self.view.find(receiver)
         if known is None or known.health is member.MemberStatus.ALIVE:
             return news
-        # A VM that is wrongly thought dead has to hear so, else it cannot
-        # deny it: after a lost link nobody passes that old news on.
+        # A VM that is wrongly considered dead can only refute that if it
+        # receives its own entry.  After a network partition the old update
+        # is no longer gossiped.
         return [known, *news]
 
-    def _take(self, news: ttypes.News, peer: str = "") -> None:
+    def _apply_message(self, news: ttypes.News, peer: str = "") -> None:
         self._apply([news.sender, *news.members])
         now_ms = self._clock.now_ms()
         with self.lock:
@@ -137,14 +139,15 @@
             )
             sender = self.view.find(news.sender.name)
             is_behind = news.revision > self.revision
-            # Only the one who probes fetches, off the server's threads.
+            # Only the probing VM fetches the full list, so that the server's
+            # threads do not make calls.
             needs_sync = bool(peer) and self.view.needs_sync(
                 news.digest, now_ms
             )
-        self._take_hints(news.hints, now_ms)
+        self._apply_hints(news.hints, now_ms)
         if is_behind and sender is not None:
-            for tell in self.on_newer:
-                tell(sender.copy())
+            for callback in self.on_newer:
+                callback(sender.copy())
         if needs_sync:
             self._sync(peer)
 
@@ -160,7 +163,7 @@
                 news = membership_messages.unpack_member(message)
                 self.view.apply(news, now_ms)
 
-    def _take_hints(self, messages: list[ttypes.Hint], now_ms: int) -> None:
+    def _apply_hints(self, messages: list[ttypes.Hint], now_ms: int) -> None:
         unpacked = (
             membership_messages.unpack_hint(message, now_ms)
             for message in messages
@@ -168,7 +171,7 @@
         with self.lock:
             new = [hint for hint in unpacked if self.board.add(hint, now_ms)]
         for hint in new:
-            for tell in self.on_hint.get(hint.kind, ()):
-                tell(hint)
+            for callback in self.on_hint.get(hint.kind, ()):
+                callback(hint)
         if new:
             self._on_urgent()
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -1,4 +1,4 @@
-"""How copies of the store's objects travel between VMs."""
+"""Encodes and decodes the mirror snapshots that VMs send to each other."""
 
 import json
 import zlib
@@ -12,10 +12,11 @@
 
 
 class MirrorSnapshot:
-    """Another VM's mirror.
+    """Contents of another VM's mirror.
 
-    :param objects: what the store holds as far as that VM knows
-    :param kept: what that VM counts although the store has removed it
+    :param objects: the objects that the store holds according to that VM
+    :param kept: objects that the VM retains although the store has
+        removed them
     """
 
     __slots__ = ("objects", "kept")
@@ -30,13 +31,13 @@
 
 
 def encode_snapshot(mirror: mirrors.Mirror, now_ms: int) -> bytes:
-    """Return a mirror's objects as rows of name, version and value.
+    """Encode a mirror's objects as rows of name, version and value.
 
-    Rows of kept objects have a fourth entry: for how many milliseconds more
-    they are kept.  VMs' clocks differ, so no time can be told.
+    Rows of retained objects have a fourth entry, the remaining time in
+    milliseconds.  A point in time cannot be sent because VMs' clocks differ.
 
     :param mirror: the mirror
-    :param now_ms: the present
+    :param now_ms: current time in ms
     """
     rows = [
         [one.name, one.version, one.value] for one in mirror.objects.values()
@@ -56,12 +57,12 @@
 def decode_snapshot(
     kind: str, revision: int, content: bytes, now_ms: int
 ) -> MirrorSnapshot:
-    """Read what :func:`encode_snapshot` made.
+    """Decode a snapshot made by :func:`encode_snapshot`.
 
     :param kind: the plural kind
-    :param revision: the copy's revision
-    :param content: the packed rows
-    :param now_ms: the present
+    :param revision: the snapshot's revision
+    :param content: the encoded snapshot
+    :param now_ms: current time in ms
     """
     found: list[objects.StoredObject] = []
     kept: list[mirrors.RetainedObject] = []
--- a/mulberryway/controllers/mirror_exchange.py
+++ b/mulberryway/controllers/mirror_exchange.py
@@ -1,4 +1,4 @@
-"""Asks other VMs for copies of the store's objects that are newer."""
+"""Fetches newer mirror snapshots from other VMs."""
 
 import collections.abc
 import logging
@@ -17,131 +17,136 @@
 LOG = logging.getLogger(__name__)
 
 PERIOD_MS = 1_000
-# Until it has a copy of each kind a VM refuses its callers.
+# A VM rejects its callers until it has a mirror of each kind.
 INITIAL_SYNC_PERIOD_MS = 250
-# A VM that hears of a newer revision leaves its own watch so long to bring
+# A VM that learns of a newer revision gives its own watch this long to deliver
 # it before it asks the other VM.
 FETCH_DELAY_MS = 60
 
 
 class MirrorSyncController(base.Controller):
-    """Asks other VMs for mirrors that are newer than this VM's.
+    """Fetches mirrors from other VMs that are newer than this VM's.
 
-    A VM that the store turns away, or that starts while the store is away,
-    would go on with old tables or serve nobody although others know better.
+    Without it, a VM that the store rejects would use old tables, and a VM
+    that starts while the store is unreachable would serve no requests,
+    although other VMs have newer objects.
 
-    :param keepers: the keepers by kind
+    :param controllers_: the mirrors' controllers by kind
     :param client: calls other VMs
-    :param clock_: where the time comes from
-    :param list_addresses: returns where other VMs answer peers, as
-        ``host:port``
+    :param clock_: the clock
+    :param list_addresses: returns the ``host:port`` of the other VMs' peer
+        servers
     """
 
     def __init__(
         self,
-        keepers: collections.abc.Mapping[str, mirrors.MirrorController],
+        controllers_: collections.abc.Mapping[str, mirrors.MirrorController],
         client: peers.PeerClient,
         clock_: clock.Clock,
         list_addresses: collections.abc.Callable[[], list[str]],
     ) -> None:
         super().__init__("mirror-exchange", clock_, INITIAL_SYNC_PERIOD_MS)
-        self._keepers = keepers
+        self._controllers = controllers_
         self._client = client
         self._list_addresses = list_addresses
-        self._asked = 0
+        self._request_count = 0
         self._lock = threading.Lock()
         self._newer: dict[str, tuple[int, str]] = {}
 
-    def note_peer(
+    def record_peer_revisions(
         self, address: str, revisions: collections.abc.Mapping[str, int]
     ) -> None:
-        """Take in what another VM knows.
+        """Record the revisions that another VM has.
 
-        :param address: its ``host:port`` for peers
+        :param address: ``host:port`` of its peer server
         :param revisions: its revisions by kind
         """
         newer = {
             kind: (revision, address)
             for kind, revision in revisions.items()
-            if kind in self._keepers
-            and revision > self._keepers[kind].revision
+            if kind in self._controllers
+            and revision > self._controllers[kind].revision
         }
         if not newer:
             return
         with self._lock:
             for kind, found in newer.items():
-                # Of two equal ones the later: the earlier VM may have gone.
+                # Of two VMs with the same revision the later one is used,
+                # because the other may have left the fleet.
                 if found[0] >= self._newer.get(kind, (0, ""))[0]:
                     self._newer[kind] = found
         self.wake()
 
     def step(self) -> None:
-        """Ask for what is newer, unless it has come meanwhile."""
-        self._seek_first()
+        """Fetch newer mirrors that the watch has not delivered meanwhile."""
+        self._sync_initial()
         with self._lock:
             newer, self._newer = self._newer, {}
         if not newer:
             return
         self.clock.sleep_ms(FETCH_DELAY_MS)
         for kind, (revision, address) in newer.items():
-            if self._keepers[kind].revision >= revision:
+            if self._controllers[kind].revision >= revision:
                 continue
-            fault = self._ask(kind, address)
+            fault = self._fetch(kind, address)
             if fault is not None:
                 self._log_failure(kind, fault)
                 with self._lock:
                     self._newer.setdefault(kind, (revision, address))
 
-    def _seek_first(self) -> None:
-        """Ask for the first copies, where the store does not give them.
+    def _sync_initial(self) -> None:
+        """Fetch the first snapshots if the store does not provide them.
 
-        What other VMs know comes in datagrams, which may be lost.
+        This does not rely on the announced revisions, because they arrive
+        in datagrams, which may be lost.
         """
-        if all(keeper.is_known for keeper in self._keepers.values()):
+        if all(
+            controller.has_synced for controller in self._controllers.values()
+        ):
             self.period_ms = PERIOD_MS
             return
         missing = [
             kind
-            for kind, keeper in self._keepers.items()
-            if keeper.needs_initial_sync
+            for kind, controller in self._controllers.items()
+            if controller.needs_initial_sync
         ]
         addresses = self._list_addresses() if missing else ()
         if not addresses:
             return
-        address = addresses[self._asked % len(addresses)]
-        self._asked += 1
+        address = addresses[self._request_count % len(addresses)]
+        self._request_count += 1
         for kind in missing:
-            fault = self._ask(kind, address)
+            fault = self._fetch(kind, address)
             if fault is not None:
                 self._log_failure(kind, fault)
                 return
 
-    def _ask(self, kind: str, address: str) -> errors.Fault | None:
-        """Take over another VM's copy if it is newer.
+    def _fetch(self, kind: str, address: str) -> errors.Fault | None:
+        """Apply another VM's snapshot if it is newer.
 
         :param kind: the plural kind
-        :param address: where the VM answers peers
-        :returns: why it could not be read; none if all went well
+        :param address: ``host:port`` of the VM's peer server
+        :returns: the fault, or None
         """
-        keeper = self._keepers[kind]
+        controller = self._controllers[kind]
         answer = self._client.call(
             address,
             Mirrors.Client,
             "read",
             kind,
-            keeper.revision,
+            controller.revision,
             is_idempotent=True,
         )
         if answer.is_error():
             return answer.error
         if answer.ok.content:
-            keeper.unpack(answer.ok.revision, answer.ok.content)
+            controller.apply_snapshot(answer.ok.revision, answer.ok.content)
         return None
 
     def _log_failure(self, kind: str, fault: errors.Fault) -> None:
         LOG.info(
             "a newer copy could not be read from another VM",
             extra=logs.make_extra(
-                fault, kind=kind, revision=self._keepers[kind].revision
+                fault, kind=kind, revision=self._controllers[kind].revision
             ),
         )
--- a/mulberryway/controllers/mirrored_tables.py
+++ b/mulberryway/controllers/mirrored_tables.py
@@ -1,4 +1,4 @@
-"""The tables in force where the platform's store holds them in one object."""
+"""Active tables built from mirrors of the platform's store."""
 
 import abc
 import collections.abc
@@ -18,7 +18,7 @@
 
 
 class Reader(abc.ABC):
-    """Reads the store's objects into tables."""
+    """Builds tables from the store's objects."""
 
     @abc.abstractmethod
     def read(
@@ -27,22 +27,22 @@
         servers: collections.abc.Iterable[objects.StoredObject],
         revision: int,
     ) -> tables.Tables | None:
-        """Return the tables.
+        """Build the tables.
 
         :param configuration: the configuration's objects by name
         :param servers: the entries of upstreams
-        :param revision: the revision that the tables get
-        :returns: the tables, or none while there is no configuration
+        :param revision: the revision of the new tables
+        :returns: the tables, or None while there is no configuration
         :raises ValueError: if the configuration is malformed
         """
 
 
 class MirroredTables(tables.TableSource):
-    """Makes new tables whenever one of two mirrors has changed.
+    """Builds new tables whenever one of two mirrors has changed.
 
-    Both keepers' ``on_change`` lead to :meth:`refresh`.
+    Both mirrors' controllers have to call :meth:`refresh` on a change.
 
-    :param reader: reads the store's objects
+    :param reader: builds tables from the store's objects
     """
 
     def __init__(self, reader: Reader) -> None:
@@ -55,22 +55,22 @@
         self.servers: mirrors.MirrorController | None = None
 
     def read_tables(self) -> tables.Tables | None:
-        """Return the tables in force, or none before the first are known."""
+        """Return the active tables, or None before the first are known."""
         return self._tables
 
     def subscribe(self, on_change: OnChange) -> None:
-        """Call a function after each change, on the changing thread.
+        """Call a function after each change, on the thread that makes it.
 
-        :param on_change: gets the new tables; must return quickly
+        :param on_change: called with the new tables; must return quickly
         """
         self._subscribers.append(on_change)
 
     def refresh(self) -> None:
-        """Read the mirrors anew and tell the subscribers."""
+        """Rebuild the tables from the mirrors and notify the subscribers."""
         with self._lock:
-            if not _is_known(self.configuration, self.servers):
-                # Tables without upstreams would let callers in who are then
-                # refused.
+            if not _have_synced(self.configuration, self.servers):
+                # Tables without upstreams would admit requests that are then
+                # rejected.
                 return
             self._revision += 1
             rows = {one.name: one for one in self.configuration.list_objects()}
@@ -79,8 +79,8 @@
                     rows, self.servers.list_objects(), self._revision
                 )
             except (ValueError, KeyError, TypeError) as error:
-                # The tables before go on to hold: a wrong guess could send
-                # requests where none may go.
+                # The previous tables stay active, because a guess could route
+                # requests to upstreams that must not get them.
                 LOG.error(
                     "the configuration cannot be read",
                     extra=logs.make_extra(reason=repr(error)),
@@ -105,5 +105,8 @@
         )
 
 
-def _is_known(*keepers: mirrors.MirrorController | None) -> bool:
-    return all(keeper is not None and keeper.is_known for keeper in keepers)
+def _have_synced(*controllers: mirrors.MirrorController | None) -> bool:
+    return all(
+        controller is not None and controller.has_synced
+        for controller in controllers
+    )
--- a/mulberryway/controllers/mirrors.py
+++ b/mulberryway/controllers/mirrors.py
@@ -1,4 +1,4 @@
-"""Keeps copies of the store's objects, with the other VMs' help."""
+"""Mirrors the store's objects, from the store and from other VMs."""
 
 import collections.abc
 import logging
@@ -21,30 +21,31 @@
 
 LOG = logging.getLogger(__name__)
 
-# A watch that waits longer costs fewer calls, and shows later that its
-# connection has fallen silent; news come through other VMs meanwhile.
+# A longer poll costs fewer calls, but an unresponsive connection is detected
+# later.  Until then changes arrive through other VMs.
 LONG_POLL_MS = 2_500
-# Pauses grow and are spread, so that VMs do not all ask a store that has come
-# back at the same moment.
+# Limits of the exponential backoff.  With its jitter, VMs do not all call a
+# store at the same moment when it becomes reachable again.
 MIN_BACKOFF_MS = 100
 MAX_BACKOFF_MS = 1_000
 NO_PAUSE_MS = 1
-# After a change, others that follow at once come with the same answer.
+# Delay after a change, so that one answer contains several changes in
+# quick succession.
 CHANGE_BATCH_DELAY_MS = 50
-# How soon a VM that does not watch notices that it has to.
+# Interval at which a VM that does not watch checks whether it has to.
 WATCHER_CHECK_MS = 200
 
 
 class MirrorController(base.Controller):
-    """Watches one kind and keeps its mirror.
+    """Watches one kind of object in the store and keeps its mirror.
 
     :param kind: the plural kind
     :param store: the platform's store
-    :param clock_: where the time comes from
+    :param clock_: the clock
     :param on_change: called after each change; must not raise
     :param detector: see :class:`mirrors.Mirror`
-    :param is_watcher: tells whether this VM asks the store itself, or goes
-        by what other VMs tell
+    :param is_watcher: returns whether this VM watches the store itself; if
+        not, it gets its mirror from other VMs
     """
 
     def __init__(
@@ -62,13 +63,14 @@
         self._on_change = on_change
         self.kept = kept_objects.RetainedObjectReport(kind, detector)
         self._mirror = mirrors.Mirror(kind, detector)
-        self._keeps_objects = detector is not None
+        self._retains_objects = detector is not None
         self._lock = threading.Lock()
-        # The copy that other VMs get, and of which state of the mirror.
-        self._packed = b""
-        self._packed_edits = -1
+        # The encoded snapshot for other VMs, and the mirror's edit count at
+        # which it was made.
+        self._snapshot = b""
+        self._snapshot_edits = -1
         self._needs_listing = True
-        self._is_known = False
+        self._has_synced = False
         self._is_watcher = is_watcher
         self._expiry = expiry.ExpiryController(
             f"mirror-{kind}-expiry", clock_, self.expire, self._find_expiry_ms
@@ -79,57 +81,59 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the kind's last change that is known."""
+        """Revision of the kind's last known change."""
         return self._mirror.changed_revision
 
     @property
     def is_reached(self) -> bool:
-        """Whether the store answered the last time that it was asked."""
+        """Whether the last call to the store was answered."""
         return self._was_answered and self._was_reached
 
     @property
-    def is_known(self) -> bool:
-        """Whether a listing or a copy was ever taken over."""
-        return self._is_known
+    def has_synced(self) -> bool:
+        """Whether a listing or another VM's snapshot has been applied."""
+        return self._has_synced
 
     @property
     def needs_initial_sync(self) -> bool:
-        """Whether there is no copy yet, and the store has given none."""
-        return not (self._is_known or self._was_reached)
+        """Whether there is no mirror yet and the store did not answer."""
+        return not (self._has_synced or self._was_reached)
 
     def start(self) -> None:
-        """Begin to watch on a thread of its own, and to expire on another."""
+        """Start one thread that watches and one that expires objects."""
         super().start()
-        if self._keeps_objects:
+        if self._retains_objects:
             self._expiry.start()
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """End the threads.
+        """Stop the threads.
 
-        :param wait_ms: the longest wait for a current call to the store
+        :param wait_ms: maximum wait for a current call to the store, in
+            milliseconds
         """
         self._expiry.stop(wait_ms)
         super().stop(wait_ms)
 
     def list_objects(self) -> list[objects.StoredObject]:
-        """Return the objects that count."""
+        """Return the mirror's objects, including retained ones."""
         with self._lock:
             return self._mirror.list_objects()
 
     def step(self) -> None:
-        """Ask the store once; a watch waits for changes."""
+        """Call the store once: list the objects, or wait for changes."""
         if not self._needs_listing and not self._is_watcher():
             self.period_ms = WATCHER_CHECK_MS
             return
         before = self._mirror.revision
-        # After an outage it matters that the store is back.
+        # After a failed call the poll does not wait, so that the store's
+        # recovery is noticed immediately.
         wait_ms = LONG_POLL_MS if self._was_reached else 0
         asked_ms = self.clock.now_ms()
         fault = self._list() if self._needs_listing else self._poll(wait_ms)
         now_ms = self.clock.now_ms()
         if fault is None:
             self._was_answered = True
-            self._note_reached(True)
+            self._set_reached(True)
             has_changed = self._mirror.revision != before
             self.period_ms = (
                 CHANGE_BATCH_DELAY_MS if has_changed else NO_PAUSE_MS
@@ -138,14 +142,15 @@
             self._needs_listing = True
             self.period_ms = NO_PAUSE_MS
         else:
-            # The store may have been away for all of a call that outlasted
-            # its wait; a refusal or a cut tells only of its own moment.
-            is_silent = now_ms - asked_ms >= wait_ms
+            # If the call took longer than its poll, the store may have been
+            # unreachable since the call began.  A rejection or a broken
+            # connection only shows a failure at the moment it occurs.
+            has_timed_out = now_ms - asked_ms >= wait_ms
             with self._lock:
                 self._mirror.record_failure(
-                    asked_ms if is_silent else now_ms, fault.message
+                    asked_ms if has_timed_out else now_ms, fault.message
                 )
-            self._note_reached(False, fault)
+            self._set_reached(False, fault)
             self.period_ms = min(
                 max(self.period_ms * 2, MIN_BACKOFF_MS), MAX_BACKOFF_MS
             )
@@ -154,7 +159,7 @@
             )
 
     def expire(self) -> None:
-        """Give up kept objects whose time is over."""
+        """Remove retained objects whose retention has expired."""
         now_ms = self.clock.now_ms()
         with self._lock:
             expired = self._mirror.expire(now_ms)
@@ -167,48 +172,48 @@
         with self._lock:
             return self._mirror.find_expiry_ms()
 
-    def pack(self, known_revision: int) -> tuple[int, bytes]:
-        """Return the mirror for another VM.
+    def make_snapshot(self, known_revision: int) -> tuple[int, bytes]:
+        """Return a snapshot of the mirror for another VM.
 
-        :param known_revision: what the other VM knows already
-        :returns: the revision and the packed objects; empty if not newer
+        :param known_revision: the revision that the other VM has
+        :returns: the revision and the encoded snapshot; empty if not newer
         """
         with self._lock:
             revision = self._mirror.changed_revision
             if revision <= known_revision:
                 return revision, b""
             if self._mirror.list_retained():
-                # How long an object is kept for changes with each copy.
+                # The remaining retention time differs for each snapshot.
                 return revision, mirror_codec.encode_snapshot(
                     self._mirror, self.clock.now_ms()
                 )
-            if self._packed_edits != self._mirror.edits:
-                # All VMs of a fleet ask for the same copy after a change.
-                self._packed_edits = self._mirror.edits
-                self._packed = mirror_codec.encode_snapshot(self._mirror, 0)
-            return revision, self._packed
+            if self._snapshot_edits != self._mirror.edits:
+                # After a change all VMs of a fleet request the same snapshot.
+                self._snapshot_edits = self._mirror.edits
+                self._snapshot = mirror_codec.encode_snapshot(self._mirror, 0)
+            return revision, self._snapshot
 
-    def unpack(self, revision: int, content: bytes) -> None:
-        """Take over another VM's mirror if it is newer.
+    def apply_snapshot(self, revision: int, content: bytes) -> None:
+        """Apply another VM's snapshot if it is newer.
 
         :param revision: its revision
-        :param content: the packed objects
+        :param content: the encoded snapshot
         """
         now_ms = self.clock.now_ms()
-        copy = mirror_codec.decode_snapshot(
+        snapshot = mirror_codec.decode_snapshot(
             self.kind, revision, content, now_ms
         )
         with self._lock:
             has_changed = self._mirror.replace_from_peer(
-                copy.objects, revision, now_ms, copy.kept
+                snapshot.objects, revision, now_ms, snapshot.kept
             )
-            self._is_known = True
+            self._has_synced = True
         if has_changed:
             LOG.info(
                 "a newer copy came from another VM",
                 extra=logs.make_extra(kind=self.kind, revision=revision),
             )
-            self._note_kept()
+            self._report_retained()
             self._on_change()
 
     def _list(self) -> errors.Fault | None:
@@ -222,7 +227,7 @@
             has_changed = self._mirror.replace(
                 result.ok.objects, result.ok.revision, now_ms
             )
-        self._is_known = True
+        self._has_synced = True
         if has_changed:
             self._log_change()
             self._on_change()
@@ -245,16 +250,16 @@
             self._on_change()
         return None
 
-    def _note_kept(self) -> None:
+    def _report_retained(self) -> None:
         with self._lock:
-            newly = self._mirror.drain_newly_retained()
+            retained = self._mirror.drain_newly_retained()
             self.kept.kept = len(self._mirror.list_retained())
-        if newly:
-            self.kept.report_retained(newly, self.clock.now_ms())
+        if retained:
+            self.kept.report_retained(retained, self.clock.now_ms())
             self._expiry.wake()
 
     def _log_change(self) -> None:
-        self._note_kept()
+        self._report_retained()
         LOG.info(
             "the store's objects have changed",
             extra=logs.make_extra(
@@ -264,7 +269,7 @@
             ),
         )
 
-    def _note_reached(
+    def _set_reached(
         self, is_reached: bool, fault: errors.Fault | None = None
     ) -> None:
         if is_reached != self._was_reached:
@@ -278,23 +283,23 @@
 
 
 class MirrorHandler:
-    """Answers other VMs that ask for a mirror.
+    """Serves mirror snapshots to other VMs.
 
-    :param keepers: the keepers by kind
+    :param controllers: the mirrors' controllers by kind
     """
 
     def __init__(
-        self, keepers: collections.abc.Mapping[str, MirrorController]
+        self, controllers: collections.abc.Mapping[str, MirrorController]
     ) -> None:
-        self._keepers = keepers
+        self._controllers = controllers
 
     def read(self, kind: str, known_revision: int) -> ttypes.Mirror:
-        """Return a mirror, packed if it is newer than what is known.
+        """Return a mirror's snapshot if it is newer than the known revision.
 
         :param kind: the plural kind
-        :param known_revision: what the asking VM knows
+        :param known_revision: the revision that the calling VM has
         """
-        keeper = self._keepers.get(kind)
-        if keeper is None:
+        controller = self._controllers.get(kind)
+        if controller is None:
             return ttypes.Mirror(0, b"")
-        return ttypes.Mirror(*keeper.pack(known_revision))
+        return ttypes.Mirror(*controller.make_snapshot(known_revision))
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines while this VM holds the issuer's lease."""
+"""Sends orders to engines while this VM holds the leader's lease."""
 
 import collections.abc
 import logging
@@ -22,8 +22,8 @@
 NAME = "orders"
 PURPOSE = "orders"
 PERIOD_MS = 1_000
-# Orders in one step: the lease is renewed between steps, and a step that lasts
-# too long loses it.
+# The lease is renewed between steps, and would expire during a step that takes
+# too long.
 MAX_ORDERS_PER_STEP = 50
 
 EngineFinder = collections.abc.Callable[[str, str], upstreams.Engine | None]
@@ -33,18 +33,18 @@
 
 
 class OrdersController(base.Controller):
-    """Keeps the lease, and gives the orders that engines need.
+    """Holds the leader's lease and sends the orders that engines need.
 
     :param vm: this VM's name
-    :param incarnation: which life of its process
-    :param store: the platform
-    :param source: the tables in force
+    :param incarnation: the incarnation of this VM's router
+    :param store: the platform's store
+    :param source: the active tables
     :param find_engine: finds an engine by pool and upstream
     :param read_loads: returns the newest load reports
-    :param is_candidate: tells whether this VM may become the issuer
-    :param clock_: where the time comes from
-    :param planner: decides which orders are needed; one that compares the
-        tables with engines' reports if none is given
+    :param is_candidate: returns whether this VM may become the leader
+    :param clock_: the clock
+    :param planner: decides which orders are needed; the default compares
+        the tables with the engines' reports
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         self._fencing = 0
 
     def step(self) -> None:
-        """Keep the lease, then give what orders are due."""
+        """Renew the lease, then send the orders that are due."""
         tables_ = self._source.read_tables()
         if tables_ is None or self._is_idle(tables_):
             return
-        self._keep_lease()
+        self._maintain_lease()
         now_ms = self.clock.now_ms()
         if not self._lease.may_send(True, now_ms):
             return
@@ -84,21 +84,21 @@
             self._planner.forget()
         planned = self._planner.plan(tables_.pools, self._read_loads(), now_ms)
         for order in planned[:MAX_ORDERS_PER_STEP]:
-            self._give(order)
+            self._send_order(order)
 
     def _is_idle(self, tables_: tables.Tables) -> bool:
-        # The store counts each call, so nobody holds a lease for nothing; an
-        # engine that needs no order now needs none from a holder either.
+        # Store calls are limited, so no VM holds the lease while no orders are
+        # needed.  The planner needs no lease to determine that.
         return self._planner.needs_state and not self._planner.plan(
             tables_.pools, self._read_loads(), self.clock.now_ms()
         )
 
-    def _keep_lease(self) -> None:
-        act = self._lease.decide(self._is_candidate(), self.clock.now_ms())
-        if act is leader_lease.LeaseAction.READ:
+    def _maintain_lease(self) -> None:
+        action = self._lease.decide(self._is_candidate(), self.clock.now_ms())
+        if action is leader_lease.LeaseAction.READ:
             self._read()
-            act = self._lease.decide(True, self.clock.now_ms())
-        if act is leader_lease.LeaseAction.WRITE:
+            action = self._lease.decide(True, self.clock.now_ms())
+        if action is leader_lease.LeaseAction.WRITE:
             self._write()
 
     def _read(self) -> None:
@@ -119,11 +119,11 @@
         else:
             result = self._store.create(KIND, NAME, value, PURPOSE)
         if result.is_ok():
-            self._note_written(record, result.ok.version, sent_ms)
+            self._record_written(record, result.ok.version, sent_ms)
         elif result.error.run is errors.ExecutionStatus.MAY_HAVE_RUN:
             self._read_back(record, sent_ms)
         elif result.error.code is errors.Code.CONFLICT:
-            # Somebody else wrote: whatever we held, it is theirs now.
+            # Another VM has written the lease and holds it now.
             self._lease.lose()
         elif result.error.code is errors.Code.NOT_FOUND:
             self._lease.record_deleted()
@@ -132,26 +132,26 @@
         self, record: leader_lease.LeaseRecord, sent_ms: int
     ) -> None:
         # The write may have taken effect although its reply was lost.  The
-        # object tells, for each write differs from all others.
+        # stored record shows it, because no two writes are equal.
         result = self._store.read(KIND, NAME, PURPOSE)
         if result.is_error():
             return
         found = _unpack(result.ok.value)
         if _pack(found) == _pack(record):
-            self._note_written(record, result.ok.version, sent_ms)
+            self._record_written(record, result.ok.version, sent_ms)
         else:
             now_ms = self.clock.now_ms()
             self._lease.record_read(found, result.ok.version, now_ms)
 
-    def _note_written(
+    def _record_written(
         self, record: leader_lease.LeaseRecord, version: int, sent_ms: int
     ) -> None:
         now_ms = self.clock.now_ms()
         if record.fencing != self._fencing:
-            LOG.info("this VM gives orders now, fencing %d", record.fencing)
+            LOG.info("this VM is the leader now, fencing %d", record.fencing)
         self._lease.note_written(record, version, sent_ms, now_ms)
 
-    def _give(self, order: orders.PlannedOrder) -> None:
+    def _send_order(self, order: orders.PlannedOrder) -> None:
         engine = self._find_engine(order.pool, order.row.name)
         if engine is None:
             return
@@ -163,7 +163,7 @@
                 return
             expected = state.ok.orders
             if state.ok.role == order.argument:
-                # The tables lag behind the engine.
+                # The engine already has the role; the tables are outdated.
                 self._planner.record_accepted(order, self.clock.now_ms())
                 return
         sent = upstreams.Order(
@@ -173,9 +173,10 @@
             self._vm,
             expected,
         )
-        # What goes wrong here is a pause between taking the lease and this
-        # order: the lease has passed on, and the order would undo the new
-        # issuer's.  The clock counts the pause, so asking now shows it.
+        # If the process was paused after the lease was renewed, another VM may
+        # hold the lease, and the order could revert the new leader's.  The
+        # clock runs during a pause, so the lease is checked again right before
+        # the order is sent.
         if not self._lease.may_send(
             order.row.checks_fencing, self.clock.now_ms()
         ):
@@ -199,7 +200,9 @@
             return
         self._planner.record_failed(order, now_ms)
         if result.error.code is errors.Code.UPSTREAM_REFUSED:
-            LOG.warning("an order was fenced off: %r", result.error)
+            LOG.warning(
+                "order rejected by its fencing number: %r", result.error
+            )
             self._lease.lose()
 
 
--- a/mulberryway/controllers/owner_liveness.py
+++ b/mulberryway/controllers/owner_liveness.py
@@ -1,4 +1,4 @@
-"""Tells whether the router that started a request still lives."""
+"""Determines whether the router that started a request still runs."""
 
 import abc
 import collections.abc
@@ -12,12 +12,12 @@
 __all__ = ["Liveness", "MembershipLivenessChecker", "LivenessChecker"]
 
 PURPOSE = "reconciling"
-# One reading of the platform's list serves all questions for this long.
+# How long the platform's VM list is cached.
 LIST_TTL_MS = 5_000
 
 
 class Liveness(enum.Enum):
-    """What is known about one life of a VM's router."""
+    """Liveness of one incarnation of a VM's router."""
 
     ALIVE = "alive"
     DEAD = "dead"
@@ -25,29 +25,30 @@
 
 
 class LivenessChecker(abc.ABC):
-    """What is known about the routers that own requests."""
+    """Determines the liveness of the routers that own requests."""
 
     @abc.abstractmethod
     def is_alive(self, vm: str, incarnation: int) -> Liveness:
-        """Tell whether one life of a VM's router still goes on.
+        """Determine whether an incarnation of a VM's router still runs.
 
         :param vm: the VM's name
-        :param incarnation: which life
+        :param incarnation: the incarnation
         :returns: ``DEAD`` only if that is certain
         """
 
 
 class MembershipLivenessChecker(LivenessChecker):
-    """Joins what the VMs tell one another with the platform's list.
+    """Combines gossiped membership with the platform's list of VMs.
 
     A VM that the others cannot reach may still reach engines and callers,
-    so their word alone is not enough.  Certain are a newer life on the same
-    VM, which cannot begin before the older has ended, and a VM that is
-    neither answering nor in the platform's list any more.
-
-    :param list_members: returns all VMs known, dead ones included
-    :param store: the platform, for its list of VMs
-    :param clock_: where the time comes from
+    so membership alone does not prove that it is dead.  An incarnation is
+    certainly dead if a newer one runs on the same VM, because incarnations
+    do not overlap, or if the VM neither answers nor is in the platform's
+    list any more.
+
+    :param list_members: returns all known VMs, including dead ones
+    :param store: the platform's store, for its list of VMs
+    :param clock_: the clock
     """
 
     def __init__(
@@ -64,10 +65,10 @@
         self._listed_ms = 0
 
     def is_alive(self, vm: str, incarnation: int) -> Liveness:
-        """Tell whether one life of a VM's router still goes on.
+        """Determine whether an incarnation of a VM's router still runs.
 
         :param vm: the VM's name
-        :param incarnation: which life
+        :param incarnation: the incarnation
         :returns: ``DEAD`` only if that is certain
         """
         found = next(
@@ -79,15 +80,15 @@
             return Liveness.DEAD
         if found.health is not member.MemberStatus.DEAD:
             return Liveness.ALIVE
-        return Liveness.DEAD if self._has_left(vm) else Liveness.UNKNOWN
+        return Liveness.DEAD if self._is_unlisted(vm) else Liveness.UNKNOWN
 
-    def _has_left(self, vm: str) -> bool:
+    def _is_unlisted(self, vm: str) -> bool:
         with self._lock:
             now_ms = self._clock.now_ms()
             if self._listed is None or now_ms - self._listed_ms > LIST_TTL_MS:
                 listed = self._store.list_vms(PURPOSE)
                 if listed.is_error() or not listed.ok:
-                    # A list that names nobody is a list that is broken.
+                    # An empty list can only be an error.
                     return False
                 self._listed = frozenset(one.name for one in listed.ok)
                 self._listed_ms = now_ms
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -1,4 +1,4 @@
-"""Probes ejected engines, each by one VM for all."""
+"""Probes ejected engines; one VM probes each engine for the fleet."""
 
 import concurrent.futures
 import logging
@@ -17,25 +17,25 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often to look while an engine is ejected, and while none is.
+# Period while at least one engine is ejected, and while none is.
 PERIOD_MS = 100
 IDLE_MS = 1_000
-# One silent engine must not hold up the probes of others.
+# An unresponsive engine must not delay the probes of others.
 WORKERS = 2
 MAX_PROBES_PER_STEP = 16
 
 
 class ProbingController(base.Controller):
-    """Asks ejected engines for their load report, as the cheapest call.
+    """Probes ejected engines with their cheapest call, the load report.
 
-    Without it each VM learns with a whole request of its own that an engine
-    is still down.
+    Without probes every VM would have to send a request to find out that an
+    engine is still down.
 
-    :param scheduling_: knows which engines are ejected
-    :param members: the VMs
-    :param source: the tables in force
+    :param scheduling_: lists the ejected engines and gets probes' results
+    :param members: lists the VMs
+    :param source: the active tables
     :param directory_: finds engines
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         )
 
     def step(self) -> None:
-        """Probe the engines that are due and fall to this VM."""
+        """Probe the engines that are due and assigned to this VM."""
         ejected = self._scheduling.list_ejected()
         self.period_ms = PERIOD_MS if ejected else IDLE_MS
         self._log_changes(ejected)
@@ -71,9 +71,9 @@
         list(self._workers.map(self._probe, due[:MAX_PROBES_PER_STEP]))
 
     def stop(self, wait_ms: int = 2_000) -> None:
-        """End the thread and its helpers.
+        """Stop the thread and its worker threads.
 
-        :param wait_ms: the longest wait for the current step
+        :param wait_ms: maximum wait for the current step, in milliseconds
         """
         super().stop(wait_ms)
         self._workers.shutdown(wait=False, cancel_futures=True)
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -1,4 +1,4 @@
-"""Frees engine memory that dead owners have left behind."""
+"""Cancels orphaned requests at engines."""
 
 import collections.abc
 import logging
@@ -15,29 +15,30 @@
 LOG = logging.getLogger(__name__)
 
 PERIOD_MS = 1_000
-# A request counts as left behind only when it has looked so for this long:
-# the engine's answer is a moment old, and an attempt is known to its own
-# router a moment after the engine learns of it, or before.
+# A request is only cancelled after it has looked orphaned for this long: the
+# engine's answer may be outdated, and a router may register an attempt shortly
+# before or after the engine does.
 ORPHAN_GRACE_MS = 3_000
 
 Key = tuple[str, str, int]
 
 
 class ReconcileController(base.Controller):
-    """Compares what engines hold with which owners live.
+    """Cancels engines' requests whose owners no longer run.
 
-    A VM that vanishes with its connections open leaves requests at engines;
-    nobody reads them, and their slots and memory are missed at the peak.
-    Each engine has one router that looks after it.  Should two do so, both
-    cancel the same dead work, which does no harm.
+    A VM that fails without closing its connections leaves orphaned requests
+    at engines, whose slots and memory are then missing at peak load.  Each
+    engine is assigned to one router.  If the VMs' views differ and two
+    routers check the same engine, both cancel the same requests, which is
+    harmless.
 
     :param vm: this VM's name
-    :param incarnation: which life of its router this is
-    :param list_engines: returns the engines that fall to this router
-    :param is_running: tells whether an attempt of this router goes on
-    :param liveness: knows whether other owners live
-    :param metrics_: counts what is freed
-    :param clock_: where the time comes from
+    :param incarnation: the incarnation of this VM's router
+    :param list_engines: returns the engines assigned to this router
+    :param is_running: returns whether an attempt of this router is running
+    :param liveness: determines whether other routers run
+    :param metrics_: counts cancelled requests
+    :param clock_: the clock
     """
 
     def __init__(
@@ -55,22 +56,22 @@
         self._incarnation = incarnation
         self._list_engines = list_engines
         self._is_running = is_running
-        self._view = liveness
+        self._liveness = liveness
         self._metrics = metrics_
-        self._since_ms: dict[Key, int] = {}
+        self._orphaned_since_ms: dict[Key, int] = {}
 
     def step(self) -> None:
-        """Look at each engine once."""
+        """Check the requests at each assigned engine."""
         seen: dict[Key, int] = {}
         for engine in self._list_engines():
             if self.is_stopping():
                 return
             held = engine.list_in_flight()
             if held.is_ok():
-                self._look(engine, held.ok, seen)
-        self._since_ms = seen
+                self._check_engine(engine, held.ok, seen)
+        self._orphaned_since_ms = seen
 
-    def _look(
+    def _check_engine(
         self,
         engine: upstreams.Engine,
         held: list[upstreams.InFlightRequest],
@@ -79,22 +80,22 @@
         now_ms = self.clock.now_ms()
         for request in held:
             label = request.label
-            if not self._is_left_behind(label):
+            if not self._is_orphaned(label):
                 continue
             key = (label.request_id, label.vm, label.incarnation)
-            since_ms = self._since_ms.get(key, now_ms)
+            since_ms = self._orphaned_since_ms.get(key, now_ms)
             seen[key] = min(since_ms, seen.get(key, since_ms))
             if now_ms - since_ms >= ORPHAN_GRACE_MS:
                 self._free(engine, label)
 
-    def _is_left_behind(self, label: upstreams.AttemptLabel) -> bool:
+    def _is_orphaned(self, label: upstreams.AttemptLabel) -> bool:
         if (label.vm, label.incarnation) == (self._vm, self._incarnation):
             return not self._is_running(label.request_id)
         if label.vm == self._vm:
-            # Two lives of one VM's router do not overlap.  A greater number
-            # than this one's means that this process is the older life.
+            # Incarnations of one VM's router do not overlap.  If the label
+            # has a greater incarnation, this process is the outdated one.
             return 0 <= label.incarnation < self._incarnation
-        alive = self._view.is_alive(label.vm, label.incarnation)
+        alive = self._liveness.is_alive(label.vm, label.incarnation)
         return alive is owner_liveness.Liveness.DEAD
 
     def _free(
@@ -105,7 +106,7 @@
             return
         self._metrics.reconciled.add(1, {"owner": label.vm})
         LOG.warning(
-            "a request was freed that its owner had left behind",
+            "orphaned request cancelled",
             extra=logs.make_extra(
                 request_id=label.request_id,
                 owner=label.vm,
--- a/mulberryway/controllers/registration.py
+++ b/mulberryway/controllers/registration.py
@@ -1,4 +1,4 @@
-"""Tells the platform's store of this VM, so that others can find it."""
+"""Registers this VM in the platform's store so that others can find it."""
 
 import collections.abc
 import logging
@@ -16,19 +16,20 @@
 
 KIND = "vms"
 PURPOSE = "registration"
-# Until it is written it is tried this often; it matters only to VMs whose
-# seeds are all gone, so nothing hangs on the moment.
+# Retry interval until the entry is written.  Only VMs that can reach none of
+# their seeds need the entry, so it is not urgent.
 RETRY_MS = 3_000
 REGISTERED_PERIOD_MS = 600_000
 
 
 class RegistrationController(base.Controller):
-    """Writes this VM's entry once, and reads the others'.
+    """Writes this VM's entry once and reads the list of VMs.
 
     :param own: this VM
     :param store: the platform's store
-    :param clock_: where the time comes from
-    :param on_listed: gets the names of all VMs that have an entry, once
+    :param clock_: the clock
+    :param on_listed: called once with the names of all VMs that have an
+        entry
     """
 
     def __init__(
@@ -46,13 +47,13 @@
         self._on_listed = on_listed
 
     def step(self) -> None:
-        """Write the entry if it is not there."""
+        """Write the entry unless it has been written."""
         if self.period_ms == REGISTERED_PERIOD_MS:
             return
         value = {"address": self._own.peer, "zone": self._own.zone}
         result = self._store.create(KIND, self._own.name, value, PURPOSE)
         fault = result.error if result.is_error() else None
-        # An entry of an earlier life of this VM says the same.
+        # An entry of a previous incarnation has the same contents.
         if fault is None or fault.code is errors.Code.CONFLICT:
             fault = self._list()
         if fault is None:
--- a/mulberryway/controllers/reloading.py
+++ b/mulberryway/controllers/reloading.py
@@ -1,4 +1,4 @@
-"""Takes over settings that change while the process runs."""
+"""Reloads the settings file when it changes."""
 
 import collections.abc
 import logging
@@ -13,21 +13,22 @@
 
 LOG = logging.getLogger(__name__)
 
-# The file may change without a signal; a stale seed costs nothing at once.
+# The file may change without a signal.  Outdated seeds are harmless for a
+# while, so frequent checks are not needed.
 PERIOD_MS = 2_000
 
 OnChange = collections.abc.Callable[[settings.Settings], None]
 
 
 class SettingsReloadController(base.Controller):
-    """Reads the settings file again and again.
+    """Reads the settings file periodically.
 
-    A file that cannot be used changes nothing: what a process began with
-    goes on to hold, and the log says why.
+    If the changed file is invalid, the previous settings stay active and the
+    error is logged.
 
     :param file: the file's name; empty for none
-    :param on_change: gets the new settings
-    :param clock_: where the time comes from
+    :param on_change: called with the new settings
+    :param clock_: the clock
     """
 
     def __init__(
@@ -50,9 +51,9 @@
             read = settings.read_settings(self._file)
         except errors.SettingsError as error:
             LOG.error(
-                "the changed settings cannot be used",
+                "the changed settings file is invalid",
                 extra=logs.make_extra(error.fault),
             )
             return
-        LOG.info("the settings have changed and are in force")
+        LOG.info("the changed settings are active")
         self._on_change(read)
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler for the worker threads and wakes those that may go."""
+"""Runs the scheduler for worker threads and wakes them on its decisions."""
 
 import collections.abc
 import threading
@@ -19,21 +19,21 @@
 
 IDLE_MS = 1_000
 MS_IN_S = 1_000
-# A decision that is this late has been lost; the guard keeps a worker from
-# waiting for ever for what will not come.
+# A decision that is later than this has been lost.  The limit keeps a worker
+# from waiting forever.
 DECISION_GRACE_MS = 2_000
-# Other routers' hints come by the hundred a second in a large fleet, and with
-# jobs waiting a dispatch takes longer than reading a hint.  Hints that come
-# within this time share one.
+# In a large fleet hundreds of gossip messages arrive per second, and with
+# waiting jobs a dispatch takes longer than applying a message.  Messages that
+# arrive within this time share one dispatch.
 GOSSIP_DISPATCH_INTERVAL_MS = 20
 
 Decision = expression.Result[jobs.Assignment, errors.Fault]
 
 
 class Ticket:
-    """A worker thread's place in the queue.
+    """A waiting job and, later, the scheduler's decision.
 
-    :param job: what it waits for
+    :param job: the job
     """
 
     __slots__ = ("job", "decided", "decision")
@@ -45,13 +45,14 @@
 
 
 class SchedulingController(base.Controller):
-    """Holds the lock around a scheduler, which has none of its own.
+    """Locks a scheduler, which is not thread-safe itself.
 
-    Every change that may let a job start is followed at once by a dispatch
-    on the changing thread; the controller's thread only serves deadlines.
+    Every change that may let a job start is followed by a dispatch on the
+    thread that makes the change.  The controller's own thread only handles
+    deadlines.
 
     :param scheduler: makes the decisions
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -64,44 +65,44 @@
         self._started: set[str] = set()
         self._dispatched_ms = 0
         self._loads: dict[tuple[str, str], upstreams.EngineLoad] = {}
-        # Called after jobs have come, started or ended; must return at once.
+        # Called after jobs were submitted, started or ended; must not block.
         self.on_change: collections.abc.Callable[[], None] = lambda: None
 
     @property
     def waiting(self) -> int:
-        """How many jobs wait."""
+        """Number of waiting jobs."""
         return len(self._tickets)
 
     @property
     def started(self) -> int:
-        """How many jobs have started and not ended."""
+        """Number of jobs that have started and not ended."""
         return len(self._started)
 
     def is_running(self, job_id: str) -> bool:
-        """Tell whether a job has started and not ended.
+        """Return whether a job has started and not ended.
 
         :param job_id: the job
-        :returns: whether its attempt goes on
+        :returns: whether its attempt is still running
         """
         with self._lock:
             return job_id in self._started
 
     def step(self) -> None:
-        """Dispatch, and sleep until the scheduler wants to be asked again."""
+        """Dispatch, and sleep until the scheduler's next wake-up time."""
         with self._lock:
             wake_ms = self._dispatch()
-            longest_ms = (
+            max_sleep_ms = (
                 GOSSIP_DISPATCH_INTERVAL_MS if self._tickets else IDLE_MS
             )
         now_ms = self.clock.now_ms()
         self.period_ms = (
-            longest_ms
+            max_sleep_ms
             if wake_ms is None
-            else min(max(wake_ms - now_ms, 1), longest_ms)
+            else min(max(wake_ms - now_ms, 1), max_sleep_ms)
         )
 
     def submit(self, job: jobs.Job) -> expression.Result[Ticket, errors.Fault]:
-        """Take a job in, or refuse it at once.
+        """Queue a job, or reject it immediately.
 
         :param job: the job
         :returns: its ticket, or a fault with run ``NOT_RUN``
@@ -119,26 +120,26 @@
         return expression.Ok(ticket)
 
     def wait(self, ticket: Ticket) -> Decision:
-        """Wait until a job may start, is refused, or is given up.
+        """Wait until a job is assigned, rejected or cancelled.
 
-        :param ticket: what ``submit`` returned
-        :returns: where it runs, or why not
+        :param ticket: the ticket that ``submit`` returned
+        :returns: the job's assignment, or a fault
         """
         job = ticket.job
         left_ms = job.deadline.left_ms(self.clock.now_ms()) + DECISION_GRACE_MS
         if not ticket.decided.wait(left_ms / MS_IN_S):
-            self.give_up(
+            self.cancel_waiting(
                 ticket,
                 errors.Fault(errors.Code.DEADLINE_EXCEEDED, errors.Step.QUEUE),
             )
         assert ticket.decision is not None
         return ticket.decision
 
-    def give_up(self, ticket: Ticket, fault: errors.Fault) -> None:
-        """Let a job go that still waits; nothing if it is decided.
+    def cancel_waiting(self, ticket: Ticket, fault: errors.Fault) -> None:
+        """Cancel a waiting job; do nothing if it is decided.
 
-        :param ticket: what ``submit`` returned
-        :param fault: what its worker is told
+        :param ticket: the ticket that ``submit`` returned
+        :param fault: the result for the job's worker
         """
         with self._lock:
             job_id = ticket.job.job_id
@@ -151,7 +152,7 @@
             self._dispatch()
 
     def record_prefilled(self, job_id: str) -> None:
-        """Tell that a started job's prefill has ended well.
+        """Record that a started job's prefill has succeeded.
 
         :param job_id: the job
         """
@@ -160,7 +161,7 @@
             self._dispatch()
 
     def record_prefill_failed(self, job_id: str) -> None:
-        """Tell that a prefill came to nothing; the decode engine reads.
+        """Record a failed prefill; the decode engine prefills the prompt.
 
         :param job_id: the job
         """
@@ -169,7 +170,7 @@
             self._dispatch()
 
     def record_first_token(self, job_id: str) -> None:
-        """Tell that a started job's first token has come.
+        """Record that a started job's first token has arrived.
 
         :param job_id: the job
         """
@@ -179,11 +180,11 @@
     def finish(
         self, job_id: str, end: jobs.JobOutcome, upstream: str = ""
     ) -> None:
-        """Let a started job's reservations go; further calls do nothing.
+        """Release a started job's reservations; later calls do nothing.
 
         :param job_id: the job
-        :param end: how it ended
-        :param upstream: the upstream to blame; empty if none
+        :param end: the job's outcome
+        :param upstream: the upstream that failed; empty if none
         """
         with self._lock:
             if job_id not in self._started:
@@ -196,7 +197,7 @@
     def record_load(
         self, pool: str, upstream: str, load: upstreams.EngineLoad
     ) -> None:
-        """Take in a load report.
+        """Apply a load report.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
@@ -217,11 +218,11 @@
     def record_cache_events(
         self, pool: str, upstream: str, events: list[upstreams.CacheEvent]
     ) -> None:
-        """Take in cache events.
+        """Apply cache events.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
-        :param events: the events in order
+        :param events: the events in their order
         """
         with self._lock:
             self._scheduler.record_cache_events(
@@ -229,10 +230,10 @@
             )
 
     def record_tokens(self, job_id: str, tokens: int) -> None:
-        """Tell how many tokens of a running job have come so far.
+        """Record the number of tokens that a running job has generated.
 
         :param job_id: the job
-        :param tokens: all tokens so far
+        :param tokens: the total number of tokens so far
         """
         with self._lock:
             self._scheduler.record_tokens(job_id, tokens, self.clock.now_ms())
@@ -240,12 +241,13 @@
     def reassign_decode(
         self, job_id: str, refused: str, is_unreached: bool = False
     ) -> str | None:
-        """Find another slot for a job whose prefill has ended.
+        """Reassign the decode of a job whose prefill has ended.
 
         :param job_id: the job
-        :param refused: the upstream that did not take it
-        :param is_unreached: whether it could not be reached; else it is full
-        :returns: the upstream to try, its slot reserved; or none
+        :param refused: the upstream that did not accept it
+        :param is_unreached: whether that upstream could not be reached; if
+            not, it is full
+        :returns: the upstream to try, with a slot reserved, or None
         """
         with self._lock:
             return self._scheduler.reassign_decode(
@@ -253,10 +255,10 @@
             )
 
     def has_decode_capacity(self, pool: str, besides: str) -> bool:
-        """Tell whether another engine probably has room for a decode.
+        """Return whether another engine probably has capacity for a decode.
 
         :param pool: the pool's name
-        :param besides: the upstream that does not count
+        :param besides: the upstream to exclude
         """
         with self._lock:
             return self._scheduler.has_decode_capacity(
@@ -264,12 +266,12 @@
             )
 
     def list_ejected(self) -> list[probes.EjectedUpstream]:
-        """Return the engines that get no requests, and which need a probe."""
+        """Return the ejected engines and whether each is due for a probe."""
         with self._lock:
             return self._scheduler.list_ejected(self.clock.now_ms())
 
     def record_probe(self, pool: str, upstream: str, has_passed: bool) -> None:
-        """Take in what a probe of this VM found.
+        """Record the result of a probe by this VM.
 
         :param pool: the pool's name
         :param upstream: the upstream's name
@@ -283,14 +285,14 @@
         self.on_change()
 
     def drain_hints(self) -> hints.Note | None:
-        """Return what the routers that share upstreams should hear now."""
+        """Return the gossip message that is due for peers, or None."""
         with self._lock:
             return self._scheduler.drain_hints(self.clock.now_ms())
 
     def apply_hints(self, notes: list[hints.Note]) -> None:
-        """Take in what other routers told; what waits may start a bit later.
+        """Apply other routers' gossip; the dispatch may follow a bit later.
 
-        :param notes: their notes in the order of arrival
+        :param notes: the messages in the order of arrival
         """
         with self._lock:
             now_ms = self.clock.now_ms()
@@ -300,25 +302,25 @@
                 self._dispatch()
 
     def record_crashes(self, deaths: list[hints.Death]) -> None:
-        """Take in deaths under requests that any VM told of.
+        """Apply other VMs' reports of crashes while serving a request.
 
-        :param deaths: the deaths
+        :param deaths: the reports
         """
         with self._lock:
             self._scheduler.record_crashes(deaths, self.clock.now_ms())
 
     def is_quarantined(self, digest: str) -> bool:
-        """Tell whether a request may not run, because upstreams died of it.
+        """Return whether a request is quarantined for crashing upstreams.
 
-        :param digest: names the request
+        :param digest: identifies the request
         """
         with self._lock:
             return self._scheduler.is_quarantined(digest, self.clock.now_ms())
 
     def record_crash(self, digest: str, upstream: str) -> None:
-        """Tell that a plain service's server died under a request.
+        """Record that a plain service's server crashed during a request.
 
-        :param digest: names the request
+        :param digest: identifies the request
         :param upstream: ``pool/name`` of the server
         """
         with self._lock:
@@ -326,15 +328,15 @@
         self.on_change()
 
     def change_vms(self, vms: tuple[str, ...]) -> None:
-        """Take over the list of VMs that run a router.
+        """Replace the list of VMs that run a router.
 
-        :param vms: their names, this VM's among them
+        :param vms: their names, including this VM's
         """
         with self._lock:
             self._scheduler.change_vms(vms, self.clock.now_ms())
 
     def update_tables(self, changed: tables.Tables) -> None:
-        """Take over new tables.
+        """Apply new tables.
 
         :param changed: the tables
         """
