--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -1,4 +1,4 @@
-"""The tables that this VM decides by; a promise."""
+"""The active tables of this VM; their revision never decreases."""
 
 import collections.abc
 import enum
@@ -22,7 +22,7 @@
 
 
 class OfferResult(enum.Enum):
-    """What became of a root that was offered."""
+    """Result of offering a root."""
 
     INSTALLED = "taken"
     UNCHANGED = "known"
@@ -32,11 +32,13 @@
 
 
 class ActiveTables(tables.TableSource):
-    """Takes newer roots, refuses older ones, and knows their age.
+    """Installs newer roots, rejects older ones and tracks their age.
 
-    :param clock_: where the time comes from
-    :param fresh_ms: how long a confirmation is enough by itself
-    :param outage_ms: the longest use in an outage of the platform
+    :param clock_: the clock
+    :param fresh_ms: how long a confirmation is sufficient by itself, in
+        milliseconds
+    :param outage_ms: how long the tables may be used while the platform is
+        unreachable, in milliseconds
     """
 
     def __init__(
@@ -51,15 +53,15 @@
         self._root = roots.Root.make_empty()
         self._tables: tables.Tables | None = None
         self._confirmation: freshness.Confirmation | None = None
-        self._newest_seen = 0
+        self._newest_revision = 0
         self._quorum_ms: int | None = None
         self._subscribers: list[
             collections.abc.Callable[[tables.Tables], None]
         ] = []
 
     def read_tables(self) -> tables.Tables | None:
-        """Return the tables, or none while they must not be used."""
-        if self.judge() is freshness.Freshness.PARTITIONED:
+        """Return the tables, or None while they must not be used."""
+        if self.evaluate_freshness() is freshness.Freshness.PARTITIONED:
             return None
         return self._tables
 
@@ -71,27 +73,27 @@
 
     @property
     def root(self) -> roots.Root:
-        """The root in force; of revision 0 before the first."""
+        """The active root; it has revision 0 before the first is installed."""
         return self._root
 
     @property
     def confirmation(self) -> freshness.Confirmation | None:
-        """When the platform last held no newer root."""
+        """The last confirmation that the platform held no newer root."""
         return self._confirmation
 
     def age_ms(self) -> int | None:
-        """Return how long ago the root was confirmed, or none."""
+        """Return the time since the root was confirmed, in ms, or None."""
         confirmation = self._confirmation
         if confirmation is None:
             return None
         return self._clock.now_ms() - confirmation.at_ms
 
     def is_witness(self) -> bool:
-        """Tell whether this VM's word counts towards a majority.
+        """Return whether this VM counts towards a majority.
 
-        A VM that was started in an outage has forgotten what the one
-        before it knew.  With its word, VMs that were cut off could make a
-        majority that has never heard of an edit.
+        A VM that was restarted in an outage has lost the state of its
+        previous incarnation.  If it counted, partitioned VMs could form a
+        majority in which no VM knows of an accepted edit.
 
         :returns: whether the platform has confirmed a root since this
             process was started
@@ -101,13 +103,13 @@
             confirmation is not None and confirmation.at_ms >= self._started_ms
         )
 
-    def judge(self) -> freshness.Freshness:
-        """Decide whether the tables may be used now."""
+    def evaluate_freshness(self) -> freshness.Freshness:
+        """Return the freshness of the tables at the current time."""
         confirmation = self._confirmation
         if confirmation is None:
             return freshness.Freshness.PARTITIONED
-        # Both times are compared with the clock at each request: a VM that
-        # was paused must not go on by what it knew before the pause.
+        # Both times are compared with the clock for each request, because a
+        # VM that was paused must not rely on its state from before the pause.
         return freshness.evaluate_freshness(
             confirmation,
             self._quorum_ms,
@@ -117,67 +119,67 @@
         )
 
     def set_quorum_time(self, at_ms: int | None) -> None:
-        """Tell since when most VMs have said that they know no newer root.
+        """Set the time since which a majority has reported no newer root.
 
-        :param at_ms: the time of the oldest question that is needed for a
-            majority; none without one
+        :param at_ms: when the oldest request needed for a majority was
+            sent, in ms, or None without a majority
         """
         self._quorum_ms = at_ms
 
     def find_segment(self, digest: str) -> bytes | None:
-        """Return a segment's content for a peer, or none.
+        """Return a segment's content, or None if it is not known.
 
         :param digest: the segment's digest
         """
         return self._cache.find(digest)
 
     def offer(self, root: roots.Root, fetch: Fetch) -> OfferResult:
-        """Take a root over if it is newer than the one in force.
+        """Install a root if it is newer than the active one.
 
-        A root comes from watches whose events may be crossed, platform
-        replicas and peers that lag, and VMs that were started anew.  Only
-        its revision counts, whoever sends it: an older one would bring a
-        withdrawn key back.
+        Roots arrive from watches with reordered events, from platform
+        replicas and peers that lag, and from restarted VMs.  Only the
+        revision matters, regardless of the sender: an older root could
+        restore a revoked key.
 
         :param root: the root
         :param fetch: returns the contents of missing segments
-        :returns: what became of it
+        :returns: the result
         """
         with self._lock:
-            self._newest_seen = max(self._newest_seen, root.revision)
-            offer = self._compare(root)
+            self._newest_revision = max(self._newest_revision, root.revision)
+            offer = self._evaluate_offer(root)
             missing = self._cache.list_missing(root)
         if offer is not OfferResult.INSTALLED:
             return offer
-        # Fetching may take seconds; meanwhile another thread may take a
-        # newer root, so everything is compared again.
+        # Fetching may take seconds, and another thread may install a newer
+        # root meanwhile, so the root is evaluated again.
         fetched = fetch(missing) if missing else {}
         with self._lock:
-            offer = self._compare(root)
+            offer = self._evaluate_offer(root)
             if offer is not OfferResult.INSTALLED:
                 return offer
-            if not self._fill(root, fetched):
+            if not self._add_segments(root, fetched):
                 return OfferResult.INCOMPLETE
             self._install(root)
         return OfferResult.INSTALLED
 
     def confirm(self, revision: int, at_ms: int, fleet_size: int) -> bool:
-        """Note that the platform held no newer root at a time.
+        """Record that the platform held no newer root at a given time.
 
-        A root that was heard of but could not be taken yet makes the one
-        in force outdated, whoever confirms it.
+        Once a newer root has been offered, the active one is outdated and is
+        not confirmed any more, even if the newer one could not be installed.
 
-        :param revision: the root that was confirmed
-        :param at_ms: when, by this VM's clock: before the question was
-            asked that led to the answer, so that a pause or a slow reply
-            makes the confirmation older and never younger
-        :param fleet_size: how many VMs were alive then
+        :param revision: the revision of the confirmed root
+        :param at_ms: the time by this VM's clock before the request was
+            sent, so that a pause or a slow reply can only make the
+            confirmation older
+        :param fleet_size: the number of VMs alive at that time
         :returns: whether the confirmation is newer than the last
         """
         with self._lock:
             if revision != self._root.revision or revision == 0:
                 return False
-            if revision < self._newest_seen:
+            if revision < self._newest_revision:
                 return False
             last = self._confirmation
             if last is not None and last.at_ms >= at_ms:
@@ -185,10 +187,10 @@
             self._confirmation = freshness.Confirmation(at_ms, fleet_size)
             return True
 
-    def _compare(self, root: roots.Root) -> OfferResult:
+    def _evaluate_offer(self, root: roots.Root) -> OfferResult:
         if root.revision < self._root.revision:
             LOG.warning(
-                "an old root was refused: revision %d, in force %d",
+                "old root rejected: revision %d, active revision %d",
                 root.revision,
                 self._root.revision,
             )
@@ -197,29 +199,31 @@
             return OfferResult.INSTALLED
         if root.digest() == self._root.digest():
             return OfferResult.UNCHANGED
-        # The platform lost an accepted root, or somebody wrote to it by
-        # hand.  Taking the other one would revert what was accepted.
-        LOG.error("two roots of revision %d", root.revision)
+        # The platform has lost an accepted root, or its root was edited
+        # manually.  Installing the other root would revert accepted edits.
+        LOG.error("conflicting roots of revision %d", root.revision)
         return OfferResult.CONFLICTING
 
-    def _fill(
+    def _add_segments(
         self, root: roots.Root, fetched: collections.abc.Mapping[str, bytes]
     ) -> bool:
         try:
             for digest, content in fetched.items():
                 if not self._cache.add(digest, content):
-                    LOG.error("a segment is not what its digest says")
+                    LOG.error("segment content does not match its digest")
         except errors.TablesError as error:
-            LOG.error("revision %d is malformed: %s", root.revision, error)
+            LOG.error(
+                "tables of revision %d are malformed: %s", root.revision, error
+            )
             return False
         return not self._cache.list_missing(root)
 
     def _install(self, root: roots.Root) -> None:
-        """Put a root in force; subscribers hear of roots in their order."""
-        taken = self._cache.join(root)
-        self._tables = taken
+        """Activate a root and notify subscribers in order of revision."""
+        installed = self._cache.join(root)
+        self._tables = installed
         self._root = root
         self._cache.retain(root.list_row_segments())
-        LOG.info("revision %d is in force on this VM", root.revision)
+        LOG.info("revision %d is active on this VM", root.revision)
         for on_change in self._subscribers:
-            on_change(taken)
+            on_change(installed)
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -148,7 +148,7 @@
             ticket = self._ticket
             held = [one for one in (self._attempt, self._next) if one]
         if ticket is not None:
-            self._parts.scheduling.give_up(
+            self._parts.scheduling.cancel_waiting(
                 ticket, model_dependencies.make_disconnect_fault()
             )
         for attempt in held:
@@ -343,7 +343,7 @@
             with self._lock:
                 self._ticket = submitted.ok
             if self._exchange.has_gone.is_set():
-                parts.scheduling.give_up(
+                parts.scheduling.cancel_waiting(
                     submitted.ok, model_dependencies.make_disconnect_fault()
                 )
             decision = parts.scheduling.wait(submitted.ok)
@@ -552,7 +552,7 @@
             return
         gone = model_dependencies.make_disconnect_fault()
         if ticket is not None:
-            self._parts.scheduling.give_up(ticket, gone)
+            self._parts.scheduling.cancel_waiting(ticket, gone)
         if attempt is not None:
             attempt.end(jobs.JobOutcome.CANCELLED)
 
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -426,7 +426,7 @@
             "",
         )
         if address:
-            self.exchange.note_peer(address, told.mirrors)
+            self.exchange.record_peer_revisions(address, told.mirrors)
 
     def _change_tables(self, changed: tables.Tables) -> None:
         self.allowances.update_tables(changed)
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -319,7 +319,7 @@
                 break
         while (
             self.cancelling.open
-            and self.cancelling.is_fresh
+            and self.cancelling.has_recent_cancels
             and not end.has_passed(self.clock.now_ms())
         ):
             self.clock.sleep_ms(POLL_MS)
--- a/tests/claim_history.py
+++ b/tests/claim_history.py
@@ -110,13 +110,13 @@
     :param adapt: changes each new claim store, to break it on purpose
     """
 
-    def __init__(self, seed, make_shard=None, adapt=None, keepers=False):
+    def __init__(self, seed, make_shard=None, adapt=None, coordinators=False):
         self.random = random.Random(seed)
         self.clock = clock.ManualClock(ONE_HOUR_MS)
         self.store = FaultyStore(seed, self.clock)
         self.make_shard = make_shard or self.make_small_shard
         self.adapt = adapt or (lambda store: None)
-        self.mirror_controllers = keepers
+        self.has_coordinators = coordinators
         self.network = peer_network.Network()
         self.incarnation_counts = collections.Counter()
         self.vms = {name: self.start(name) for name in VMS}
@@ -142,15 +142,15 @@
             1,
             self.make_shard,
             FaultyPeers(self, name),
-            lambda shard: self.find_keeper(name),
+            lambda shard: self.find_coordinator(name),
         )
         self.network.attach(name, Claims.Processor(store.handler))
         self.adapt(store)
         return store
 
-    def find_keeper(self, name):
+    def find_coordinator(self, name):
         """Return any VM, as one whose view of the members is wrong does."""
-        if not self.mirror_controllers:
+        if not self.has_coordinators:
             return None
         return self.random.choice([vm for vm in VMS if vm != name] + [None])
 
@@ -189,7 +189,7 @@
         deadline = clock.Deadline(self.clock.now_ms() + LIMIT_MS)
         vm = self.vms[name]
         # Nobody else can end a call on this one thread: do not wait.
-        vm._follow = lambda decision, deadline: False
+        vm._wait_for_original = lambda decision, deadline: False
         began = vm.begin(call.account, call.key, call.call, deadline)
         id_ = (call.account, call.key)
         if began.is_error():
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -93,7 +93,7 @@
 
 def check_installs(world, chain):
     digests = {root.revision: root.digest() for _, root in chain}
-    for vm in world.incarnation_counts:
+    for vm in world.incarnations:
         last = 0
         for revision, digest in vm.installs:
             if revision <= last:
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -152,7 +152,7 @@
         self.store.now_ms = self.clock.now_ms
         self.cut, self.cut_ms = frozenset(), 0
         self.answers, self.edits, self.serving = [], {}, []
-        self.lost_segments, self.incarnation_counts = [], []
+        self.lost_segments, self.incarnations = [], []
         self.busy = set()
         self.depth = 0
         make = self.variant.get("editor", editor.Editor)
@@ -178,7 +178,7 @@
         self.store.lose_write = self.random.choice((0, 0.1))
         for _ in range(ACTIONS):
             self.act()
-            self.register_gauge()
+            self.record_state()
         return self
 
     def act(self):
@@ -224,7 +224,7 @@
 
     def start_vm(self, name):
         self.vms[name] = Vm(self, name)
-        self.incarnation_counts.append(self.vms[name])
+        self.incarnations.append(self.vms[name])
 
     def restart_vm(self):
         name = self.random.choice(sorted(self.vms))
@@ -342,7 +342,7 @@
             )
         )
 
-    def register_gauge(self):
+    def record_state(self):
         """Note what each VM would do with a request now."""
         now_ms = self.clock.now_ms()
         for name, vm in self.vms.items():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -78,7 +78,7 @@
         and replies to such calls as well.  An attempt may then be written
         by two VMs, and must still run once.
         """
-        found, ends = self.run_all(100, keepers=True)
+        found, ends = self.run_all(100, coordinators=True)
         self.assertEqual(found, [])
         for end in ("granted", "replayed", "duplicate may_have_run"):
             self.assertGreater(ends[end], 100, ends)
@@ -95,7 +95,7 @@
         with unittest.mock.patch.object(
             claim_coordination, "PendingClaim", Meddling
         ):
-            self.check_broken("two runs", 200, keepers=True)
+            self.check_broken("two runs", 200, coordinators=True)
 
     def check_broken(self, message, count=60, **kwargs):
         found, _ = self.run_all(count, **kwargs)
@@ -145,7 +145,7 @@
 
         def hope(log, append):
             result = claim_log.ClaimLog._send(log, append)
-            if result.is_error() and claim_writer._is_lost(result.error):
+            if result.is_error() and claim_writer._may_have_run(result.error):
                 version = (append.version or 0) + 1
                 return expression.Ok(base.StoredObject("", "", version, {}))
             return result
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -193,7 +193,7 @@
         """
         with mock.patch.object(
             tables_in_force.ActiveTables,
-            "_compare",
+            "_evaluate_offer",
             lambda self, root: tables_in_force.OfferResult.INSTALLED,
         ):
             self.check_found({"revision fell on a VM"})
@@ -251,7 +251,7 @@
         """
         with mock.patch.object(
             configuration.Configuration,
-            "_find_quorum",
+            "_find_quorum_time",
             lambda self: self.clock.now_ms(),
         ):
             self.check_found({"outdated tables used"})
@@ -269,12 +269,14 @@
         """A VM is paused for a minute and goes on by what others told it
         before the pause.
         """
-        judge = freshness.evaluate_freshness
+        evaluate_freshness = freshness.evaluate_freshness
         with mock.patch.object(
             freshness,
             "evaluate_freshness",
-            lambda confirmation, quorum_ms, now_ms, *limits: judge(
-                confirmation, quorum_ms and now_ms, now_ms, *limits
+            lambda confirmation, quorum_ms, now_ms, *limits: (
+                evaluate_freshness(
+                    confirmation, quorum_ms and now_ms, now_ms, *limits
+                )
             ),
         ):
             self.check_found({"outdated tables used"})
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -259,7 +259,7 @@
     def test_a_copy_that_could_not_be_read_is_asked_for_again(self):
         """Guards against a VM without tables because one call failed."""
         exchange = self.make(failures=2)
-        exchange.note_peer("a2:1", {"config": 7})
+        exchange.record_peer_revisions("a2:1", {"config": 7})
         with self.assertLogs(mirror_exchange.LOG, "INFO"):
             for _ in range(3):
                 exchange.step()
@@ -271,10 +271,10 @@
     def test_a_second_vm_is_asked_where_the_first_does_not_answer(self):
         """Guards against asking a VM that has gone again and again."""
         exchange = self.make(failures=1)
-        exchange.note_peer("a2:1", {"config": 7})
+        exchange.record_peer_revisions("a2:1", {"config": 7})
         with self.assertLogs(mirror_exchange.LOG, "INFO"):
             exchange.step()
-        exchange.note_peer("a3:1", {"config": 7})
+        exchange.record_peer_revisions("a3:1", {"config": 7})
         exchange.step()
         self.assertEqual(self.peers.called, ["a2:1", "a3:1"])
         self.assertEqual(self.keeper.revision, 7)
@@ -350,19 +350,19 @@
     def take(self, rows, revision):
         content = zlib.compress(json.dumps(rows).encode())
         with self.assertLogs(controllers.LOG, "INFO"):
-            self.keeper.unpack(revision, content)
+            self.keeper.apply_snapshot(revision, content)
 
     def test_a_copy_is_packed_once_for_all_vms(self):
         """Guards against processor time that grows with the fleet."""
-        first = self.keeper.pack(0)
-        self.assertIs(self.keeper.pack(3)[1], first[1])
-        self.assertEqual(self.keeper.pack(7), (7, b""))
+        first = self.keeper.make_snapshot(0)
+        self.assertIs(self.keeper.make_snapshot(3)[1], first[1])
+        self.assertEqual(self.keeper.make_snapshot(7), (7, b""))
 
     def test_a_changed_copy_is_packed_anew(self):
         """Guards against telling of servers that have left."""
-        before = self.keeper.pack(0)
+        before = self.keeper.make_snapshot(0)
         self.take([["s2", 7, {}]], 9)
-        revision, content = self.keeper.pack(0)
+        revision, content = self.keeper.make_snapshot(0)
         self.assertEqual(revision, 9)
         self.assertNotEqual(content, before[1])
         rows = json.loads(zlib.decompress(content))
@@ -550,9 +550,9 @@
 
     def copy(self):
         """Let the other VM take over this VM's copy if it is newer."""
-        revision, content = self.keeper.pack(self.other.revision)
+        revision, content = self.keeper.make_snapshot(self.other.revision)
         if content:
-            self.other.unpack(revision, content)
+            self.other.apply_snapshot(revision, content)
 
     def list_other(self):
         return sorted(one.name for one in self.other.list_objects())
@@ -579,8 +579,8 @@
             "servers", None, self.clock, lambda: None
         )
         self.step((0, fail()), (4_000, self.lapse_all()))
-        revision, content = self.keeper.pack(0)
-        fresh.unpack(revision, content)
+        revision, content = self.keeper.make_snapshot(0)
+        fresh.apply_snapshot(revision, content)
         self.assertEqual(len(fresh.list_objects()), 6)
 
 
@@ -664,7 +664,7 @@
     def take(self, keeper, name):
         content = zlib.compress(json.dumps([[name, 5, {}]]).encode())
         with self.assertLogs(controllers.LOG, "INFO"):
-            keeper.unpack(5, content)
+            keeper.apply_snapshot(5, content)
 
     def test_no_tables_before_both_copies_are_known(self):
         """Guards against a VM that takes callers before it knows any server:
