--- a/mulberryway/controllers/cancelling.py
+++ b/mulberryway/controllers/cancelling.py
@@ -28,7 +28,7 @@
 
 
 class _Cancel:
-    __slots__ = ("engine", "label", "due_ms", "delay_ms", "give_up_ms")
+    __slots__ = ("engine", "label", "due_ms", "delay_ms", "abandon_at_ms")
 
     def __init__(
         self,
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -44,8 +44,9 @@
 class Grant:
     """Permission to run a call once.
 
+    ``ended`` is set when the call has ended on this VM.
+
     :param claim: the record of the claim
-    :param ended: set when the call has ended on this VM
     """
 
     __slots__ = ("claim", "ended")
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -14,7 +14,7 @@
 class MirrorSnapshot:
     """Contents of another VM's mirror.
 
-    :param objects: the objects that the store holds according to that VM
+    :param objects_: the objects that the store holds according to that VM
     :param kept: objects that the VM retains although the store has
         removed them
     """
--- a/tests/claim_history.py
+++ b/tests/claim_history.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of calls that must run at most once, and their checker."""
+"""Seeded schedules of calls that must run at most once, and a checker."""
 
 import collections
 import random
@@ -22,9 +22,11 @@
 
 
 class FaultyStore(fakes.MemoryStore):
-    """A platform whose writes may also arrive late, and lists be torn.
+    """A store whose writes may arrive late and whose lists may be torn.
 
-    :param clock_: moves on with each call, so that retries end
+    :param seed: the seed of the random generator
+    :param clock_: advanced by each call, so that retries reach their
+        deadlines
     """
 
     def __init__(self, seed, clock_):
@@ -32,41 +34,41 @@
         self.clock = clock_
         self.late = 0.0
         self.torn = 0.0
-        self._on_their_way = []
+        self._delayed_writes = []
 
     def read(self, *arguments):
-        self._pass_time()
+        self._advance()
         return super().read(*arguments)
 
     def read_all(self, kind, purpose):
-        self._pass_time()
+        self._advance()
         found = super().read_all(kind, purpose)
         if found.is_error() or self.random.random() >= self.torn:
             return found
-        return expression.Ok([self._pick_old(item) for item in found.ok])
+        return expression.Ok([self._pick_version(item) for item in found.ok])
 
-    def _pick_old(self, item):
+    def _pick_version(self, item):
         return self.random.choice(self.history[(item.kind, item.name)])
 
     def _write(self, kind, name, value, version, purpose):
-        self._pass_time()
+        self._advance()
         if not self.outage and self.random.random() < self.late:
-            self._on_their_way.append((kind, name, value, version))
+            self._delayed_writes.append((kind, name, value, version))
             return self._unavailable(errors.ExecutionStatus.MAY_HAVE_RUN)
         return super()._write(kind, name, value, version, purpose)
 
-    def _pass_time(self):
+    def _advance(self):
         self.clock.advance_ms(CALL_MS)
-        if self._on_their_way and self.random.random() < 0.5:
+        if self._delayed_writes and self.random.random() < 0.5:
             with self.lock:
-                self._apply(*self._on_their_way.pop(0))
+                self._apply(*self._delayed_writes.pop(0))
 
 
 class FaultyPeers(peer_network.FakePeers):
-    """Calls between VMs that are lost, or whose replies are.
+    """Calls between VMs, some of which are lost or lose their replies.
 
-    :param history: decides which
-    :param address: the caller's
+    :param history: provides the random generator and the network
+    :param address: the calling VM's address
     """
 
     def __init__(self, history, address):
@@ -94,7 +96,7 @@
 
 
 class Call:
-    """A call that callers send, perhaps several times."""
+    """A call that callers send once or several times."""
 
     def __init__(self, account, key, call):
         self.account = account
@@ -103,11 +105,12 @@
 
 
 class History:
-    """Runs a schedule and checks each promise at each step.
+    """Runs a schedule and checks the guarantees at each step.
 
-    :param seed: decides the whole schedule
-    :param make_shard: the view to use, perhaps a broken one
-    :param adapt: changes each new claim store, to break it on purpose
+    :param seed: determines the whole schedule
+    :param make_shard: makes the views; a test may pass a broken variant
+    :param adapt: called with each new claim store, to break it on purpose
+    :param coordinators: whether VMs send claims to coordinators
     """
 
     def __init__(self, seed, make_shard=None, adapt=None, coordinators=False):
@@ -149,7 +152,7 @@
         return store
 
     def find_coordinator(self, name):
-        """Return any VM, as one whose view of the members is wrong does."""
+        """Return a random VM, as a VM with a wrong membership view would."""
         if not self.has_coordinators:
             return None
         return self.random.choice([vm for vm in VMS if vm != name] + [None])
@@ -188,7 +191,7 @@
         name = self.random.choice(VMS)
         deadline = clock.Deadline(self.clock.now_ms() + LIMIT_MS)
         vm = self.vms[name]
-        # Nobody else can end a call on this one thread: do not wait.
+        # The schedule has one thread, so no other call can end meanwhile.
         vm._wait_for_original = lambda decision, deadline: False
         began = vm.begin(call.account, call.key, call.call, deadline)
         id_ = (call.account, call.key)
@@ -215,8 +218,8 @@
     def end(self):
         if not self.open:
             return
-        place = self.random.randrange(len(self.open))
-        name, grant, id_, call = self.open.pop(place)
+        index = self.random.randrange(len(self.open))
+        name, grant, id_, call = self.open.pop(index)
         run = self.random.choice(
             (*errors.ExecutionStatus, errors.ExecutionStatus.RAN)
         )
@@ -234,7 +237,7 @@
         self.vms[self.random.choice(VMS)].step()
 
     def crash(self):
-        """A VM dies; what it ran has run, whoever knows of it."""
+        """Restart a VM and discard its running calls, which count as run."""
         name = self.random.choice(VMS)
         self.open = [item for item in self.open if item[0] != name]
         self.vms[name] = self.start(name)
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -1,4 +1,4 @@
-"""Judges what operators were told and what VMs held in one schedule."""
+"""Checks operators' results and VMs' tables after one schedule."""
 
 import collections
 
@@ -10,12 +10,12 @@
 from mulberryway.tables import validate
 
 FRESH_MS = 15_000
-# A step may run late, and a lost message costs another.
+# Allows for one late step and for one lost message.
 SLACK_MS = 3_000
 
 
 def check(world):
-    """Return the broken rules by name, with what was seen."""
+    """Return the violations as pairs of the rule's name and the details."""
     chain = read_chain(world)
     return [
         *check_answers(world, chain),
@@ -39,11 +39,11 @@
 
 
 def check_answers(world, chain):
-    made = collections.Counter(
+    applied = collections.Counter(
         root.marks[-1].edit_id for _, root in chain if root.marks
     )
     revisions = {root.marks[-1].edit_id: root.revision for _, root in chain}
-    for edit_id, count in made.items():
+    for edit_id, count in applied.items():
         if count > 1:
             yield "counted twice", edit_id
     for answer in world.answers:
@@ -57,29 +57,29 @@
                 for one in world.answers
                 if one.edit is answer.edit and one is not answer
             ]
-            if edit_id in made and not earlier:
+            if edit_id in applied and not earlier:
                 yield "refused but there", edit_id
 
 
 def check_chain(world, chain):
-    """Each root holds what the edits before it make, and its join holds."""
+    """Check that each root equals the edits so far and is valid."""
     tables = model.Tables(0, (), (), ())
     for _, root in chain:
         if root.revision != tables.revision + 1:
             yield "revision skipped or reverted", root.revision
             return
         edit = world.edits[root.marks[-1].edit_id]
-        held = read_tables(world, root)
-        made = edit.apply(tables)
-        if validate.validate_tables(held).is_error():
+        actual = read_tables(world, root)
+        applied = edit.apply(tables)
+        if validate.validate_tables(actual).is_error():
             yield "join broken", root.revision
             return
-        if made.is_error() or parse.encode_tables(
-            made.ok
-        ) != parse.encode_tables(held):
+        if applied.is_error() or parse.encode_tables(
+            applied.ok
+        ) != parse.encode_tables(actual):
             yield "edit lost or reverted", root.revision
             return
-        tables = held
+        tables = actual
 
 
 def read_tables(world, root):
@@ -104,10 +104,10 @@
 
 
 def check_serving(world, chain):
-    """Tables older than an accepted edit must be refused after a while.
+    """Check that no VM serves with tables that are outdated for too long.
 
-    Time in which all VMs stand still does not count: none of them serves
-    in it, and none can hear of the edit.
+    Time in which all VMs are paused does not count: none of them serves
+    requests in it, and none can receive the edit.
     """
     accepted = [
         (answer.at_ms, answer.result.ok.revision)
@@ -115,19 +115,22 @@
         if answer.result.is_ok()
     ]
     for now_ms, name, revision in world.serving:
-        due = [
+        required = [
             known
             for at_ms, known in accepted
-            if count_awake(world, at_ms, now_ms) > FRESH_MS + SLACK_MS
+            if compute_running_ms(world, at_ms, now_ms) > FRESH_MS + SLACK_MS
         ]
-        if due and max(due) > revision:
-            yield "outdated tables used", (now_ms, name, revision, max(due))
-
-
-def count_awake(world, from_ms, to_ms):
-    """Return for how long the VMs have acted between two times."""
-    frozen_ms = sum(
-        max(0, min(end_ms, to_ms) - max(began_ms, from_ms))
-        for began_ms, end_ms in world.freezes
+        if required and max(required) > revision:
+            yield (
+                "outdated tables used",
+                (now_ms, name, revision, max(required)),
+            )
+
+
+def compute_running_ms(world, from_ms, to_ms):
+    """Return the time in ms that the VMs were not all paused."""
+    paused_ms = sum(
+        max(0, min(end_ms, to_ms) - max(start_ms, from_ms))
+        for start_ms, end_ms in world.freezes
     )
-    return to_ms - from_ms - frozen_ms
+    return to_ms - from_ms - paused_ms
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -1,4 +1,4 @@
-"""Operators, VMs and the platform under seeded schedules of faults."""
+"""Simulation of operators, VMs and the platform with random faults."""
 
 import functools
 import random
@@ -22,9 +22,9 @@
 VMS = 5
 EDITORS = 3
 ACTIONS = 60
-# Membership leaves out a VM that does not answer after about this long.
-NOTICED_MS = 4_000
-SPARE = {
+# Membership considers an unresponsive VM dead after about this time.
+DETECTION_MS = 4_000
+SPARE_POOL = {
     "kind": "plain",
     "upstreams": {
         "s": {"address": "h:1", "zone": "kandy-a", "role": "service"}
@@ -34,7 +34,7 @@
 
 
 class WorldClock(clock.ManualClock):
-    """A clock that lets others act while somebody sleeps."""
+    """A clock that runs the other VMs' steps during a sleep."""
 
     def __init__(self, world):
         super().__init__(1_000_000)
@@ -42,11 +42,11 @@
 
     def sleep_ms(self, duration_ms):
         self.advance_ms(duration_ms)
-        self.world.note_sleep()
+        self.world.run_during_sleep()
 
 
 class Answer:
-    """What an operator was told about an edit."""
+    """The result that an operator got for an edit."""
 
     def __init__(self, edit, result, at_ms):
         self.edit = edit
@@ -55,7 +55,7 @@
 
 
 class Vm:
-    """One life of one VM's router, as far as the tables are concerned."""
+    """The tables' components in one incarnation of a VM's router."""
 
     def __init__(self, world, name):
         self.world = world
@@ -85,7 +85,7 @@
 
 
 class PartitionableStore:
-    """The platform as one VM reaches it, which may be not at all."""
+    """The store as seen by one VM, which may be partitioned from it."""
 
     def __init__(self, world, name):
         self.world = world
@@ -99,7 +99,7 @@
 
 
 class WorldPeers(configuration_peers.PeerSource):
-    """Other VMs, of which messages get lost and some are cut off."""
+    """Other VMs; messages to them may be lost, and some are partitioned."""
 
     def __init__(self, world, name):
         self.world = world
@@ -107,26 +107,31 @@
 
     def list_peers(self):
         now_ms = self.world.clock.now_ms()
-        is_noticed = now_ms - self.world.cut_ms > NOTICED_MS
+        is_detected = now_ms - self.world.cut_ms > DETECTION_MS
         return [
             configuration_peers.PeerVm(name, "z", "lk-central", name)
             for name in sorted(self.world.vms)
-            if name != self.name and not (is_noticed and self.is_apart(name))
+            if name != self.name
+            and not (is_detected and self.is_partitioned(name))
         ]
 
-    def is_apart(self, name):
+    def is_partitioned(self, name):
         return (name in self.world.cut) != (self.name in self.world.cut)
 
     def call(self, address, act):
         lost = self.world.random.random() < 0.1
-        if lost or self.is_apart(address) or address not in self.world.vms:
+        if (
+            lost
+            or self.is_partitioned(address)
+            or address not in self.world.vms
+        ):
             return expression.Error(
                 errors.Fault(
                     errors.Code.PEER_UNREACHABLE, errors.Step.PEER, address
                 )
             )
         answer = act(self.world.vms[address].handler)
-        # A slow answer: the time between question and answer passes.
+        # Simulates a slow answer.
         self.world.clock.advance_ms(self.world.random.choice((0, 1, 1, 300)))
         return expression.Ok(answer)
 
@@ -141,7 +146,11 @@
 
 
 class World:
-    """Runs one schedule; ``variant`` may name broken parts."""
+    """Runs one schedule.
+
+    :param seed: determines the whole schedule
+    :param variant: broken components to use instead of the real ones
+    """
 
     def __init__(self, seed, variant=None):
         self.variant = variant or {}
@@ -169,7 +178,7 @@
             for number in range(EDITORS)
         ]
         values = parse.encode_tables(samples.make_tables())
-        values["pools"]["spare"] = SPARE
+        values["pools"]["spare"] = SPARE_POOL
         self.submit(self.editors[0], [changes.ReplaceAll(values)])
 
     def run(self):
@@ -200,7 +209,7 @@
         )[0]()
 
     def interleave(self):
-        """Let somebody else act before a call reaches the platform."""
+        """Run another action before a call reaches the platform."""
         if self.depth < 2 and self.random.random() < 0.08:
             self.depth += 1
             self.random.choice(
@@ -209,7 +218,7 @@
             self.depth -= 1
 
     def announce(self, name, root, new):
-        """Hand an accepted root to the editor's VM and two others."""
+        """Send an accepted root to the editor's VM and two others."""
         if "silent" in self.variant:
             return
         content = roots.encode_content(root.encode())
@@ -218,9 +227,9 @@
             for other in sorted(self.vms)
             if other != name and (other in self.cut) == (name in self.cut)
         ]
-        for told in [name, *others][:3]:
-            if told not in self.busy:
-                self.vms[told].handler.offer_root(content, new)
+        for receiver in [name, *others][:3]:
+            if receiver not in self.busy:
+                self.vms[receiver].handler.offer_root(content, new)
 
     def start_vm(self, name):
         self.vms[name] = Vm(self, name)
@@ -236,7 +245,7 @@
         self.step_some()
 
     def pause_one(self):
-        """One VM stands still while the others go on."""
+        """Pause one VM while the others continue."""
         name = self.random.choice(sorted(self.vms))
         if name in self.busy:
             return
@@ -247,14 +256,14 @@
         self.busy.discard(name)
 
     def pause_all(self):
-        """All VMs stand still; edits go on."""
-        began_ms = self.clock.now_ms()
+        """Pause all VMs while edits continue."""
+        start_ms = self.clock.now_ms()
         self.clock.advance_ms(self.random.choice((5_000, 20_000, 60_000)))
         self.edit()
-        self.freezes.append((began_ms, self.clock.now_ms()))
+        self.freezes.append((start_ms, self.clock.now_ms()))
 
-    def note_sleep(self):
-        """VMs go on while an operator's edit waits for its next try."""
+    def run_during_sleep(self):
+        """Run VMs' steps while an operator's edit waits for its retry."""
         now_ms = self.clock.now_ms()
         if now_ms - self.stepped_ms >= 500:
             self.stepped_ms = now_ms
@@ -280,7 +289,11 @@
         self.cut_ms = self.clock.now_ms()
 
     def switch_stale(self):
-        """Replicas lag for moments only: what they hold is confirmed."""
+        """Make edits while reads may be stale.
+
+        Replicas lag only briefly, because VMs take their answers as
+        confirmations.
+        """
         self.store.stale = 0.5
         for _ in range(3):
             self.edit()
@@ -302,7 +315,7 @@
             self.submit(self.random.choice(free), changes)
 
     def repeat_edit(self):
-        """An operator who was told 'perhaps' sends the same edit again."""
+        """Retry an edit whose result is unknown."""
         unknown = [
             answer.edit
             for answer in self.answers
@@ -335,7 +348,7 @@
                 changes.PutRow("accounts", f"a{number % 7}", rate),
                 changes.PutRow("routes", "spare", SPARE_ROUTE),
                 changes.DeleteRow("routes", "spare"),
-                changes.PutRow("pools", "spare", SPARE),
+                changes.PutRow("pools", "spare", SPARE_POOL),
                 changes.DeleteRow("pools", "spare"),
                 changes.AddKey("tea", digest),
                 changes.RevokeKey("tea", digest),
@@ -343,7 +356,7 @@
         )
 
     def record_state(self):
-        """Note what each VM would do with a request now."""
+        """Record the tables that each VM would use for a request now."""
         now_ms = self.clock.now_ms()
         for name, vm in self.vms.items():
             tables = vm.active_tables.read_tables()
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that find one another without sockets, stepped in turn."""
+"""Simulated fleet of membership controllers without sockets."""
 
 from mulberryway import clock
 from mulberryway.controllers import membership as controllers
@@ -10,7 +10,7 @@
 
 
 class Fleet:
-    """VMs that are stepped in turn, one period at a time."""
+    """VMs whose steps run in turn, one period at a time."""
 
     def __init__(self, count, zones=3):
         self.clock = clock.ManualClock(1_000)
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -1,4 +1,4 @@
-"""A VM's claims for calls that must run at most once, and its keepers."""
+"""Tests of the claim store and of shards' coordinators."""
 
 import collections
 import threading
@@ -21,8 +21,8 @@
 from tests import processes
 
 
-class KeeperTest(unittest.TestCase):
-    """Two VMs that speak over real connections; one writes for both."""
+class CoordinatorTest(unittest.TestCase):
+    """Two VMs connected over real sockets; one writes claims for both."""
 
     def setUp(self):
         self.clock = clock.SystemClock()
@@ -62,8 +62,8 @@
         deadline = clock.Deadline(self.clock.now_ms() + 5_000)
         return self.vms[name].begin("a", key, call, deadline)
 
-    def make_key(self, keeper):
-        """Return a key in a shard that a VM keeps."""
+    def make_key(self, coordinator):
+        """Return a key in a shard whose coordinator is a given VM."""
         while True:
             key = claim_records.make_uuid7(
                 self.clock.wall_ms(), next(self.numbers)
@@ -71,23 +71,25 @@
             digest = claim_records.parse_claim_id("a", key).digest
             shard = claims.pick_shard(digest)
             chosen = claim_coordinators.choose_coordinator(shard, self.members)
-            if chosen.name == keeper:
+            if chosen.name == coordinator:
                 return key
 
-    def test_keeper_writes_for_both(self):
+    def test_coordinator_writes_for_both(self):
         key = self.make_key("b1")
         grant = self.begin("a1", key).ok
         reads = self.store.counts["claims"]
         reply = claim_records.CachedReply(201, [], b"booked")
         self.vms["a1"].end(grant, errors.ExecutionStatus.RAN, reply)
-        # The end reaches the keeper with the repeat, before any write.
+        # The completion record reaches the coordinator with the retry, before
+        # any write.
         self.assertEqual(self.begin("a1", key).ok.body, b"booked")
         self.assertEqual(self.begin("b1", key).ok.body, b"booked")
         self.assertLessEqual(self.store.counts["claims"], reads + 2)
 
-    def test_lost_keeper_costs_no_booking(self):
-        """The VM that writes a shard dies and membership has not noticed.
-        Callers of other VMs still get their bookings made, once.
+    def test_calls_run_after_a_coordinator_crash(self):
+        """A coordinator crashes and membership has not detected it yet.
+
+        Calls at other VMs must still run, exactly once.
         """
         old, fresh = self.make_key("b1"), self.make_key("b1")
         self.assertTrue(self.begin("a1", old).is_ok())
@@ -121,9 +123,10 @@
         self.assertTrue(began.is_error(), began)
         self.assertEqual((began.error.code, began.error.run), (code, run))
 
-    def test_repeat_at_another_vm_gets_the_reply(self):
-        """A caller loses the reply and asks another VM.  It must get the
-        booking that was made, and not a second one.
+    def test_retry_at_another_vm_gets_the_reply(self):
+        """A caller loses the reply and retries at another VM.
+
+        It must get the reply to the first call, and no second run.
         """
         key = self.make_key()
         grant = self.begin(self.a1, key).ok
@@ -146,25 +149,27 @@
         mine = self.begin(self.b1, key, account="b")
         self.assertIsInstance(mine.ok, controller.Grant)
 
-    def test_repeat_while_the_call_runs_waits_for_its_reply(self):
-        """A caller gives up early and sends its slow call again.  The second
-        try waits for the first one's reply instead of failing.
+    def test_duplicate_waits_for_the_running_call(self):
+        """A caller times out early and retries its slow call.
+
+        The retry waits for the first call's reply instead of failing.
         """
         key = self.make_key()
         grant = self.begin(self.a1, key).ok
         found = []
-        follower = threading.Thread(
+        duplicate = threading.Thread(
             target=lambda: found.append(self.begin(self.a1, key))
         )
-        follower.start()
+        duplicate.start()
         reply = claim_records.CachedReply(201, [], b"booked")
         self.a1.end(grant, errors.ExecutionStatus.RAN, reply)
-        follower.join(10)
+        duplicate.join(10)
         self.assertEqual(found[0].ok.body, b"booked")
 
-    def test_crash_between_claim_and_end_is_told(self):
-        """The VM dies while the call runs.  Nobody can know whether it ran,
-        and its successor must say just that.
+    def test_crash_during_a_call_is_reported(self):
+        """A VM crashes while a call runs, so its outcome is unknown.
+
+        Retries must get "may have run" from the restarted VM and from others.
         """
         key = self.make_key()
         self.assertTrue(self.begin(self.a1, key).is_ok())
@@ -175,9 +180,10 @@
                 errors.ExecutionStatus.MAY_HAVE_RUN,
             )
 
-    def test_call_that_did_not_run_can_be_repeated_at_once(self):
-        """The service refused the connection.  The caller was told so and
-        tries again at another VM, which must not hold it back.
+    def test_call_that_did_not_run_can_be_retried(self):
+        """The service rejected the connection, so the call did not run.
+
+        An immediate retry at another VM must be granted.
         """
         key = self.make_key()
         self.a1.end(
@@ -186,8 +192,9 @@
         self.assertIsInstance(self.begin(self.b1, key).ok, controller.Grant)
 
     def test_outage_means_not_run(self):
-        """The platform is down, so no claim can be made.  The caller learns
-        at once that nothing ran, and the repeat afterwards works.
+        """The platform is unreachable, so no claim can be made.
+
+        The call fails with "not run", and a retry after the outage works.
         """
         key = self.make_key()
         self.store.outage = True
@@ -199,9 +206,10 @@
         self.store.outage = False
         self.assertIsInstance(self.begin(self.a1, key).ok, controller.Grant)
 
-    def test_lost_reply_to_the_claim_is_settled_by_reading(self):
-        """The claim is written and the platform's answer is lost.  The call
-        may run, once, because the log names this attempt.
+    def test_lost_reply_to_a_claim_is_resolved_by_reading(self):
+        """A claim is written but the platform's reply is lost.
+
+        The attempt finds its own claim in the log, and the call runs once.
         """
         self.store.lose_reply = 1.0
         key = self.make_key()
@@ -210,8 +218,9 @@
         self.assertTrue(self.begin(self.b1, key).is_error())
 
     def test_claim_that_arrives_late_is_released(self):
-        """A claim's write is held up until its caller was told "not run".
-        When it turns up after all it must not block the caller's repeat.
+        """A claim's write is delayed until its caller got "not run".
+
+        When it arrives in the log, it must not block the caller's retry.
         """
         key = self.make_key()
         digest = claim_records.parse_claim_id("a", key).digest
@@ -248,7 +257,7 @@
             if self.a1._find_shard(digest).writer is writer:
                 return key
 
-    def test_ids_of_other_times_or_forms_are_refused(self):
+    def test_invalid_ids_are_rejected(self):
         for key, code in (
             ("booking-7", errors.Code.REQUEST_ID_REQUIRED),
             (self.make_key(ahead_ms=120_000), errors.Code.BAD_REQUEST),
@@ -257,7 +266,7 @@
                 self.begin(self.a1, key), code, errors.ExecutionStatus.NOT_RUN
             )
 
-    def test_large_reply_is_not_kept_but_told(self):
+    def test_large_reply_is_not_stored(self):
         key = self.make_key()
         grant = self.begin(self.a1, key).ok
         reply = claim_records.CachedReply(200, [], b"x" * 10_000)
@@ -268,9 +277,10 @@
             errors.ExecutionStatus.RAN,
         )
 
-    def test_many_at_once_share_writes_and_run_once(self):
-        """Callers repeat each call at both VMs at the same moment.  One of
-        them runs it, and the writes are far fewer than the calls.
+    def test_concurrent_duplicates_run_once(self):
+        """Callers send each call to both VMs at the same time.
+
+        Each call must be granted exactly once.
         """
         keys = [self.make_key() for _ in range(200)]
         granted = collections.Counter()
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Calls that must run at most once: the log, its faults, and its checker."""
+"""Tests of claim records, and of claims under random faults."""
 
 import collections
 import unittest
@@ -38,7 +38,7 @@
         ):
             self.assertIsNone(claim_records.parse_claim_id("a", key))
 
-    def test_record_is_read_as_written(self):
+    def test_record_round_trip(self):
         reply = claim_records.CachedReply(201, [("A", "b")], b"\xff")
         record = claim_records.Record(
             "d", 7, "c", "a1/1/1", claim_records.ClaimState.DONE, reply
@@ -58,9 +58,10 @@
         return found, ends
 
     def test_no_call_runs_twice(self):
-        """VMs crash, writes get lost or arrive late, replies get lost, reads
-        are old, and the caller repeats at any VM.  A booking that ran twice
-        sends two boats and bills the farmer twice.
+        """Claims hold under crashes, lost or late writes and stale reads.
+
+        Replies get lost too, and callers retry at any VM.  A call that runs
+        twice would make and bill the same booking twice.
         """
         found, ends = self.run_all()
         self.assertEqual(found, [])
@@ -73,27 +74,30 @@
         ):
             self.assertGreater(ends[end], SCHEDULES / 10, ends)
 
-    def test_no_call_runs_twice_with_keepers(self):
-        """VMs disagree on who writes a shard, calls between them get lost,
-        and replies to such calls as well.  An attempt may then be written
-        by two VMs, and must still run once.
+    def test_no_call_runs_twice_with_coordinators(self):
+        """VMs disagree on a shard's coordinator and their calls get lost.
+
+        Two VMs may then write the claim of one attempt, which must still run
+        only once.
         """
         found, ends = self.run_all(100, coordinators=True)
         self.assertEqual(found, [])
         for end in ("granted", "replayed", "duplicate may_have_run"):
             self.assertGreater(ends[end], 100, ends)
 
-    def test_checker_finds_a_keeper_that_releases_for_others(self):
-        """A keeper gives up on another VM's attempt and releases its claim.
-        The attempt went on by itself and runs; so does the next one.
+    def test_checker_finds_a_coordinator_that_releases_for_others(self):
+        """A coordinator times out and releases another VM's claim.
+
+        The attempt got its claim from another writer and runs, and so does
+        the next attempt.
         """
 
-        class Meddling(claim_queue.PendingClaim):
+        class ReleasingClaim(claim_queue.PendingClaim):
             def __init__(self, request, is_own=True):
                 super().__init__(request)
 
         with unittest.mock.patch.object(
-            claim_coordination, "PendingClaim", Meddling
+            claim_coordination, "PendingClaim", ReleasingClaim
         ):
             self.check_broken("two runs", 200, coordinators=True)
 
@@ -103,27 +107,33 @@
             [violation for violation in found if message in violation]
         )
 
-    def test_checker_finds_a_floor_that_does_not_rise(self):
-        """Old claims are overwritten and nothing remembers that there were
-        some.  A late repeat would run again.
+    def test_checker_finds_a_constant_low_watermark(self):
+        """Old claims are overwritten without raising the low-watermark.
+
+        A late retry would run again.
         """
 
-        class Forgetful(claims.Shard):
+        class ConstantFloorShard(claims.Shard):
             def next_floor_ms(self):
                 return self.floor_ms
 
-        self.check_broken("two runs", make_shard=lambda: Forgetful(3, 300))
+        self.check_broken(
+            "two runs", make_shard=lambda: ConstantFloorShard(3, 300)
+        )
+
+    def test_checker_finds_an_unconditional_write(self):
+        """A VM retries a rejected write with the new version.
 
-    def test_checker_finds_a_write_that_is_not_conditional(self):
-        """A VM whose write is refused sends the same records again with the
-        new version.  It overwrites the other VM's claim.
+        It overwrites the other VM's claim.
         """
 
         def adapt(store):
             for log in (shard.writer.log for shard in store._shards):
-                log._send = lambda append, log=log: force(log, append)
+                log._send = lambda append, log=log: write_unconditionally(
+                    log, append
+                )
 
-        def force(log, append):
+        def write_unconditionally(log, append):
             result = claim_log.ClaimLog._send(log, append)
             if result.is_ok() or result.error.code is not errors.Code.CONFLICT:
                 return result
@@ -134,16 +144,17 @@
 
         self.check_broken("two runs", adapt=adapt)
 
-    def test_checker_finds_a_lost_write_taken_for_done(self):
-        """A write's reply does not come and the VM assumes the best.  The
-        write never arrived, and another VM grants the same call.
+    def test_checker_finds_a_lost_write_treated_as_done(self):
+        """A VM treats a write without a reply as successful.
+
+        The write never arrived, and another VM grants the same call.
         """
 
         def adapt(store):
             for log in (shard.writer.log for shard in store._shards):
-                log._send = lambda append, log=log: hope(log, append)
+                log._send = lambda append, log=log: assume_success(log, append)
 
-        def hope(log, append):
+        def assume_success(log, append):
             result = claim_log.ClaimLog._send(log, append)
             if result.is_error() and claim_writer._may_have_run(result.error):
                 version = (append.version or 0) + 1
@@ -152,13 +163,15 @@
 
         self.check_broken("two runs", adapt=adapt)
 
-    def test_checker_finds_slots_that_are_full_for_some(self):
-        """Two releases disagree on when a slot is full.  Their VMs append
-        to two slots at once, and neither sees the other's claims.
+    def test_checker_finds_different_slot_limits(self):
+        """Two releases use different limits for a full slot.
+
+        Their VMs append to two slots at the same time and do not see each
+        other's claims.
         """
         limits = iter(range(10**6))
 
-        class Opinionated(claims.Shard):
+        class VaryingLimitShard(claims.Shard):
             def __init__(self):
                 super().__init__(3, 300)
                 self.limit = 150 + 150 * (next(limits) % 3)
@@ -179,22 +192,27 @@
             def is_whole(self):
                 return True
 
-        self.check_broken("two runs", make_shard=Opinionated)
+        self.check_broken("two runs", make_shard=VaryingLimitShard)
 
     def test_checker_finds_torn_lists(self):
-        """A list's parts are of different ages, and the VM decides from it.
+        """A VM decides from a list whose items have different ages.
+
         It misses claims in a slot that is older than the others.
         """
 
-        class Trusting(claims.Shard):
+        class UncheckedShard(claims.Shard):
             def is_whole(self):
                 return True
 
-        self.check_broken("two runs", make_shard=lambda: Trusting(3, 300))
+        self.check_broken(
+            "two runs", make_shard=lambda: UncheckedShard(3, 300)
+        )
 
     def test_checker_finds_a_reused_incarnation(self):
-        """A restarted router takes its old name and counts from one again.
-        It takes its predecessor's claim for its own and runs the call.
+        """A restarted router reuses its incarnation and attempt numbers.
+
+        It takes the previous incarnation's claim for its own and runs the
+        call.
         """
 
         def adapt(store):
@@ -203,11 +221,12 @@
         self.check_broken("two runs", adapt=adapt)
 
     def test_checker_finds_replies_to_another_body(self):
-        """A caller sends another booking under an old id.  It would be told
-        that this one is booked.
+        """A caller sends another call under a used id.
+
+        It would get the reply to the first call.
         """
 
-        class Careless(claims.Shard):
+        class UncheckedCallShard(claims.Shard):
             def decide(self, request, now_ms):
                 record = self._records.get(request.id.digest)
                 if record is not None:
@@ -215,7 +234,7 @@
                 return super().decide(request, now_ms)
 
         self.check_broken(
-            "a foreign reply", make_shard=lambda: Careless(3, 300)
+            "a foreign reply", make_shard=lambda: UncheckedCallShard(3, 300)
         )
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Segments at the target's size, the watch, and the choice of watchers."""
+"""Tests of segments, of the root watch and of the selection of watchers."""
 
 import random
 import threading
@@ -39,10 +39,11 @@
 
 
 class SegmentsTest(unittest.TestCase):
-    def test_an_edit_moves_little(self):
-        """Were the tables sent whole with each edit, 2,200 accounts would
-        take more bytes than a VM may spend for control, and a value more
-        than the platform holds.
+    def test_an_edit_changes_one_segment(self):
+        """An edit changes one segment, also with 2,200 accounts.
+
+        The whole tables would exceed a VM's byte budget for control and the
+        platform's maximum object size.
         """
         made = parse.decode_tables(make_rows(ACCOUNTS), 1).ok
         split = segments.split_tables(made)
@@ -58,7 +59,7 @@
         root = roots.Root(2, after.shards, "0" * 32, ())
         self.assertLess(len(roots.encode_content(root.encode())), 5_000)
 
-    def test_rows_survive(self):
+    def test_rows_round_trip(self):
         made = parse.decode_tables(make_rows(50), 1).ok
         split = segments.split_tables(made)
         cache = segments.SegmentCache()
@@ -70,8 +71,9 @@
         )
 
     def test_damaged_segment(self):
-        """A segment arrives damaged.  Taken over, it would give an account
-        another one's keys.
+        """A segment arrives damaged.
+
+        If it were installed, an account could get another one's keys.
         """
         segment = segments.make_segment({"routes": {}})
         cache = segments.SegmentCache()
@@ -85,15 +87,17 @@
 
 class ReportTest(unittest.TestCase):
     def test_calls_by_purpose(self):
-        """The platform refuses calls over its rates, and an operator has to
-        find out what they were made for.
+        """Calls to the platform are counted by purpose.
+
+        The platform rejects calls over its rates, and an operator has to
+        find out which purpose causes them.
         """
-        kept = call_metrics.InMemoryCallCounter()
+        counter = call_metrics.InMemoryCallCounter()
         instruments = metrics.Metrics("vm")
         self.addCleanup(instruments.stop)
-        kept.report(instruments)
-        kept.count_call("claims", "ok", 10, 20)
-        kept.count_call("claims", "ok", 10, 20)
+        counter.report(instruments)
+        counter.count_call("claims", "ok", 10, 20)
+        counter.count_call("claims", "ok", 10, 20)
         points = instruments.read()["mulberryway.platform.calls"]
         self.assertEqual(
             points,
@@ -101,15 +105,15 @@
         )
 
 
-class Target:
-    """What a watch reports to, as the configuration controller is."""
+class RecordingTarget:
+    """Records what a watch reports, in place of the controller."""
 
     def __init__(self):
         self.active_tables = tables_in_force.ActiveTables(
             clock.SystemClock(), 60_000, 60_000
         )
         self.revisions = []
-        self.taken = threading.Event()
+        self.installed = threading.Event()
 
     def is_watcher(self):
         return True
@@ -122,7 +126,7 @@
         return value["revision"]
 
     def wake(self):
-        self.taken.set()
+        self.installed.set()
 
 
 class WatchTest(unittest.TestCase):
@@ -132,12 +136,13 @@
         editor_ = editor.Editor(store, clock.SystemClock(), random.Random(1))
         self.assertTrue(editor_.submit(edit, GUARD_S * 1000).is_ok())
 
-    def test_watch_is_opened_again(self):
-        """A watch ends in an outage.  Without a new one this VM would hear
-        of edits only from others.
+    def test_watch_is_reopened(self):
+        """A watch ends in an outage and must be opened again.
+
+        Without it, this VM would get edits only from other VMs.
         """
         store = fakes.MemoryStore()
-        target = Target()
+        target = RecordingTarget()
         watch = configuration_watch.RootWatch(
             target, store, clock.SystemClock(), 1_000
         )
@@ -146,20 +151,22 @@
         watch.start()
         self.addCleanup(watch.stop)
         for number in (2, 3):
-            self.assertTrue(target.taken.wait(GUARD_S))
-            target.taken.clear()
+            self.assertTrue(target.installed.wait(GUARD_S))
+            target.installed.clear()
             store.outage = True
             threading.Event().wait(0.2)
             store.outage = False
             self.make_edit(store, number)
         while target.revisions[-1] < 3:
-            self.assertTrue(target.taken.wait(GUARD_S))
-            target.taken.clear()
+            self.assertTrue(target.installed.wait(GUARD_S))
+            target.installed.clear()
         self.assertEqual(target.revisions, sorted(target.revisions))
 
     def test_few_watch(self):
-        """If every VM watched, 410 waiting calls would take a fifth of what
-        the platform gives.
+        """Only a few VMs of a region watch the platform.
+
+        If every VM watched, 410 open calls would use a fifth of the
+        platform's capacity.
         """
         names = [f"vm{number}" for number in range(200)]
         chosen = [
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -1,4 +1,4 @@
-"""Configuration under seeded schedules, judged by a history checker."""
+"""Tests of the configuration under random faults, with a history checker."""
 
 import logging
 import os
@@ -24,16 +24,17 @@
 from tests import configuration_world
 from tests import processes
 
-# Thousands of lines that nobody reads would take most of the time.
+# Writing thousands of unused log lines would take most of the time.
 logging.getLogger("mulberryway").setLevel(logging.CRITICAL)
 
-# Fewer shards than in service: the rules are the same, the runs shorter.
+# Fewer shards than in production make the runs shorter under the same rules.
 SHARDS = mock.patch.dict(roots.SHARD_COUNTS, routes=1, pools=2, accounts=4)
 
 SEEDS = 300
 BROKEN_SEEDS = 150
-# It takes an outage, two cuts and a restart, so it is rare.
-FORGETFUL_SEED = 600
+# The fault needs an outage, two network partitions and a restart, so it is
+# rare; the search starts at this seed.
+RESTARTED_VM_SEED = 600
 GUARD_S = 60
 
 
@@ -46,11 +47,12 @@
 
 
 class ScheduleTest(unittest.TestCase):
-    def test_promises_hold(self):
-        """Operators race and lose replies while VMs restart, are paused
-        and cut off, old roots arrive late, replicas answer with old
-        versions and the platform goes down.  Were a promise broken, an
-        operator's accepted edit would vanish, or a withdrawn key would
+    def test_guarantees_hold(self):
+        """Guarantees of the configuration hold under random faults.
+
+        Operators race and lose replies; VMs restart, are paused and
+        partitioned; old roots arrive late, replicas are stale and the
+        platform fails.  No accepted edit may be lost, and no revoked key may
         work again.
         """
         accepted = unknown = served = 0
@@ -65,16 +67,18 @@
                 for result in results
             )
             served += len(world.serving)
-        # The schedules must have brought about what they are for.
+        # The schedules must have produced the cases under test.
         self.assertGreater(accepted, SEEDS)
         self.assertGreater(unknown, SEEDS // 10)
         self.assertGreater(served, SEEDS * 20)
 
 
-class SameScheduleTest(unittest.TestCase):
-    def test_seed_alone_decides(self):
-        """A schedule whose order depends on how a process happens to sort
-        its sets cannot be run again, and a rare fault that it found is lost.
+class DeterministicScheduleTest(unittest.TestCase):
+    def test_seed_determines_the_schedule(self):
+        """A schedule depends on its seed alone.
+
+        If it depended on the hash seed's set order, a rare fault that it
+        found could not be reproduced.
         """
         code = (
             "from tests import configuration_world as world;"
@@ -95,7 +99,7 @@
         self.assertEqual(len(answers), 1)
 
 
-class HastyEditor(editor.Editor):
+class FalseFailureEditor(editor.Editor):
     """Reports a lost reply as a failure."""
 
     def submit(self, edit, timeout_ms):
@@ -105,15 +109,15 @@
         return result
 
 
-class ForgetfulEditor(editor.Editor):
-    """Does not look whether an edit was accepted under an earlier try."""
+class NoDuplicateCheckEditor(editor.Editor):
+    """Does not check whether an earlier attempt of an edit was accepted."""
 
     def _find(self, root, submission):
         return expression.Ok(None)
 
 
 def write_unconditionally(self, held, root):
-    """Put a root in the place of whatever is there."""
+    """Overwrite the stored root regardless of its version."""
     found = self._store.read(root_store.KIND, root_store.NAME, "test")
     version = found.ok.version if found.is_ok() else held.version
     return root_store.RootStore.plain_write(
@@ -121,8 +125,8 @@
     )
 
 
-def apply_alone(self, tables):
-    """Apply an edit without looking at the join."""
+def apply_without_validation(self, tables):
+    """Apply an edit without validating the joined tables."""
     rows = parse.encode_tables(tables)
     for change in self.changes:
         changed = change.apply(rows)
@@ -132,7 +136,7 @@
 
 
 class RefreshedAgeConfiguration(configuration.Configuration):
-    """Takes another VM's confirmation for one of this moment."""
+    """Treats another VM's confirmation as made at the current time."""
 
     def pull(self, address):
         answered = super().pull(address)
@@ -146,7 +150,7 @@
 
 
 class BrokenVariantTest(unittest.TestCase):
-    """The checker finds each rule broken that the code keeps."""
+    """The checker finds the violation if a rule of the code is removed."""
 
     def check_found(self, rules, variant=None, first=0):
         for seed in range(first, first + BROKEN_SEEDS):
@@ -156,20 +160,23 @@
         self.fail(f"no schedule of {BROKEN_SEEDS} breaks {rules}")
 
     def test_lost_reply_reported_as_failure(self):
-        """The reply to an accepted edit is lost and the operator is told
-        that it failed: the key that was withdrawn is believed to work.
+        """A lost reply to an accepted edit is reported as a failure.
+
+        The operator would assume that a revoked key still works.
         """
-        self.check_found({"refused but there"}, {"editor": HastyEditor})
+        self.check_found({"refused but there"}, {"editor": FalseFailureEditor})
+
+    def test_retry_applied_twice(self):
+        """An edit whose reply was lost is retried and applied twice.
 
-    def test_repeat_counted_twice(self):
-        """An operator repeats an edit whose reply was lost, and it undoes
-        what a colleague has changed in between.
+        The second application reverts another operator's later change.
         """
-        self.check_found({"counted twice"}, {"editor": ForgetfulEditor})
+        self.check_found({"counted twice"}, {"editor": NoDuplicateCheckEditor})
 
-    def test_blind_overwrite(self):
-        """Two operators edit at once and the second overwrites the first,
-        whose accepted edit vanishes.
+    def test_unconditional_overwrite(self):
+        """Of two concurrent edits the second overwrites the first.
+
+        The first operator's accepted edit is lost.
         """
         root_store.RootStore.plain_write = root_store.RootStore.write_root
         self.addCleanup(delattr, root_store.RootStore, "plain_write")
@@ -180,17 +187,16 @@
                 {"edit lost or reverted", "revision skipped or reverted"}
             )
 
-    def test_join_not_checked_again(self):
-        """One operator deletes a pool while another points a route at it;
-        callers of that route get errors from every VM.
+    def test_joined_tables_not_validated(self):
+        """One operator deletes a pool while another adds a route to it.
+
+        Callers of that route would get errors from every VM.
         """
-        with mock.patch.object(edits.Edit, "apply", apply_alone):
+        with mock.patch.object(edits.Edit, "apply", apply_without_validation):
             self.check_found({"join broken"})
 
-    def test_older_root_taken(self):
-        """A late watch event brings an old root, and with it a key that
-        has been withdrawn.
-        """
+    def test_older_root_installed(self):
+        """A late watch event contains an old root with a revoked key."""
         with mock.patch.object(
             tables_in_force.ActiveTables,
             "_evaluate_offer",
@@ -198,9 +204,10 @@
         ):
             self.check_found({"revision fell on a VM"})
 
-    def test_base_not_looked_at(self):
-        """A collector deletes a segment whose edit is being accepted, and
-        no VM that starts afterwards can read the tables.
+    def test_base_not_checked(self):
+        """Garbage collection deletes a segment of an edit in progress.
+
+        VMs that start afterwards could not read the tables.
         """
         with mock.patch.object(
             segments.SegmentStore,
@@ -210,8 +217,9 @@
             self.check_found({"segment lost"})
 
     def test_base_not_raised(self):
-        """An edit needs a segment that is about to be collected, finds it
-        there, and names it when it has gone.
+        """An edit reuses a segment that is about to be collected.
+
+        The new root would refer to a deleted segment.
         """
         with mock.patch.object(
             segments.SegmentStore,
@@ -220,23 +228,26 @@
         ):
             self.check_found({"segment lost"})
 
-    def test_cut_off_vms_confirm_one_another(self):
-        """A zone is cut off and its VMs tell one another that all is well;
-        a key that was withdrawn goes on working there.
+    def test_partitioned_vms_confirm_each_other(self):
+        """VMs of a partitioned zone confirm each other's tables.
+
+        A revoked key would continue to work there.
         """
         self.check_found(
             {"outdated tables used"},
             {"configuration": RefreshedAgeConfiguration},
         )
 
-    def test_accepted_edit_not_handed_over(self):
-        """The platform goes down right after it has accepted an edit, and
-        no VM hears of it: the key that was withdrawn works on for hours.
+    def test_accepted_edit_not_sent_to_vms(self):
+        """The platform fails right after it has accepted an edit.
+
+        If the edit were not sent to the VMs directly, a revoked key would
+        work until the outage ends.
         """
         self.check_found({"outdated tables used"}, {"silent": True})
 
-    def test_age_not_looked_at(self):
-        """A VM that reaches nobody goes on with tables of any age."""
+    def test_age_not_checked(self):
+        """An isolated VM continues to use tables of any age."""
         with mock.patch.object(
             freshness,
             "evaluate_freshness",
@@ -244,10 +255,11 @@
         ):
             self.check_found({"outdated tables used"})
 
-    def test_membership_believed(self):
-        """A cut heals, and a VM that was cut off goes on as soon as it
-        sees the others alive, before it has heard of the key that was
-        withdrawn meanwhile.
+    def test_membership_used_as_quorum(self):
+        """A VM relies on membership alone after a network partition.
+
+        It would serve requests as soon as the other VMs are alive, before it
+        has learned of a key that was revoked meanwhile.
         """
         with mock.patch.object(
             configuration.Configuration,
@@ -256,19 +268,19 @@
         ):
             self.check_found({"outdated tables used"})
 
-    def test_forgetful_vm_counted(self):
-        """VMs that were cut off and one that was started anew in an outage
-        make a majority that has never heard of a withdrawn key.
+    def test_restarted_vm_counted(self):
+        """A VM that was restarted in an outage counts for a majority.
+
+        With partitioned VMs it could form a majority that does not know of a
+        revoked key.
         """
         with mock.patch.object(
             tables_in_force.ActiveTables, "is_witness", lambda self: True
         ):
-            self.check_found({"outdated tables used"}, first=FORGETFUL_SEED)
+            self.check_found({"outdated tables used"}, first=RESTARTED_VM_SEED)
 
-    def test_time_of_answers_not_kept(self):
-        """A VM is paused for a minute and goes on by what others told it
-        before the pause.
-        """
+    def test_time_of_replies_ignored(self):
+        """A VM is paused for a minute and uses replies from before."""
         evaluate_freshness = freshness.evaluate_freshness
         with mock.patch.object(
             freshness,
@@ -284,8 +296,8 @@
 
 class EmptyTest(unittest.TestCase):
     def test_no_tables_before_the_first(self):
-        in_force = tables_in_force.ActiveTables(
+        active = tables_in_force.ActiveTables(
             configuration_world.clock.ManualClock(), 1, 1
         )
-        self.assertIsNone(in_force.read_tables())
+        self.assertIsNone(active.read_tables())
         self.assertEqual(model.Tables(0, (), (), ()).accounts, {})
--- a/tests/test_configuration_rpc.py
+++ b/tests/test_configuration_rpc.py
@@ -1,4 +1,4 @@
-"""The exchange of tables over real connections, the platform in memory."""
+"""Tests of fetching tables from other VMs over real connections."""
 
 import random
 import unittest
@@ -64,9 +64,10 @@
         self.assertTrue(accepted.submit(edit, TIMEOUT_MS).is_ok())
 
     def test_start_in_an_outage(self):
-        """A VM is replaced while the platform is down.  It takes the tables
-        from another VM, with the age of that VM's confirmation; else it
-        would refuse its callers for as long as the outage lasts.
+        """A VM starts while the platform is unreachable.
+
+        It must get the tables from another VM, with the age of that VM's
+        confirmation, or it would reject callers until the outage ends.
         """
         self.apply()
         self.assertTrue(self.first.read_platform())
@@ -87,16 +88,18 @@
         )
 
     def test_start_alone_in_an_outage(self):
-        """A VM starts and reaches nobody.  It has no tables and says so,
-        rather than guessing which keys are good.
+        """A VM starts and reaches neither the platform nor other VMs.
+
+        It must have no tables, because it cannot know which keys are valid.
         """
         self.store.outage = True
         self.first.step()
         self.assertIsNone(self.first.active_tables.read_tables())
 
     def test_wrong_secret(self):
-        """A stranger asks for the tables, in which upstreams' credentials
-        stand, and gets nothing.
+        """A client with a wrong secret requests the tables.
+
+        It must not get them, because they contain upstreams' credentials.
         """
         stranger = peers.PeerClient("guess", self.clock, TIMEOUT_MS)
         self.addCleanup(stranger.close)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""What a VM does while nothing happens: a fleet's processor time at rest."""
+"""Tests of the processor time that an idle VM uses."""
 
 import os
 import threading
@@ -17,8 +17,8 @@
 from mulberryway.relay import loop
 
 GUARD_S = 10
-# Less than the loop sleeps by itself.
-LATE_S = 1
+# Shorter than the loop's own sleep.
+WAKE_TIMEOUT_S = 1
 SETTLE_S = 0.1
 
 
@@ -37,12 +37,12 @@
         self.loop.start()
         self.addCleanup(self.loop.stop)
 
-    def test_no_tick_where_none_is_needed(self):
-        """Guards against relays at rest that wake twenty times a second."""
+    def test_no_tick_while_none_is_needed(self):
+        """An idle relay must not wake twenty times a second."""
         self.assertFalse(self.ticked.wait(3 * loop.TICK_MS / 1_000))
 
-    def test_ticks_begin_with_what_needs_them(self):
-        """Guards against a stream whose limits nobody looks at."""
+    def test_ticks_start_when_needed(self):
+        """Without ticks the timeouts of a stream would not be checked."""
         time.sleep(2 * loop.TICK_MS / 1_000)
 
         def need():
@@ -53,9 +53,10 @@
 
 
 class WakeTest(unittest.TestCase):
-    def test_an_act_that_comes_while_the_loop_wakes_hides_no_later_one(self):
-        """Guards against streams that stand still because a wakeup of the
-        loop was read together with the one before.
+    def test_callback_posted_during_a_wake_up_hides_no_later_one(self):
+        """A wake-up of the loop is read together with the previous one.
+
+        If it were lost, streams would stall.
         """
         loop_ = loop.EventLoop("test", clock.SystemClock())
         first, second, third = (threading.Event() for _ in range(3))
@@ -71,33 +72,37 @@
             self.addCleanup(loop_.stop)
             loop_.post(first.set)
             self.assertTrue(second.wait(GUARD_S))
-            # The loop is asleep again.
+            # Wait until the loop sleeps again.
             time.sleep(SETTLE_S)
             loop_.post(third.set)
-            self.assertTrue(third.wait(LATE_S))
+            self.assertTrue(third.wait(WAKE_TIMEOUT_S))
 
 
 class CancellingTest(unittest.TestCase):
-    def test_sleeps_while_nothing_is_to_be_cancelled(self):
-        """Guards against a thread that wakes ten times a second."""
-        one = cancelling.CancelController(clock.ManualClock(), mock.Mock())
-        self.addCleanup(one.stop)
-        one.step()
-        self.assertEqual(one.period_ms, cancelling.IDLE_MS)
-
-    def test_a_failed_cancel_is_repeated_soon(self):
-        """Guards against engines that go on for nobody for seconds."""
+    def test_sleeps_without_pending_cancels(self):
+        """An idle thread must not wake ten times a second."""
+        controller = cancelling.CancelController(
+            clock.ManualClock(), mock.Mock()
+        )
+        self.addCleanup(controller.stop)
+        controller.step()
+        self.assertEqual(controller.period_ms, cancelling.IDLE_MS)
+
+    def test_failed_cancel_is_retried_soon(self):
+        """An engine must not continue an abandoned request for seconds."""
         engine = mock.Mock()
         engine.cancel.side_effect = [
             expression.Error(mock.Mock()),
             expression.Ok(True),
         ]
-        one = cancelling.CancelController(clock.SystemClock(), mock.Mock())
-        one.start()
-        self.addCleanup(one.stop)
-        one.cancel(engine, mock.Mock())
+        controller = cancelling.CancelController(
+            clock.SystemClock(), mock.Mock()
+        )
+        controller.start()
+        self.addCleanup(controller.stop)
+        controller.cancel(engine, mock.Mock())
         end_s = time.monotonic() + GUARD_S
-        while one.open and time.monotonic() < end_s:
+        while controller.open and time.monotonic() < end_s:
             time.sleep(0.01)
         self.assertEqual(engine.cancel.call_count, 2)
         self.assertLess(GUARD_S - (end_s - time.monotonic()), 1)
@@ -117,7 +122,7 @@
         return made
 
     def test_sleeps_until_the_next_heartbeat(self):
-        """Guards against a thread that wakes sixteen times a second."""
+        """An idle thread must not wake sixteen times a second."""
         made = self.make()
         made.step()
         self.assertEqual(len(self.sent), 1)
@@ -128,16 +133,16 @@
             made.period_ms, usage.HEARTBEAT_MS - fleet_allowances.IDLE_MS
         )
 
-    def test_wakes_for_tokens_that_are_taken(self):
-        """Guards against other VMs that hear of tokens too late."""
+    def test_wakes_for_reserved_tokens(self):
+        """Other VMs must learn of reserved tokens without delay."""
         made = self.make()
         made.step()
         made.wake = mock.Mock()
         made.reserve("a", 1)
         made.wake.assert_called()
 
-    def test_steps_keep_their_pause(self):
-        """Guards against a message to all VMs for each request."""
+    def test_steps_keep_the_minimum_interval(self):
+        """Without a minimum interval each request would cause a broadcast."""
         made = self.make()
         made.step()
         before_ms = self.clock.now_ms()
@@ -147,7 +152,7 @@
         )
 
 
-class GatherTest(unittest.TestCase):
+class ReceiveBatchTest(unittest.TestCase):
     def make(self):
         made = dissemination.DisseminationController(
             make_member(0), clock.ManualClock()
@@ -155,16 +160,16 @@
         made.datagrams = mock.Mock()
         return made
 
-    def test_a_large_fleet_reads_datagrams_together(self):
-        """Guards against a wakeup for each of a hundred datagrams a second."""
+    def test_large_fleet_batches_datagrams(self):
+        """Hundreds of datagrams a second must not cause a wake-up each."""
         made = self.make()
         made.update_members([make_member(n) for n in range(79)])
         self.assertEqual(
             made.datagrams.batch_delay_ms, dissemination.RECEIVE_BATCH_MS
         )
 
-    def test_a_small_fleet_reads_each_at_once(self):
-        """Guards against engines chosen by news that is older than needed."""
+    def test_small_fleet_does_not_batch(self):
+        """In a small fleet batching would only delay scheduler state."""
         made = self.make()
         made.update_members([make_member(n) for n in range(9)])
         self.assertEqual(made.datagrams.batch_delay_ms, 0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""VMs that find, suspect, lose and find one another again."""
+"""Tests of membership: joining, failure detection and rejoining."""
 
 import unittest
 
@@ -10,9 +10,11 @@
 
 
 class ExpiryTest(unittest.TestCase):
-    def test_a_suspect_is_dead_on_time_while_probes_wait(self):
-        """Guards against VMs that count as alive for as long as this VM's
-        calls to other VMs, or to the store, wait for answers.
+    def test_suspect_expires_on_time_while_probes_wait(self):
+        """A suspected VM is considered dead on time during blocking calls.
+
+        Probes and store calls may wait for seconds; timeouts must not depend
+        on their end.
         """
         clock_ = clock.ManualClock()
         own, other = (
@@ -33,13 +35,13 @@
 
 
 class MembershipTest(unittest.TestCase):
-    def check_all_see(self, fleet, name, health, besides=()):
+    def check_all_see(self, fleet, name, health, excluded=()):
         for vm in fleet.vms:
-            if vm.own.name != name and vm.own.name not in besides:
+            if vm.own.name != name and vm.own.name not in excluded:
                 seen = fleet.see(vm, name)
                 self.assertIs(seen.health, health, vm.own.name)
 
-    def test_all_find_one_another_through_one_seed(self):
+    def test_all_vms_join_through_one_seed(self):
         fleet = membership_fleet.Fleet(27)
         fleet.run(20)
         for vm in fleet.vms:
@@ -47,10 +49,11 @@
         digests = {vm.exchange.view.digest() for vm in fleet.vms}
         self.assertEqual(len(digests), 1)
 
-    def test_a_dead_vm_is_left_out_of_entry_answers(self):
-        """A VM dies without a word; callers were sent to it before.
+    def test_dead_vm_is_not_in_discovery_responses(self):
+        """A VM fails without announcing it.
 
-        An entry answer that still names it costs callers a failed try.
+        A discovery response that still lists it costs callers a failed
+        attempt.
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
@@ -62,10 +65,11 @@
         fleet.run(20)
         self.check_all_see(fleet, "vm4", member.MemberStatus.DEAD)
 
-    def test_the_last_other_vm_dies_and_comes_back(self):
-        """A VM takes all others for dead, as one that is cut off does.  With
-        nobody left to probe it looked for one for ever, held its view's lock
-        meanwhile, and heard and told nothing any more, also afterwards.
+    def test_last_peer_fails_and_recovers(self):
+        """A VM considers all others dead, as a partitioned VM does.
+
+        Without a probe target it once searched for one in an endless loop with
+        its view's lock held, and exchanged no more gossip.
         """
         fleet = membership_fleet.Fleet(2)
         fleet.run(20)
@@ -80,10 +84,11 @@
             fleet.see(first, "vm1").health, member.MemberStatus.ALIVE
         )
 
-    def test_one_lost_link_kills_nobody(self):
-        """Two VMs cannot reach each other, though all others reach both.
+    def test_one_broken_link_marks_no_vm_dead(self):
+        """Two VMs cannot reach each other, but all others reach both.
 
-        Were one probe enough, both would be thrown out again and again.
+        If one failed probe were sufficient, both would be considered dead
+        repeatedly.
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
@@ -92,8 +97,8 @@
         self.check_all_see(fleet, "vm3", member.MemberStatus.ALIVE)
         self.check_all_see(fleet, "vm5", member.MemberStatus.ALIVE)
 
-    def test_regions_that_lost_each_other_join_again(self):
-        """Two halves are cut apart until each takes the other for dead."""
+    def test_partitioned_regions_rejoin(self):
+        """Two halves are partitioned until each considers the other dead."""
         fleet = membership_fleet.Fleet(8)
         fleet.run(20)
         halves = [
@@ -110,10 +115,10 @@
         for vm in fleet.vms:
             self.check_all_see(fleet, vm.own.name, member.MemberStatus.ALIVE)
 
-    def test_a_new_vm_at_an_old_address_is_not_the_old_one(self):
-        """A VM is replaced; the new one has its name and IP number.
+    def test_new_vm_at_an_old_address_is_alive(self):
+        """A VM is replaced by one with the same name and address.
 
-        Late news of the old one's death must not count against it.
+        Late gossip of the old VM's failure must not affect the new one.
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
@@ -125,10 +130,11 @@
         self.check_all_see(fleet, "vm4", member.MemberStatus.ALIVE)
         self.assertEqual(fleet.see(fleet.vms[0], "vm4").incarnation, 2)
 
-    def test_a_vm_whose_clock_went_back_gets_a_larger_incarnation(self):
-        """A restarted VM has a smaller incarnation than its old life.
+    def test_vm_with_a_smaller_incarnation_increases_it(self):
+        """A restarted VM has a smaller incarnation than its previous one.
 
-        Taken for the old one, it would be ignored until that is forgotten.
+        Its updates would be ignored as outdated until the old entry is
+        removed.
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
@@ -140,7 +146,7 @@
             fleet.vms[4].own.incarnation,
         )
 
-    def test_a_stopping_vm_is_left_out_within_a_few_periods(self):
+    def test_stopping_vm_is_excluded_within_a_few_periods(self):
         fleet = membership_fleet.Fleet(27)
         fleet.run(30)
         fleet.vms[5].update_local(is_stopping=True)
@@ -150,9 +156,10 @@
             named = [one.address for one in vm.list_addresses("zone2")]
             self.assertNotIn("vm5:2", named)
 
-    def test_a_vm_that_cannot_serve_yet_is_left_out(self):
-        """A VM has just begun and does not know where tokens are yet.
-        Callers sent there would be refused within their rate.
+    def test_starting_vm_is_excluded(self):
+        """A VM has just started and does not know the token allowances yet.
+
+        It would reject callers that are within their rate.
         """
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
@@ -165,7 +172,7 @@
         fleet.run(4)
         self.assertFalse(fleet.see(fleet.vms[0], "vm5").is_starting)
 
-    def test_hints_reach_everybody_once(self):
+    def test_messages_reach_all_vms_once(self):
         fleet = membership_fleet.Fleet(27)
         fleet.run(30)
         got = []
@@ -179,26 +186,27 @@
         names = {vm.own.name for vm in fleet.vms} - {"vm3"}
         self.assertEqual(sorted(got), sorted((n, "digest") for n in names))
 
-    def test_newer_tables_are_noticed(self):
-        """An edit has reached one VM only; the others must hear of it."""
+    def test_newer_tables_are_announced(self):
+        """An edit has reached only one VM; the others must learn of it."""
         fleet = membership_fleet.Fleet(9)
         fleet.run(20)
-        heard = set()
+        notified = set()
         for vm in fleet.vms:
 
-            def take(teller, vm=vm):
-                heard.add(vm.own.name)
-                vm.announce_revision(teller.revision)
+            def take(sender, vm=vm):
+                notified.add(vm.own.name)
+                vm.announce_revision(sender.revision)
 
             vm.subscribe_newer_tables(take)
         fleet.vms[2].announce_revision(7)
         fleet.run(4)
-        self.assertEqual(len(heard), 8)
+        self.assertEqual(len(notified), 8)
+
+    def test_new_incarnation_exceeds_those_known_to_peers(self):
+        """A VM's clock was set back while it was down.
 
-    def test_a_new_life_counts_on_from_what_peers_know(self):
-        """A VM's clock went back while it was down.  Its new life would
-        bear a smaller number, and others would cancel its running requests
-        as those of a dead owner.
+        With a smaller incarnation, other VMs would cancel its running requests
+        as orphaned.
         """
         fleet = membership_fleet.Fleet(3)
         fleet.run(20)
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -1,4 +1,4 @@
-"""Copies of the store's objects: order, outages, and help between VMs."""
+"""Tests of mirrors: order of updates, outages and exchange between VMs."""
 
 import json
 import threading
@@ -46,14 +46,15 @@
     def names(self):
         return sorted(one.name for one in self.mirror.list_objects())
 
-    def lapse(self, count, now_ms, revision=11):
-        """Take in that the first entries are gone."""
+    def remove_first(self, count, now_ms, revision=11):
+        """Apply the removal of the first entries."""
         events = [change(f"s{n}", n, True) for n in range(1, count + 1)]
         self.mirror.apply(events, revision, now_ms)
 
-    def test_older_copy_changes_nothing(self):
-        """A slow answer of the store comes after a newer copy from another
-        VM.  Taken over, it would bring a server back that has left.
+    def test_older_listing_is_ignored(self):
+        """A slow answer of the store arrives after a newer snapshot.
+
+        If it were applied, it would restore a deregistered server.
         """
         self.mirror.replace_from_peer(
             [make(f"s{n}", n) for n in range(2, 7)], 12, 0
@@ -62,7 +63,7 @@
         self.assertFalse(self.mirror.replace(rows, 11, 0))
         self.assertNotIn("s1", self.names())
 
-    def test_adopts_only_what_is_newer(self):
+    def test_only_newer_snapshots_are_applied(self):
         self.assertFalse(
             self.mirror.replace_from_peer([], self.mirror.changed_revision, 0)
         )
@@ -70,18 +71,20 @@
         self.assertTrue(self.mirror.replace_from_peer(rows, 20, 0))
         self.assertEqual(self.names(), [f"s{n}" for n in range(2, 10)])
 
-    def test_changes_of_other_kinds_are_no_news(self):
-        """The store's revision grows with every write of any kind.  Told to
-        other VMs, it would make them fetch a copy that has not changed.
+    def test_changes_of_other_kinds_are_not_announced(self):
+        """The store's revision grows with writes of any kind.
+
+        If it were announced, other VMs would fetch an unchanged snapshot.
         """
         before = self.mirror.changed_revision
         self.assertFalse(self.mirror.apply([], 40, 0))
         self.assertEqual(self.mirror.changed_revision, before)
         self.assertEqual(self.mirror.revision, 40)
 
-    def test_removal_that_only_a_listing_shows_is_told(self):
-        """Guards against a server that left while the store lost its history:
-        VMs that do not watch would never hear of it.
+    def test_removal_found_by_a_listing_is_announced(self):
+        """A server deregisters while the store loses its history.
+
+        VMs that do not watch would never learn of the removal.
         """
         before = self.mirror.changed_revision
         rows = [make(f"s{n}", n) for n in range(2, 7)]
@@ -91,36 +94,38 @@
         other.replace_from_peer(
             [make(f"s{n}", n) for n in range(1, 7)], before, 0
         )
-        taken = other.replace_from_peer(
+        applied = other.replace_from_peer(
             self.mirror.list_objects(), self.mirror.changed_revision, 0
         )
-        self.assertTrue(taken)
+        self.assertTrue(applied)
         self.assertNotIn("s1", {one.name for one in other.list_objects()})
 
-    def test_listing_without_a_removal_is_no_news(self):
+    def test_listing_without_a_removal_is_not_announced(self):
         before = self.mirror.changed_revision
         self.mirror.replace([make(f"s{n}", n) for n in range(1, 7)], 12, 0)
         self.assertEqual(self.mirror.changed_revision, before)
 
-    def test_removal_counts_at_once(self):
+    def test_single_removal_is_immediate(self):
         self.mirror.apply([change("s1", 1, True)], 11, 0)
         self.assertNotIn("s1", self.names())
 
-    def test_entries_that_lapsed_in_an_outage_count_for_a_while(self):
-        """The store was away for all, and servers could not renew their
-        entries.  Taken for gone at once, none would be left to use.
+    def test_entries_expired_in_an_outage_are_retained(self):
+        """Entries expire because servers could not renew them in an outage.
+
+        If they were removed immediately, no server would be left to use.
         """
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
-        self.lapse(6, 5_000)
+        self.remove_first(6, 5_000)
         self.assertEqual(len(self.names()), 6)
         self.assertFalse(self.mirror.expire(6_000))
         self.assertEqual(len(self.mirror.expire(7_200)), 6)
         self.assertEqual(self.names(), [])
 
-    def test_entries_that_lapse_one_by_one_count_for_a_while(self):
-        """Guards against a store that drops lapsed entries in several steps:
-        the first few look like servers that leave.
+    def test_entries_that_expire_one_by_one_are_retained(self):
+        """The store removes expired entries in several steps.
+
+        The first few look like deregistered servers.
         """
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
@@ -129,13 +134,14 @@
             self.mirror.apply([event], 10 + number, 5_000 + number)
         self.assertEqual(len(self.names()), 6)
 
-    def test_entry_that_came_back_early_counts_once(self):
-        """Guards against a server that stands twice in the tables: its entry
-        was removed and came back before the others lapsed.
+    def test_entry_that_is_back_early_is_listed_once(self):
+        """An entry is removed and comes back before the others expire.
+
+        The server must not be in the tables twice.
         """
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
-        self.lapse(1, 5_000)
+        self.remove_first(1, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 5_100)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
         self.mirror.apply(later, 13, 5_200)
@@ -144,15 +150,15 @@
     def test_entry_that_came_back_stays(self):
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
-        self.lapse(6, 5_000)
+        self.remove_first(6, 5_000)
         self.mirror.apply([change("s1", 12)], 12, 6_000)
         self.mirror.expire(7_200)
         self.assertEqual(self.names(), ["s1"])
 
-    def test_entries_that_are_back_already_tell_of_the_lapse(self):
-        """Guards against a VM that reaches the store late: most entries are
-        back by then, and the few that are missing look like servers that
-        left.
+    def test_entries_that_are_back_show_the_mass_expiry(self):
+        """A VM reaches the store late, when most entries are back.
+
+        The few that are missing look like deregistered servers.
         """
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
@@ -161,62 +167,68 @@
         self.mirror.apply([*events, *back], 17, 5_000)
         self.assertEqual(len(self.names()), 6)
 
-    def test_removal_counts_where_only_this_vm_was_turned_away(self):
-        """The store turned this VM away and served the others.  A server
-        that left meanwhile has left; kept, it would get requests later than
-        its operators allow.
+    def test_removal_is_immediate_if_only_this_vm_was_rejected(self):
+        """The store rejected only this VM's calls.
+
+        A server that was removed meanwhile has deregistered.  If it were
+        retained, it would get requests later than its operators allow.
         """
         self.outages.note_peer("a2", True, 4_000)
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
-        self.lapse(6, 5_000)
+        self.remove_first(6, 5_000)
         self.assertEqual(self.names(), [])
 
-    def test_removal_counts_after_an_absence_too_short_for_a_lapse(self):
+    def test_removal_is_immediate_after_a_short_outage(self):
         self.mirror.record_failure(1_000)
         self.mirror.record_response(2_900)
-        self.lapse(6, 2_900)
+        self.remove_first(6, 2_900)
         self.assertEqual(self.names(), [])
 
-    def test_copy_of_a_vm_without_kept_entries_takes_none_away(self):
-        """Guards against a VM that was started in the outage: its copy holds
-        only the entries that are back.
+    def test_snapshot_without_retained_entries_removes_none(self):
+        """A VM that was started in an outage sends a snapshot.
+
+        The snapshot has only the entries that are back, and must not remove
+        retained ones.
         """
         self.mirror.record_failure(1_000)
         self.mirror.replace_from_peer([make("s1", 21)], 21, 5_000)
         self.assertEqual(len(self.names()), 6)
 
-    def test_removal_long_ago_does_not_come_back_with_a_lapse(self):
-        """Guards against servers that left early in an outage's wake and are
-        brought back by a later lapse.
+    def test_early_removal_is_not_undone_by_a_mass_expiry(self):
+        """A server deregisters long before a mass expiry.
+
+        The mass expiry must not restore its entry.
         """
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
-        self.lapse(1, 5_000)
+        self.remove_first(1, 5_000)
         later = [change(f"s{n}", n, True) for n in range(2, 7)]
         self.mirror.apply(later, 12, 60_000)
         self.assertEqual(self.names(), ["s2", "s3", "s4", "s5", "s6"])
 
-    def test_many_at_once_have_lapsed(self):
-        """An outage was too short to be noticed, and yet most entries go at
-        once.  Servers that leave do so one after another.
+    def test_simultaneous_removals_are_a_mass_expiry(self):
+        """Most entries are removed at once without a detected outage.
+
+        They have expired: servers deregister one after another.
         """
-        self.lapse(4, 5_000)
+        self.remove_first(4, 5_000)
         self.assertEqual(len(self.names()), 6)
         self.mirror.expire(8_000)
         self.assertEqual(self.names(), ["s5", "s6"])
 
-    def test_many_at_once_are_given_up_before_servers_that_left_end(self):
-        """Guards against calls to servers that have left, where half of all
-        leave at once.
+    def test_retention_ends_before_deregistered_servers_stop(self):
+        """Half of all servers deregister at once.
+
+        Their retention must end before the servers stop serving.
         """
-        self.lapse(4, 5_000)
+        self.remove_first(4, 5_000)
         self.mirror.expire(5_000 + 1_500)
         self.assertEqual(self.names(), ["s5", "s6"])
 
 
 class UnavailableStore:
-    """A store that refuses every call."""
+    """A store that rejects every call."""
 
     def read_listing(self, kind, purpose):
         return expression.Error(
@@ -227,7 +239,7 @@
 class FailingPeers:
     """Answers for other VMs; the first calls fail.
 
-    :param failures: how many
+    :param failures: the number of calls that fail
     """
 
     def __init__(self, failures):
@@ -248,28 +260,28 @@
 class ExchangeTest(unittest.TestCase):
     def make(self, failures):
         self.changes = []
-        self.keeper = controllers.MirrorController(
+        self.controller = controllers.MirrorController(
             "config", None, clock.ManualClock(), lambda: self.changes.append(1)
         )
         self.peers = FailingPeers(failures)
         return mirror_exchange.MirrorSyncController(
-            {"config": self.keeper}, self.peers, clock.ManualClock(), list
+            {"config": self.controller}, self.peers, clock.ManualClock(), list
         )
 
-    def test_a_copy_that_could_not_be_read_is_asked_for_again(self):
-        """Guards against a VM without tables because one call failed."""
+    def test_failed_fetch_is_retried(self):
+        """A failed fetch of a snapshot must be retried."""
         exchange = self.make(failures=2)
         exchange.record_peer_revisions("a2:1", {"config": 7})
         with self.assertLogs(mirror_exchange.LOG, "INFO"):
             for _ in range(3):
                 exchange.step()
-        self.assertEqual(self.keeper.revision, 7)
+        self.assertEqual(self.controller.revision, 7)
         self.assertEqual(self.changes, [1])
         exchange.step()
         self.assertEqual(len(self.peers.called), 3)
 
-    def test_a_second_vm_is_asked_where_the_first_does_not_answer(self):
-        """Guards against asking a VM that has gone again and again."""
+    def test_second_vm_is_asked_if_the_first_does_not_answer(self):
+        """A VM that has left the fleet must not be asked repeatedly."""
         exchange = self.make(failures=1)
         exchange.record_peer_revisions("a2:1", {"config": 7})
         with self.assertLogs(mirror_exchange.LOG, "INFO"):
@@ -277,72 +289,73 @@
         exchange.record_peer_revisions("a3:1", {"config": 7})
         exchange.step()
         self.assertEqual(self.peers.called, ["a2:1", "a3:1"])
-        self.assertEqual(self.keeper.revision, 7)
+        self.assertEqual(self.controller.revision, 7)
 
 
 class FirstCopyTest(unittest.TestCase):
-    """A VM that the store has not answered yet, and that hears nobody."""
+    """A VM with neither an answer of the store nor gossip of other VMs."""
 
     def make(self, failures=0, addresses=("a2:1", "a3:1")):
-        self.keeper = controllers.MirrorController(
+        self.controller = controllers.MirrorController(
             "config", UnavailableStore(), clock.ManualClock(), lambda: None
         )
         self.peers = FailingPeers(failures)
         return mirror_exchange.MirrorSyncController(
-            {"config": self.keeper},
+            {"config": self.controller},
             self.peers,
             clock.ManualClock(),
             lambda: addresses,
         )
 
     def fail(self):
-        """Let the keeper ask the store once."""
+        """Let the controller call the store once."""
         with self.assertLogs(controllers.LOG, "WARNING"):
-            self.keeper.step()
+            self.controller.step()
+
+    def test_fetches_without_gossip_of_other_vms(self):
+        """A VM starts in an outage and gets no datagrams of other VMs.
 
-    def test_asks_another_vm_although_none_was_heard(self):
-        """Guards against a VM that begins in an outage, and refuses callers
-        for as long as other VMs' datagrams do not reach it.
+        It must fetch a snapshot without them, or it would reject callers.
         """
         exchange = self.make()
         self.fail()
         exchange.step()
-        self.assertEqual(self.keeper.revision, 7)
+        self.assertEqual(self.controller.revision, 7)
 
-    def test_asks_one_vm_after_the_other(self):
-        """Guards against asking a VM that has gone again and again."""
+    def test_asks_vms_in_turn(self):
+        """A VM that has left the fleet must not be asked repeatedly."""
         exchange = self.make(failures=1)
         self.fail()
         with self.assertLogs(mirror_exchange.LOG, "INFO"):
             exchange.step()
         exchange.step()
         self.assertEqual(sorted(self.peers.called), ["a2:1", "a3:1"])
-        self.assertEqual(self.keeper.revision, 7)
+        self.assertEqual(self.controller.revision, 7)
 
-    def test_asks_nobody_while_the_store_has_not_failed(self):
-        """Guards against a fleet's start that asks for all copies twice."""
+    def test_no_fetch_while_the_store_has_not_failed(self):
+        """At a fleet's start snapshots must not be fetched in addition."""
         exchange = self.make()
         exchange.step()
         self.assertEqual(self.peers.called, [])
 
-    def test_asks_nobody_once_it_has_a_copy(self):
-        """Guards against calls between VMs for as long as an outage lasts."""
+    def test_no_fetch_after_the_first_snapshot(self):
+        """Fetching must end after the first snapshot, also in an outage."""
         exchange = self.make()
         self.fail()
         exchange.step()
         exchange.step()
         self.assertEqual(len(self.peers.called), 1)
 
-    def test_alone_it_goes_on(self):
+    def test_no_failure_without_other_vms(self):
         exchange = self.make(addresses=())
         self.fail()
         exchange.step()
-        self.assertEqual(self.keeper.revision, 0)
+        self.assertEqual(self.controller.revision, 0)
 
 
-class PackTest(unittest.TestCase):
+class SnapshotTest(unittest.TestCase):
     def setUp(self):
-        self.keeper = controllers.MirrorController(
+        self.controller = controllers.MirrorController(
             "servers", None, clock.ManualClock(), lambda: None
         )
         self.take([["s1", 5, {}], ["s2", 7, {}]], 7)
@@ -350,19 +363,19 @@
     def take(self, rows, revision):
         content = zlib.compress(json.dumps(rows).encode())
         with self.assertLogs(controllers.LOG, "INFO"):
-            self.keeper.apply_snapshot(revision, content)
+            self.controller.apply_snapshot(revision, content)
 
-    def test_a_copy_is_packed_once_for_all_vms(self):
-        """Guards against processor time that grows with the fleet."""
-        first = self.keeper.make_snapshot(0)
-        self.assertIs(self.keeper.make_snapshot(3)[1], first[1])
-        self.assertEqual(self.keeper.make_snapshot(7), (7, b""))
+    def test_snapshot_is_encoded_once_for_all_vms(self):
+        """Encoding once per VM would cost processor time in large fleets."""
+        first = self.controller.make_snapshot(0)
+        self.assertIs(self.controller.make_snapshot(3)[1], first[1])
+        self.assertEqual(self.controller.make_snapshot(7), (7, b""))
 
-    def test_a_changed_copy_is_packed_anew(self):
-        """Guards against telling of servers that have left."""
-        before = self.keeper.make_snapshot(0)
+    def test_changed_snapshot_is_encoded_again(self):
+        """An outdated snapshot would contain deregistered servers."""
+        before = self.controller.make_snapshot(0)
         self.take([["s2", 7, {}]], 9)
-        revision, content = self.keeper.make_snapshot(0)
+        revision, content = self.controller.make_snapshot(0)
         self.assertEqual(revision, 9)
         self.assertNotEqual(content, before[1])
         rows = json.loads(zlib.decompress(content))
@@ -370,9 +383,9 @@
 
 
 class ScriptedStore:
-    """A store that answers by a list, each answer after a time.
+    """A store with scripted answers, each after a given time.
 
-    :param clock_: the clock that an answer moves on
+    :param clock_: the clock that each answer advances
     """
 
     def __init__(self, clock_):
@@ -402,14 +415,14 @@
     )
 
 
-class KeeperCase(unittest.TestCase):
-    """A keeper of six servers' entries that has listed them."""
+class ControllerTestCase(unittest.TestCase):
+    """Base of tests with a controller that mirrors six servers' entries."""
 
     def setUp(self):
         self.clock = clock.ManualClock()
         self.store = ScriptedStore(self.clock)
         self.outages = store_reachability.StoreReachability()
-        self.keeper = controllers.MirrorController(
+        self.controller = controllers.MirrorController(
             "servers",
             self.store,
             self.clock,
@@ -424,27 +437,29 @@
     def step(self, *answers):
         self.store.answers += answers
         for _ in answers:
-            self.keeper.step()
+            self.controller.step()
 
     def names(self):
-        return sorted(one.name for one in self.keeper.list_objects())
+        return sorted(one.name for one in self.controller.list_objects())
 
-    def lapse_all(self, revision=20):
-        """Return the answer that tells that all entries have lapsed."""
+    def make_full_removal(self, revision=20):
+        """Return an answer with the removal of all entries."""
         events = [change(f"s{n}", n, True) for n in range(1, 7)]
         return base.ChangeBatch(events, revision)
 
 
-class LateRemovalTest(KeeperCase):
-    """Guards against requests for servers that have left, after the store
-    has refused all VMs for a moment or a watch was cut.
+class LateRemovalTest(ControllerTestCase):
+    """Removals are not deferred after short failures of the store.
+
+    Otherwise deregistered servers would get requests after the store has
+    rejected all VMs for a moment or a watch has broken.
     """
 
     def leave(self, name, revision):
         number = int(name[1:])
         return base.ChangeBatch([change(name, number, True)], revision)
 
-    def test_refusals_of_all_vms_put_no_removal_off(self):
+    def test_rejections_of_all_vms_defer_no_removal(self):
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
@@ -453,7 +468,7 @@
         )
         self.assertNotIn("s1", self.names())
 
-    def test_cut_watch_after_an_outage_puts_no_removal_off(self):
+    def test_broken_watch_after_an_outage_defers_no_removal(self):
         self.outages.note_peer("a2", False, 0)
         self.step(
             (0, fail()),
@@ -464,9 +479,11 @@
         )
         self.assertNotIn("s1", self.names())
 
-    def test_one_that_left_while_all_vms_were_refused_counts_at_once(self):
-        """A store that refuses VMs for long still hears its servers: one
-        entry of six is missing, and no outage lets a single one lapse.
+    def test_single_removal_is_immediate_after_rejections(self):
+        """A store that rejects VMs' calls may still accept servers' renewals.
+
+        One missing entry of six has deregistered, because an outage would
+        make more than one expire.
         """
         self.outages.note_peer("a2", False, 0)
         self.step((0, fail()), (6_000, self.leave("s1", 12)))
@@ -474,39 +491,37 @@
 
 
 class BlockedStore:
-    """Tells of one batch of changes; later watches wait in vain.
+    """A store that returns one batch of changes; later polls block.
 
-    :param rows: what a listing tells
+    :param rows: the listing
     :param events: the changes
     """
 
     def __init__(self, rows, events):
         self.rows = rows
         self.events = events
-        self.is_told = False
+        self.has_returned = False
         self.end = threading.Event()
 
     def read_listing(self, kind, purpose):
         return expression.Ok(base.Listing(self.rows, 10))
 
     def poll(self, kind, revision, wait_ms, purpose):
-        if self.is_told:
+        if self.has_returned:
             self.end.wait(wait_ms / 1_000)
             return expression.Ok(base.ChangeBatch([], revision))
-        self.is_told = True
+        self.has_returned = True
         return expression.Ok(base.ChangeBatch(self.events, 20))
 
 
 class ExpiryTest(unittest.TestCase):
-    def test_kept_entry_ends_on_time_while_a_watch_waits(self):
-        """Guards against removals that take effect only when a call to the
-        store ends.
-        """
+    def test_retained_entry_expires_while_a_watch_waits(self):
+        """A retained entry expires while a call to the store blocks."""
         store = BlockedStore(
             [make(f"s{n}", n) for n in range(1, 7)],
             [change(f"s{n}", n, True) for n in range(1, 7)],
         )
-        keeper = controllers.MirrorController(
+        controller = controllers.MirrorController(
             "servers",
             store,
             clock.SystemClock(),
@@ -516,23 +531,23 @@
                 store_reachability.StoreReachability(),
             ),
         )
-        keeper.start()
+        controller.start()
         try:
-            told = processes.wait_until(lambda: store.is_told, 5)
-            self.assertTrue(told)
-            self.assertTrue(keeper.list_objects())
-            gone = processes.wait_until(
-                lambda: not keeper.list_objects(),
+            returned = processes.wait_until(lambda: store.has_returned, 5)
+            self.assertTrue(returned)
+            self.assertTrue(controller.list_objects())
+            removed = processes.wait_until(
+                lambda: not controller.list_objects(),
                 mass_expiry.REREGISTRATION_MS / 1e3 + 0.2,
             )
-            self.assertTrue(gone)
+            self.assertTrue(removed)
         finally:
             store.end.set()
-            keeper.stop()
+            controller.stop()
 
 
-class CopiedLapseTest(KeeperCase):
-    """Guards against kept entries that other VMs take for present ones."""
+class CopiedLapseTest(ControllerTestCase):
+    """Retained entries in snapshots stay retained at other VMs."""
 
     def setUp(self):
         super().setUp()
@@ -546,65 +561,69 @@
                 store_reachability.StoreReachability(),
             ),
         )
-        self.copy()
+        self.send_snapshot()
 
-    def copy(self):
-        """Let the other VM take over this VM's copy if it is newer."""
-        revision, content = self.keeper.make_snapshot(self.other.revision)
+    def send_snapshot(self):
+        """Apply this VM's snapshot at the other VM if it is newer."""
+        revision, content = self.controller.make_snapshot(self.other.revision)
         if content:
             self.other.apply_snapshot(revision, content)
 
     def list_other(self):
         return sorted(one.name for one in self.other.list_objects())
 
-    def test_kept_entry_of_a_copy_is_given_up(self):
-        self.step((0, fail()), (4_000, self.lapse_all()))
-        self.copy()
+    def test_retained_entry_of_a_snapshot_expires(self):
+        self.step((0, fail()), (4_000, self.make_full_removal()))
+        self.send_snapshot()
         self.assertEqual(len(self.list_other()), 6)
         self.clock.advance_ms(mass_expiry.REREGISTRATION_MS)
         self.other.expire()
         self.assertEqual(self.list_other(), [])
 
-    def test_a_copy_keeps_entries_no_longer_than_its_vm(self):
-        self.step((0, fail()), (4_000, self.lapse_all()))
+    def test_snapshot_retains_entries_no_longer_than_its_vm(self):
+        self.step((0, fail()), (4_000, self.make_full_removal()))
         self.clock.advance_ms(mass_expiry.REREGISTRATION_MS - 100)
-        self.copy()
+        self.send_snapshot()
         self.assertEqual(len(self.list_other()), 6)
         self.clock.advance_ms(100)
         self.other.expire()
         self.assertEqual(self.list_other(), [])
 
-    def test_a_vm_that_has_just_started_gets_kept_entries(self):
+    def test_starting_vm_gets_retained_entries(self):
         fresh = controllers.MirrorController(
             "servers", None, self.clock, lambda: None
         )
-        self.step((0, fail()), (4_000, self.lapse_all()))
-        revision, content = self.keeper.make_snapshot(0)
+        self.step((0, fail()), (4_000, self.make_full_removal()))
+        revision, content = self.controller.make_snapshot(0)
         fresh.apply_snapshot(revision, content)
         self.assertEqual(len(fresh.list_objects()), 6)
 
 
-class ReachedTest(KeeperCase):
-    def test_a_vm_that_was_never_answered_does_not_claim_the_store(self):
-        """Guards against VMs that start in an outage and make all others take
-        it for trouble of their own.
+class ReachedTest(ControllerTestCase):
+    def test_unanswered_vm_does_not_report_the_store_as_reached(self):
+        """A VM starts in an outage and the store has never answered it.
+
+        If it reported the store as reachable, the other VMs would consider the
+        outage a fault of their own connections.
         """
         started = controllers.MirrorController(
             "servers", self.store, self.clock, lambda: None
         )
         self.assertFalse(started.is_reached)
-        self.assertTrue(self.keeper.is_reached)
+        self.assertTrue(self.controller.is_reached)
 
 
-class KeeperLogTest(KeeperCase):
-    def test_a_removal_that_is_put_off_tells_why(self):
-        """Guards against logs that cannot tell a kept entry from a removal
-        that was not noticed, nor an outage from a VM's own trouble.
+class ControllerLogTest(ControllerTestCase):
+    def test_log_gives_the_cause_of_a_deferred_removal(self):
+        """The log shows that a removal is deferred, and by which outage.
+
+        An operator has to distinguish it from a missed removal, and an outage
+        from a fault of one VM.
         """
         self.outages.note_peer("a2", False, 0)
         self.step((0, fail("reset")))
         with self.assertLogs(kept_objects.LOG, "INFO") as logged:
-            self.step((4_000, self.lapse_all()))
+            self.step((4_000, self.make_full_removal()))
         line = next(
             record
             for record in logged.records
@@ -618,22 +637,22 @@
         self.assertEqual(line.fields["revision"], 20)
         self.assertEqual(line.fields["count"], 6)
 
-    def test_the_end_of_a_delay_tells_how_long_it_was(self):
-        self.step((0, fail()), (4_000, self.lapse_all()))
-        self.assertEqual(self.keeper.kept.kept, 6)
+    def test_log_gives_the_delay_of_a_removal(self):
+        self.step((0, fail()), (4_000, self.make_full_removal()))
+        self.assertEqual(self.controller.kept.kept, 6)
         self.clock.advance_ms(2_500)
         with self.assertLogs(kept_objects.LOG, "INFO") as logged:
-            self.keeper.expire()
+            self.controller.expire()
         line = logged.records[-1]
         self.assertEqual(line.getMessage(), "kept objects are given up")
         self.assertEqual(line.fields["kept_ms"], 2_500)
         self.assertEqual(line.fields["overdue_ms"], 400)
-        self.assertEqual(self.keeper.kept.expired, 6)
-        self.assertEqual(self.keeper.kept.delay_ms, 6 * 2_500)
+        self.assertEqual(self.controller.kept.expired, 6)
+        self.assertEqual(self.controller.kept.delay_ms, 6 * 2_500)
 
 
-class CopyReader(mirrored_tables.Reader):
-    """Makes tables that name the servers they were made from."""
+class ServerListReader(mirrored_tables.Reader):
+    """Builds tables that contain the given servers."""
 
     def read(self, configuration, servers, revision):
         if not configuration:
@@ -650,25 +669,26 @@
 
 class FirstTablesTest(unittest.TestCase):
     def setUp(self):
-        self.source = mirrored_tables.MirroredTables(CopyReader())
-        self.source.configuration = self.make_keeper("config")
-        self.source.servers = self.make_keeper("servers")
+        self.source = mirrored_tables.MirroredTables(ServerListReader())
+        self.source.configuration = self.make_controller("config")
+        self.source.servers = self.make_controller("servers")
 
-    def make_keeper(self, kind):
+    def make_controller(self, kind):
         store = ScriptedStore(clock.ManualClock())
         store.answers = [(0, base.Listing([], 1))]
         return controllers.MirrorController(
             kind, store, store.clock, self.source.refresh
         )
 
-    def take(self, keeper, name):
+    def take(self, controller, name):
         content = zlib.compress(json.dumps([[name, 5, {}]]).encode())
         with self.assertLogs(controllers.LOG, "INFO"):
-            keeper.apply_snapshot(5, content)
+            controller.apply_snapshot(5, content)
 
     def test_no_tables_before_both_copies_are_known(self):
-        """Guards against a VM that takes callers before it knows any server:
-        its first requests are refused.
+        """A VM must not take requests before it knows the servers.
+
+        It would reject its first requests.
         """
         self.take(self.source.configuration, "main")
         self.assertIsNone(self.source.read_tables())
@@ -682,13 +702,13 @@
         self.assertIsNotNone(self.source.read_tables())
 
 
-class OutagesTest(unittest.TestCase):
-    def test_alone_it_is_shared(self):
+class StoreReachabilityTest(unittest.TestCase):
+    def test_failure_without_peers_is_fleet_wide(self):
         self.assertTrue(
             store_reachability.StoreReachability().is_fleet_wide(0, 0)
         )
 
-    def test_one_vm_that_is_served_tells(self):
+    def test_failure_is_local_if_one_peer_is_served(self):
         found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
         found.note_peer("a3", True, 0)
@@ -696,9 +716,10 @@
         found.note_peer("a3", False, 100)
         self.assertTrue(found.is_fleet_wide(0, 200))
 
-    def test_earlier_absence_says_nothing_of_this_one(self):
-        """Guards against a VM's own trouble that is taken for an outage
-        because all had missed the store shortly before.
+    def test_earlier_outage_is_not_counted(self):
+        """An earlier outage does not explain a VM's later failure.
+
+        A fault of the VM's own connection would be treated as an outage.
         """
         found = store_reachability.StoreReachability()
         found.note_peer("a2", False, 0)
@@ -706,8 +727,9 @@
         self.assertFalse(found.is_fleet_wide(1_100, 1_200))
 
     def test_few_watch_in_a_large_fleet(self):
-        """Ninety VMs before a store whose rates are those of nine.  Were all
-        to watch, calls would grow with the fleet.
+        """Ninety VMs use a store with the rates for nine VMs.
+
+        If all VMs watched, the number of calls would grow with the fleet.
         """
         vms = [f"a{n}" for n in range(90)]
         watchers = store_reachability.choose_watchers(vms)
@@ -718,9 +740,10 @@
         self.assertFalse(found.must_poll(other, vms, 100))
         self.assertTrue(found.must_poll(watchers[0], vms, 100))
 
-    def test_vm_that_hears_no_watcher_asks_itself(self):
-        """Every watcher is cut off, dead, or turned away by the store.  The
-        others would never hear of a change again.
+    def test_vm_without_watchers_polls_itself(self):
+        """Every watcher is partitioned, dead or rejected by the store.
+
+        The other VMs would never learn of a change.
         """
         vms = [f"a{n}" for n in range(90)]
         watchers = store_reachability.choose_watchers(vms)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Bookings through two routers, a real platform and a faulty network."""
+"""Tests of calls that run at most once, over a faulty network."""
 
 import collections
 import concurrent.futures
@@ -97,8 +97,9 @@
         self.assertEqual((fault["code"], fault["run"]), (code, run), fault)
 
     def test_repeat_elsewhere_gets_the_first_reply(self):
-        """The caller loses the reply and asks the other VM.  It must hear
-        of the booking that exists, and no second boat may be sent.
+        """A caller loses the reply and retries at another VM.
+
+        It must get the first reply, and the booking must not be made twice.
         """
         key = self.make_key()
         first = self.book("a1", key)
@@ -116,8 +117,9 @@
         self.assertEqual(self.count_runs(key), 1)
 
     def test_lost_reply_of_the_service_is_told(self):
-        """The service books and its reply is lost on the way.  The caller
-        hears that it may have run, now and on each repeat.
+        """The service makes a booking and its reply is lost.
+
+        The call and each retry must get "may have run".
         """
         key = self.make_key()
         self.fault("service", drop_replies=1)
@@ -127,8 +129,9 @@
         self.assertEqual(self.count_runs(key), 1)
 
     def test_unreachable_service_leaves_the_call_free(self):
-        """No server takes the connection.  The refusal says that nothing
-        ran, and the same key works once a server is back.
+        """No server accepts the connection.
+
+        The call gets "not run", and the same key works when a server is back.
         """
         key = self.make_key()
         (closed,) = processes.pick_ports(1)
@@ -141,8 +144,9 @@
         self.assertEqual(self.count_runs(key), 1)
 
     def test_outage_of_the_platform_means_not_run(self):
-        """The platform is down.  A booking cannot be claimed, so it is not
-        made, and the caller is told so.
+        """The platform is unreachable, so a booking cannot be claimed.
+
+        The call must get "not run" and the booking must not be made.
         """
         key = self.make_key()
         self.set_platform(outage=True)
@@ -157,8 +161,9 @@
         processes.call(self.platform, "POST", "/standin/faults", faults)
 
     def test_silent_platform_connections_are_left(self):
-        """Connections to the platform fall silent for good and new ones
-        work.  Bookings go on after one limit on the wait.
+        """Open connections to the platform stall while new ones work.
+
+        Bookings must work again after one timeout.
         """
         self.assertEqual(self.book("a1", self.make_key()).status, 201)
         self.fault("platform", silent=["up", "down"])
@@ -168,8 +173,9 @@
         self.assertEqual(self.count_runs(key), 1)
 
     def test_random_faults_never_run_a_call_twice(self):
-        """Replies of the platform and of the service get lost, connections
-        are cut, and impatient callers repeat at both VMs at once.
+        """Replies get lost, connections break and callers retry at both VMs.
+
+        No call may run twice.
         """
         keys = [self.make_key() for _ in range(60)]
         done = collections.Counter()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: one issuer at a time, and no more loads than allowed."""
+"""Tests of orders to engines: one leader at a time, and limited loads."""
 
 import random
 import unittest
@@ -47,9 +47,11 @@
         found = self.planner.plan(pools, self.loads, now_ms)
         return [order for order in found if order.verb == verb]
 
-    def test_the_weight_store_sees_few_loads_at_once(self):
-        """A new model is wanted on every engine.  If all load it at once
-        from a store of limited rate, all are late and nobody serves.
+    def test_concurrent_loads_are_limited(self):
+        """A new model has to be loaded on every engine.
+
+        If all loaded it at once from a store with limited bandwidth, no engine
+        would serve for a long time.
         """
         first = self.plan(0, "load")
         self.assertEqual(len(first), 2)
@@ -64,7 +66,7 @@
         again = self.plan(orders.LOAD_TIMEOUT_MS, "load")
         self.assertEqual(len(again), 2)
 
-    def test_an_old_model_goes_when_the_new_one_is_there(self):
+    def test_old_model_is_unloaded_after_the_new_one_is_loaded(self):
         self.loads["lm", "e0"] = make_load("old")
         self.assertEqual(self.plan(0, "unload"), [])
         self.loads["lm", "e0"] = make_load("old", "m")
@@ -73,7 +75,7 @@
             [("e0", "old")],
         )
 
-    def test_unknown_and_leaving_engines_get_no_load(self):
+    def test_unknown_and_draining_engines_get_no_load(self):
         self.loads = {}
         self.assertEqual(self.plan(0, "load"), [])
         row = tables.Upstream("x", "10.0.0.9:1", "a", ROLES.BOTH, True)
@@ -81,7 +83,7 @@
         loads = {("lm", "x"): make_load()}
         self.assertEqual(self.planner.plan({"lm": pool}, loads, 0), [])
 
-    def test_roles_once_and_failures_later(self):
+    def test_roles_are_sent_once_and_failures_retried(self):
         first = self.plan(0, "role")
         self.assertEqual(len(first), 4)
         self.planner.record_accepted(first[0], 0)
@@ -91,13 +93,13 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_candidates_are_few_and_the_same_for_all(self):
+    def test_all_vms_choose_the_same_few_candidates(self):
         vms = [f"vm{n}" for n in range(410)]
         chosen = leader_lease.choose_candidates(vms)
         self.assertEqual(len(chosen), leader_lease.CANDIDATE_COUNT)
         self.assertEqual(chosen, leader_lease.choose_candidates(reversed(vms)))
 
-    def test_a_stale_read_brings_no_old_holder_back(self):
+    def test_stale_read_restores_no_previous_holder(self):
         lease = leader_lease.LeaderLease("a", 1)
         lease.record_read(leader_lease.LeaseRecord("b", 1, 5, 0), 50, 0)
         lease.record_read(leader_lease.LeaseRecord("c", 1, 4, 9), 40, 10)
@@ -105,7 +107,7 @@
 
 
 class PartitionableStore:
-    """The platform as one VM reaches it, or not."""
+    """The store as seen by one VM, which may be partitioned from it."""
 
     def __init__(self, world, name):
         self.world = world
@@ -120,7 +122,7 @@
 
 
 class World:
-    """Several VMs before one platform and some engines; time by hand."""
+    """Several VMs, one platform and some engines with a manual clock."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -173,7 +175,7 @@
 
 
 class WorldEngine:
-    """Takes orders after a flight of up to the longest."""
+    """Receives orders after a random delay up to the maximum."""
 
     def __init__(self, world, name):
         self.world = world
@@ -181,10 +183,10 @@
 
     def give_order(self, order):
         world = self.world
-        flight_ms = world.random.randint(0, leader_lease.MAX_IN_FLIGHT_MS)
-        at_ms = world.clock.now_ms() + flight_ms
+        delay_ms = world.random.randint(0, leader_lease.MAX_IN_FLIGHT_MS)
+        at_ms = world.clock.now_ms() + delay_ms
         world.arrivals[self.name].append((at_ms, order.fencing))
-        # Most answers are lost, so that orders are given all the time.
+        # Most answers are lost, so that orders are sent continually.
         if world.random.random() < 0.9:
             return expression.Error(
                 errors.Fault(errors.Code.UPSTREAM_TIMEOUT, errors.Step.ADMIN)
@@ -192,15 +194,15 @@
         return expression.Ok(None)
 
 
-class IssuersTest(unittest.TestCase):
-    def test_no_old_order_arrives_after_a_new_one(self):
-        """Issuers are paused for a minute or cut off from the platform, the
-        platform is down, its replies are lost and its reads are stale, while
-        orders take seconds to arrive.  An engine that ignores fencing
-        numbers would take an old issuer's order after the new one's, and
-        serve the wrong model.
+class LeaderTest(unittest.TestCase):
+    def test_no_old_order_arrives_after_a_newer_one(self):
+        """No order of a previous leader arrives after one of its successor.
+
+        Leaders are paused or partitioned, the platform fails and reads are
+        stale, while orders take seconds to arrive.  An engine that ignores
+        fencing numbers would otherwise serve the wrong model.
         """
-        issuers = 0
+        leaders = 0
         for seed in range(40):
             world = World(seed)
             world.run(1_500)
@@ -209,9 +211,9 @@
                     continue
                 arrived = [f for _, f in sorted(world.arrivals[row.name])]
                 self.assertEqual(arrived, sorted(arrived), seed)
-                issuers += len(set(arrived))
-        # Many issuers followed one another, or nothing was shown.
-        self.assertGreater(issuers, 120)
+                leaders += len(set(arrived))
+        # The test is only meaningful with many changes of leader.
+        self.assertGreater(leaders, 120)
 
     def test_few_calls_to_the_platform(self):
         world = World(0)
@@ -224,7 +226,7 @@
         self.assertLess(calls, 600)
         self.assertTrue(all(world.arrivals.values()))
 
-    def test_an_order_that_is_fenced_off_ends_the_lease(self):
+    def test_rejected_fencing_number_ends_the_lease(self):
         world = World(1)
         world.store.on_call = lambda: None
         refused = errors.Fault(errors.Code.UPSTREAM_REFUSED, errors.Step.ADMIN)
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Probes of ejected engines, each by one VM."""
+"""Tests of the probes of ejected engines."""
 
 import unittest
 
@@ -20,14 +20,14 @@
 
 
 class Stub:
-    """Stands in for all that a probing controller talks to."""
+    """Replaces all collaborators of a probing controller."""
 
     def __init__(self, name, ejected, answers):
         self.own = member.Member(name, "127.0.0.1", 1, 2, "z", "r", 1)
         self.ejected = ejected
         self.answers = answers
-        self.asked = []
-        self.noted = []
+        self.probed = []
+        self.recorded = []
 
     def list_alive(self):
         return VMS
@@ -39,10 +39,10 @@
         return self.ejected
 
     def record_probe(self, pool, upstream, has_passed):
-        self.noted.append((upstream, has_passed))
+        self.recorded.append((upstream, has_passed))
 
     def find_engine(self, pool, upstream):
-        self.asked.append(upstream.name)
+        self.probed.append(upstream.name)
         return self
 
     def report_load(self):
@@ -63,24 +63,24 @@
         made.step()
         return stub, made
 
-    def test_one_vm_probes_for_all(self):
-        """Guards an engine that comes back against a probe of each VM."""
+    def test_one_vm_probes_for_the_fleet(self):
+        """A recovering engine must not be probed by every VM."""
         due = [probes.EjectedUpstream("lm", "d0", True)]
-        asked = [name for name in VMS if self.step(name, due)[0].asked]
-        self.assertEqual(asked, [pool_subsets.choose_load_poller("d0", VMS)])
+        probed = [name for name in VMS if self.step(name, due)[0].probed]
+        self.assertEqual(probed, [pool_subsets.choose_load_poller("d0", VMS)])
 
-    def test_the_answer_is_taken_in(self):
+    def test_result_is_recorded(self):
         prober = pool_subsets.choose_load_poller("d1", VMS)
         due = [probes.EjectedUpstream("lm", "d1", True)]
-        self.assertEqual(self.step(prober, due)[0].noted, [("d1", True)])
+        self.assertEqual(self.step(prober, due)[0].recorded, [("d1", True)])
         failed, _ = self.step(prober, due, answers=False)
-        self.assertEqual(failed.noted, [("d1", False)])
+        self.assertEqual(failed.recorded, [("d1", False)])
 
     def test_nothing_is_probed_before_it_is_due(self):
         prober = pool_subsets.choose_load_poller("d1", VMS)
         early = [probes.EjectedUpstream("lm", "d1", False)]
         stub, made = self.step(prober, early)
-        self.assertEqual(stub.asked, [])
+        self.assertEqual(stub.probed, [])
         self.assertEqual(made.period_ms, probing.PERIOD_MS)
         self.assertEqual(self.step(prober, [])[1].period_ms, probing.IDLE_MS)
 
--- a/tests/test_reconciling.py
+++ b/tests/test_reconciling.py
@@ -1,4 +1,4 @@
-"""Which work of other owners is cancelled, and which never."""
+"""Tests of which orphaned requests are cancelled."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 from tests import fakes
 
 
-class HoldingEngine:
-    """Holds what a test says, and notes what is cancelled."""
+class FakeEngine:
+    """An engine with given requests that records cancels."""
 
     def __init__(self, *labels):
         self.held = list(labels)
@@ -66,46 +66,52 @@
     def label(self, request_id, vm, incarnation):
         return upstreams.AttemptLabel(request_id, vm, incarnation)
 
-    def test_older_life(self):
-        """A VM's router was killed and started again.  What its older life
-        left at an engine must be freed, by that VM or by any other.
+    def test_previous_incarnation(self):
+        """A VM's router was killed and restarted.
+
+        Requests of its previous incarnation must be cancelled, by that VM or
+        by any other.
         """
         self.members.append(make_member("b", 9))
-        engine = HoldingEngine(
+        engine = FakeEngine(
             self.label("own-old", "a", 4),
             self.label("b-old", "b", 8),
             self.label("b-new", "b", 9),
         )
         self.assertEqual(self.reconcile(engine), ["own-old", "b-old"])
 
-    def test_vanished_vm(self):
-        """A VM vanishes: it answers nobody and the platform's list has
-        dropped it.  Its requests would hold slots for ever.
+    def test_removed_vm(self):
+        """A VM is unreachable and no longer in the platform's list.
+
+        Its requests would occupy slots forever.
         """
         self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
-        engine = HoldingEngine(self.label("left", "b", 9))
+        engine = FakeEngine(self.label("left", "b", 9))
         self.assertEqual(self.reconcile(engine), ["left"])
 
     def test_unreachable_is_not_dead(self):
-        """The other VMs cannot reach a VM, but its callers and engines can.
-        Its live answers must not be cut by a wrong suspicion.
+        """A VM is unreachable for other VMs but not for callers and engines.
+
+        Its running requests must not be cancelled.
         """
         self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
         self.store.vms.append(platform.ListedVm("b", "", "z", False))
-        engine = HoldingEngine(self.label("live", "b", 9))
+        engine = FakeEngine(self.label("live", "b", 9))
         self.assertEqual(self.reconcile(engine, 30), [])
 
     def test_platform_down(self):
         self.members.append(make_member("b", 9, member.MemberStatus.DEAD))
         self.store.outage = True
-        engine = HoldingEngine(self.label("live", "b", 9))
+        engine = FakeEngine(self.label("live", "b", 9))
         self.assertEqual(self.reconcile(engine, 30), [])
 
     def test_unknown_owners(self):
-        """This VM has just started and knows hardly anybody, or an owner
-        is newer than what is known of it.  Neither says that it is dead.
+        """An owner is not known, or newer than the known incarnation.
+
+        This happens after a VM's start and does not prove that the owner is
+        dead.
         """
-        engine = HoldingEngine(
+        engine = FakeEngine(
             self.label("stranger", "c", 1),
             self.label("newer", "a", 6),
             self.label("odd", "", -1),
@@ -113,10 +119,11 @@
         self.assertEqual(self.reconcile(engine, 30), [])
 
     def test_own_orphan_after_grace(self):
-        """A cancel of this router was never confirmed.  Its attempt must be
-        freed, but one that has only just begun must not.
+        """A cancel of this router was never confirmed.
+
+        Its attempt must be cancelled, but not one that has just started.
         """
-        engine = HoldingEngine(
+        engine = FakeEngine(
             self.label("orphan", "a", 5), self.label("live", "a", 5)
         )
         self.running.add("live")
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Jobs that wait at one VM while the other VMs of a large fleet tell news."""
+"""Tests of waiting jobs under the gossip of a large fleet."""
 
 import time
 import unittest
@@ -14,14 +14,14 @@
 
 
 class CountingScheduler(scheduler.FairScheduler):
-    """Counts the rounds in which waiting jobs were looked at."""
+    """Counts dispatches."""
 
     def __init__(self):
         super().__init__("vm0", seed=1)
-        self.rounds = 0
+        self.dispatches = 0
 
     def dispatch(self, now_ms):
-        self.rounds += 1
+        self.dispatches += 1
         return super().dispatch(now_ms)
 
 
@@ -31,15 +31,15 @@
     )
 
 
-class HintsTest(unittest.TestCase):
+class GossipTest(unittest.TestCase):
     def make(self, clock_):
         self.scheduler = CountingScheduler()
         pool = cases.make_pool(prefills=1, decodes=1, slots=SLOTS)
         self.scheduler.change_pools({pool.name: pool}, clock_.now_ms())
         return scheduling.SchedulingController(self.scheduler, clock_)
 
-    def test_a_flood_of_hints_shares_few_rounds(self):
-        """Guards a burst's processor time against one round for each hint."""
+    def test_burst_of_messages_shares_few_dispatches(self):
+        """One dispatch per gossip message would cost too much in a burst."""
         clock_ = clock.ManualClock()
         controller = self.make(clock_)
         controller.apply_hints([make_note(1, SLOTS)])
@@ -48,17 +48,17 @@
             for number in range(3)
         ]
         self.assertFalse(any(one.decided.is_set() for one in tickets))
-        before = self.scheduler.rounds
+        before = self.scheduler.dispatches
         for sequence in range(2, 402):
             clock_.advance_ms(1)
             controller.apply_hints([make_note(sequence, SLOTS)])
         self.assertLessEqual(
-            self.scheduler.rounds - before,
+            self.scheduler.dispatches - before,
             400 / scheduling.GOSSIP_DISPATCH_INTERVAL_MS,
         )
 
-    def test_a_slot_that_another_vm_frees_is_taken_soon(self):
-        """Guards against jobs that wait on after the last hint has come."""
+    def test_slot_freed_by_another_vm_is_assigned_soon(self):
+        """A job must not keep waiting after the last gossip message."""
         controller = self.make(clock.SystemClock())
         controller.start()
         self.addCleanup(controller.stop)
@@ -66,10 +66,10 @@
         job = cases.make_job("j", now_ms=controller.clock.now_ms())
         ticket = controller.submit(job).ok
         self.assertFalse(ticket.decided.is_set())
-        # The second comes right after a round and has none of its own.
+        # The second arrives right after a dispatch and gets none of its own.
         controller.apply_hints([make_note(2, SLOTS)])
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         controller.apply_hints([make_note(3, 0)])
         self.assertTrue(ticket.decided.wait(GUARD_S))
-        self.assertLess(time.monotonic() - began_s, 0.5)
+        self.assertLess(time.monotonic() - start_s, 0.5)
         self.assertTrue(ticket.decision.is_ok())
