--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -282,7 +282,7 @@
         finally:
             self._request_slots.release()
         return [
-            claim_messages.pack_result(one.result) for one in pending_claims
+            claim_messages.pack_result(item.result) for item in pending_claims
         ]
 
     def note_ends(self, shard: int, records: list[str], at_once: bool) -> bool:
--- a/mulberryway/controllers/claim_queue.py
+++ b/mulberryway/controllers/claim_queue.py
@@ -146,7 +146,7 @@
         fault = refuse("the claim was not written before its deadline")
         with self._lock:
             self._pending = [
-                one for one in self._pending if one not in pending_claims
+                item for item in self._pending if item not in pending_claims
             ]
         for pending in pending_claims:
             pending.resolve(expression.Error(fault))
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -195,7 +195,7 @@
                 )
             else:
                 claimed[digest] = pending
-        free = [one for one in claimed.values() if one.mark_sent()]
+        free = [item for item in claimed.values() if item.mark_sent()]
         return free, ends
 
     def _pick_ends(self) -> list[Record]:
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -164,8 +164,10 @@
         """
         shard = self._find_shard(grant.claim.digest)
         if run is errors.ExecutionStatus.RAN:
-            kept = reply if reply is not None and reply.fits() else None
-            shard.record_end(grant.claim.end(ClaimState.DONE, kept))
+            stored_reply = (
+                reply if reply is not None and reply.fits() else None
+            )
+            shard.record_end(grant.claim.end(ClaimState.DONE, stored_reply))
         elif run is errors.ExecutionStatus.NOT_RUN:
             shard.record_end(grant.claim.end(ClaimState.RELEASED, None))
             shard.flush(self._make_deadline(RELEASE_TIMEOUT_MS), at_once=True)
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -120,8 +120,8 @@
             return False
 
         def fetch(missing: list[str]) -> dict[str, bytes]:
-            known = [one for one in missing if one in new_segments]
-            rest = [one for one in missing if one not in new_segments]
+            known = [item for item in missing if item in new_segments]
+            rest = [item for item in missing if item not in new_segments]
             found = {digest: new_segments[digest] for digest in known}
             return found | self._fetch(rest, "")
 
@@ -225,11 +225,11 @@
         offer = self.active_tables.offer(
             root, lambda missing: self._fetch(missing, address)
         )
-        good = (
+        active_results = (
             tables_in_force.OfferResult.INSTALLED,
             tables_in_force.OfferResult.UNCHANGED,
         )
-        return root.revision if offer in good else None
+        return root.revision if offer in active_results else None
 
     def _fetch(self, missing: list[str], address: str) -> dict[str, bytes]:
         """Fetch segments from the VM that sent the root, else the platform."""
@@ -269,10 +269,10 @@
     def _ask_peers(self, peers: list[configuration_peers.PeerVm]) -> None:
         age_ms = self.active_tables.age_ms()
         if age_ms is not None and age_ms <= STALE_CONFIRMATION_MS:
-            asked = self._random.sample(
+            sampled = self._random.sample(
                 peers, min(PEER_SAMPLE_SIZE, len(peers))
             )
-            any(self.pull(peer.address) for peer in asked)
+            any(self.pull(peer.address) for peer in sampled)
             return
         shuffled = self._random.sample(peers, len(peers))
         least_recent = sorted(
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -78,7 +78,7 @@
         :param segments: its new segments
         """
         return self._controller.install_accepted(
-            content, {one.digest: one.content for one in segments}
+            content, {segment.digest: segment.content for segment in segments}
         )
 
     def list_members(self) -> list[ttypes.Member]:
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -113,14 +113,14 @@
     """
     return [
         configuration_peers.PeerVm(
-            one.name,
-            one.zone,
-            one.region,
-            one.peer,
-            one.health is not member.MemberStatus.DEAD,
+            vm.name,
+            vm.zone,
+            vm.region,
+            vm.peer,
+            vm.health is not member.MemberStatus.DEAD,
         )
-        for one in members.list_members()
-        if one.name != members.own.name
+        for vm in members.list_members()
+        if vm.name != members.own.name
     ]
 
 
--- a/mulberryway/controllers/dissemination.py
+++ b/mulberryway/controllers/dissemination.py
@@ -50,7 +50,9 @@
         """
         receivers = list(map(_make_receiver, alive))
         with self._lock:
-            self._addresses = {one.name: one.address for one in receivers}
+            self._addresses = {
+                entry.name: entry.address for entry in receivers
+            }
             self._disseminator.set_receivers(receivers)
         if self.datagrams is not None:
             is_large = len(alive) > MAX_UNBATCHED_VMS
@@ -153,13 +155,13 @@
         return [
             (
                 {
-                    "purpose": one.kind.partition(":")[0],
-                    "zone": one.kind.partition(":")[2],
-                    "direction": DIRECTIONS[one.is_sent],
+                    "purpose": entry.kind.partition(":")[0],
+                    "zone": entry.kind.partition(":")[2],
+                    "direction": DIRECTIONS[entry.is_sent],
                 },
-                getattr(one, attribute),
+                getattr(entry, attribute),
             )
-            for one in self.datagrams.traffic.get_counts()
+            for entry in self.datagrams.traffic.get_counts()
         ]
 
     def _send(self, packets: list[dissemination.Packet]) -> None:
@@ -190,5 +192,7 @@
         return min(max(due_ms - self.clock.now_ms(), 1), IDLE_MS)
 
 
-def _make_receiver(one: member.Member) -> dissemination.Receiver:
-    return dissemination.Receiver(one.name, one.peer, one.zone, one.link_mbps)
+def _make_receiver(entry: member.Member) -> dissemination.Receiver:
+    return dissemination.Receiver(
+        entry.name, entry.peer, entry.zone, entry.link_mbps
+    )
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -67,7 +67,9 @@
         assigned = self._list_assigned(found)
         calls = len(assigned) * CALLS_PER_ENGINE
         self.period_ms = max(MIN_PERIOD_MS, calls * MS_IN_S // MAX_CALLS_PER_S)
-        list(self._workers.map(lambda one: self._poll_engine(*one), assigned))
+        list(
+            self._workers.map(lambda item: self._poll_engine(*item), assigned)
+        )
 
     def stop(self, wait_ms: int = 2_000) -> None:
         """Stop the thread and its worker threads.
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -66,22 +66,22 @@
         :param now_ms: current time in ms
         """
         self.expired += len(expired)
-        self.delay_ms += sum(now_ms - one.noticed_ms for one in expired)
+        self.delay_ms += sum(now_ms - item.noticed_ms for item in expired)
         LOG.warning(
             "kept objects are given up",
             extra=logs.make_extra(
                 **self._describe(expired),
-                kept_ms=now_ms - min(one.noticed_ms for one in expired),
-                overdue_ms=now_ms - min(one.until_ms for one in expired),
+                kept_ms=now_ms - min(item.noticed_ms for item in expired),
+                overdue_ms=now_ms - min(item.until_ms for item in expired),
             ),
         )
 
     def _describe(self, kept: Kept) -> Fields:
         return {
             "kind": self.kind,
-            "objects": [one.object.name for one in kept[:MAX_LOGGED_NAMES]],
+            "objects": [item.object.name for item in kept[:MAX_LOGGED_NAMES]],
             "count": len(kept),
-            "revision": max(one.revision for one in kept),
+            "revision": max(item.revision for item in kept),
         }
 
     def _describe_outage(
@@ -111,15 +111,15 @@
     metrics_.register_gauge(
         "mirrors.kept",
         "objects that count although the store has removed them",
-        lambda: sum(one.kept for one in reports),
+        lambda: sum(item.kept for item in reports),
     )
     metrics_.register_counter(
         "mirrors.deferred",
         "removals that took effect late, by kind",
-        lambda: [({"kind": one.kind}, one.expired) for one in reports],
+        lambda: [({"kind": item.kind}, item.expired) for item in reports],
     )
     metrics_.register_counter(
         "mirrors.deferred_ms",
         "how late removals took effect, added up, by kind",
-        lambda: [({"kind": one.kind}, one.delay_ms) for one in reports],
+        lambda: [({"kind": item.kind}, item.delay_ms) for item in reports],
     )
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -57,11 +57,11 @@
         for seed in seeds
     )
     known = [
-        one.incarnation
+        entry.incarnation
         for answer in answers
         if answer.is_ok()
-        for one in answer.ok
-        if one.name == name
+        for entry in answer.ok
+        if entry.name == name
     ]
     return max([clock_.wall_ms(), *(number + 1 for number in known)])
 
@@ -114,7 +114,7 @@
         """Return copies of all known VMs, including this one and dead ones."""
         with self._lock:
             self._expire()
-            return [one.copy() for one in self._view.list_members()]
+            return [entry.copy() for entry in self._view.list_members()]
 
     def count_members(self) -> int:
         """Return the number of known VMs, including dead ones.
@@ -137,9 +137,9 @@
                 self._alive_digest = digest
                 self._alive = tuple(
                     sorted(
-                        one.name
-                        for one in self._view.list_members()
-                        if one.health is not member.MemberStatus.DEAD
+                        entry.name
+                        for entry in self._view.list_members()
+                        if entry.health is not member.MemberStatus.DEAD
                     )
                 )
             return self._alive
@@ -251,8 +251,8 @@
             is_urgent, self._is_urgent = self._is_urgent, False
             target = self._view.choose_probe_target()
             others = self._view.sample_alive(FAN_OUT if is_urgent else 0)
-        for one in others:
-            self.exchange.probe_peer(one.peer, one.name)
+        for entry in others:
+            self.exchange.probe_peer(entry.peer, entry.name)
         if target is None:
             self._probe_seed()
         else:
@@ -290,8 +290,10 @@
                 membership.INDIRECT_PROBES, target.name
             )
         answers = (
-            self.exchange.call(one.peer, "probe_for", target.peer, target.name)
-            for one in helpers
+            self.exchange.call(
+                entry.peer, "probe_for", target.peer, target.name
+            )
+            for entry in helpers
         )
         if any(answer.is_ok() and answer.ok for answer in answers):
             return
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -40,16 +40,17 @@
     :param now_ms: current time in ms
     """
     rows = [
-        [one.name, one.version, one.value] for one in mirror.objects.values()
+        [item.name, item.version, item.value]
+        for item in mirror.objects.values()
     ]
     rows += [
         [
-            one.object.name,
-            one.object.version,
-            one.object.value,
-            max(one.until_ms - now_ms, 0),
+            item.object.name,
+            item.object.version,
+            item.object.value,
+            max(item.until_ms - now_ms, 0),
         ]
-        for one in mirror.list_retained()
+        for item in mirror.list_retained()
     ]
     return zlib.compress(json.dumps(rows).encode(), COMPRESSION_LEVEL)
 
@@ -67,12 +68,12 @@
     found: list[objects.StoredObject] = []
     kept: list[mirrors.RetainedObject] = []
     for name, version, value, *left_ms in json.loads(zlib.decompress(content)):
-        one = objects.StoredObject(kind, name, version, value)
+        item = objects.StoredObject(kind, name, version, value)
         if left_ms:
             until_ms = now_ms + left_ms[0]
             kept.append(
-                mirrors.RetainedObject(one, revision, now_ms, until_ms)
+                mirrors.RetainedObject(item, revision, now_ms, until_ms)
             )
         else:
-            found.append(one)
+            found.append(item)
     return MirrorSnapshot(found, kept)
--- a/mulberryway/controllers/mirrored_tables.py
+++ b/mulberryway/controllers/mirrored_tables.py
@@ -73,7 +73,9 @@
                 # rejected.
                 return
             self._revision += 1
-            rows = {one.name: one for one in self.configuration.list_objects()}
+            rows = {
+                item.name: item for item in self.configuration.list_objects()
+            }
             try:
                 found = self._reader.read(
                     rows, self.servers.list_objects(), self._revision
--- a/mulberryway/controllers/owner_liveness.py
+++ b/mulberryway/controllers/owner_liveness.py
@@ -72,7 +72,7 @@
         :returns: ``DEAD`` only if that is certain
         """
         found = next(
-            (one for one in self._list_members() if one.name == vm), None
+            (entry for entry in self._list_members() if entry.name == vm), None
         )
         if found is None or found.incarnation < incarnation:
             return Liveness.UNKNOWN
@@ -90,6 +90,6 @@
                 if listed.is_error() or not listed.ok:
                     # An empty list can only be an error.
                     return False
-                self._listed = frozenset(one.name for one in listed.ok)
+                self._listed = frozenset(entry.name for entry in listed.ok)
                 self._listed_ms = now_ms
             return vm not in self._listed
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -63,10 +63,10 @@
         self._log_changes(ejected)
         own, vms = self._members.own.name, self._members.list_alive()
         due = [
-            one
-            for one in ejected
-            if one.is_due
-            and pool_subsets.choose_load_poller(one.upstream, vms) == own
+            candidate
+            for candidate in ejected
+            if candidate.is_due
+            and pool_subsets.choose_load_poller(candidate.upstream, vms) == own
         ]
         list(self._workers.map(self._probe, due[:MAX_PROBES_PER_STEP]))
 
@@ -79,7 +79,9 @@
         self._workers.shutdown(wait=False, cancel_futures=True)
 
     def _log_changes(self, ejected: list[probes.EjectedUpstream]) -> None:
-        names = frozenset((one.pool, one.upstream) for one in ejected)
+        names = frozenset(
+            (candidate.pool, candidate.upstream) for candidate in ejected
+        )
         if names == self._ejected:
             return
         LOG.info(
--- a/mulberryway/controllers/registration.py
+++ b/mulberryway/controllers/registration.py
@@ -68,5 +68,5 @@
         result = self._store.list_vms(PURPOSE)
         if result.is_error():
             return result.error
-        self._on_listed([one.name for one in result.ok])
+        self._on_listed([vm.name for vm in result.ok])
         return None
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -108,14 +108,14 @@
         :param items: encoded notes, usage counts and engine reports
         """
         received = [gossip_messages.decode_datagram(item) for item in items]
-        notes = [one.note for one in received if one.note is not None]
+        notes = [entry.note for entry in received if entry.note is not None]
         if notes:
             self._scheduling.apply_hints(notes)
-        for one in received:
-            if one.usage is not None:
-                address = self._dissemination.find_address(one.usage.vm)
-                self.on_usage(one.usage, address)
-            for news in one.news:
+        for entry in received:
+            if entry.usage is not None:
+                address = self._dissemination.find_address(entry.usage.vm)
+                self.on_usage(entry.usage, address)
+            for news in entry.news:
                 self._apply_report(news)
 
     def _apply_report(self, news: gossip_messages.EngineReport) -> None:
@@ -151,12 +151,12 @@
 
     def _update_members(self) -> None:
         alive = [
-            one
-            for one in self._members.list_members()
-            if one.health is not member.MemberStatus.DEAD
+            entry
+            for entry in self._members.list_members()
+            if entry.health is not member.MemberStatus.DEAD
         ]
         self._dissemination.update_members(alive)
-        self._other_vms = frozenset(one.name for one in alive) - {
+        self._other_vms = frozenset(entry.name for entry in alive) - {
             self._members.own.name
         }
 
