--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -89,7 +89,7 @@
         self._clock = clock_
         self._queue = claim_queue.ClaimQueue(clock_, self._process_batch)
         self._lock = threading.Lock()
-        self._ends: dict[str, Record] = {}
+        self._completions: dict[str, Record] = {}
 
     def submit(
         self, pending_claims: list[PendingClaim], deadline: clock.Deadline
@@ -100,7 +100,7 @@
         :param deadline: when the claims that are still pending are rejected
         """
         if self._find_coordinator(self._number) is None:
-            self._move_ends()
+            self._move_completions()
             self.writer.submit(pending_claims, deadline)
         else:
             self._queue.submit(pending_claims, deadline)
@@ -113,9 +113,9 @@
         :param record: ``DONE`` or ``RELEASED``
         """
         with self._lock:
-            self._ends[record.digest] = record
+            self._completions[record.digest] = record
         if self._find_coordinator(self._number) is None:
-            self._move_ends()
+            self._move_completions()
 
     def flush(self, deadline: clock.Deadline, at_once: bool = False) -> None:
         """Send the queued completion records.
@@ -123,29 +123,29 @@
         :param deadline: when to stop; the rest stays queued
         :param at_once: whether the coordinator writes them before it answers
         """
-        if self._ends:
+        if self._completions:
             # Finding the coordinator takes a pass over all members, which a
             # VM without such calls need not do for every shard.
             coordinator = self._find_coordinator(self._number)
-            sent = coordinator and self._send_ends(
+            sent = coordinator and self._send_completions(
                 coordinator, deadline, at_once
             )
             if not sent:
-                self._move_ends()
+                self._move_completions()
         self.writer.flush(deadline)
 
-    def _move_ends(self) -> None:
+    def _move_completions(self) -> None:
         with self._lock:
-            ends, self._ends = self._ends, {}
-        for record in ends.values():
+            completions, self._completions = self._completions, {}
+        for record in completions.values():
             self.writer.record_end(record)
 
-    def _send_ends(
+    def _send_completions(
         self, coordinator: str, deadline: clock.Deadline, at_once: bool
     ) -> bool:
         with self._lock:
-            ends = [*self._ends.values()]
-        if not ends:
+            completions = [*self._completions.values()]
+        if not completions:
             return True
         limit_ms = deadline.left_ms(self._clock.now_ms())
         sent = self._peers.call(
@@ -153,16 +153,16 @@
             Claims.Client,
             "note_ends",
             self._number,
-            [claim_messages.encode_record(record) for record in ends],
+            [claim_messages.encode_record(record) for record in completions],
             at_once,
             timeout_ms=min(limit_ms, ENDS_TIMEOUT_MS),
         )
         if sent.is_error() or not sent.ok:
             return False
         with self._lock:
-            for record in ends:
-                if self._ends.get(record.digest) is record:
-                    del self._ends[record.digest]
+            for record in completions:
+                if self._completions.get(record.digest) is record:
+                    del self._completions[record.digest]
         return True
 
     def _process_batch(
@@ -185,7 +185,7 @@
     ) -> None:
         # Completion records go first: a retry of a call that ended on this VM
         # must find its record.
-        self._send_ends(coordinator, deadline, False)
+        self._send_completions(coordinator, deadline, False)
         wishes = [
             claim_messages.pack_request(pending.request) for pending in sent
         ]
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -62,7 +62,7 @@
         self._queue = claim_queue.ClaimQueue(
             clock_, self._write, MIN_WRITE_INTERVAL_MS
         )
-        self._ends: dict[str, Record] = {}
+        self._completions: dict[str, Record] = {}
         self._abandoned: dict[str, None] = {}
 
     def submit(
@@ -102,9 +102,9 @@
         :param record: ``DONE`` or ``RELEASED``
         """
         with self._lock:
-            self._ends[record.digest] = record
-            while len(self._ends) > MAX_PENDING_ENDS:
-                self._ends.pop(next(iter(self._ends)))
+            self._completions[record.digest] = record
+            while len(self._completions) > MAX_PENDING_ENDS:
+                self._completions.pop(next(iter(self._completions)))
 
     def flush(self, deadline: clock.Deadline) -> bool:
         """Write the completion records that no claim's append included.
@@ -113,11 +113,11 @@
         :returns: whether all completion records are written
         """
         with self._lock:
-            has_ends = bool(self._ends)
-        if has_ends or self._is_idle():
+            has_completions = bool(self._completions)
+        if has_completions or self._is_idle():
             self._queue.run_batch_now(deadline)
         with self._lock:
-            return not self._ends
+            return not self._completions
 
     def _is_idle(self) -> bool:
         return (
@@ -130,7 +130,7 @@
         self, batch: list[PendingClaim], deadline: clock.Deadline
     ) -> None:
         """Resolve a batch; runs on one thread at a time."""
-        if not batch and not self._ends and self._is_idle():
+        if not batch and not self._completions and self._is_idle():
             self.log.discard_view()
             return
         fault = claim_queue.refuse("too many conflicting writes to the log")
@@ -154,15 +154,15 @@
         fault = self.log.catch_up()
         if fault is not None:
             return fault
-        free, ends = self._select_records(batch)
+        free, completions = self._select_records(batch)
         if not self.log.is_current:
             return _make_conflict()
-        if not free and not ends:
+        if not free and not completions:
             return None
         records = [pending.request.make_record() for pending in free]
-        fault = self.log.append([*ends, *records])
+        fault = self.log.append([*completions, *records])
         if fault is None:
-            self._resolve_written(free, ends)
+            self._resolve_written(free, completions)
         return fault
 
     def _select_records(
@@ -173,8 +173,8 @@
         :returns: claims to grant, at most one per call, and completion
             records to write
         """
-        ends = self._pick_ends()
-        known = {record.digest: record for record in ends}
+        completions = self._pick_completions()
+        known = {record.digest: record for record in completions}
         claimed: dict[str, PendingClaim] = {}
         for pending in batch:
             if pending.result is not None:
@@ -196,14 +196,14 @@
             else:
                 claimed[digest] = pending
         free = [item for item in claimed.values() if item.mark_sent()]
-        return free, ends
+        return free, completions
 
-    def _pick_ends(self) -> list[Record]:
+    def _pick_completions(self) -> list[Record]:
         """Return the completion records to include in the next append."""
         picked = []
         size = 0
         with self._lock:
-            for record in self._ends.values():
+            for record in self._completions.values():
                 size += len(record.reply.body) if record.reply else 0
                 if (
                     size > MAX_END_BYTES
@@ -233,7 +233,7 @@
         pending.resolve(expression.Ok(decision))
 
     def _resolve_written(
-        self, free: list[PendingClaim], ends: list[Record]
+        self, free: list[PendingClaim], completions: list[Record]
     ) -> None:
         for pending in free:
             decision = self.log.shard.decide(
@@ -249,9 +249,9 @@
                 claim = pending.request.make_record()
                 self.record_end(claim.end(ClaimState.RELEASED, None))
         with self._lock:
-            for record in ends:
-                if self._ends.get(record.digest) is record:
-                    del self._ends[record.digest]
+            for record in completions:
+                if self._completions.get(record.digest) is record:
+                    del self._completions[record.digest]
 
     def _release_abandoned(self, new_records: list[Record]) -> None:
         found = [
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -161,7 +161,7 @@
         return made
 
     def test_large_fleet_batches_datagrams(self):
-        """Hundreds of datagrams a second must not cause a wake-up each."""
+        """A hundred datagrams a second must not cause a wake-up each."""
         made = self.make()
         made.update_members([make_member(n) for n in range(79)])
         self.assertEqual(
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -333,7 +333,7 @@
         self.assertEqual(self.controller.revision, 7)
 
     def test_no_fetch_while_the_store_has_not_failed(self):
-        """At a fleet's start snapshots must not be fetched in addition."""
+        """At a fleet's start, listings must not be followed by fetches."""
         exchange = self.make()
         exchange.step()
         self.assertEqual(self.peers.called, [])
