--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -1,4 +1,4 @@
-"""Takes, renews and gives up slots of allowances in the platform."""
+"""Acquires, renews and releases slot leases on the platform."""
 
 import collections.abc
 import random
@@ -19,32 +19,32 @@
 PURPOSE = "allowances"
 PREFIX = "group-"
 STEP_MS = 1_000
-# Bounds what one VM asks of the platform: a few objects in each step.
+# Bounds the load of one VM on the platform: a few objects per step.
 MAX_GROUPS_PER_STEP = 16
-# A stop does not wait longer for a platform that is down.  What could not be
-# released passes on when the platform's list drops the VM.
+# A shutdown does not wait longer for an unreachable platform.  Slots that could
+# not be released are taken over once the platform's list lacks the VM.
 RELEASE_TIMEOUT_MS = 5_000
 
 
 class MemberSource(typing.Protocol):
-    """What is used of the membership controller."""
+    """The interface of the membership controller that is used here."""
 
     def list_members(self) -> list[member.Member]:
-        """Return copies of all known VMs, this one included."""
+        """Return copies of all known members, including this VM."""
 
     def update_local(
         self, is_stopping: bool | None = None, holdings: bytes | None = None
     ) -> None:
-        """Change what this VM tells of itself."""
+        """Change the state that this VM announces of itself."""
 
 
 class AllowanceSlotsController(base.Controller):
-    """Keeps this VM's slots as they should be.
+    """Acquires and releases slots until this VM holds the preferred ones.
 
-    :param state: this VM's part in all allowances
-    :param store: the platform
-    :param membership: knows the other VMs
-    :param clock_: where the time comes from
+    :param state: local allowance state
+    :param store: object store of the platform
+    :param membership: source of the known members
+    :param clock_: time source
     """
 
     def __init__(
@@ -70,12 +70,12 @@
         self._listed_ms: int | None = None
         self._told: bytes | None = None
         self._is_leaving = False
-        # Groups whose record may not be what this process wants it to be.
+        # Groups whose records may differ from what this process decided.
         self._unsure: set[int] = set()
         self._has_read_own = False
 
     def step(self) -> None:
-        """Look at the slots that need something, a few groups at a time."""
+        """Process the slots that need a write, a few groups at a time."""
         now_ms = self.clock.now_ms()
         members = self._membership.list_members()
         self._note_members(members, now_ms)
@@ -87,7 +87,7 @@
         self._tell_holdings()
 
     def release_all(self) -> None:
-        """Give all slots up, as the last part of a planned stop."""
+        """Release all slots, as the last step of a graceful shutdown."""
         self._is_leaving = True
         with self._state.lock:
             slots = list(self._state.keeper.holdings)
@@ -120,11 +120,10 @@
             self._state.holders = holders
 
     def _read_own_records(self) -> None:
-        """Find what this VM's last process still holds by the records.
+        """Find slots that the records attribute to this VM's last process.
 
-        Nobody else may take that while the platform lists the VM, and this
-        process may not be the one that should hold it: it would stay
-        blocked until its lease ends.
+        Nobody else may take them while the platform lists the VM.  If another
+        VM should hold them, they would stay blocked until the leases expire.
         """
         if self._has_read_own:
             return
@@ -170,7 +169,7 @@
         return is_old or not self._is_wanted(slot, now_ms)
 
     def _is_wanted(self, slot: int, now_ms: int) -> bool:
-        """Tell whether this VM should hold a slot."""
+        """Return whether this VM should hold a slot."""
         if self._is_leaving:
             return False
         own = self._state.keeper.vm
@@ -179,8 +178,8 @@
             return True
         if slot not in self._state.keeper.holdings or best is None:
             return False
-        # Moving a slot costs its tokens, so it goes only to a VM that has
-        # lived for a while, and one group after the other.
+        # Moving a slot loses its tokens.  So it moves only to a VM that has
+        # been up for a while, and moves are spaced by ``retry_ms``.
         lived_ms = max(
             now_ms - since_ms
             for (name, _), since_ms in self._alive_since.items()
@@ -217,8 +216,8 @@
             answer = self._store.update(
                 KIND, name, value, found.ok.version, PURPOSE
             )
-        # Without an accepting answer nothing is held; whether the write
-        # took effect shows when the object is read again.
+        # Without a successful response nothing is held.  Whether the write
+        # took effect is known once the object is read again.
         self._next_try_ms[group] = now_ms
         if answer.is_ok():
             self._unsure.discard(group)
@@ -240,7 +239,7 @@
                     now_ms,
                 )
                 if decision is slot_lease_manager.LeaseAction.RELEASE:
-                    # Never spend from a slot that others may have already.
+                    # Others may take the slot as soon as it is released.
                     self._state.keeper.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
                 if decision is not slot_lease_manager.LeaseAction.NONE:
@@ -285,7 +284,7 @@
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
     ) -> None:
-        """Read the platform's list, if it can matter and not too often."""
+        """Read the platform's VM list if it is needed and not too recent."""
         asked_ms = self.clock.now_ms()
         others = any(
             record.vm not in self._candidates for record in records.values()
--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -1,4 +1,7 @@
-"""What a VM's threads share of its part in all allowances; a promise."""
+"""Local allowance state, shared by the threads of a VM.
+
+Invariant: no account is granted more than its limit.
+"""
 
 import struct
 import threading
@@ -12,22 +15,23 @@
 
 __all__ = ["AllowanceState", "pack_holdings", "unpack_holdings"]
 
-# 64 objects of 8 slots each: a renewal for each slot every half hour is 0.3
-# writes a second, whatever the number of VMs and accounts.
+# 64 objects of 8 slots each: renewing each slot every half hour takes 0.3
+# writes per second, independent of the number of VMs and accounts.
 GROUPS = 64
-# With 8 parts a dead VM costs an account an eighth of its allowance until
-# the part passes on; more parts would make large requests ask more VMs.
+# With 8 partitions a crashed VM costs an account one eighth of its allowance
+# until the slot is taken over.  With more partitions, large requests would
+# have to borrow from more VMs.
 PARTS = 8
 SLOT = struct.Struct(">H")
 
 
 class AllowanceState:
-    """The lock, and all that it guards.
+    """Local allowance state of one VM and the lock that guards it.
 
-    :param own: this VM
-    :param times: durations
-    :param groups: into how many groups accounts are sorted
-    :param parts: into how many parts each allowance is divided
+    :param own: membership entry of this VM
+    :param times: durations of leases, loans and margins
+    :param groups: number of groups that accounts are hashed into
+    :param parts: number of equal partitions of each allowance
     """
 
     def __init__(
@@ -51,14 +55,14 @@
         self.book = leased_rate_limiter.LeasedRateLimiter(
             self.lender, self.borrower
         )
-        # Whom to ask, by slot: ``host:port`` of holders; only a hint.
+        # Peer address (``host:port``) of each slot's holder; advisory only.
         self.holders: dict[int, str] = {}
 
     def has_all_holders(self) -> bool:
-        """Tell whether a holder of every slot is known.
+        """Return whether a holder of every slot is known.
 
-        In a fleet that has just begun, or on a VM that has, an account's
-        tokens cannot be found yet, and requests would be refused wrongly.
+        Shortly after a fleet or a VM has started, the holders of an account's
+        tokens are not known yet, and requests would be rejected wrongly.
         """
         with self.lock:
             known = self.holders.keys() | self.keeper.holdings.keys()
@@ -66,24 +70,24 @@
 
     @property
     def borrower_name(self) -> str:
-        """What names this process to lenders."""
+        """Name that identifies this process to lenders."""
         return f"{self.keeper.vm}/{self.keeper.incarnation}"
 
 
 def pack_holdings(slots: list[int]) -> bytes:
-    """Return the short form in which a VM tells which slots it holds.
+    """Encode the slots that a VM announces as held.
 
-    :param slots: slots
-    :returns: two bytes for each
+    :param slots: numbers of the slots
+    :returns: two bytes per slot
     """
     return b"".join(map(SLOT.pack, sorted(slots)))
 
 
 def unpack_holdings(holdings: bytes) -> list[int]:
-    """Return the slots of a short form.
+    """Decode the slots that a VM announced as held.
 
-    :param holdings: two bytes for each slot
-    :returns: slots
+    :param holdings: two bytes per slot; an odd last byte is ignored
+    :returns: numbers of the slots
     """
     whole = len(holdings) // SLOT.size * SLOT.size
     return [slot for (slot,) in SLOT.iter_unpack(holdings[:whole])]
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -1,4 +1,4 @@
-"""Takes tokens for requests from this VM's shares and from other VMs."""
+"""Reserves tokens for requests from held slots and from other VMs."""
 
 import collections.abc
 import contextlib
@@ -24,21 +24,21 @@
 __all__ = ["AllowancesController", "AllowanceService"]
 
 STEP_MS = 250
-# A request waits at most this long for tokens from other VMs: a small part
-# of the 1.1 s in which its first token is due.
+# A request waits at most this long for tokens from other VMs: a small fraction
+# of the 1.1 s within which its first token is due.
 BORROW_MS = 100
 CALL_MS = 50
 CLOSE_MS = 200
-# A holder that did not answer is not asked again for a while: each request
-# would wait for it in turn.
+# Backoff for a holder that did not answer.  Without it, each request would
+# wait for that holder in turn.
 UNRESPONSIVE_BACKOFF_MS = 2_000
 
 
 class AllowanceService(service.Iface):
     """Lends tokens to other VMs.
 
-    :param state: this VM's part in all allowances
-    :param clock_: where the time comes from
+    :param state: local allowance state
+    :param clock_: time source
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         self._clock = clock_
 
     def borrow(self, request: ttypes.LoanRequest) -> ttypes.Loan:
-        """Lend tokens from this VM's shares.
+        """Lend tokens from the slots of this VM.
 
-        :param request: who wants how many, and for whom
-        :returns: the loan, perhaps of no tokens
+        :param request: the borrower, the account and the numbers of tokens
+        :returns: the loan, possibly of no tokens
         """
         loan_id = (request.borrower, request.number)
         lender = self._state.lender
@@ -64,10 +64,10 @@
         return ttypes.Loan(loan.tokens, loan.length_ms, left)
 
     def close(self, borrower: str, closings: list[ttypes.Closing]) -> None:
-        """Take back what other VMs did not use.
+        """Accept unused tokens that other VMs return.
 
-        :param borrower: who had the loans
-        :param closings: which loans, and what came back
+        :param borrower: name of the borrowing process
+        :param closings: the loans and their returned tokens
         """
         with self._state.lock:
             now_ms = self._clock.now_ms()
@@ -78,12 +78,12 @@
 
 
 class AllowancesController(base.Controller, allowance.Allowances):
-    """Reserves tokens, and gives back in time what was borrowed.
+    """Reserves tokens, and returns borrowed ones before their loans expire.
 
-    :param state: this VM's part in all allowances
-    :param source: the tables in force
-    :param peers: calls other VMs
-    :param clock_: where the time comes from
+    :param state: local allowance state
+    :param source: source of the active tables
+    :param peers: client for calls to other VMs
+    :param clock_: time source
     """
 
     def __init__(
@@ -108,10 +108,10 @@
     def reserve(
         self, account: str, tokens: int
     ) -> expression.Result[allowance.Reservation, errors.Fault]:
-        """Take tokens for a request before it runs.
+        """Reserve tokens for a request before it runs.
 
-        :param account: the client account
-        :param tokens: the prompt and the most that can be generated
+        :param account: name of the client account
+        :param tokens: prompt tokens plus the maximum of generated tokens
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
         with self._state.lock:
@@ -125,9 +125,9 @@
         return expression.Ok(reservation)
 
     def is_usable(self, reservation: allowance.Reservation) -> bool:
-        """Tell whether a reservation still stands.
+        """Return whether a reservation is valid, and mark it as used.
 
-        :param reservation: what was taken
+        :param reservation: the reservation
         :returns: whether its tokens may be used now
         """
         with self._state.lock:
@@ -137,10 +137,10 @@
             ) and self._state.book.is_usable(reservation, now_ms)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
-        """Give back what a request did not use; called exactly once.
+        """Refund tokens that a request did not use; call exactly once.
 
-        :param reservation: what was taken
-        :param used: tokens that the caller received or that were computed
+        :param reservation: the reservation
+        :param used: number of tokens computed or received by the caller
         """
         if isinstance(reservation, leased_rate_limiter.LeasedReservation):
             with self._state.lock:
@@ -148,21 +148,21 @@
                 self._state.book.settle(reservation, used, now_ms)
 
     def step(self) -> None:
-        """Give back what is not used, and end loans that have lapsed."""
+        """Return unused loans, and expire those that were granted."""
         with self._state.lock:
             now_ms = self.clock.now_ms()
             self._state.lender.expire(now_ms)
         self._send_closings(is_all=False)
 
     def return_loans(self) -> None:
-        """Give all loans back, as a part of a planned stop."""
+        """Return all loans, as a part of a graceful shutdown."""
         self._send_closings(is_all=True)
 
     def _reserve_borrowed(
         self, account: str, tokens: int
     ) -> leased_rate_limiter.LeasedReservation | None:
-        # One thread asks for an account at a time.  Many that ask at once
-        # would each get a part of what one of them needs.
+        # Only one thread borrows for an account at a time.  Threads that
+        # borrow concurrently would each get a part of what one of them needs.
         end = clock.Deadline(self.clock.now_ms() + BORROW_MS)
         with self._lock_account(account) as is_locked:
             if not is_locked:
@@ -186,7 +186,7 @@
                     ask = self._state.book.plan(account, tokens, now_ms)
                 if ask is None:
                     return None
-                # One loan is of one share, and a VM may hold several.
+                # A loan is from one slot only, and a VM may hold several.
                 is_more = self._borrow(peer, account, ask, end)
                 with self._state.lock:
                     reservation = self._state.book.reserve(
@@ -197,7 +197,7 @@
         return None
 
     def _list_holders(self, account: str) -> list[str]:
-        """Return whom to ask, those who had most left before the others."""
+        """Return the slot holders to ask, highest last known level first."""
         parts = self._state.parts
         group = allowance_slots.compute_group(account, self._state.groups)
         now_ms = self.clock.now_ms()
@@ -222,15 +222,15 @@
         ask: leased_rate_limiter.BorrowPlan,
         end: clock.Deadline,
     ) -> bool:
-        """Ask a VM for a loan; tell whether it has more to lend."""
+        """Request a loan, and return whether the lender has more to lend."""
         borrower = self._state.borrower
         with self._state.lock:
             number = borrower.begin()
         request = ttypes.LoanRequest(
             self._state.borrower_name, number, account, ask.need, ask.wish
         )
-        # The loan's end counts from here: however long the request takes,
-        # the lender counts from later and so waits longer.
+        # The loan's duration counts from here.  The lender counts from its
+        # later grant, so it always expires the loan after the borrower.
         sent_ms = self.clock.now_ms()
         answer = self._call(
             peer, "borrow", request, min(CALL_MS, end.left_ms(sent_ms))
@@ -301,7 +301,7 @@
         return errors.Fault(
             errors.Code.OVER_ALLOWANCE,
             errors.Step.ADMISSION,
-            message="the client account's allowance is used up",
+            message="the client account's allowance is exhausted",
             retry_after_ms=wait_ms,
         )
 
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -1,4 +1,4 @@
-"""Accounts' tokens over all VMs, by counters that VMs tell one another."""
+"""Fleet-wide rate limits by usage counters that VMs broadcast."""
 
 import collections.abc
 import threading
@@ -15,28 +15,29 @@
 
 __all__ = ["FleetAllowances"]
 
-# A request's tokens are told to the other VMs this late at most.
+# Maximum delay until a request's tokens are announced to the other VMs.
 PERIOD_MS = 60
-# Whether the store answers is looked at so often.
+# Interval at which the reachability of the store is checked.
 IDLE_MS = 250
-# A VM that asks the store tells at least this often that it is reached, or
-# all others would take it for away and ask themselves.
+# Maximum interval at which a VM that contacts the store announces that it
+# reaches it.  Without that, all others would take the store for unreachable
+# from that VM and contact it themselves.
 WATCHER_HEARTBEAT_MS = 1_500
-# A refusal tells when to come back; within it the others' counts arrive too.
+# Bounds of the retry hint; within the minimum the others' counts arrive too.
 MIN_RETRY_MS = 200
 MAX_RETRY_MS = 5_000
 
 
 class FleetAllowances(base.Controller, allowance.Allowances):
-    """Holds the lock around the book of usage, and tells the other VMs.
+    """Guards the replicated rate limiter by a lock and broadcasts its counts.
 
-    :param book: what was given and what is left
-    :param read_mirrors: returns the revisions of mirrors by kind
-    :param is_store_reached: tells whether the platform's store answers; none
-        if it is not asked
-    :param clock_: where the time comes from
+    :param book: rate limiter with the counts of all VMs
+    :param read_mirrors: returns the store revision of each mirror, by kind
+    :param is_store_reached: returns whether the platform's store answers, or
+        None if this VM does not contact it
+    :param clock_: time source
 
-    ``broadcast`` is set by whoever can send to the other VMs.
+    ``broadcast`` is replaced by the component that sends to the other VMs.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         self._stepped_ms = clock_.now_ms() - PERIOD_MS
 
     def step(self) -> None:
-        """Tell the other VMs what has changed, and wait for more."""
+        """Broadcast changes, and set the delay until the next step."""
         left_ms = self._stepped_ms + PERIOD_MS - self.clock.now_ms()
         if left_ms > 0:
             self.clock.sleep_ms(left_ms)
@@ -72,9 +73,10 @@
 
     def _tell(self) -> None:
         mirrors, is_reached = self._read_mirrors(), self._is_store_reached()
-        # If every VM told all others at once that it has a change as well,
-        # messages would grow with the square of the fleet.  VMs that ask the
-        # store tell it at once, the others with their next heartbeat.
+        # If every VM announced at once that it has a change as well, the
+        # number of messages would grow with the square of the fleet size.
+        # VMs that contact the store announce changes at once, the others with
+        # their next heartbeat.
         now_ms = self.clock.now_ms()
         has_changed = (mirrors, is_reached) != self._told
         is_due = now_ms - self._told_ms >= WATCHER_HEARTBEAT_MS
@@ -90,28 +92,28 @@
             )
 
     def take(self, told: usage.Usage) -> None:
-        """Take in another VM's counts.
+        """Merge another VM's counts.
 
-        :param told: its counts
+        :param told: its usage message
         """
         with self._lock:
             self._book.merge_usage(told, self.clock.now_ms())
 
     def update_members(self, vms: list[str]) -> None:
-        """Take over which VMs there are.
+        """Apply the set of VMs that the store lists.
 
-        :param vms: their names
+        :param vms: names of the VMs
         """
         with self._lock:
             self._book.update_members(vms, self.clock.now_ms())
 
     def list_unresponsive(self) -> frozenset[str]:
-        """Return the VMs that were heard before and are silent now."""
+        """Return known VMs that are unresponsive now."""
         with self._lock:
             return self._book.list_unresponsive(self.clock.now_ms())
 
     def update_tables(self, changed: tables.Tables) -> None:
-        """Take over rates and bursts.
+        """Apply changed rates and bursts.
 
         :param changed: the new tables
         """
@@ -119,7 +121,7 @@
             self._book.update_accounts(
                 changed.accounts.values(), self.clock.now_ms()
             )
-        # VMs that do not watch the store wait for what this one knows.
+        # VMs that do not watch the store depend on this VM's announcement.
         self.wake()
 
     def reserve(
@@ -127,8 +129,8 @@
     ) -> expression.Result[allowance.Reservation, errors.Fault]:
         """Take tokens for a request before it runs.
 
-        :param account: the client account
-        :param tokens: what it may use
+        :param account: name of the client account
+        :param tokens: maximum number of tokens that it may use
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
         with self._lock:
@@ -149,10 +151,10 @@
         return expression.Error(fault)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
-        """Give back what a request did not use.
+        """Refund tokens that a request did not use.
 
-        :param reservation: what was taken
-        :param used: tokens that count
+        :param reservation: the reservation
+        :param used: number of tokens that the account is charged for
         """
         unused = reservation.tokens - used
         if unused <= 0:
--- a/mulberryway/controllers/peak_fleet_size.py
+++ b/mulberryway/controllers/peak_fleet_size.py
@@ -1,14 +1,14 @@
-"""How many VMs there were before a cut made the fleet look small."""
+"""Fleet size before a network partition made the fleet look smaller."""
 
 __all__ = ["PeakFleetSize"]
 
-# A cut makes the fleet look small.  The most VMs of the last minutes count,
-# so that both sides of a cut know that they are a part.
+# A partitioned VM sees a smaller fleet.  The largest size of the last minutes
+# is used, so that both sides of a partition know that they are only a part.
 PEAK_MS = 600_000
 
 
 class PeakFleetSize:
-    """The most VMs that were alive at once in the last minutes."""
+    """Largest number of VMs that were alive at once in the last minutes."""
 
     __slots__ = ("_now", "_before", "_until_ms")
 
@@ -19,14 +19,14 @@
 
     @property
     def maximum(self) -> int:
-        """The number, this VM included."""
+        """The largest recent number of VMs, including this VM."""
         return max(self._now, self._before)
 
     def note(self, count: int, now_ms: int) -> None:
-        """Take in how many are alive now.
+        """Record the number of VMs that are alive now.
 
-        :param count: the number, this VM included
-        :param now_ms: the present
+        :param count: number of VMs, including this VM
+        :param now_ms: current time in ms
         """
         if now_ms >= self._until_ms:
             self._until_ms = now_ms + PEAK_MS
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Which jobs are refused as soon as they come."""
+"""Admission control: rejects jobs that cannot meet their deadlines."""
 
 from mulberryway import errors
 from mulberryway import tables
@@ -11,22 +11,22 @@
 
 __all__ = ["Admission"]
 
-# A wait is a rough guess; who would be refused on it in vain would have been
-# served, so only a wait that is clearly too long counts.
+# Divides estimated waits.  The estimate is rough, and a wrong rejection loses
+# a job that would have been served, so only clearly too long waits count.
 WAIT_TOLERANCE = 1.5
 
 
 class Admission:
-    """Estimates whether a job's first token could come in time.
+    """Estimates whether a job's first token can meet its deadline.
 
-    A job that waits until its deadline and is given up then has cost its
-    caller the time in which it could have gone elsewhere, and has held up
-    others.  So it is refused at once, not run, with a retry hint.
+    A job that waits until its deadline and is cancelled then has cost its
+    caller the time for trying elsewhere, and has delayed other jobs.  So it
+    is rejected at once, before it runs, with a retry hint.
 
-    :param fair: the pool's queue
-    :param placer: the pool's placer
-    :param peers: what peers told
-    :param stats: the pool's meters
+    :param fair: fair queue of the pool
+    :param placer: placer of the pool
+    :param peers: account state received from peers
+    :param stats: statistics of the pool
     """
 
     __slots__ = ("_fair", "_placer", "_peers", "_meters")
@@ -44,17 +44,17 @@
         self._meters = stats
 
     def check_capacity(self, job: jobs.Job) -> errors.Fault | None:
-        """Refuse what does not fit into the waiting room.
+        """Reject a job that exceeds the queue capacity.
 
         :param job: the job
-        :returns: the fault, or none
+        :returns: the fault, or None if there is capacity
         """
         if self._fair.has_room(job):
             return None
         return make_rejection(
             errors.Code.OVERLOADED,
             job,
-            "too much is waiting",
+            "the queue is full",
             self._meters.clamp_retry_ms(self._meters.hold_ms.value / 4),
         )
 
@@ -64,12 +64,12 @@
         best: placements.Placement,
         pool: tables.Pool,
     ) -> int:
-        """Return when a job has to start so as to be in time.
+        """Return the latest time at which a job can start.
 
         :param job: the job
-        :param best: the best prefill it could get now
-        :param pool: the pool's row
-        :returns: a time in milliseconds, possibly past
+        :param best: the best prefill placement available now
+        :param pool: table row of the pool
+        :returns: time in ms, possibly in the past
         """
         carry_ms = (
             job.prompt_tokens
@@ -93,19 +93,19 @@
         latest_ms: int,
         now_ms: int,
     ) -> errors.Fault | None:
-        """Refuse a job whose first token could not come in time.
+        """Reject a job whose first token would miss its deadline.
 
         :param job: the job
-        :param best: the best prefill it could get now
-        :param latest_ms: when it has to start
-        :param now_ms: the present
-        :returns: the fault, or none
+        :param best: the best prefill placement available now
+        :param latest_ms: latest start time in ms
+        :param now_ms: current time in ms
+        :returns: the fault, or None if the job can be admitted
         """
         if now_ms > latest_ms:
             return make_rejection(
                 errors.Code.DEADLINE_EXCEEDED,
                 job,
-                "the prompt takes longer than the deadline allows",
+                "the prefill would take longer than the deadline allows",
             )
         queue_ms = best.ready_ms - best.prefill_ms - now_ms
         wait_ms = max(queue_ms, self._estimate_slot_wait_ms(job, now_ms))
@@ -114,7 +114,7 @@
         fault = make_rejection(
             errors.Code.OVERLOADED,
             job,
-            "the first token could not come in time",
+            "the first token would miss its deadline",
             self._meters.clamp_retry_ms(wait_ms),
         )
         fault.inputs = {
@@ -126,9 +126,10 @@
         return fault
 
     def _estimate_slot_wait_ms(self, job: jobs.Job, now_ms: int) -> float:
-        # In virtual time a job waits until the account's start is reached;
-        # virtual time moves by the pool's speed over the waiting weights.
-        # This takes constant time however many jobs or accounts wait.
+        # In virtual time a job waits until the account's start is reached.
+        # Virtual time advances by the pool's throughput divided by the
+        # waiting weights.  This takes constant time for any number of waiting
+        # jobs or accounts.
         if self._placer.estimate_free_slots(now_ms) > len(self._fair):
             return 0.0
         state = self._fair.find_account(job.account, job.weight)
@@ -143,11 +144,11 @@
 
 
 def estimate_lane_cost(lane: dict[str, fair_queue.QueueEntry]) -> float:
-    """Return about what the jobs of a lane cost together.
+    """Return the approximate cost of a lane's jobs.
 
     :param lane: the lane
-    :returns: tokens; the first entry's cost stands for all, so that the
-        time taken does not grow with the lane
+    :returns: cost in tokens; uses the first entry's cost for all entries, so
+        that the time taken does not grow with the lane
     """
     first = next(iter(lane.values()), None)
     return first.cost * len(lane) if first is not None else 0.0
@@ -161,10 +162,11 @@
 ) -> errors.Fault:
     """Return a fault for a job that has not run.
 
-    :param code: the code
+    :param code: the error code
     :param job: the job
     :param message: one sentence for people
-    :param retry_after_ms: when a repeat makes sense; none if it cannot help
+    :param retry_after_ms: time in ms until a retry is useful, or None if a
+        retry cannot succeed
     :returns: the fault
     """
     return errors.Fault(
--- a/mulberryway/policy/allowance.py
+++ b/mulberryway/policy/allowance.py
@@ -1,4 +1,4 @@
-"""The seam between requests and the fleet-wide allowances."""
+"""Interface between request handling and the fleet-wide rate limits."""
 
 import abc
 
@@ -10,10 +10,10 @@
 
 
 class Reservation:
-    """Tokens that were taken from an account's allowance for one request.
+    """Tokens reserved from an account's allowance for one request.
 
-    :param account: the client account
-    :param tokens: how many were taken
+    :param account: name of the client account
+    :param tokens: number of tokens reserved
     """
 
     __slots__ = ("account", "tokens")
@@ -24,36 +24,36 @@
 
 
 class Allowances(abc.ABC):
-    """Takes tokens before they are used and gives back what was not."""
+    """Reserves tokens before a request runs and refunds unused ones."""
 
     @abc.abstractmethod
     def reserve(
         self, account: str, tokens: int
     ) -> expression.Result[Reservation, errors.Fault]:
-        """Take tokens for a request before it runs.
+        """Reserve tokens for a request before it runs.
 
-        :param account: the client account
-        :param tokens: the prompt and the most that can be generated
+        :param account: name of the client account
+        :param tokens: prompt tokens plus the maximum of generated tokens
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
 
     def is_usable(self, reservation: Reservation) -> bool:
-        """Tell whether a reservation still stands, and count it as used.
+        """Return whether a reservation is valid, and mark it as used.
 
-        A process that was paused since it reserved may hold tokens that
-        have passed on to another VM; ask right before the upstream is
-        called, and settle with 0 if not.  A reservation that is not asked
-        about within two seconds does not stand any more.
+        If the process was paused after it reserved, another VM may hold
+        the tokens by now.  Call this immediately before calling the
+        upstream, and settle with 0 if the result is false.  A reservation
+        that is not checked within two seconds expires.
 
-        :param reservation: what was taken
+        :param reservation: the reservation
         :returns: whether its tokens may be used now
         """
         return True
 
     @abc.abstractmethod
     def settle(self, reservation: Reservation, used: int) -> None:
-        """Give back what a request did not use; called exactly once.
+        """Refund the tokens that a request did not use; call exactly once.
 
-        :param reservation: what was taken
-        :param used: tokens that the caller received or that were computed
+        :param reservation: the reservation
+        :param used: number of tokens computed or received by the caller
         """
--- a/mulberryway/policy/allowance_borrower.py
+++ b/mulberryway/policy/allowance_borrower.py
@@ -1,4 +1,7 @@
-"""Tokens that this VM has on loan from others; a promise."""
+"""Loans of rate limit tokens that this VM received from other VMs.
+
+Invariant: no account is granted more than its limit.
+"""
 
 import itertools
 
@@ -6,21 +9,22 @@
 
 __all__ = ["BorrowedLoan", "Borrower", "Closing"]
 
-# Unused tokens go back this long before their end, to arrive in time.
+# Unused tokens are returned this long before the loan expires, so that the
+# message reaches the lender in time.
 EARLY_RETURN_MS = 150
-# A lender takes no more back than it has lent.
+# Returns a whole loan: lenders accept at most what they have lent.
 RETURN_ALL_TOKENS = 1 << 40
 
 
 class BorrowedLoan:
-    """One loan as its borrower sees it.
-
-    :param number: names it, together with this process
-    :param peer: the lender's ``host:port``
-    :param account: the client account
-    :param tokens: what was lent
-    :param end_ms: when it ends, counted from before it was asked for
-    :param now_ms: the present
+    """One loan from the borrower's point of view.
+
+    :param number: identifies the loan together with this process
+    :param peer: ``host:port`` of the lender
+    :param account: name of the client account
+    :param tokens: number of tokens lent
+    :param end_ms: expiry in ms, measured from before the request was sent
+    :param now_ms: current time in ms
     """
 
     __slots__ = (
@@ -53,20 +57,20 @@
         self.is_closed = False
 
     def is_usable(self, now_ms: int) -> bool:
-        """Tell whether its tokens may be used; asked right before the act.
+        """Return whether its tokens may be used now.
 
-        :param now_ms: the present, read just now
-        :returns: whether they may
+        :param now_ms: current time in ms, read immediately before use
+        :returns: whether the loan is open and has not expired
         """
         return not self.is_closed and now_ms < self.end_ms
 
 
 class Closing:
-    """Tells a lender what came back.
+    """A message that returns a loan's unused tokens to its lender.
 
-    :param peer: the lender's ``host:port``
-    :param number: the loan
-    :param returned: unused tokens, over all closings of this loan
+    :param peer: ``host:port`` of the lender
+    :param number: number of the loan
+    :param returned: unused tokens, summed over all closings of this loan
     """
 
     __slots__ = ("peer", "number", "returned")
@@ -78,9 +82,9 @@
 
 
 class Borrower:
-    """Keeps loans and decides when their rest goes back.
+    """Tracks borrowed loans and decides when to return them.
 
-    :param times: durations
+    :param times: durations of loans and margins
     """
 
     def __init__(self, times: allowance_times.AllowanceTimes) -> None:
@@ -91,18 +95,16 @@
         self._changed: dict[int, BorrowedLoan] = {}
 
     def begin(self) -> int:
-        """Return a number for a new loan; none is used twice."""
+        """Return a number for a new loan; no number is used twice."""
         number = next(self._numbers)
         self._asked.add(number)
         return number
 
     def add(self, number: int, loan: BorrowedLoan | None) -> None:
-        """Take in what came of asking for a loan.
-
-        An answer that comes twice counts once.
+        """Store the outcome of a loan request; duplicates are ignored.
 
-        :param number: the loan's number
-        :param loan: the loan; none if there was no answer
+        :param number: number of the loan
+        :param loan: the loan, or None if the lender did not answer
         """
         if number not in self._asked:
             return
@@ -111,10 +113,10 @@
             self._open.setdefault(loan.account, []).append(loan)
 
     def cancel(self, number: int, peer: str) -> None:
-        """Give a loan back whose answer was lost; it is never used.
+        """Return a loan whose response was lost; it is never used.
 
-        :param number: the loan's number
-        :param peer: the lender's ``host:port``
+        :param number: number of the loan
+        :param peer: ``host:port`` of the lender
         """
         self.add(number, None)
         lost = BorrowedLoan(number, peer, "", 0, 0, 0)
@@ -124,9 +126,9 @@
     def list_usable(self, account: str, now_ms: int) -> list[BorrowedLoan]:
         """Return the loans that an account may use now.
 
-        :param account: the client account
-        :param now_ms: the present, read just now
-        :returns: loans, those that end first before the others
+        :param account: name of the client account
+        :param now_ms: current time in ms, read immediately before use
+        :returns: loans ordered by expiry, earliest first
         """
         loans = self._open.get(account, ())
         usable = [one for one in loans if one.left and one.is_usable(now_ms)]
@@ -136,21 +138,21 @@
         """Use tokens of a usable loan.
 
         :param loan: the loan
-        :param tokens: at most what is left
-        :param now_ms: the present
+        :param tokens: number of tokens, at most the remaining ones
+        :param now_ms: current time in ms
         """
         loan.left -= tokens
         loan.used_ms = now_ms
 
     def refund(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
-        """Take back what a request did not use.
+        """Refund tokens that a request did not use.
 
-        While the loan runs the tokens can be used again here; afterwards
-        they go back to the lender.
+        Until the loan expires, this VM can use them again.  Afterwards they
+        are returned to the lender.
 
-        :param loan: the loan that they came from
-        :param tokens: how many
-        :param now_ms: the present
+        :param loan: the loan that the tokens were taken from
+        :param tokens: number of tokens
+        :param now_ms: current time in ms
         """
         if loan.is_usable(now_ms):
             loan.left += tokens
@@ -161,14 +163,14 @@
     def collect_closings(
         self, now_ms: int, closes_all: bool = False
     ) -> list[Closing]:
-        """Close loans that are due, and tell what came back.
+        """Close loans that are due, and return the messages to send.
 
-        A loan that is told to be closed is never used again: its tokens may
-        already be lent to somebody else.
+        A loan that was announced as closed is never used again, because the
+        lender may already have lent its tokens to another VM.
 
-        :param now_ms: the present
-        :param closes_all: close all loans, for a planned stop
-        :returns: what to tell; a lost message only loses tokens
+        :param now_ms: current time in ms
+        :param closes_all: close all loans, for a graceful shutdown
+        :returns: messages for the lenders; a lost one only loses tokens
         """
         for account, loans in list(self._open.items()):
             due = [
@@ -187,12 +189,12 @@
         ]
 
     def count(self) -> int:
-        """Return how many loans are open."""
+        """Return the number of open loans."""
         return sum(map(len, self._open.values()))
 
     def _is_due(self, loan: BorrowedLoan, now_ms: int) -> bool:
-        # A loan that is used up is told at once: the lender keeps room for
-        # it in the bucket until then, and would let new tokens overflow.
+        # A used-up loan is closed at once.  Until then the lender reserves
+        # bucket capacity for it, and refilled tokens would overflow.
         is_ending = now_ms >= loan.end_ms - EARLY_RETURN_MS
         is_idle = now_ms - loan.used_ms >= self._times.idle_ms
         return is_ending or is_idle or loan.left == 0
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -1,4 +1,7 @@
-"""The tokens of the shares that this VM holds, and what it lent; a promise."""
+"""Token buckets of the slots that this VM holds, and the loans from them.
+
+Invariant: no account is granted more than its limit.
+"""
 
 import collections
 import heapq
@@ -12,19 +15,20 @@
 
 __all__ = ["Lender", "Loan", "SlotBucket"]
 
-# A loan may take this part of what is there beyond the borrower's need, so
-# that one caller's VM does not empty a share before the others come.
+# A loan gets at most this fraction (one divided by it) of the tokens beyond
+# the borrower's need, so that one VM does not empty a slot bucket before
+# other VMs borrow from it.
 SURPLUS_LOAN_DIVISOR = 4
-# An account whose burst lasts only a moment gets shorter loans, else its
-# tokens would be out on loan most of the time.
+# Lower bound for loans of accounts with a small burst.  Their loans are
+# shortened, else most of their tokens would be on loan most of the time.
 MIN_LOAN_MS = 200
 
 
 class SlotBucket:
-    """One account's tokens in one slot, for as long as the slot is held.
+    """One account's tokens in one slot, while this VM holds the slot.
 
-    :param slot: the slot
-    :param holding: the holding under which it was made
+    :param slot: number of the slot
+    :param holding: the holding under which the bucket was created
     :param bucket: the tokens
     """
 
@@ -42,12 +46,12 @@
 
 
 class Loan:
-    """Tokens lent to another VM, or taken for a request of this one.
+    """Tokens lent to another VM, or reserved for a request of this VM.
 
-    :param share: where they came from
-    :param tokens: how many
-    :param length_ms: how long the borrower may use them
-    :param lapse_ms: when they surely cannot be used any more
+    :param share: the slot bucket that the tokens were taken from
+    :param tokens: number of tokens
+    :param length_ms: for how long in ms the borrower may use them
+    :param lapse_ms: time in ms from which they cannot be used any more
     """
 
     __slots__ = (
@@ -71,7 +75,7 @@
         self.length_ms = length_ms
         self.lapse_ms = lapse_ms
         self.returned = 0
-        # Set once the loan has ended; refunds are reckoned from there.
+        # Set when the loan ends; later refunds are limited from this mark.
         self.stamp: int | None = None
 
 
@@ -79,12 +83,12 @@
 
 
 class Lender:
-    """Spends and lends from the buckets of the held slots.
+    """Spends and lends tokens from the buckets of the held slots.
 
-    :param keeper: knows which slots are held
-    :param times: durations
-    :param groups: into how many groups accounts are sorted
-    :param parts: into how many parts each allowance is divided
+    :param keeper: lease manager that knows which slots are held
+    :param times: durations of loans and margins
+    :param groups: number of groups that accounts are hashed into
+    :param parts: number of equal partitions of each allowance
     """
 
     def __init__(
@@ -112,13 +116,14 @@
     def update_accounts(
         self, accounts: dict[str, tables.ClientAccount], now_ms: int
     ) -> None:
-        """Go over to other rates and bursts.
+        """Apply changed accounts, rates and bursts.
 
-        An account that was gone and is back begins empty, and only after
-        loans from before have ended: edits must not bring a second burst.
+        An account that was removed and added again starts empty, and only
+        after earlier loans have expired, so that edits do not allow a burst
+        twice in one window.
 
-        :param accounts: all client accounts
-        :param now_ms: the present
+        :param accounts: all client accounts, by name
+        :param now_ms: current time in ms
         """
         for name in self._accounts.keys() - accounts.keys():
             del self._since_ms[name]
@@ -142,17 +147,17 @@
     def find_account(self, name: str) -> tables.ClientAccount | None:
         """Return a client account.
 
-        :param name: its name
-        :returns: its row; none if it is not known
+        :param name: name of the account
+        :returns: its table row, or None if it is unknown
         """
         return self._accounts.get(name)
 
     def list_buckets(self, account: str, now_ms: int) -> list[SlotBucket]:
-        """Return the account's shares that may be used now.
+        """Return the account's slot buckets that may be used now.
 
-        :param account: the client account
-        :param now_ms: the present, read just now
-        :returns: shares, the fullest first
+        :param account: name of the client account
+        :param now_ms: current time in ms, read immediately before use
+        :returns: slot buckets, fullest first
         """
         if account not in self._accounts:
             return []
@@ -174,18 +179,18 @@
     def lend(
         self, loan_id: LoanId, account: str, need: int, wish: int, now_ms: int
     ) -> Loan:
-        """Lend tokens; the same request gets the same loan.
-
-        A request that was sent twice, or whose copy comes late, must not
-        take tokens twice.  The tokens leave the bucket before the borrower
-        hears of them, so a lost answer loses tokens and never makes any.
-
-        :param loan_id: names the request
-        :param account: the client account
-        :param need: the fewest tokens that help
-        :param wish: how many would be good
-        :param now_ms: the present, read just now
-        :returns: the loan, perhaps of no tokens
+        """Lend tokens; a duplicate request gets the same loan.
+
+        A request that is sent twice or whose duplicate arrives late must not
+        take tokens twice.  Tokens leave the bucket before the response is
+        sent, so a lost response loses tokens but never creates any.
+
+        :param loan_id: identifies the request
+        :param account: name of the client account
+        :param need: minimum number of tokens that is useful
+        :param wish: desired number of tokens
+        :param now_ms: current time in ms, read immediately before use
+        :returns: the loan, possibly of no tokens
         """
         known = self._loans.get(loan_id)
         if known is not None:
@@ -197,24 +202,24 @@
         return self._lend(loan_id, shares[0], need, wish, now_ms)
 
     def read_lendable(self, account: str, now_ms: int) -> int:
-        """Return the most tokens that one more loan could have.
+        """Return the maximum number of tokens that one more loan could have.
 
-        :param account: the client account
-        :param now_ms: the present
+        :param account: name of the client account
+        :param now_ms: current time in ms
         :returns: tokens
         """
         shares = self.list_buckets(account, now_ms)
         return shares[0].bucket.read_level(now_ms) if shares else 0
 
     def close(self, loan_id: LoanId, returned: int, now_ms: int) -> None:
-        """End a loan whose borrower will not use it any more.
+        """End a loan that its borrower will not use any more.
 
-        The borrower tells how many tokens came back in total, so that a
-        message which comes twice or late counts once.
+        The borrower sends the total number of returned tokens, so a
+        duplicate or late message counts once.
 
-        :param loan_id: names the loan
-        :param returned: unused tokens, over all closings of this loan
-        :param now_ms: the present
+        :param loan_id: identifies the loan
+        :param returned: unused tokens, summed over all closings of this loan
+        :param now_ms: current time in ms
         """
         loan = self._loans.get(loan_id)
         if loan is None or not self._is_held(loan.share):
@@ -227,9 +232,9 @@
             loan.share.bucket.refund(more, loan.stamp, now_ms)
 
     def expire(self, now_ms: int) -> None:
-        """End loans that have lapsed, and forget those long ended.
+        """End expired loans, and remove those past the refund window.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         while self._open and self._open[0][0] <= now_ms:
             loan_id = heapq.heappop(self._open)[1]
@@ -242,16 +247,16 @@
             del self._loans[self._ended.popleft()[1]]
 
     def take(self, account: str, tokens: int, now_ms: int) -> list[Loan]:
-        """Take tokens for a request of this VM, as much as there is.
+        """Reserve tokens for a request of this VM, as many as available.
 
-        Until the request is about to run the tokens are on loan to it: a
-        process that is paused in between must not find its buckets full
-        again and spend a second burst beside the first.
+        Until the request is about to run, the tokens are on loan to it.  A
+        process that was paused in between must not find its buckets full
+        again and spend a second burst besides the reserved one.
 
-        :param account: the client account
-        :param tokens: how many
-        :param now_ms: the present, read just now
-        :returns: loans that end by themselves if nobody confirms them
+        :param account: name of the client account
+        :param tokens: requested number of tokens
+        :param now_ms: current time in ms, read immediately before use
+        :returns: loans that expire unless they are confirmed
         """
         loans = []
         for share in self.list_buckets(account, now_ms):
@@ -268,31 +273,31 @@
         return loans
 
     def is_usable(self, loan: Loan, now_ms: int) -> bool:
-        """Tell whether tokens that were taken here may be used now.
+        """Return whether tokens reserved on this VM may be used now.
 
-        :param loan: from :meth:`take`
-        :param now_ms: the present, read just now
-        :returns: whether they may
+        :param loan: a loan returned by :meth:`take`
+        :param now_ms: current time in ms, read immediately before use
+        :returns: whether the slot is still held and the loan has not expired
         """
         share = loan.share
         is_held = self._keeper.find(share.slot, now_ms) is share.holding
         return is_held and loan.stamp is None and now_ms < loan.lapse_ms
 
     def confirm(self, loan: Loan, now_ms: int) -> None:
-        """Count tokens that were taken here as used now.
+        """Count tokens reserved on this VM as used now.
 
-        :param loan: from :meth:`take`
-        :param now_ms: the present
+        :param loan: a loan returned by :meth:`take`
+        :param now_ms: current time in ms
         """
         if loan.stamp is None:
             self._end(loan, 0, now_ms)
 
     def settle(self, loan: Loan, returned: int, now_ms: int) -> None:
-        """Take back what a request of this VM did not use.
+        """Refund tokens that a request of this VM did not use.
 
-        :param loan: from :meth:`take`
-        :param returned: how many tokens
-        :param now_ms: the present
+        :param loan: a loan returned by :meth:`take`
+        :param returned: number of tokens to refund
+        :param now_ms: current time in ms
         """
         if not self._is_held(loan.share):
             return
--- a/mulberryway/policy/allowance_slots.py
+++ b/mulberryway/policy/allowance_slots.py
@@ -1,9 +1,11 @@
-"""The parts of allowances, and who holds each; a promise.
+"""Slots of allowances: their records, holders and hashing.
 
-Client accounts are sorted into a fixed number of groups, and each group's
-rates and bursts into equal parts.  One part of one group is a slot; it is
-held by one incarnation of one VM, as the platform records.  The number of
-slots does not grow with VMs, accounts or requests.
+Client accounts are hashed into a fixed number of groups, and each group's
+rates and bursts are divided into equal partitions.  One partition of one
+group is a slot.  The platform records which incarnation of which VM holds
+it.  The number of slots does not grow with VMs, accounts or requests.
+
+Invariant: no account is granted more than its limit.
 """
 
 import functools
@@ -21,15 +23,15 @@
 
 
 class SlotRecord:
-    """What the platform records of one slot.
-
-    :param vm: the holder's VM
-    :param address: the VM's IP number
-    :param incarnation: which life of the VM's process
-    :param term: grows each time the slot is taken
-    :param renewals: grows each time the lease is renewed
-    :param is_listed: the platform's list has shown the holder
-    :param is_released: the holder has given the slot up
+    """The platform's record of one slot.
+
+    :param vm: name of the VM that holds the slot
+    :param address: IP address of that VM
+    :param incarnation: incarnation of that VM's process
+    :param term: incremented each time the slot is taken
+    :param renewals: incremented each time the lease is renewed
+    :param is_listed: whether the holder has seen itself in the VM list
+    :param is_released: whether the holder has released the slot
     """
 
     __slots__ = (
@@ -61,17 +63,17 @@
         self.is_released = is_released
 
     def lease_version(self) -> tuple[int, int]:
-        """Return what changes with each take and renewal."""
+        """Return a value that changes with each take and renewal."""
         return (self.term, self.renewals)
 
 
 class Holding:
     """A slot that this process holds.
 
-    :param slot: the slot
-    :param term: as recorded
-    :param until_ms: the lease's end, by this VM's clock
-    :param start_ms: when its buckets begin to fill
+    :param slot: number of the slot
+    :param term: term of the slot's record
+    :param until_ms: expiry of the lease in ms, by this VM's clock
+    :param start_ms: time in ms from which its buckets fill
     """
 
     __slots__ = ("slot", "term", "until_ms", "start_ms")
@@ -88,9 +90,9 @@
 def compute_group(account: str, groups: int) -> int:
     """Return the group of a client account.
 
-    :param account: its name
-    :param groups: how many groups there are
-    :returns: from 0 on
+    :param account: name of the account
+    :param groups: number of groups
+    :returns: index of the group, from 0
     """
     return zlib.crc32(account.encode()) % groups
 
@@ -98,11 +100,11 @@
 def choose_holder(slot: int, vms: list[str]) -> str | None:
     """Return the VM that should hold a slot, by rendezvous hashing.
 
-    When a VM comes or goes, only its own slots change their holder.
+    When a VM joins or leaves, only its own slots change their holder.
 
-    :param slot: the slot
-    :param vms: names of the VMs to choose from
-    :returns: a name; none without VMs
+    :param slot: number of the slot
+    :param vms: names of the candidate VMs
+    :returns: the chosen name, or None without candidates
     """
     return max(vms, key=lambda vm: (_mix(_hash(vm), slot), vm), default=None)
 
--- a/mulberryway/policy/allowance_times.py
+++ b/mulberryway/policy/allowance_times.py
@@ -1,31 +1,31 @@
-"""How long shares, loans and their margins last."""
+"""Durations of slot leases, loans and their margins."""
 
 __all__ = ["AllowanceTimes"]
 
 
 class AllowanceTimes:
-    """Durations in milliseconds; a test may shorten them.
+    """Durations in milliseconds; tests may shorten them.
 
-    :param lease_ms: for how long a share is held without a renewal.  It is
-        renewed at a quarter, so an outage of the platform is survived for
-        at least three quarters of it: an hour and a half.
-    :param lease_margin_ms: how much longer others wait; covers clocks that
-        run apart by a hundredth
-    :param absence_timeout_ms: for how long the platform's list must have left
-        a VM out; the list lags by less
-    :param loan_ms: the longest life of a loan.  Longer ones would need
-        fewer messages, and hold tokens where they are not used.
-    :param loan_margin_ms: how much later the lender counts it as ended
-    :param idle_ms: an unused rest of a loan goes back after this
+    :param lease_ms: how long a slot is held without a renewal.  It is renewed
+        after a quarter of that, so holders survive an outage of the platform
+        for at least three quarters of it, one and a half hours.
+    :param lease_margin_ms: how much longer other VMs wait for the lease to
+        expire; covers clock rates that differ by one percent
+    :param absence_timeout_ms: how long a VM must be missing from the
+        platform's list to count as removed; longer than the list's lag
+    :param loan_ms: maximum duration of a loan.  Longer loans would need fewer
+        messages, but hold tokens where they are not used.
+    :param loan_margin_ms: how much later the lender counts a loan as expired
+    :param idle_ms: unused tokens of a loan are returned after this time
     :param reservation_ttl_ms: how long a reservation waits for its request to
-        run; longer than a first token may take
-    :param refund_window_ms: for how long after its end a loan takes refunds;
-        the longest request that is still refunded
-    :param min_uptime_ms: a share moves only to a VM that lives this long
-    :param startup_delay_ms: a new process waits this long to know the other
-        VMs, else the first of many would take all shares
-    :param retry_ms: the pause between looks at one object, of the list, or
-        between moves of shares
+        run; longer than the limit for a first token
+    :param refund_window_ms: how long after its end a loan accepts refunds,
+        which bounds the duration of requests that are still refunded
+    :param min_uptime_ms: a slot moves only to a VM that has been up this long
+    :param startup_delay_ms: how long a new process waits to learn about other
+        VMs; without it the first of many would take all slots
+    :param retry_ms: mean interval between attempts on one object, and
+        interval between reads of the VM list and between moves of slots
     """
 
     __slots__ = (
@@ -70,10 +70,10 @@
 
     @property
     def lapse_ms(self) -> int:
-        """When a loan has surely ended, counted from the lender's grant."""
+        """Time from a lender's grant until the loan has surely expired."""
         return self.loan_ms + self.loan_margin_ms
 
     @property
     def renew_before_ms(self) -> int:
-        """How long before its end a lease is renewed."""
+        """Remaining lease time at which a lease is renewed."""
         return self.lease_ms * 3 // 4
--- a/mulberryway/policy/leased_rate_limiter.py
+++ b/mulberryway/policy/leased_rate_limiter.py
@@ -1,4 +1,7 @@
-"""Takes an account's tokens from shares and loans; a promise."""
+"""Reserves an account's tokens from held slots and from loans.
+
+Invariant: no account is granted more than its limit.
+"""
 
 import collections.abc
 
@@ -13,19 +16,19 @@
     "LeasedReservation",
 ]
 
-# A refusal after all holders were asked stands for this long at most, so
-# that an account which sends several times its rate does not make several
-# messages out of each refused request.
+# Upper bound of the backoff after no slot holder could lend.  Without it, an
+# account that sends several times its rate would cause several messages for
+# each rejected request.
 MAX_BACKOFF_MS = 500
 MIN_BACKOFF_MS = 20
 DEMAND_WINDOW_MS = 1_000
 
 
 class ReservationSource:
-    """Tokens that a reservation took from one place.
+    """Tokens that a reservation took from one loan.
 
-    :param source: a share of this VM or a loan from another
-    :param tokens: how many
+    :param source: a loan from a slot of this VM or from another VM
+    :param tokens: number of tokens
     """
 
     __slots__ = ("source", "tokens")
@@ -40,7 +43,7 @@
 
 
 class LeasedReservation(allowance.Reservation):
-    """A reservation that remembers where its tokens came from."""
+    """A reservation that records the sources of its tokens."""
 
     __slots__ = ("sources", "is_used")
 
@@ -53,10 +56,10 @@
 
 
 class BorrowPlan:
-    """What to ask other VMs for.
+    """Numbers of tokens to request from other VMs.
 
-    :param need: the fewest tokens that help
-    :param wish: how many would be good
+    :param need: minimum number of tokens that is useful
+    :param wish: desired number of tokens
     """
 
     __slots__ = ("need", "wish")
@@ -67,7 +70,7 @@
 
 
 class _Demand:
-    """How many tokens an account takes here in a second, lately."""
+    """Demand of one account on this VM, in tokens per second."""
 
     __slots__ = ("start_ms", "tokens", "per_window")
 
@@ -85,10 +88,10 @@
 
 
 class LeasedRateLimiter:
-    """One VM's part in all allowances; holds no lock and does no I/O.
+    """Local allowance state of one VM; holds no lock and does no I/O.
 
-    :param lender: the shares of this VM
-    :param borrower: the loans from other VMs
+    :param lender: tokens in the slots of this VM
+    :param borrower: loans from other VMs
     """
 
     def __init__(
@@ -105,15 +108,15 @@
     def reserve(
         self, account: str, tokens: int, now_ms: int
     ) -> LeasedReservation | None:
-        """Take tokens from what is at hand.
+        """Reserve tokens from those available on this VM.
 
-        Loans go first, those that end first before the others: what is left
-        of them would be lost or cost a message.
+        Loans are used first, earliest expiry first: their remaining tokens
+        would otherwise be lost or cost a message to return.
 
-        :param account: the client account
-        :param tokens: how many
-        :param now_ms: the present, read just now
-        :returns: the reservation; none if there are not enough
+        :param account: name of the client account
+        :param tokens: requested number of tokens
+        :param now_ms: current time in ms, read immediately before use
+        :returns: the reservation, or None if there are too few tokens
         """
         wanted = tokens + self._debts.get(account, 0)
         if self.read_available(account, now_ms) < wanted:
@@ -128,10 +131,10 @@
         return LeasedReservation(account, tokens, pieces)
 
     def read_available(self, account: str, now_ms: int) -> int:
-        """Return the tokens that are at hand.
+        """Return the number of tokens available on this VM.
 
-        :param account: the client account
-        :param now_ms: the present, read just now
+        :param account: name of the client account
+        :param now_ms: current time in ms, read immediately before use
         :returns: tokens
         """
         loans = self.borrower.list_usable(account, now_ms)
@@ -141,19 +144,19 @@
         )
 
     def is_usable(self, reservation: LeasedReservation, now_ms: int) -> bool:
-        """Tell whether a reservation's tokens may be used, and count them.
+        """Return whether a reservation is valid, and count it as used.
 
-        The process may have been paused since it read the clock, and the
-        lease or loan that the tokens came from may have ended meanwhile:
-        another VM may have them now.  Nobody would notice but the account
-        that gets too much; so this is asked right before the act.
+        The process may have been paused since it last read the clock.  The
+        lease or loan behind the tokens may have expired meanwhile, and
+        another VM may hold them now.  No error would show this, only an
+        overrun of the account, so call this immediately before use.
 
         :param reservation: the reservation
-        :param now_ms: the present, read just now
-        :returns: whether they may
+        :param now_ms: current time in ms, read immediately before use
+        :returns: whether its tokens may be used now
         """
         if reservation.is_used:
-            # The request moves to another upstream; it counts once.
+            # The request is retried on another upstream; it counts once.
             return True
         sources = [piece.source for piece in reservation.sources]
         if not all(self._is_usable(source, now_ms) for source in sources):
@@ -167,15 +170,15 @@
     def settle(
         self, reservation: LeasedReservation, used: int, now_ms: int
     ) -> None:
-        """Give back what a request did not use.
+        """Refund tokens that a request did not use.
 
-        A request that used more than it had reserved, because its prompt
-        was longer than estimated, leaves a debt that the account's next
-        request pays.
+        If a request used more than it reserved, because its prompt was
+        longer than estimated, the difference is added to the account's next
+        reservation.
 
-        :param reservation: what was taken
-        :param used: what was used
-        :param now_ms: the present
+        :param reservation: the reservation
+        :param used: number of tokens used
+        :param now_ms: current time in ms
         """
         account = reservation.account
         unused = reservation.tokens - used
@@ -190,16 +193,16 @@
     def plan(
         self, account: str, tokens: int, now_ms: int
     ) -> BorrowPlan | None:
-        """Decide how many tokens to ask other VMs for.
+        """Decide how many tokens to request from other VMs.
 
-        The load that this is made for: an account whose callers meet few
-        VMs.  Besides what the request lacks, about a second's demand is
-        asked for, so that most requests need no message.
+        Designed for accounts whose callers connect to few VMs.  Besides the
+        tokens that the request lacks, about one second of demand is
+        prefetched, so that most requests need no message.
 
-        :param account: the client account
-        :param tokens: what a request wants
-        :param now_ms: the present
-        :returns: what to ask for; none if asking is of no use now
+        :param account: name of the client account
+        :param tokens: number of tokens that a request needs
+        :param now_ms: current time in ms
+        :returns: the tokens to request, or None if a request is useless now
         """
         until_ms, refused = self._pauses.get(account, (0, 0))
         if now_ms < until_ms and tokens >= refused:
@@ -214,11 +217,11 @@
         return BorrowPlan(max(need, 1), max(need, 1) + ahead)
 
     def record_demand(self, account: str, tokens: int, now_ms: int) -> None:
-        """Count what an account wants here.
+        """Record an account's demand on this VM.
 
-        :param account: the client account
-        :param tokens: what a request wants
-        :param now_ms: the present
+        :param account: name of the client account
+        :param tokens: number of tokens that a request needs
+        :param now_ms: current time in ms
         """
         if self.lender.find_account(account) is None:
             return
@@ -226,12 +229,12 @@
         demand.note(tokens, now_ms)
 
     def record_refusal(self, account: str, tokens: int, now_ms: int) -> int:
-        """Take in that no VM could help, and estimate when one can.
+        """Record that no VM could lend enough, and estimate a retry time.
 
-        :param account: the client account
-        :param tokens: what the request wanted
-        :param now_ms: the present
-        :returns: milliseconds until another try makes sense
+        :param account: name of the client account
+        :param tokens: number of tokens that the request needed
+        :param now_ms: current time in ms
+        :returns: time in ms until a retry is useful
         """
         row = self.lender.find_account(account)
         rate = 0 if row is None else row.rate
@@ -244,7 +247,7 @@
         return max(wait_ms, MIN_BACKOFF_MS)
 
     def prune_accounts(self) -> None:
-        """Forget what is remembered of accounts that are gone."""
+        """Remove the state of accounts that no longer exist."""
         for memory in (self._demands, self._pauses, self._debts):
             _drop(memory, lambda name: self.lender.find_account(name) is None)
 
--- a/mulberryway/policy/pool_stats.py
+++ b/mulberryway/policy/pool_stats.py
@@ -1,14 +1,14 @@
-"""How fast a pool takes jobs and what they cost, learned from its own work."""
+"""Throughput and job costs of a pool, learned from its completed jobs."""
 
 from mulberryway.policy import health
 from mulberryway.policy import jobs
 
 __all__ = ["PoolStats", "PREFILL_TOKEN_COST"]
 
-# A prompt token takes a prefill engine about a twentieth of the time which
-# an output token takes a decode engine with twenty slots.
+# A prompt token takes a prefill engine about one twentieth of the time that an
+# output token takes a decode engine with twenty slots.
 PREFILL_TOKEN_COST = 0.05
-# Assumed until answers have been seen.
+# Initial estimates, used until responses have been observed.
 OUTPUT_TOKENS = 300.0
 INITIAL_SLOT_TIME_MS = 11_000.0
 MAX_ACCOUNTS = 5_000
@@ -17,7 +17,7 @@
 
 
 class PoolStats:
-    """Means over the jobs of one pool."""
+    """Moving averages over the jobs of one pool."""
 
     __slots__ = ("hold_ms", "cost", "_outputs")
 
@@ -27,14 +27,15 @@
         self._outputs: dict[str, health.Ewma] = {}
 
     def estimate_cost(self, job: jobs.Job, prompt_tokens: float) -> float:
-        """Return what a job will probably cost, in tokens.
+        """Return the expected cost of a job, in tokens.
 
-        The most that may be generated says little: callers ask for far more
-        than they get.  What the account's answers took before is nearer.
+        The maximum number of output tokens is a poor estimate, because
+        callers request far more than they get.  The length of the account's
+        earlier responses is a better one.
 
         :param job: the job
         :param prompt_tokens: prompt tokens that have to be computed
-        :returns: tokens
+        :returns: cost in tokens
         """
         output = self._outputs.get(job.account)
         expected = output.value if output is not None else OUTPUT_TOKENS
@@ -46,19 +47,19 @@
 
         :param prompt_tokens: prompt tokens computed
         :param output_tokens: tokens generated
-        :returns: the cost in tokens, at least one
+        :returns: cost in tokens, at least 1
         """
         return max(prompt_tokens * PREFILL_TOKEN_COST + output_tokens, 1.0)
 
     def record_job(
         self, account: str, cost: float, tokens: int, hold_ms: int
     ) -> None:
-        """Learn from a job that ran to its end.
+        """Update the averages with a completed job.
 
-        :param account: the client account
-        :param cost: what it cost
-        :param tokens: the tokens of its answer
-        :param hold_ms: for how long it held its slot
+        :param account: name of the client account
+        :param cost: cost of the job in tokens
+        :param tokens: output tokens of its response
+        :param hold_ms: time in ms for which it occupied its slot
         """
         self.cost.note(cost)
         self.hold_ms.note(hold_ms)
@@ -70,17 +71,17 @@
         output.note(tokens)
 
     def estimate_throughput(self, slots: int) -> float:
-        """Return how fast full slots work, in tokens of cost.
+        """Return the throughput of a pool whose slots are all in use.
 
-        :param slots: how many slots there are
-        :returns: tokens a millisecond
+        :param slots: number of slots
+        :returns: tokens of cost per millisecond
         """
         return max(slots, 1) / self.hold_ms.value * self.cost.value
 
     def clamp_retry_ms(self, wait_ms: float) -> int:
-        """Return when a repeat makes sense.
+        """Return the time until a retry is useful.
 
-        :param wait_ms: how long it would have waited now
-        :returns: milliseconds within sensible limits
+        :param wait_ms: expected queue wait in ms
+        :returns: time in ms between ``MIN_RETRY_MS`` and ``MAX_RETRY_MS``
         """
         return int(min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS))
--- a/mulberryway/policy/slot_lease_manager.py
+++ b/mulberryway/policy/slot_lease_manager.py
@@ -1,4 +1,7 @@
-"""Decides which slots this process takes, renews and gives up; a promise."""
+"""Decides which slot leases this process acquires, renews and releases.
+
+Invariant: no account is granted more than its limit.
+"""
 
 import enum
 
@@ -11,7 +14,7 @@
 
 
 class LeaseAction(enum.Enum):
-    """What to do about a slot."""
+    """Write that a decision about a slot requires."""
 
     NONE = "none"
     TAKE = "take"
@@ -20,19 +23,24 @@
 
 
 class SlotLeaseManager:
-    """Decides which slots this process takes, renews and gives up.
-
-    A slot passes on only when its holder has given it up, when a newer
-    incarnation runs at the same VM and address (the port is bound, so the
-    older process has ended), when the platform's list has shown the VM and
-    has since left it out for a margin, or when its lease has ended.  Were
-    it taken from a holder that only seems dead, two would spend the same
-    tokens.
-
-    :param vm: this VM
-    :param address: its IP number
-    :param incarnation: this life of its process
-    :param times: durations
+    """Decides which slot leases this process acquires, renews and releases.
+
+    A slot is taken over only in one of these cases:
+
+    - its holder has released it;
+    - a newer incarnation runs at the same VM and address (the port is bound,
+      so the older process has ended);
+    - the platform's VM list has contained the holder, and has then lacked it
+      for ``absence_timeout_ms``;
+    - its lease has expired.
+
+    If a slot were taken from a holder that only seems to have crashed, two
+    VMs would spend the same tokens.
+
+    :param vm: name of this VM
+    :param address: IP address of this VM
+    :param incarnation: incarnation of this process
+    :param times: durations of leases and margins
     """
 
     def __init__(
@@ -52,11 +60,11 @@
         self._absent: dict[tuple[str, str], tuple[int, int]] = {}
 
     def find(self, slot: int, now_ms: int) -> allowance_slots.Holding | None:
-        """Return a holding whose lease runs; asked right before each act.
+        """Return the holding of a slot if its lease has not expired.
 
-        :param slot: the slot
-        :param now_ms: the present, read just now
-        :returns: the holding, or none
+        :param slot: number of the slot
+        :param now_ms: current time in ms, read immediately before use
+        :returns: the holding, or None
         """
         holding = self.holdings.get(slot)
         if holding is None or holding.until_ms <= now_ms:
@@ -66,10 +74,10 @@
     def update_vm_list(
         self, listed: set[tuple[str, str]], now_ms: int
     ) -> None:
-        """Take in the platform's list of VMs.
+        """Apply the platform's current list of VMs.
 
-        :param listed: names and addresses
-        :param now_ms: when the list was asked for
+        :param listed: names and addresses of the listed VMs
+        :param now_ms: time in ms at which the list was requested
         """
         self.is_listed = (self.vm, self.address) in listed
         kept = {
@@ -84,16 +92,16 @@
         listed: set[tuple[str, str]],
         listed_ms: int,
     ) -> None:
-        """Begin to count for how long the list leaves a holder out.
+        """Start to measure how long a holder is missing from the VM list.
 
-        Only a list that was asked for after the record was seen counts, and
-        only if the holder has seen itself in the list: a new VM is not in
-        the list yet, and must not be taken for one that has gone.
+        Only a list that was requested after the record was seen counts, and
+        only if the holder has seen itself in the list: a new VM is not
+        listed yet and must not be mistaken for a removed one.
 
-        :param slot: the slot
-        :param record: names the holder
-        :param listed: names and addresses
-        :param listed_ms: when the list was asked for
+        :param slot: number of the slot
+        :param record: the slot's record, which names the holder
+        :param listed: names and addresses of the listed VMs
+        :param listed_ms: time in ms at which the list was requested
         """
         lease, seen_ms = self._leases.get(slot, (None, 0))
         is_seen = lease == record.lease_version() and seen_ms <= listed_ms
@@ -108,13 +116,13 @@
         is_wanted: bool,
         now_ms: int,
     ) -> LeaseAction:
-        """Decide about a slot, as the platform records it now.
+        """Decide about a slot, given its current record on the platform.
 
-        :param slot: the slot
-        :param record: its record; none if it was never taken
-        :param is_wanted: whether this VM is the one to hold it
-        :param now_ms: the present
-        :returns: what to write
+        :param slot: number of the slot
+        :param record: its record, or None if it was never taken
+        :param is_wanted: whether this VM should hold the slot
+        :param now_ms: current time in ms
+        :returns: the write that is required
         """
         self._note_lease(slot, record, now_ms)
         holding = self.holdings.get(slot)
@@ -129,8 +137,8 @@
         if is_wanted:
             is_free = self._may_take(slot, record, now_ms)
             return LeaseAction.TAKE if is_free else LeaseAction.NONE
-        # A lost release, or what this VM's last process held: nobody else
-        # could take it while the platform lists this VM.
+        # Either a release was lost, or this VM's previous process held the
+        # slot.  Nobody else can take it while the platform lists this VM.
         is_left = record is not None and not record.is_released
         if is_left and self._is_here(record):
             return LeaseAction.RELEASE
@@ -139,10 +147,10 @@
     def make_record(
         self, decision: LeaseAction, record: allowance_slots.SlotRecord | None
     ) -> allowance_slots.SlotRecord:
-        """Return the record that a decision writes.
+        """Return the record to write for a decision.
 
-        :param decision: what was decided
-        :param record: the record that it was decided on
+        :param decision: the decision
+        :param record: the record that the decision was based on
         :returns: the new record
         """
         term = 0 if record is None else record.term
@@ -169,19 +177,19 @@
         sent_ms: int,
         now_ms: int,
     ) -> None:
-        """Take in that the platform has accepted a record.
-
-        The lease is counted from before the write was sent, while others
-        count from when they see it.  A slot that was taken fills from empty
-        and only after all loans of its last holder have ended: what the
-        last holder and its borrowers spent is not known.  The first holder
-        ever needs not wait.
-
-        :param slot: the slot
-        :param decision: what was decided
-        :param record: what was written
-        :param sent_ms: right before the write was sent
-        :param now_ms: the present
+        """Apply a write that the platform has accepted.
+
+        The lease is measured from before the write was sent, while other VMs
+        measure it from when they see it.  A newly taken slot fills from
+        empty, and only after all loans of its previous holder have expired,
+        because the tokens spent by that holder and its borrowers are not
+        known.  The first holder ever does not wait.
+
+        :param slot: number of the slot
+        :param decision: the decision that was written
+        :param record: the record that was written
+        :param sent_ms: time in ms immediately before the write was sent
+        :param now_ms: current time in ms
         """
         until_ms = sent_ms + self._times.lease_ms
         if decision is LeaseAction.TAKE:
@@ -194,9 +202,9 @@
             self.holdings[slot].until_ms = until_ms
 
     def give_up(self, slot: int) -> None:
-        """Stop using a slot, before its release is written.
+        """Stop using a slot; call this before its release is written.
 
-        :param slot: the slot
+        :param slot: number of the slot
         """
         self.holdings.pop(slot, None)
 
@@ -238,7 +246,7 @@
         return self._is_gone(slot, record) or self._has_lapsed(slot, now_ms)
 
     def _is_here(self, record: allowance_slots.SlotRecord) -> bool:
-        """Tell whether a record is of this process or an earlier one here."""
+        """Return whether this VM's current or an earlier process wrote it."""
         is_vm = (record.vm, record.address) == (self.vm, self.address)
         return is_vm and record.incarnation <= self.incarnation
 
@@ -246,8 +254,8 @@
         absent = self._absent.get((record.vm, record.address))
         if absent is None or not record.is_listed:
             return False
-        # The VM may have come back since, and have taken the slot anew:
-        # only absence after this very record was seen counts.
+        # The VM may have been listed again since and have taken the slot
+        # anew.  Only absence after this record was seen counts.
         _, seen_ms = self._leases[slot]
         first_ms, last_ms = absent
         absent_ms = last_ms - max(first_ms, seen_ms)
--- a/mulberryway/policy/static_allowances.py
+++ b/mulberryway/policy/static_allowances.py
@@ -1,7 +1,7 @@
-"""The baseline: each VM has a fixed part of every rate and burst.
+"""Baseline rate limiter: each VM gets a fixed fraction of rate and burst.
 
-It needs no message and never overruns while the number of VMs is right, but
-it refuses an account whose callers meet few of the VMs.
+It needs no messages and never overruns while the configured number of VMs is
+right, but it rejects accounts whose callers connect to only a few VMs.
 """
 
 import threading
@@ -18,7 +18,7 @@
 
 
 class _SplitReservation(allowance.Reservation):
-    """Remembers the bucket, and when the tokens were taken from it."""
+    """A reservation with its bucket and the mark taken after it."""
 
     __slots__ = ("bucket", "stamp")
 
@@ -37,11 +37,12 @@
 class StaticAllowances(allowance.Allowances):
     """Divides each account's rate and burst evenly over a number of VMs.
 
-    Buckets begin empty, so that a VM which restarts brings no second burst.
+    Buckets start empty, so that a restart does not allow a burst twice in one
+    window.
 
-    :param source: the tables in force
-    :param clock_: where the time comes from
-    :param vms: over how many VMs
+    :param source: source of the active tables
+    :param clock_: time source
+    :param vms: number of VMs
     """
 
     def __init__(
@@ -60,10 +61,10 @@
     def reserve(
         self, account: str, tokens: int
     ) -> expression.Result[allowance.Reservation, errors.Fault]:
-        """Take tokens for a request before it runs.
+        """Reserve tokens for a request before it runs.
 
-        :param account: the client account
-        :param tokens: the prompt and the most that can be generated
+        :param account: name of the client account
+        :param tokens: prompt tokens plus the maximum of generated tokens
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
         now_ms = self._clock.now_ms()
@@ -75,10 +76,10 @@
         return expression.Ok(_SplitReservation(account, tokens, bucket, stamp))
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
-        """Give back what a request did not use; called exactly once.
+        """Refund tokens that a request did not use; call exactly once.
 
-        :param reservation: what was taken
-        :param used: tokens that the caller received or that were computed
+        :param reservation: the reservation
+        :param used: number of tokens computed or received by the caller
         """
         if not isinstance(reservation, _SplitReservation):
             return
@@ -114,6 +115,6 @@
     return errors.Fault(
         errors.Code.OVER_ALLOWANCE,
         errors.Step.ADMISSION,
-        message="the client account's allowance is used up",
+        message="the client account's allowance is exhausted",
         retry_after_ms=wait_ms,
     )
--- a/mulberryway/policy/token_bucket.py
+++ b/mulberryway/policy/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket with exact arithmetic, refunds and tokens on loan."""
+"""A token bucket with exact arithmetic, refunds and loans."""
 
 import bisect
 import operator
@@ -6,17 +6,18 @@
 __all__ = ["TokenBucket"]
 
 MS_IN_S = 1_000
-# Clocks of VMs run apart by some hundred millionths.  A bucket fills a
-# thousandth slower than its rate, so that by no clock an account gets more.
+# Clock rates of VMs differ by some hundred parts per million.  Buckets refill
+# one per mille slower than their rate, so that no clock grants an account more
+# than its rate.
 DRIFT_PER_MILLE = 1
 REFILL_PER_MILLE = 1_000 - DRIFT_PER_MILLE
 UNITS_PER_TOKEN = MS_IN_S * 1_000
-# Bounds the memory of one bucket; fewer marks only make refunds smaller.
+# Bounds the memory of one bucket; with fewer marks refunds only get smaller.
 MAX_MARKS = 256
 
 
 class _Mark:
-    """A numbered moment, and the most that was held at or after it."""
+    """A numbered point in time, and the maximum level at or after it."""
 
     __slots__ = ("stamp", "highest")
 
@@ -26,20 +27,20 @@
 
 
 class TokenBucket:
-    """One of several equal parts of a rate and a burst.
+    """One of several equal partitions of a rate and a burst.
 
-    The level is kept in whole units of a token / (1,000,000 x parts), so
-    that no rounding ever adds up to a token too many.
+    The level is kept in integer units of a token / (1,000,000 x parts), so
+    that rounding errors never add up to a token.
 
-    What was lent and what is left never exceed the capacity together: a
-    bucket that refilled while a borrower still holds its tokens would let
-    the account have its burst twice.
+    The level and the tokens on loan together never exceed the capacity.  If
+    a bucket refilled while a borrower still holds its tokens, the account
+    would be allowed a burst twice.
 
-    :param rate: tokens a second, of all parts together
-    :param burst: tokens, of all parts together
-    :param parts: into how many equal parts rate and burst are divided
-    :param now_ms: the present
-    :param is_full: whether it begins full; else it begins empty
+    :param rate: tokens per second, summed over all partitions
+    :param burst: tokens, summed over all partitions
+    :param parts: number of equal partitions of rate and burst
+    :param now_ms: current time in ms
+    :param is_full: whether it starts full; otherwise it starts empty
     """
 
     __slots__ = (
@@ -69,14 +70,14 @@
         self._level = burst * UNITS_PER_TOKEN if is_full else 0
         self._on_loan = 0
         self._updated_ms = now_ms
-        # Ordered by stamp, with strictly falling ``highest``.
+        # Ordered by stamp, with strictly decreasing ``highest``.
         self._marks: list[_Mark] = []
         self._last_stamp = 0
 
     def read_level(self, now_ms: int) -> int:
-        """Return the whole tokens that can be taken now.
+        """Return the number of tokens that can be taken now, rounded down.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         :returns: tokens
         """
         self._refill(now_ms)
@@ -85,8 +86,8 @@
     def take(self, tokens: int, now_ms: int) -> bool:
         """Take tokens if there are enough.
 
-        :param tokens: how many
-        :param now_ms: the present
+        :param tokens: number of tokens
+        :param now_ms: current time in ms
         :returns: whether they were taken
         """
         self._refill(now_ms)
@@ -96,10 +97,10 @@
         return True
 
     def stamp(self, now_ms: int) -> int:
-        """Number this moment, so that a refund can refer to it.
+        """Mark the current time, for later refunds to refer to.
 
-        :param now_ms: the present
-        :returns: a number; later moments have larger ones
+        :param now_ms: current time in ms
+        :returns: number of the mark, larger than all earlier ones
         """
         self._refill(now_ms)
         self._last_stamp += 1
@@ -111,17 +112,17 @@
         return self._last_stamp
 
     def refund(self, tokens: int, stamp: int, now_ms: int) -> int:
-        """Put back tokens that were taken but not used.
+        """Refund tokens that were taken but not used.
 
-        A late refund must not bring more than if the tokens had never been
-        taken: a bucket that was full again in the meantime would have let
-        them overflow.  Without this limit a caller that reserves much, uses
-        little and waits gets its burst twice in one window.
+        A late refund must not leave more tokens than if they had never been
+        taken: if the bucket was full in the meantime, they would have
+        overflowed.  Without this limit, a caller that reserves many tokens,
+        uses few and waits gets its burst twice in one window.
 
-        :param tokens: how many
-        :param stamp: the moment right after they were taken
-        :param now_ms: the present
-        :returns: how many were put back, rounded down
+        :param tokens: number of tokens
+        :param stamp: the mark made right after they were taken
+        :param now_ms: current time in ms
+        :returns: number of tokens refunded, rounded down
         """
         self._refill(now_ms)
         first = self._find_mark(stamp)
@@ -136,10 +137,10 @@
         return units // self._scale
 
     def lend(self, tokens: int, now_ms: int) -> bool:
-        """Take tokens that somebody else may use for a while.
+        """Take tokens that another VM or a request may use for a while.
 
-        :param tokens: how many
-        :param now_ms: the present
+        :param tokens: number of tokens
+        :param now_ms: current time in ms
         :returns: whether they were taken
         """
         if not self.take(tokens, now_ms):
@@ -148,22 +149,22 @@
         return True
 
     def end_loan(self, tokens: int, returned: int, now_ms: int) -> None:
-        """Give the capacity back that a loan kept free.
+        """Free the capacity that was reserved behind a loan.
 
-        :param tokens: how many were lent
-        :param returned: how many of them came back unused
-        :param now_ms: the present
+        :param tokens: number of tokens lent
+        :param returned: number of them that were returned unused
+        :param now_ms: current time in ms
         """
         self._refill(now_ms)
         self._on_loan -= tokens * self._scale
         self._level += returned * self._scale
 
     def change(self, rate: int, burst: int, now_ms: int) -> None:
-        """Go over to another rate and burst; brings no tokens by itself.
+        """Switch to another rate and burst without adding tokens.
 
-        :param rate: tokens a second, of all parts together
-        :param burst: tokens, of all parts together
-        :param now_ms: the present
+        :param rate: tokens per second, summed over all partitions
+        :param burst: tokens, summed over all partitions
+        :param now_ms: current time in ms
         """
         self._refill(now_ms)
         self.rate = rate
@@ -173,11 +174,11 @@
         )
 
     def time_until(self, tokens: int, now_ms: int) -> int | None:
-        """Return how long it takes until so many tokens can be there.
+        """Return the time until so many tokens can be available.
 
-        :param tokens: how many
-        :param now_ms: the present
-        :returns: milliseconds; none if they never fit
+        :param tokens: number of tokens
+        :param now_ms: current time in ms
+        :returns: time in ms, or None if they exceed the capacity
         """
         self._refill(now_ms)
         wanted = tokens * self._scale
@@ -192,11 +193,11 @@
         return self.burst * UNITS_PER_TOKEN
 
     def _count_refill(self) -> int:
-        """Return the units that come in one millisecond."""
+        """Return the units that are refilled in one millisecond."""
         return self.rate * REFILL_PER_MILLE
 
     def _refill(self, now_ms: int) -> None:
-        # A clock that seems to run backwards must not take or give tokens.
+        # A clock that runs backwards must not add or remove tokens.
         elapsed_ms = max(now_ms - self._updated_ms, 0)
         self._updated_ms += elapsed_ms
         room = max(self._capacity() - self._on_loan - self._level, 0)
@@ -207,7 +208,7 @@
         self._raise_marks(self._level + self._on_loan, len(self._marks))
 
     def _raise_marks(self, highest: int, end: int) -> None:
-        """Merge the marks before ``end`` that saw less than ``highest``."""
+        """Merge the marks before ``end`` whose maximum is not higher."""
         start = end
         while start > 0 and self._marks[start - 1].highest <= highest:
             start -= 1
@@ -216,7 +217,7 @@
             self._marks[start:end] = [merged]
 
     def _find_mark(self, stamp: int) -> int | None:
-        """Return the last mark at or before a numbered moment."""
+        """Return the index of the last mark at or before a stamp."""
         index = bisect.bisect_right(
             self._marks, stamp, key=operator.attrgetter("stamp")
         )
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -1,9 +1,10 @@
-"""What all VMs together have given each account: one bucket, many counters.
+"""Replicated rate limiter: one bucket per account, one counter per VM.
 
-A promise, kept within the margin that operators allow for it.  Each VM
-counts up what it gave and tells the others; all subtract one another's
-counts from the same bucket.  What a VM has not heard yet is what may be
-given too much, so the margin has to cover one delay between VMs.
+Invariant: no account is granted more than its limit plus the margin that
+operators allow.  Each VM counts the tokens that it granted and announces the
+count; every VM subtracts the others' counts from its copy of the bucket.
+Tokens whose announcement has not arrived yet may be granted twice, so the
+margin has to cover one message delay between VMs.
 """
 
 import collections
@@ -17,50 +18,51 @@
 __all__ = ["AccountUsage", "Margin", "Usage", "ReplicatedRateLimiter"]
 
 MS_IN_S = 1_000
-# A VM tells its counts at least this often; see ``HEARTBEAT_TIMEOUT_MS``.  In
-# a fleet of more than so many VMs it does so more seldom, in proportion, so
-# that the messages that a VM gets stay the same in number.
+# Longest interval between two messages of a VM; see ``HEARTBEAT_TIMEOUT_MS``.
+# In fleets of more than ``HEARTBEAT_SCALING_VMS`` VMs the interval grows in
+# proportion, so that the rate of messages that a VM receives stays constant.
 HEARTBEAT_MS = 300
 HEARTBEAT_SCALING_VMS = 40
-# A VM that is cut off may still have callers, and both sides would give the
-# whole rate.  After missing three heartbeats the silent VM's part of rate and
-# burst is left to it.
+# A partitioned VM may still have callers, and both sides would grant the full
+# rate.  After three missed heartbeats the unresponsive VM's fraction of rate
+# and burst is reserved for it.
 HEARTBEAT_TIMEOUT_MS = 950
-# A VM that was silent for so long has probably gone for good, and its part
-# would be missed by all.  Only VMs that hear most of the others take it over:
-# one that is cut off alone hears nobody either, and keeps to its own part.
+# A VM that was unresponsive for so long is probably not coming back, and its
+# fraction would be lost to all.  Only VMs that hear from more than half of
+# the fleet take it over: a VM that is partitioned alone hears from nobody and
+# keeps to its own fraction.
 EVICTION_TIMEOUT_MS = 12_000
-# VMs whose last counts are remembered in case they come back.
+# Number of evicted VMs whose last counts are kept in case they return.
 MAX_EVICTED_PEERS = 256
-# Part of the operators' margin that is given away in advance, so that delays
-# and rounding refuse nobody within the rate; the rest covers what has not
-# been heard yet.  At the peak a hot account asks for some 300,000 tokens a
-# second, so one delay of 100 ms is worth 30,000.
+# Fraction of the operators' margin that is granted in advance, so that delays
+# and rounding cause no rejections within the rate.  The rest covers tokens
+# that were not announced yet.  At the peak a hot account requests about
+# 300,000 tokens per second, so one delay of 100 ms is worth 30,000.
 UPFRONT_MARGIN_FRACTION = 0.1
-# Part of an account's due in one window by which VMs that are killed, cut off
-# or told too late may overrun at worst, over the 500 schedules of the tests:
-# with 0.2 of it 2 of 300 schedules gave too much, with 0.3 none did.  What
-# the margin holds beyond that comes in along with the rate.  It matters for
-# accounts whose margin is large beside their rate: one of 30,000 tokens a
-# second that asks for several times that gets 14 in 100 more.
+# Fraction of an account's limit in one window by which VMs that are killed,
+# partitioned or informed too late overrun in the worst case, over the 500
+# schedules of the tests: with 0.2 there were overruns in 2 of 300 schedules,
+# with 0.3 in none.  Any margin beyond that is added to the rate.  This matters
+# for accounts whose margin is large compared with their rate: one of 30,000
+# tokens per second that requests several times that gets 14 percent more.
 OVERRUN_RESERVE_FRACTION = 0.3
-# VMs that all begin at once know of nothing.  With empty buckets accounts
-# would be refused within their rate; with full ones an account might get its
-# burst twice in a window.  So they begin with a part of the margin, and each
-# VM gives its part of that until it has heard of the others.
+# VMs that all start at once know nothing.  With empty buckets accounts would
+# be rejected within their rate; with full ones an account might get its burst
+# twice in a window.  So they start with this fraction of the margin, and each
+# VM grants only its own fraction of that until it has heard from the others.
 INITIAL_MARGIN_FRACTION = 0.25
-# A VM that has heard nobody since it began, though there are others, is cut
-# off or the first of all; it does not know how many there are.
+# Fraction for a VM that has heard from nobody since it started although others
+# exist: it is partitioned or the first of all, and does not know their number.
 ISOLATED_FRACTION = 0.25
-# The life of a VM that is known by name only.
+# Incarnation of a VM of which only the name is known.
 UNKNOWN = -1
-# A VM that has counted for so long knows what was given before.
+# A VM that has counted for so long knows the tokens granted before it started.
 WARM_UP_MS = 3_000
-# All accounts are told with each so many heartbeats; while a VM has counted
-# for less than ``STARTUP_FULL_SYNC_MS``, with each one, or with each second
-# one in a fleet of more than ``HEARTBEAT_SCALING_VMS``.  The others repeat
-# only what was told since the heartbeat before the last, in case a message was
-# lost.
+# Every so many heartbeats are full snapshots of all accounts.  While a VM has
+# counted for less than ``STARTUP_FULL_SYNC_MS``, every heartbeat is one, or
+# every second one in a fleet of more than ``HEARTBEAT_SCALING_VMS``.  The
+# others repeat only the accounts announced since the heartbeat before the
+# last, in case a message was lost.
 FULL_SYNC_INTERVAL = 5
 STARTUP_FULL_SYNC_INTERVAL = 2
 STARTUP_FULL_SYNC_MS = 4_000
@@ -72,7 +74,7 @@
 
 
 class _Peer:
-    """What one other VM has told."""
+    """State received from one other VM."""
 
     __slots__ = ("incarnation", "sequence", "heard_ms", "spent", "silent_ms")
 
@@ -81,17 +83,17 @@
         self.sequence = 0
         self.heard_ms = now_ms
         self.spent: dict[str, int] = {}
-        # Since when its part has been left to it; none while it is heard.
+        # Time from which its fraction is reserved; None while it responds.
         self.silent_ms: int | None = None
 
 
 class ReplicatedRateLimiter:
-    """One VM's view of what all have given.
+    """One VM's replica of all accounts' buckets.
 
-    :param vm: this VM's name
-    :param incarnation: which life of it
-    :param margin: what accounts may get beyond rate and burst
-    :param now_ms: the present
+    :param vm: name of this VM
+    :param incarnation: incarnation of this VM
+    :param margin: tokens that accounts may get beyond rate and burst
+    :param now_ms: current time in ms
     :param has_others: whether other VMs are known to exist
     """
 
@@ -112,7 +114,7 @@
         self._numbers = itertools.count(1)
         self._heartbeats = 0
         self._whole_until_ms = now_ms + STARTUP_FULL_SYNC_MS
-        # Accounts told since the last heartbeat, and before that.
+        # Accounts announced since the last heartbeat, and in the one before.
         self._recent: set[str] = set()
         self._earlier: set[str] = set()
         self._buckets: dict[str, usage_bucket.UsageBucket] = {}
@@ -121,22 +123,22 @@
             collections.OrderedDict()
         )
         self._has_adopted = False
-        # The part of all rates that those heard may give, and until when
-        # that holds unless VMs come or come back.
+        # Fraction of all rates that the responsive VMs may grant, and the
+        # time until which it is valid unless VMs join or return.
         self._part = 1.0
         self._part_until_ms = 0
 
     def update_members(
         self, vms: collections.abc.Iterable[str], now_ms: int
     ) -> None:
-        """Take over which VMs there are, as the store has it.
+        """Apply the set of VMs that the store lists.
 
-        VMs that begin while some are cut off from the others would take
-        themselves for all.  A VM that was not heard yet counts as silent, and
-        keeps its part.
+        VMs that start while others are partitioned would otherwise take
+        themselves for the whole fleet.  A VM that was not heard from yet
+        counts as unresponsive, and its fraction is reserved for it.
 
         :param vms: names of VMs
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         for name in vms:
             if name != self._vm and name not in self._peers:
@@ -148,10 +150,10 @@
         accounts: collections.abc.Iterable[tables.ClientAccount],
         now_ms: int,
     ) -> None:
-        """Take over rates and bursts; counts stay.
+        """Apply changed rates and bursts; counts are kept.
 
-        :param accounts: the accounts in force
-        :param now_ms: the present
+        :param accounts: the active accounts
+        :param now_ms: current time in ms
         """
         for account in accounts:
             bucket = self._find(account.name, now_ms)
@@ -168,7 +170,7 @@
     def _set_limits(
         self, bucket: usage_bucket.UsageBucket, account: tables.ClientAccount
     ) -> None:
-        """Set what comes in and what fits, the margin's free parts with it."""
+        """Set refill rate and capacity, including the upfront margin."""
         margin = self._margin
         bucket.margin = margin.read_tokens(account)
         if not account.rate:
@@ -190,11 +192,11 @@
     def take(self, account: str, tokens: int, now_ms: int) -> int | None:
         """Take tokens for a request.
 
-        :param account: the account's name
-        :param tokens: what the request may use
-        :param now_ms: the present
-        :returns: none if they were taken; else after how many milliseconds
-            they will be there
+        :param account: name of the account
+        :param tokens: maximum number of tokens that the request may use
+        :param now_ms: current time in ms
+        :returns: None if the tokens were taken, else the time in ms until
+            they will be available
         """
         bucket = self._find(account, now_ms)
         if not bucket.rate:
@@ -202,7 +204,8 @@
         part = self._read_part(now_ms)
         bucket.refill(part, now_ms)
         usable = bucket.compute_available(part)
-        # What never fits is let through when all is there, as a debt.
+        # A request larger than the burst is admitted when the bucket is full;
+        # the level becomes negative.
         needed = min(tokens, bucket.burst * part)
         if usable < needed:
             rate = max(bucket.rate * part, 1.0)
@@ -211,22 +214,22 @@
         return None
 
     def refund(self, account: str, tokens: int, now_ms: int) -> None:
-        """Give back tokens of a request that has not run.
+        """Refund unused tokens of a request.
 
-        :param account: the account's name
-        :param tokens: what was taken
-        :param now_ms: the present
+        :param account: name of the account
+        :param tokens: number of tokens to refund
+        :param now_ms: current time in ms
         """
         self._spend(self._find(account, now_ms), -tokens)
 
     def describe(
         self, account: str, now_ms: int
     ) -> dict[str, int | float | str]:
-        """Return what decides about an account now, for logs.
+        """Return the state that decides about an account, for logs.
 
-        :param account: the account's name
-        :param now_ms: the present
-        :returns: what is left, and what that rests on
+        :param account: name of the account
+        :param now_ms: current time in ms
+        :returns: the level in tokens and the values it depends on
         """
         bucket = self._find(account, now_ms)
         return {
@@ -240,9 +243,9 @@
         }
 
     def list_unresponsive(self, now_ms: int) -> frozenset[str]:
-        """Return the VMs that were heard before and are silent now.
+        """Return known VMs that are unresponsive now.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         :returns: their names
         """
         return frozenset(
@@ -257,13 +260,13 @@
         now_ms: int,
         has_other_changes: bool = False,
     ) -> Usage | None:
-        """Return what the other VMs should hear now.
+        """Return the message to send to the other VMs now.
 
-        :param mirrors: by kind, the revision up to which the store is known
-        :param now_ms: the present
-        :param has_other_changes: whether something besides the counts has
+        :param mirrors: store revision of each mirror, by kind
+        :param now_ms: current time in ms
+        :param has_other_changes: whether anything besides the counts has
             changed
-        :returns: a message, or none while nothing is due
+        :returns: a message, or None if nothing is due
         """
         pause_ms = HEARTBEAT_MS * self._read_scale()
         is_due = self._told_ms is None or now_ms - self._told_ms >= pause_ms
@@ -304,10 +307,10 @@
         )
 
     def _may_wait(self, name: str) -> bool:
-        """Tell whether an account's count may wait for a heartbeat.
+        """Return whether an account's count may wait for a heartbeat.
 
-        In a small fleet there are few messages, and each VM would hold back
-        more.
+        In a small fleet there are few messages, and each VM would withhold a
+        larger count.
         """
         vms = len(self._peers) + 1
         return vms > HEARTBEAT_SCALING_VMS and self._buckets[name].can_defer(
@@ -315,7 +318,7 @@
         )
 
     def compute_next_heartbeat_ms(self) -> int:
-        """Return when the next heartbeat is due, whatever has changed."""
+        """Return the time in ms of the next heartbeat."""
         if self._told_ms is None:
             return self._began_ms
         return int(self._told_ms + HEARTBEAT_MS * self._read_scale())
@@ -327,10 +330,10 @@
         return self._heartbeats % every == 0
 
     def merge_usage(self, usage: Usage, now_ms: int) -> None:
-        """Take in another VM's counts.
+        """Merge another VM's counts.
 
-        :param usage: what it told; late and repeated ones do no harm
-        :param now_ms: the present
+        :param usage: its message; late and duplicate ones are ignored
+        :param now_ms: current time in ms
         """
         if usage.vm == self._vm:
             return
@@ -362,8 +365,8 @@
             self._subtract(peer, told, now_ms)
 
     def _adopt(self, usage: Usage, now_ms: int) -> None:
-        # A VM that has just begun knows nothing of what was given before;
-        # one that counted on does.
+        # A VM that has just started does not know the tokens granted before;
+        # one that has counted for long enough does.
         if (
             self._has_adopted
             or usage.age_ms < WARM_UP_MS
@@ -379,25 +382,26 @@
             bucket.level = float(told.left) - bucket.spent
 
     def _subtract(self, peer: _Peer, told: AccountUsage, now_ms: int) -> None:
-        # What a VM gave before this one began is in what was adopted; what a
-        # VM tells first of its life it has given just now.
+        # Tokens that a VM granted before this one started are part of the
+        # adopted levels.  After warm-up, a VM's first count was granted just
+        # now.
         has_begun = now_ms - self._began_ms < WARM_UP_MS
         first = told.spent if has_begun else 0
         before = peer.spent.get(told.account, first)
         peer.spent[told.account] = told.spent
         bucket = self._find(told.account, now_ms)
-        # What came in before must not make up for what goes out now, where
-        # it would have overflowed.
+        # Refill first: tokens that would have overflowed the bucket must not
+        # compensate for the ones subtracted now.
         bucket.refill(self._read_part(now_ms), now_ms)
         bucket.level -= told.spent - before
 
     def _return_part(self, peer: _Peer | None, now_ms: int) -> None:
-        """Count the refill that was left to a VM while it was silent."""
+        """Add the refill that was reserved for a VM while unresponsive."""
         if peer is None or peer.silent_ms is None:
             return
         passed_ms = min(now_ms - peer.silent_ms, EVICTION_TIMEOUT_MS)
         part = 1.0 / (len(self._peers) + 1)
-        # Until now it was silent, which counts for what has come in.
+        # The refill up to now is computed with the VM still unresponsive.
         before = self._read_part(now_ms)
         peer.silent_ms = None
         for bucket in self._buckets.values():
@@ -408,12 +412,13 @@
             )
 
     def _read_part(self, now_ms: int) -> float:
-        """Return the part of all rates that those heard may give.
+        """Return the fraction of all rates that responsive VMs may grant.
 
-        It is asked for with each account of each message, forty messages a
-        second in a fleet of ninety.  Counting ninety VMs takes 33 us, so a
-        message of sixteen accounts would take 627 us; it takes 18 us with
-        the part kept until a VM comes, comes back, falls silent or is gone.
+        It is needed for each account of each message, forty messages per
+        second in a fleet of ninety VMs.  Counting ninety VMs takes 33 us, so
+        a message of sixteen accounts would take 627 us.  It takes 18 us with
+        the fraction cached until a VM joins, returns, becomes unresponsive
+        or is evicted.
         """
         if now_ms >= self._part_until_ms:
             self._part = self._count_part(now_ms)
@@ -421,7 +426,7 @@
         return self._part
 
     def _find_change_ms(self, now_ms: int) -> int:
-        """Return when a VM falls silent or is gone at the earliest."""
+        """Return the earliest time a VM gets unresponsive or is evicted."""
         silent_ms = int(HEARTBEAT_TIMEOUT_MS * self._read_scale())
         changes = (
             peer.heard_ms
--- a/mulberryway/policy/usage_bucket.py
+++ b/mulberryway/policy/usage_bucket.py
@@ -1,17 +1,17 @@
-"""What is left of an account's rate and burst for all VMs."""
+"""One account's token bucket, as replicated on each VM."""
 
 __all__ = ["UsageBucket"]
 
 MS_IN_S = 1_000
-# Part of an account's margin that all VMs together may leave untold for a
-# while.
+# Fraction of an account's margin that all VMs together may leave unannounced
+# until the next heartbeat.
 UNANNOUNCED_MARGIN_FRACTION = 0.1
 
 
 class UsageBucket:
-    """One account's bucket, as one VM believes it to be.
+    """One account's token bucket, as known to one VM.
 
-    :param now_ms: the present
+    :param now_ms: current time in ms
     """
 
     __slots__ = (
@@ -29,37 +29,37 @@
         self.rate = 0.0
         self.burst = 0.0
         self.level = 0.0
-        # What was left when VMs fell silent, or more by now: their part of
-        # it is left to them.
+        # Level when VMs became unresponsive, or a later, higher one.  Their
+        # fraction of it is reserved for them.
         self.shared_level = 0.0
         self.spent = 0
         self.updated_ms = now_ms
-        # What of it the other VMs were told.
+        # The part of ``spent`` that was announced to other VMs.
         self.announced = 0
-        # What the account may get beyond its due in one window.
+        # Tokens beyond its limit that the account may get in one window.
         self.margin = 0.0
 
     @property
     def unannounced(self) -> int:
-        """Tokens given here of which the other VMs do not know; signed."""
+        """Tokens granted here that were not announced yet; may be negative."""
         return self.spent - self.announced
 
     def can_defer(self, vms: int) -> bool:
-        """Tell whether what is untold may wait for the next heartbeat.
+        """Return whether unannounced tokens may wait for the heartbeat.
 
-        It may while all VMs together would use but a small part of the
-        margin by that, and much is left.
+        They may if all VMs together would use only a small fraction of the
+        margin by waiting, and the bucket is at least half full.
 
-        :param vms: how many VMs there are
+        :param vms: number of VMs
         """
         least = self.margin * UNANNOUNCED_MARGIN_FRACTION / vms
         return abs(self.unannounced) <= least and self.level * 2 >= self.burst
 
     def refill(self, part: float, now_ms: int) -> None:
-        """Add what has come in since the last time.
+        """Add the tokens that accrued since the last refill.
 
-        :param part: the part of the rate that may be given here
-        :param now_ms: the present
+        :param part: fraction of the rate that may be granted here
+        :param now_ms: current time in ms
         """
         passed_ms = max(now_ms - self.updated_ms, 0)
         self.updated_ms = now_ms
@@ -71,8 +71,8 @@
         )
 
     def compute_available(self, part: float) -> float:
-        """Return how many tokens may be given here.
+        """Return the number of tokens that may be granted here.
 
-        :param part: the part of all rates that may be given here
+        :param part: fraction of all rates that may be granted here
         """
         return self.level - self.shared_level * (1.0 - part)
--- a/mulberryway/policy/usage_messages.py
+++ b/mulberryway/policy/usage_messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell one another of what accounts were given."""
+"""Messages in which VMs announce the tokens granted to accounts."""
 
 from mulberryway import tables
 
@@ -8,11 +8,11 @@
 
 
 class Margin:
-    """What an account may get beyond its rate and burst in one window.
+    """Tokens that accounts may get beyond their limit in one window.
 
-    :param window_ms: the window's length
-    :param over_part: part of what rate and burst allow in it
-    :param over_tokens: tokens on top
+    :param window_ms: length of the window in ms
+    :param over_part: fraction of the account's limit in the window
+    :param over_tokens: tokens added to that
     """
 
     __slots__ = ("window_ms", "over_part", "over_tokens")
@@ -25,7 +25,7 @@
         self.over_tokens = over_tokens
 
     def compute_limit(self, account: tables.ClientAccount) -> float:
-        """Return what an account is due in one window.
+        """Return an account's limit for one window, its rate plus burst.
 
         :param account: the account
         :returns: tokens
@@ -33,20 +33,20 @@
         return account.rate * self.window_ms / MS_IN_S + account.burst
 
     def read_tokens(self, account: tables.ClientAccount) -> float:
-        """Return what an account may get beyond its due in one window.
+        """Return the tokens that an account may get beyond its limit.
 
         :param account: the account
-        :returns: tokens
+        :returns: tokens per window
         """
         return self.compute_limit(account) * self.over_part + self.over_tokens
 
 
 class AccountUsage:
-    """One VM's count for one account.
+    """One VM's counter for one account.
 
-    :param account: the account's name
-    :param spent: tokens given since the VM began
-    :param left: tokens that the VM believes are left for all
+    :param account: name of the account
+    :param spent: tokens granted since the VM started
+    :param left: tokens left for all VMs, as known to the sender
     """
 
     __slots__ = ("account", "spent", "left")
@@ -58,18 +58,19 @@
 
 
 class Usage:
-    """What one VM tells of its counts; a later one replaces it.
-
-    :param vm: the VM's name
-    :param incarnation: which life of it; counts begin anew with each
-    :param sequence: grows with each message of a life
-    :param accounts: accounts whose counts have changed, or all
-    :param mirrors: by kind, the revision up to which the VM knows the store
-    :param age_ms: for how long the VM has counted
-    :param is_store_reached: whether the platform's store answers it; none
-        if it does not ask
-    :param is_whole: whether all accounts are told
-    :param is_heartbeat: whether it says nothing new; not sent
+    """A usage message of one VM; a later one replaces it.
+
+    :param vm: name of the VM
+    :param incarnation: incarnation of the VM; counters restart with each
+    :param sequence: incremented with each message of an incarnation
+    :param accounts: accounts whose counters have changed, or all
+    :param mirrors: store revision of each mirror, by kind
+    :param age_ms: how long in ms the VM has counted
+    :param is_store_reached: whether the VM reaches the platform's store, or
+        None if it does not contact it
+    :param is_whole: whether the message is a full snapshot of all accounts
+    :param is_heartbeat: whether it is a heartbeat without urgent changes;
+        not part of the encoded message
     """
 
     __slots__ = (
