--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -105,7 +105,7 @@
         self.counts["asked"] += 1
         self.counts["ideal refused"] += not ideal.is_ok()
         if result.is_ok():
-            book.is_usable(result.ok)
+            book.commit(result.ok)
             self.grants.append((at_ms, account, used))
             self.push(end_ms, book, result.ok, used)
         else:
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -21,8 +21,8 @@
 STEP_MS = 1_000
 # Bounds the load of one VM on the platform: a few objects per step.
 MAX_GROUPS_PER_STEP = 16
-# A shutdown does not wait longer for an unreachable platform.  Slots that could
-# not be released are taken over once the platform's list lacks the VM.
+# A shutdown does not wait longer for an unreachable platform.  Slots that
+# were not released are taken over once the platform's list lacks the VM.
 RELEASE_TIMEOUT_MS = 5_000
 
 
@@ -61,59 +61,61 @@
         self._times = state.times
         self._random = random.Random(state.borrower_name)
         self._start_ms = clock_.now_ms()
-        self._next_try_ms: dict[int, int] = {}
+        self._next_attempt_ms: dict[int, int] = {}
         self._alive_since: dict[tuple[str, int], int] = {}
         self._candidates: list[str] = []
         self._next_list_ms = 0
         self._next_move_ms = 0
         self._listed: set[tuple[str, str]] = set()
         self._listed_ms: int | None = None
-        self._told: bytes | None = None
-        self._is_leaving = False
+        self._announced: bytes | None = None
+        self._is_shutting_down = False
         # Groups whose records may differ from what this process decided.
-        self._unsure: set[int] = set()
+        self._unconfirmed: set[int] = set()
         self._has_read_own = False
 
     def step(self) -> None:
         """Process the slots that need a write, a few groups at a time."""
         now_ms = self.clock.now_ms()
         members = self._membership.list_members()
-        self._note_members(members, now_ms)
+        self._update_members(members, now_ms)
         if now_ms - self._start_ms >= self._times.startup_delay_ms:
             self._read_own_records()
             due = self._list_due(now_ms)
             for group in due[:MAX_GROUPS_PER_STEP]:
-                self._settle(group)
-        self._tell_holdings()
+                self._reconcile(group)
+        self._announce_holdings()
 
     def release_all(self) -> None:
         """Release all slots, as the last step of a graceful shutdown."""
-        self._is_leaving = True
+        self._is_shutting_down = True
         with self._state.lock:
-            slots = list(self._state.keeper.holdings)
+            slots = list(self._state.lease_manager.holdings)
             for slot in slots:
-                self._state.keeper.give_up(slot)
-        end = clock.Deadline(self.clock.now_ms() + RELEASE_TIMEOUT_MS)
+                self._state.lease_manager.give_up(slot)
+        deadline = clock.Deadline(self.clock.now_ms() + RELEASE_TIMEOUT_MS)
         for group in {slot // self._state.parts for slot in slots}:
-            if not end.has_passed(self.clock.now_ms()):
-                self._settle(group)
-        self._tell_holdings()
+            if not deadline.has_passed(self.clock.now_ms()):
+                self._reconcile(group)
+        self._announce_holdings()
 
-    def _note_members(self, members: list[member.Member], now_ms: int) -> None:
-        able = [one for one in members if one.accepts_callers]
+    def _update_members(
+        self, members: list[member.Member], now_ms: int
+    ) -> None:
+        accepting = [one for one in members if one.accepts_callers]
         since = self._alive_since
         self._alive_since = {
             (one.name, one.incarnation): since.get(
                 (one.name, one.incarnation), now_ms
             )
-            for one in able
+            for one in accepting
         }
-        self._candidates = [one.name for one in able]
+        self._candidates = [one.name for one in accepting]
         holders = {
             slot: one.peer
             for one in members
             if one.health is not member.MemberStatus.DEAD
-            and one.name != self._state.keeper.vm
+            and one.name != self._state.lease_manager.vm
             for slot in allowance_state.unpack_holdings(one.holdings)
         }
         with self._state.lock:
@@ -131,8 +133,8 @@
         if not found.is_ok():
             return
         self._has_read_own = True
-        own = self._state.keeper.vm
-        self._unsure |= {
+        own = self._state.lease_manager.vm
+        self._unconfirmed |= {
             int(one.name.removeprefix(PREFIX))
             for one in found.ok
             if any(
@@ -152,47 +154,47 @@
             }
             due |= {
                 slot // parts
-                for slot in self._state.keeper.holdings
+                for slot in self._state.lease_manager.holdings
                 if self._is_due(slot, now_ms)
             }
-        due |= self._unsure
-        ready = [g for g in due if self._next_try_ms.get(g, 0) <= now_ms]
+        due |= self._unconfirmed
+        ready = [g for g in due if self._next_attempt_ms.get(g, 0) <= now_ms]
         self._random.shuffle(ready)
         return ready
 
     def _is_due(self, slot: int, now_ms: int) -> bool:
-        holding = self._state.keeper.holdings.get(slot)
+        holding = self._state.lease_manager.holdings.get(slot)
         if holding is None:
-            return self._is_wanted(slot, now_ms)
+            return self._is_preferred_holder(slot, now_ms)
         left_ms = holding.until_ms - now_ms
-        is_old = left_ms <= self._times.renew_before_ms
-        return is_old or not self._is_wanted(slot, now_ms)
+        needs_renewal = left_ms <= self._times.renew_before_ms
+        return needs_renewal or not self._is_preferred_holder(slot, now_ms)
 
-    def _is_wanted(self, slot: int, now_ms: int) -> bool:
+    def _is_preferred_holder(self, slot: int, now_ms: int) -> bool:
         """Return whether this VM should hold a slot."""
-        if self._is_leaving:
+        if self._is_shutting_down:
             return False
-        own = self._state.keeper.vm
+        own = self._state.lease_manager.vm
         best = allowance_slots.choose_holder(slot, self._candidates)
         if best == own:
             return True
-        if slot not in self._state.keeper.holdings or best is None:
+        if slot not in self._state.lease_manager.holdings or best is None:
             return False
         # Moving a slot loses its tokens.  So it moves only to a VM that has
         # been up for a while, and moves are spaced by ``retry_ms``.
-        lived_ms = max(
+        uptime_ms = max(
             now_ms - since_ms
             for (name, _), since_ms in self._alive_since.items()
             if name == best
         )
-        is_settled = lived_ms >= self._times.min_uptime_ms
-        return not (is_settled and now_ms >= self._next_move_ms)
+        is_stable = uptime_ms >= self._times.min_uptime_ms
+        return not (is_stable and now_ms >= self._next_move_ms)
 
-    def _settle(self, group: int) -> None:
+    def _reconcile(self, group: int) -> None:
         now_ms = self.clock.now_ms()
         retry_ms = self._times.retry_ms
-        pause_ms = self._random.randint(retry_ms // 2, retry_ms * 3 // 2)
-        self._next_try_ms[group] = now_ms + pause_ms
+        delay_ms = self._random.randint(retry_ms // 2, retry_ms * 3 // 2)
+        self._next_attempt_ms[group] = now_ms + delay_ms
         name = f"{PREFIX}{group}"
         found = self._store.read(KIND, name, PURPOSE)
         is_new = (
@@ -201,27 +203,27 @@
         if not (found.is_ok() or is_new):
             return
         records = _read_records({} if is_new else found.ok.value)
-        self._read_list(group, records)
+        self._refresh_vm_list(group, records)
         decisions = self._decide(group, records)
-        self._unsure.discard(group)
+        self._unconfirmed.discard(group)
         if not decisions:
             return
-        self._unsure.add(group)
-        written = self._write(group, records, decisions)
+        self._unconfirmed.add(group)
+        written = self._apply_decisions(group, records, decisions)
         value = {"parts": {str(k): _make_value(r) for k, r in written.items()}}
         sent_ms = self.clock.now_ms()
         if is_new:
-            answer = self._store.create(KIND, name, value, PURPOSE)
+            response = self._store.create(KIND, name, value, PURPOSE)
         else:
-            answer = self._store.update(
+            response = self._store.update(
                 KIND, name, value, found.ok.version, PURPOSE
             )
         # Without a successful response nothing is held.  Whether the write
         # took effect is known once the object is read again.
-        self._next_try_ms[group] = now_ms
-        if answer.is_ok():
-            self._unsure.discard(group)
-            self._note_written(group, written, decisions, sent_ms)
+        self._next_attempt_ms[group] = now_ms
+        if response.is_ok():
+            self._unconfirmed.discard(group)
+            self._record_writes(group, written, decisions, sent_ms)
 
     def _decide(
         self, group: int, records: dict[int, allowance_slots.SlotRecord]
@@ -230,38 +232,38 @@
         decisions = {}
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            for part in range(self._state.parts):
-                slot = first + part
-                decision = self._state.keeper.decide(
+            for partition in range(self._state.parts):
+                slot = first + partition
+                decision = self._state.lease_manager.decide(
                     slot,
-                    records.get(part),
-                    self._is_wanted(slot, now_ms),
+                    records.get(partition),
+                    self._is_preferred_holder(slot, now_ms),
                     now_ms,
                 )
                 if decision is slot_lease_manager.LeaseAction.RELEASE:
                     # Others may take the slot as soon as it is released.
-                    self._state.keeper.give_up(slot)
+                    self._state.lease_manager.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
                 if decision is not slot_lease_manager.LeaseAction.NONE:
-                    decisions[part] = decision
+                    decisions[partition] = decision
         return decisions
 
-    def _write(
+    def _apply_decisions(
         self,
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
         decisions: dict[int, slot_lease_manager.LeaseAction],
     ) -> dict[int, allowance_slots.SlotRecord]:
         with self._state.lock:
-            made = {
-                part: self._state.keeper.make_record(
-                    decision, records.get(part)
+            changed = {
+                partition: self._state.lease_manager.make_record(
+                    decision, records.get(partition)
                 )
-                for part, decision in decisions.items()
+                for partition, decision in decisions.items()
             }
-        return {**records, **made}
+        return {**records, **changed}
 
-    def _note_written(
+    def _record_writes(
         self,
         group: int,
         written: dict[int, allowance_slots.SlotRecord],
@@ -270,49 +272,49 @@
     ) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            for part, decision in decisions.items():
-                self._state.keeper.note_written(
-                    group * self._state.parts + part,
+            for partition, decision in decisions.items():
+                self._state.lease_manager.record_write(
+                    group * self._state.parts + partition,
                     decision,
-                    written[part],
+                    written[partition],
                     sent_ms,
                     now_ms,
                 )
 
-    def _read_list(
+    def _refresh_vm_list(
         self,
         group: int,
         records: dict[int, allowance_slots.SlotRecord],
     ) -> None:
         """Read the platform's VM list if it is needed and not too recent."""
-        asked_ms = self.clock.now_ms()
+        requested_ms = self.clock.now_ms()
         others = any(
             record.vm not in self._candidates for record in records.values()
         )
-        is_needed = others or not self._state.keeper.is_listed
-        if is_needed and asked_ms >= self._next_list_ms:
-            self._next_list_ms = asked_ms + self._times.retry_ms
-            answer = self._store.list_vms(PURPOSE)
-            if answer.is_ok():
-                self._listed = {(vm.name, vm.address) for vm in answer.ok}
-                self._listed_ms = asked_ms
+        is_needed = others or not self._state.lease_manager.is_listed
+        if is_needed and requested_ms >= self._next_list_ms:
+            self._next_list_ms = requested_ms + self._times.retry_ms
+            response = self._store.list_vms(PURPOSE)
+            if response.is_ok():
+                self._listed = {(vm.name, vm.address) for vm in response.ok}
+                self._listed_ms = requested_ms
         if self._listed_ms is None:
             return
         with self._state.lock:
-            keeper = self._state.keeper
-            keeper.update_vm_list(self._listed, self._listed_ms)
-            for part, record in records.items():
-                slot = group * self._state.parts + part
-                keeper.track_absence(
+            lease_manager = self._state.lease_manager
+            lease_manager.update_vm_list(self._listed, self._listed_ms)
+            for partition, record in records.items():
+                slot = group * self._state.parts + partition
+                lease_manager.track_absence(
                     slot, record, self._listed, self._listed_ms
                 )
 
-    def _tell_holdings(self) -> None:
+    def _announce_holdings(self) -> None:
         with self._state.lock:
-            slots = list(self._state.keeper.holdings)
+            slots = list(self._state.lease_manager.holdings)
         holdings = allowance_state.pack_holdings(slots)
-        if holdings != self._told:
-            self._told = holdings
+        if holdings != self._announced:
+            self._announced = holdings
             self._membership.update_local(holdings=holdings)
 
 
@@ -320,7 +322,7 @@
     value: collections.abc.Mapping[str, typing.Any],
 ) -> dict[int, allowance_slots.SlotRecord]:
     return {
-        int(part): allowance_slots.SlotRecord(
+        int(partition): allowance_slots.SlotRecord(
             row["vm"],
             row["address"],
             row["incarnation"],
@@ -329,7 +331,7 @@
             row["is_listed"],
             row["is_released"],
         )
-        for part, row in value.get("parts", {}).items()
+        for partition, row in value.get("parts", {}).items()
     }
 
 
--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -45,11 +45,11 @@
         self.times = times or allowance_times.AllowanceTimes()
         self.groups = groups
         self.parts = parts
-        self.keeper = slot_lease_manager.SlotLeaseManager(
+        self.lease_manager = slot_lease_manager.SlotLeaseManager(
             own.name, own.address, own.incarnation, self.times
         )
         self.lender = allowance_lender.Lender(
-            self.keeper, self.times, groups, parts
+            self.lease_manager, self.times, groups, parts
         )
         self.borrower = allowance_borrower.Borrower(self.times)
         self.book = leased_rate_limiter.LeasedRateLimiter(
@@ -65,7 +65,7 @@
         tokens are not known yet, and requests would be rejected wrongly.
         """
         with self.lock:
-            known = self.holders.keys() | self.keeper.holdings.keys()
+            known = self.holders.keys() | self.lease_manager.holdings.keys()
             return len(known) >= self.groups * self.parts
 
     @property
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -97,13 +97,13 @@
         self._state = state
         self._peers = peers
         self._random = random.Random(state.borrower_name)
-        self._silent: dict[str, int] = {}
-        self._left: dict[tuple[str, str], int] = {}
-        self._asking: dict[str, threading.RLock] = {}
-        source.subscribe(self._take_tables)
+        self._backoff_until_ms: dict[str, int] = {}
+        self._last_levels: dict[tuple[str, str], int] = {}
+        self._borrow_locks: dict[str, threading.RLock] = {}
+        source.subscribe(self._apply_tables)
         current = source.read_tables()
         if current is not None:
-            self._take_tables(current)
+            self._apply_tables(current)
 
     def reserve(
         self, account: str, tokens: int
@@ -121,10 +121,10 @@
         if reservation is None:
             reservation = self._reserve_borrowed(account, tokens)
         if reservation is None:
-            return expression.Error(self._refuse(account, tokens))
+            return expression.Error(self._reject(account, tokens))
         return expression.Ok(reservation)
 
-    def is_usable(self, reservation: allowance.Reservation) -> bool:
+    def commit(self, reservation: allowance.Reservation) -> bool:
         """Return whether a reservation is valid, and mark it as used.
 
         :param reservation: the reservation
@@ -134,7 +134,7 @@
             now_ms = self.clock.now_ms()
             return isinstance(
                 reservation, leased_rate_limiter.LeasedReservation
-            ) and self._state.book.is_usable(reservation, now_ms)
+            ) and self._state.book.commit(reservation, now_ms)
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
         """Refund tokens that a request did not use; call exactly once.
@@ -152,42 +152,42 @@
         with self._state.lock:
             now_ms = self.clock.now_ms()
             self._state.lender.expire(now_ms)
-        self._send_closings(is_all=False)
+        self._send_closings(closes_all=False)
 
     def return_loans(self) -> None:
         """Return all loans, as a part of a graceful shutdown."""
-        self._send_closings(is_all=True)
+        self._send_closings(closes_all=True)
 
     def _reserve_borrowed(
         self, account: str, tokens: int
     ) -> leased_rate_limiter.LeasedReservation | None:
         # Only one thread borrows for an account at a time.  Threads that
         # borrow concurrently would each get a part of what one of them needs.
-        end = clock.Deadline(self.clock.now_ms() + BORROW_MS)
+        deadline = clock.Deadline(self.clock.now_ms() + BORROW_MS)
         with self._lock_account(account) as is_locked:
             if not is_locked:
                 return None
             with self._state.lock:
                 now_ms = self.clock.now_ms()
-                ask = self._state.book.plan(account, tokens, now_ms)
+                plan = self._state.book.plan(account, tokens, now_ms)
                 reservation = self._state.book.reserve(account, tokens, now_ms)
-            if reservation is not None or ask is None:
+            if reservation is not None or plan is None:
                 return reservation
-            return self._ask_holders(account, tokens, end)
+            return self._borrow_from_holders(account, tokens, deadline)
 
-    def _ask_holders(
-        self, account: str, tokens: int, end: clock.Deadline
+    def _borrow_from_holders(
+        self, account: str, tokens: int, deadline: clock.Deadline
     ) -> leased_rate_limiter.LeasedReservation | None:
         for peer in self._list_holders(account):
-            is_more = True
-            while is_more and not end.has_passed(self.clock.now_ms()):
+            has_more = True
+            while has_more and not deadline.has_passed(self.clock.now_ms()):
                 with self._state.lock:
                     now_ms = self.clock.now_ms()
-                    ask = self._state.book.plan(account, tokens, now_ms)
-                if ask is None:
+                    plan = self._state.book.plan(account, tokens, now_ms)
+                if plan is None:
                     return None
                 # A loan is from one slot only, and a VM may hold several.
-                is_more = self._borrow(peer, account, ask, end)
+                has_more = self._borrow(peer, account, plan, deadline)
                 with self._state.lock:
                     reservation = self._state.book.reserve(
                         account, tokens, self.clock.now_ms()
@@ -207,44 +207,48 @@
                 for slot in range(group * parts, (group + 1) * parts)
                 if slot in self._state.holders
             }
-        asked = [
-            peer for peer in holders if self._silent.get(peer, 0) <= now_ms
+        candidates = [
+            peer
+            for peer in holders
+            if self._backoff_until_ms.get(peer, 0) <= now_ms
         ]
-        asked.sort()
-        self._random.shuffle(asked)
-        asked.sort(key=lambda peer: -self._left.get((account, peer), 0))
-        return asked
+        candidates.sort()
+        self._random.shuffle(candidates)
+        candidates.sort(
+            key=lambda peer: -self._last_levels.get((account, peer), 0)
+        )
+        return candidates
 
     def _borrow(
         self,
         peer: str,
         account: str,
-        ask: leased_rate_limiter.BorrowPlan,
-        end: clock.Deadline,
+        plan: leased_rate_limiter.BorrowPlan,
+        deadline: clock.Deadline,
     ) -> bool:
         """Request a loan, and return whether the lender has more to lend."""
         borrower = self._state.borrower
         with self._state.lock:
-            number = borrower.begin()
+            number = borrower.allocate_number()
         request = ttypes.LoanRequest(
-            self._state.borrower_name, number, account, ask.need, ask.wish
+            self._state.borrower_name, number, account, plan.need, plan.wish
         )
         # The loan's duration counts from here.  The lender counts from its
         # later grant, so it always expires the loan after the borrower.
         sent_ms = self.clock.now_ms()
-        answer = self._call(
-            peer, "borrow", request, min(CALL_MS, end.left_ms(sent_ms))
+        response = self._call(
+            peer, "borrow", request, min(CALL_MS, deadline.left_ms(sent_ms))
         )
         with self._state.lock:
-            if not answer.is_ok():
-                self._silent[peer] = (
+            if not response.is_ok():
+                self._backoff_until_ms[peer] = (
                     self.clock.now_ms() + UNRESPONSIVE_BACKOFF_MS
                 )
-                borrower.cancel(number, peer)
+                borrower.abandon(number, peer)
                 return False
-            loan = answer.ok
-            self._left[(account, peer)] = loan.left
-            borrower.add(
+            loan = response.ok
+            self._last_levels[(account, peer)] = loan.left
+            borrower.complete_request(
                 number,
                 allowance_borrower.BorrowedLoan(
                     number,
@@ -257,10 +261,12 @@
             )
             return loan.tokens > 0 and loan.left > 0
 
-    def _send_closings(self, is_all: bool) -> None:
+    def _send_closings(self, closes_all: bool) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
-            closings = self._state.borrower.collect_closings(now_ms, is_all)
+            closings = self._state.borrower.collect_closings(
+                now_ms, closes_all
+            )
         by_peer: dict[str, list[ttypes.Closing]] = {}
         for one in closings:
             message = ttypes.Closing(one.number, one.returned)
@@ -286,7 +292,7 @@
     @contextlib.contextmanager
     def _lock_account(self, account: str) -> collections.abc.Iterator[bool]:
         with self._state.lock:
-            lock = self._asking.setdefault(account, threading.RLock())
+            lock = self._borrow_locks.setdefault(account, threading.RLock())
         is_locked = lock.acquire(timeout=BORROW_MS / 1000)
         try:
             yield is_locked
@@ -294,7 +300,7 @@
             if is_locked:
                 lock.release()
 
-    def _refuse(self, account: str, tokens: int) -> errors.Fault:
+    def _reject(self, account: str, tokens: int) -> errors.Fault:
         with self._state.lock:
             now_ms = self.clock.now_ms()
             wait_ms = self._state.book.record_refusal(account, tokens, now_ms)
@@ -305,20 +311,20 @@
             retry_after_ms=wait_ms,
         )
 
-    def _take_tables(self, current: tables.Tables) -> None:
+    def _apply_tables(self, current: tables.Tables) -> None:
         with self._state.lock:
             now_ms = self.clock.now_ms()
             self._state.lender.update_accounts(current.accounts, now_ms)
             self._state.book.prune_accounts()
-            for memory in (self._asking, self._left):
-                gone = [
+            for entries in (self._borrow_locks, self._last_levels):
+                removed = [
                     key
-                    for key in memory
-                    if _read_account(key) not in current.accounts
+                    for key in entries
+                    if _get_account(key) not in current.accounts
                 ]
-                for key in gone:
-                    del memory[key]
+                for key in removed:
+                    del entries[key]
 
 
-def _read_account(key: str | tuple[str, str]) -> str:
+def _get_account(key: str | tuple[str, str]) -> str:
     return key if isinstance(key, str) else key[0]
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -31,7 +31,7 @@
 class FleetAllowances(base.Controller, allowance.Allowances):
     """Guards the replicated rate limiter by a lock and broadcasts its counts.
 
-    :param book: rate limiter with the counts of all VMs
+    :param rate_limiter: rate limiter with the counts of all VMs
     :param read_mirrors: returns the store revision of each mirror, by kind
     :param is_store_reached: returns whether the platform's store answers, or
         None if this VM does not contact it
@@ -42,21 +42,21 @@
 
     def __init__(
         self,
-        book: usage.ReplicatedRateLimiter,
+        rate_limiter: usage.ReplicatedRateLimiter,
         read_mirrors: collections.abc.Callable[[], dict[str, int]],
         is_store_reached: collections.abc.Callable[[], bool | None],
         clock_: clock.Clock,
     ) -> None:
         super().__init__("fleet-allowances", clock_, PERIOD_MS)
-        self._book = book
+        self._rate_limiter = rate_limiter
         self.broadcast: collections.abc.Callable[[bytes, bool], None] = (
             lambda payload, is_urgent: None
         )
         self._read_mirrors = read_mirrors
         self._lock = threading.Lock()
         self._is_store_reached = is_store_reached
-        self._told: tuple[dict[str, int], bool | None] | None = None
-        self._told_ms = 0
+        self._announced: tuple[dict[str, int], bool | None] | None = None
+        self._announced_ms = 0
         self._stepped_ms = clock_.now_ms() - PERIOD_MS
 
     def step(self) -> None:
@@ -65,39 +65,41 @@
         if left_ms > 0:
             self.clock.sleep_ms(left_ms)
         self._stepped_ms = self.clock.now_ms()
-        self._tell()
+        self._broadcast_usage()
         with self._lock:
-            due_ms = self._book.compute_next_heartbeat_ms()
+            due_ms = self._rate_limiter.compute_next_heartbeat_ms()
         left_ms = due_ms - self.clock.now_ms()
         self.period_ms = min(max(left_ms, 1), IDLE_MS)
 
-    def _tell(self) -> None:
+    def _broadcast_usage(self) -> None:
         mirrors, is_reached = self._read_mirrors(), self._is_store_reached()
         # If every VM announced at once that it has a change as well, the
         # number of messages would grow with the square of the fleet size.
         # VMs that contact the store announce changes at once, the others with
         # their next heartbeat.
         now_ms = self.clock.now_ms()
-        has_changed = (mirrors, is_reached) != self._told
-        is_due = now_ms - self._told_ms >= WATCHER_HEARTBEAT_MS
-        is_news = (has_changed or is_due) and is_reached is not None
-        self._told = mirrors, is_reached
+        has_changed = (mirrors, is_reached) != self._announced
+        is_due = now_ms - self._announced_ms >= WATCHER_HEARTBEAT_MS
+        must_announce = (has_changed or is_due) and is_reached is not None
+        self._announced = mirrors, is_reached
         with self._lock:
-            message = self._book.make_usage(mirrors, now_ms, is_news)
+            message = self._rate_limiter.make_usage(
+                mirrors, now_ms, must_announce
+            )
         if message is not None:
-            self._told_ms = now_ms
+            self._announced_ms = now_ms
             message.is_store_reached = is_reached
             self.broadcast(
                 gossip_messages.encode_usage(message), not message.is_heartbeat
             )
 
-    def take(self, told: usage.Usage) -> None:
+    def take(self, message: usage.Usage) -> None:
         """Merge another VM's counts.
 
-        :param told: its usage message
+        :param message: its usage message
         """
         with self._lock:
-            self._book.merge_usage(told, self.clock.now_ms())
+            self._rate_limiter.merge_usage(message, self.clock.now_ms())
 
     def update_members(self, vms: list[str]) -> None:
         """Apply the set of VMs that the store lists.
@@ -105,12 +107,12 @@
         :param vms: names of the VMs
         """
         with self._lock:
-            self._book.update_members(vms, self.clock.now_ms())
+            self._rate_limiter.update_members(vms, self.clock.now_ms())
 
     def list_unresponsive(self) -> frozenset[str]:
         """Return known VMs that are unresponsive now."""
         with self._lock:
-            return self._book.list_unresponsive(self.clock.now_ms())
+            return self._rate_limiter.list_unresponsive(self.clock.now_ms())
 
     def update_tables(self, changed: tables.Tables) -> None:
         """Apply changed rates and bursts.
@@ -118,7 +120,7 @@
         :param changed: the new tables
         """
         with self._lock:
-            self._book.update_accounts(
+            self._rate_limiter.update_accounts(
                 changed.accounts.values(), self.clock.now_ms()
             )
         # VMs that do not watch the store depend on this VM's announcement.
@@ -135,8 +137,8 @@
         """
         with self._lock:
             now_ms = self.clock.now_ms()
-            wait_ms = self._book.take(account, tokens, now_ms)
-            inputs = self._book.describe(account, now_ms)
+            wait_ms = self._rate_limiter.take(account, tokens, now_ms)
+            inputs = self._rate_limiter.describe(account, now_ms)
         if wait_ms is None:
             self.wake()
             return expression.Ok(allowance.Reservation(account, tokens))
@@ -160,5 +162,7 @@
         if unused <= 0:
             return
         with self._lock:
-            self._book.refund(reservation.account, unused, self.clock.now_ms())
+            self._rate_limiter.refund(
+                reservation.account, unused, self.clock.now_ms()
+            )
         self.wake()
--- a/mulberryway/controllers/peak_fleet_size.py
+++ b/mulberryway/controllers/peak_fleet_size.py
@@ -10,17 +10,17 @@
 class PeakFleetSize:
     """Largest number of VMs that were alive at once in the last minutes."""
 
-    __slots__ = ("_now", "_before", "_until_ms")
+    __slots__ = ("_current", "_previous", "_until_ms")
 
     def __init__(self) -> None:
-        self._now = 1
-        self._before = 1
+        self._current = 1
+        self._previous = 1
         self._until_ms = 0
 
     @property
     def maximum(self) -> int:
         """The largest recent number of VMs, including this VM."""
-        return max(self._now, self._before)
+        return max(self._current, self._previous)
 
     def note(self, count: int, now_ms: int) -> None:
         """Record the number of VMs that are alive now.
@@ -30,5 +30,5 @@
         """
         if now_ms >= self._until_ms:
             self._until_ms = now_ms + PEAK_MS
-            self._before, self._now = self._now, 1
-        self._now = max(self._now, count)
+            self._previous, self._current = self._current, 1
+        self._current = max(self._current, count)
--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -126,7 +126,7 @@
 
     def _is_usable(self) -> bool:
         held = self._reservation
-        return held is not None and self._allowances.is_usable(held)
+        return held is not None and self._allowances.commit(held)
 
 
 class StageTimings:
--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -29,7 +29,7 @@
     :param stats: statistics of the pool
     """
 
-    __slots__ = ("_fair", "_placer", "_peers", "_meters")
+    __slots__ = ("_queue", "_placer", "_peers", "_stats")
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         peers: peer_accounts.PeerAccounts,
         stats: pool_stats.PoolStats,
     ) -> None:
-        self._fair = fair
+        self._queue = fair
         self._placer = placer
         self._peers = peers
-        self._meters = stats
+        self._stats = stats
 
     def check_capacity(self, job: jobs.Job) -> errors.Fault | None:
         """Reject a job that exceeds the queue capacity.
@@ -49,13 +49,13 @@
         :param job: the job
         :returns: the fault, or None if there is capacity
         """
-        if self._fair.has_room(job):
+        if self._queue.has_room(job):
             return None
         return make_rejection(
             errors.Code.OVERLOADED,
             job,
             "the queue is full",
-            self._meters.clamp_retry_ms(self._meters.hold_ms.value / 4),
+            self._stats.clamp_retry_ms(self._stats.hold_ms.value / 4),
         )
 
     def compute_latest_start_ms(
@@ -71,7 +71,7 @@
         :param pool: table row of the pool
         :returns: time in ms, possibly in the past
         """
-        carry_ms = (
+        transfer_ms = (
             job.prompt_tokens
             * pool.kv_bytes_per_token
             * 1_000
@@ -79,7 +79,7 @@
         )
         needed_ms = (
             best.prefill_ms
-            + carry_ms
+            + transfer_ms
             + self._placer.slowness.get_median_step_ms()
             + placements.NETWORK_OVERHEAD_MS
             + placements.DEADLINE_MARGIN_MS
@@ -115,12 +115,12 @@
             errors.Code.OVERLOADED,
             job,
             "the first token would miss its deadline",
-            self._meters.clamp_retry_ms(wait_ms),
+            self._stats.clamp_retry_ms(wait_ms),
         )
         fault.inputs = {
             "wait_ms": round(wait_ms),
             "left_ms": latest_ms - now_ms,
-            "waiting": len(self._fair),
+            "waiting": len(self._queue),
             "free_slots": self._placer.estimate_free_slots(now_ms),
         }
         return fault
@@ -130,17 +130,21 @@
         # Virtual time advances by the pool's throughput divided by the
         # waiting weights.  This takes constant time for any number of waiting
         # jobs or accounts.
-        if self._placer.estimate_free_slots(now_ms) > len(self._fair):
+        if self._placer.estimate_free_slots(now_ms) > len(self._queue):
             return 0.0
-        state = self._fair.find_account(job.account, job.weight)
+        state = self._queue.find_account(job.account, job.weight)
         own = sum(estimate_lane_cost(lane) for lane in state.lanes)
-        start = self._fair.get_virtual_start(job.account) + own / state.weight
-        ahead = max(start - self._fair.virtual_time, 0.0)
-        weights = self._fair.weight_waiting + self._peers.sum_waiting_weight(
+        start = self._queue.get_virtual_start(job.account) + own / state.weight
+        distance = max(start - self._queue.virtual_time, 0.0)
+        weights = self._queue.weight_waiting + self._peers.sum_waiting_weight(
             now_ms
         )
-        speed = self._meters.estimate_throughput(self._placer.count_slots())
-        return ahead * max(weights, state.weight) / speed / WAIT_TOLERANCE
+        throughput = self._stats.estimate_throughput(
+            self._placer.count_slots()
+        )
+        return (
+            distance * max(weights, state.weight) / throughput / WAIT_TOLERANCE
+        )
 
 
 def estimate_lane_cost(lane: dict[str, fair_queue.QueueEntry]) -> float:
--- a/mulberryway/policy/allowance.py
+++ b/mulberryway/policy/allowance.py
@@ -37,7 +37,7 @@
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
 
-    def is_usable(self, reservation: Reservation) -> bool:
+    def commit(self, reservation: Reservation) -> bool:
         """Return whether a reservation is valid, and mark it as used.
 
         If the process was paused after it reserved, another VM may hold
--- a/mulberryway/policy/allowance_borrower.py
+++ b/mulberryway/policy/allowance_borrower.py
@@ -90,38 +90,38 @@
     def __init__(self, times: allowance_times.AllowanceTimes) -> None:
         self._times = times
         self._numbers = itertools.count(1)
-        self._asked: set[int] = set()
+        self._requested: set[int] = set()
         self._open: dict[str, list[BorrowedLoan]] = {}
-        self._changed: dict[int, BorrowedLoan] = {}
+        self._unsent: dict[int, BorrowedLoan] = {}
 
-    def begin(self) -> int:
+    def allocate_number(self) -> int:
         """Return a number for a new loan; no number is used twice."""
         number = next(self._numbers)
-        self._asked.add(number)
+        self._requested.add(number)
         return number
 
-    def add(self, number: int, loan: BorrowedLoan | None) -> None:
+    def complete_request(self, number: int, loan: BorrowedLoan | None) -> None:
         """Store the outcome of a loan request; duplicates are ignored.
 
         :param number: number of the loan
         :param loan: the loan, or None if the lender did not answer
         """
-        if number not in self._asked:
+        if number not in self._requested:
             return
-        self._asked.discard(number)
+        self._requested.discard(number)
         if loan is not None:
             self._open.setdefault(loan.account, []).append(loan)
 
-    def cancel(self, number: int, peer: str) -> None:
+    def abandon(self, number: int, peer: str) -> None:
         """Return a loan whose response was lost; it is never used.
 
         :param number: number of the loan
         :param peer: ``host:port`` of the lender
         """
-        self.add(number, None)
-        lost = BorrowedLoan(number, peer, "", 0, 0, 0)
-        lost.returned = RETURN_ALL_TOKENS
-        self._changed[number] = lost
+        self.complete_request(number, None)
+        abandoned = BorrowedLoan(number, peer, "", 0, 0, 0)
+        abandoned.returned = RETURN_ALL_TOKENS
+        self._unsent[number] = abandoned
 
     def list_usable(self, account: str, now_ms: int) -> list[BorrowedLoan]:
         """Return the loans that an account may use now.
@@ -158,7 +158,7 @@
             loan.left += tokens
         elif now_ms < loan.end_ms + self._times.refund_window_ms:
             loan.returned += tokens
-            self._changed[loan.number] = loan
+            self._unsent[loan.number] = loan
 
     def collect_closings(
         self, now_ms: int, closes_all: bool = False
@@ -174,25 +174,27 @@
         """
         for account, loans in list(self._open.items()):
             due = [
-                one for one in loans if closes_all or self._is_due(one, now_ms)
+                one
+                for one in loans
+                if closes_all or self._must_close(one, now_ms)
             ]
             for loan in due:
                 self._close(loan)
-            rest = [one for one in loans if not one.is_closed]
-            self._open[account] = rest
-            if not rest:
+            remaining = [one for one in loans if not one.is_closed]
+            self._open[account] = remaining
+            if not remaining:
                 del self._open[account]
-        changed, self._changed = self._changed, {}
+        unsent, self._unsent = self._unsent, {}
         return [
             Closing(loan.peer, loan.number, loan.returned)
-            for loan in changed.values()
+            for loan in unsent.values()
         ]
 
     def count(self) -> int:
         """Return the number of open loans."""
         return sum(map(len, self._open.values()))
 
-    def _is_due(self, loan: BorrowedLoan, now_ms: int) -> bool:
+    def _must_close(self, loan: BorrowedLoan, now_ms: int) -> bool:
         # A used-up loan is closed at once.  Until then the lender reserves
         # bucket capacity for it, and refilled tokens would overflow.
         is_ending = now_ms >= loan.end_ms - EARLY_RETURN_MS
@@ -203,4 +205,4 @@
         loan.is_closed = True
         loan.returned += loan.left
         loan.left = 0
-        self._changed[loan.number] = loan
+        self._unsent[loan.number] = loan
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -51,16 +51,16 @@
     :param share: the slot bucket that the tokens were taken from
     :param tokens: number of tokens
     :param length_ms: for how long in ms the borrower may use them
-    :param lapse_ms: time in ms from which they cannot be used any more
+    :param expires_ms: time in ms from which they cannot be used any more
     """
 
     __slots__ = (
         "share",
         "tokens",
         "length_ms",
-        "lapse_ms",
+        "expires_ms",
         "returned",
-        "stamp",
+        "refund_stamp",
     )
 
     def __init__(
@@ -68,15 +68,15 @@
         share: SlotBucket | None,
         tokens: int,
         length_ms: int,
-        lapse_ms: int,
+        expires_ms: int,
     ) -> None:
         self.share = share
         self.tokens = tokens
         self.length_ms = length_ms
-        self.lapse_ms = lapse_ms
+        self.expires_ms = expires_ms
         self.returned = 0
         # Set when the loan ends; later refunds are limited from this mark.
-        self.stamp: int | None = None
+        self.refund_stamp: int | None = None
 
 
 LoanId = tuple[str, int]
@@ -85,7 +85,7 @@
 class Lender:
     """Spends and lends tokens from the buckets of the held slots.
 
-    :param keeper: lease manager that knows which slots are held
+    :param lease_manager: lease manager that knows which slots are held
     :param times: durations of loans and margins
     :param groups: number of groups that accounts are hashed into
     :param parts: number of equal partitions of each allowance
@@ -93,19 +93,19 @@
 
     def __init__(
         self,
-        keeper: slot_lease_manager.SlotLeaseManager,
+        lease_manager: slot_lease_manager.SlotLeaseManager,
         times: allowance_times.AllowanceTimes,
         groups: int,
         parts: int,
     ) -> None:
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._times = times
         self._groups = groups
         self._parts = parts
         self._accounts: dict[str, tables.ClientAccount] = {}
-        self._since_ms: dict[str, int] = {}
-        self._gone_ms: dict[str, int] = {}
-        self._shares: dict[tuple[str, int], SlotBucket] = {}
+        self._fill_start_ms: dict[str, int] = {}
+        self._removed_ms: dict[str, int] = {}
+        self._buckets: dict[tuple[str, int], SlotBucket] = {}
         self._loans: dict[LoanId, Loan] = {}
         self._numbers = itertools.count(1)
         self._open: list[tuple[int, LoanId]] = []
@@ -126,23 +126,27 @@
         :param now_ms: current time in ms
         """
         for name in self._accounts.keys() - accounts.keys():
-            del self._since_ms[name]
-            self._gone_ms[name] = now_ms
-        self._gone_ms = {
-            name: gone_ms
-            for name, gone_ms in self._gone_ms.items()
-            if now_ms - gone_ms < self._times.lapse_ms
+            del self._fill_start_ms[name]
+            self._removed_ms[name] = now_ms
+        self._removed_ms = {
+            name: removed_ms
+            for name, removed_ms in self._removed_ms.items()
+            if now_ms - removed_ms < self._times.max_loan_ms
         }
-        gone = [key for key in self._shares if key[0] not in accounts]
-        for key in gone:
-            del self._shares[key]
+        removed = [key for key in self._buckets if key[0] not in accounts]
+        for key in removed:
+            del self._buckets[key]
         for name in accounts.keys() - self._accounts.keys():
-            lapsed_ms = self._gone_ms.pop(name, 0) + self._times.lapse_ms
-            self._since_ms[name] = max(now_ms, lapsed_ms)
+            expired_ms = (
+                self._removed_ms.pop(name, 0) + self._times.max_loan_ms
+            )
+            self._fill_start_ms[name] = max(now_ms, expired_ms)
         self._accounts = dict(accounts)
-        for (name, _), share in self._shares.items():
+        for (name, _), slot_bucket in self._buckets.items():
             account = accounts[name]
-            share.bucket.change(account.rate, account.burst, now_ms)
+            slot_bucket.bucket.update_limits(
+                account.rate, account.burst, now_ms
+            )
 
     def find_account(self, name: str) -> tables.ClientAccount | None:
         """Return a client account.
@@ -165,16 +169,16 @@
             allowance_slots.compute_group(account, self._groups) * self._parts
         )
         holdings = (
-            self._keeper.find(slot, now_ms)
+            self._lease_manager.find_valid(slot, now_ms)
             for slot in range(first, first + self._parts)
         )
-        shares = [
-            self._find_share(account, holding)
+        buckets = [
+            self._find_bucket(account, holding)
             for holding in holdings
             if holding is not None
         ]
-        shares.sort(key=lambda one: -one.bucket.read_level(now_ms))
-        return shares
+        buckets.sort(key=lambda one: -one.bucket.read_level(now_ms))
+        return buckets
 
     def lend(
         self, loan_id: LoanId, account: str, need: int, wish: int, now_ms: int
@@ -196,10 +200,10 @@
         if known is not None:
             return known
         self.expire(now_ms)
-        shares = self.list_buckets(account, now_ms)
-        if not shares:
+        buckets = self.list_buckets(account, now_ms)
+        if not buckets:
             return Loan(None, 0, 0, now_ms)
-        return self._lend(loan_id, shares[0], need, wish, now_ms)
+        return self._lend(loan_id, buckets[0], need, wish, now_ms)
 
     def read_lendable(self, account: str, now_ms: int) -> int:
         """Return the maximum number of tokens that one more loan could have.
@@ -208,8 +212,8 @@
         :param now_ms: current time in ms
         :returns: tokens
         """
-        shares = self.list_buckets(account, now_ms)
-        return shares[0].bucket.read_level(now_ms) if shares else 0
+        buckets = self.list_buckets(account, now_ms)
+        return buckets[0].bucket.read_level(now_ms) if buckets else 0
 
     def close(self, loan_id: LoanId, returned: int, now_ms: int) -> None:
         """End a loan that its borrower will not use any more.
@@ -226,10 +230,10 @@
             return
         more = max(min(returned, loan.tokens) - loan.returned, 0)
         loan.returned += more
-        if loan.stamp is None:
-            self._end(loan, more, now_ms)
+        if loan.refund_stamp is None:
+            self._end_loan(loan, more, now_ms)
         elif more > 0:
-            loan.share.bucket.refund(more, loan.stamp, now_ms)
+            loan.share.bucket.refund(more, loan.refund_stamp, now_ms)
 
     def expire(self, now_ms: int) -> None:
         """End expired loans, and remove those past the refund window.
@@ -239,10 +243,10 @@
         while self._open and self._open[0][0] <= now_ms:
             loan_id = heapq.heappop(self._open)[1]
             loan = self._loans[loan_id]
-            if loan.stamp is None:
-                self._end(loan, 0, now_ms)
-            forget_ms = now_ms + self._times.refund_window_ms
-            self._ended.append((forget_ms, loan_id))
+            if loan.refund_stamp is None:
+                self._end_loan(loan, 0, now_ms)
+            remove_ms = now_ms + self._times.refund_window_ms
+            self._ended.append((remove_ms, loan_id))
         while self._ended and self._ended[0][0] <= now_ms:
             del self._loans[self._ended.popleft()[1]]
 
@@ -259,16 +263,19 @@
         :returns: loans that expire unless they are confirmed
         """
         loans = []
-        for share in self.list_buckets(account, now_ms):
-            part = min(share.bucket.read_level(now_ms), tokens)
-            if part > 0 and share.bucket.lend(part, now_ms):
+        for slot_bucket in self.list_buckets(account, now_ms):
+            amount = min(slot_bucket.bucket.read_level(now_ms), tokens)
+            if amount > 0 and slot_bucket.bucket.lend(amount, now_ms):
                 loan_id = ("", next(self._numbers))
-                lapse_ms = now_ms + self._times.reservation_ttl_ms
+                expires_ms = now_ms + self._times.reservation_ttl_ms
                 loan = Loan(
-                    share, part, self._times.reservation_ttl_ms, lapse_ms
+                    slot_bucket,
+                    amount,
+                    self._times.reservation_ttl_ms,
+                    expires_ms,
                 )
-                self._keep(loan_id, loan)
-                tokens -= part
+                self._add_loan(loan_id, loan)
+                tokens -= amount
                 loans.append(loan)
         return loans
 
@@ -279,18 +286,23 @@
         :param now_ms: current time in ms, read immediately before use
         :returns: whether the slot is still held and the loan has not expired
         """
-        share = loan.share
-        is_held = self._keeper.find(share.slot, now_ms) is share.holding
-        return is_held and loan.stamp is None and now_ms < loan.lapse_ms
+        slot_bucket = loan.share
+        is_held = (
+            self._lease_manager.find_valid(slot_bucket.slot, now_ms)
+            is slot_bucket.holding
+        )
+        return (
+            is_held and loan.refund_stamp is None and now_ms < loan.expires_ms
+        )
 
-    def confirm(self, loan: Loan, now_ms: int) -> None:
+    def commit(self, loan: Loan, now_ms: int) -> None:
         """Count tokens reserved on this VM as used now.
 
         :param loan: a loan returned by :meth:`take`
         :param now_ms: current time in ms
         """
-        if loan.stamp is None:
-            self._end(loan, 0, now_ms)
+        if loan.refund_stamp is None:
+            self._end_loan(loan, 0, now_ms)
 
     def settle(self, loan: Loan, returned: int, now_ms: int) -> None:
         """Refund tokens that a request of this VM did not use.
@@ -301,63 +313,66 @@
         """
         if not self._is_held(loan.share):
             return
-        if loan.stamp is None:
-            self._end(loan, returned, now_ms)
+        if loan.refund_stamp is None:
+            self._end_loan(loan, returned, now_ms)
         else:
-            loan.share.bucket.refund(returned, loan.stamp, now_ms)
+            loan.share.bucket.refund(returned, loan.refund_stamp, now_ms)
 
     def _lend(
         self,
         loan_id: LoanId,
-        share: SlotBucket,
+        slot_bucket: SlotBucket,
         need: int,
         wish: int,
         now_ms: int,
     ) -> Loan:
-        bucket = share.bucket
+        bucket = slot_bucket.bucket
         level = bucket.read_level(now_ms)
         extra = min(
             max(wish - need, 0), max(level - need, 0) // SURPLUS_LOAN_DIVISOR
         )
         tokens = min(need + extra, level)
         length_ms = self._choose_length(bucket)
-        lapse_ms = now_ms + length_ms + self._times.loan_margin_ms
-        loan = Loan(share, tokens, length_ms, lapse_ms)
+        expires_ms = now_ms + length_ms + self._times.loan_margin_ms
+        loan = Loan(slot_bucket, tokens, length_ms, expires_ms)
         if tokens <= 0 or not bucket.lend(tokens, now_ms):
             loan.tokens = 0
             return loan
-        self._keep(loan_id, loan)
+        self._add_loan(loan_id, loan)
         return loan
 
-    def _keep(self, loan_id: LoanId, loan: Loan) -> None:
+    def _add_loan(self, loan_id: LoanId, loan: Loan) -> None:
         self._loans[loan_id] = loan
-        heapq.heappush(self._open, (loan.lapse_ms, loan_id))
+        heapq.heappush(self._open, (loan.expires_ms, loan_id))
 
     def _choose_length(self, bucket: token_bucket.TokenBucket) -> int:
         half_ms = bucket.burst * 500 // max(bucket.rate, 1)
-        longest_ms = self._times.loan_ms
-        return min(max(half_ms, min(MIN_LOAN_MS, longest_ms)), longest_ms)
+        max_ms = self._times.loan_ms
+        return min(max(half_ms, min(MIN_LOAN_MS, max_ms)), max_ms)
 
-    def _end(self, loan: Loan, returned: int, now_ms: int) -> None:
+    def _end_loan(self, loan: Loan, returned: int, now_ms: int) -> None:
         loan.share.bucket.end_loan(loan.tokens, returned, now_ms)
-        loan.stamp = loan.share.bucket.stamp(now_ms)
+        loan.refund_stamp = loan.share.bucket.mark(now_ms)
 
-    def _find_share(
+    def _find_bucket(
         self, account: str, holding: allowance_slots.Holding
     ) -> SlotBucket:
         key = (account, holding.slot)
-        share = self._shares.get(key)
-        if share is None or share.holding is not holding:
+        slot_bucket = self._buckets.get(key)
+        if slot_bucket is None or slot_bucket.holding is not holding:
             row = self._accounts[account]
-            start_ms = max(holding.start_ms, self._since_ms[account])
+            start_ms = max(holding.start_ms, self._fill_start_ms[account])
             bucket = token_bucket.TokenBucket(
                 row.rate, row.burst, self._parts, start_ms
             )
-            share = SlotBucket(holding.slot, holding, bucket)
-            self._shares[key] = share
-        return share
+            slot_bucket = SlotBucket(holding.slot, holding, bucket)
+            self._buckets[key] = slot_bucket
+        return slot_bucket
 
-    def _is_held(self, share: SlotBucket | None) -> bool:
-        if share is None:
+    def _is_held(self, slot_bucket: SlotBucket | None) -> bool:
+        if slot_bucket is None:
             return False
-        return self._keeper.holdings.get(share.slot) is share.holding
+        return (
+            self._lease_manager.holdings.get(slot_bucket.slot)
+            is slot_bucket.holding
+        )
--- a/mulberryway/policy/allowance_slots.py
+++ b/mulberryway/policy/allowance_slots.py
@@ -19,7 +19,7 @@
     "compute_group",
 ]
 
-WORD = (1 << 64) - 1
+UINT64_MASK = (1 << 64) - 1
 
 
 class SlotRecord:
@@ -116,7 +116,7 @@
 
 
 def _mix(hashed: int, slot: int) -> int:
-    mixed = (hashed ^ (slot * 0x9E3779B97F4A7C15)) & WORD
-    mixed = ((mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9) & WORD
-    mixed = ((mixed ^ (mixed >> 27)) * 0x94D049BB133111EB) & WORD
+    mixed = (hashed ^ (slot * 0x9E3779B97F4A7C15)) & UINT64_MASK
+    mixed = ((mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9) & UINT64_MASK
+    mixed = ((mixed ^ (mixed >> 27)) * 0x94D049BB133111EB) & UINT64_MASK
     return mixed ^ (mixed >> 31)
--- a/mulberryway/policy/allowance_times.py
+++ b/mulberryway/policy/allowance_times.py
@@ -69,7 +69,7 @@
         self.retry_ms = retry_ms
 
     @property
-    def lapse_ms(self) -> int:
+    def max_loan_ms(self) -> int:
         """Time from a lender's grant until the loan has surely expired."""
         return self.loan_ms + self.loan_margin_ms
 
--- a/mulberryway/policy/leased_rate_limiter.py
+++ b/mulberryway/policy/leased_rate_limiter.py
@@ -102,8 +102,8 @@
         self.lender = lender
         self.borrower = borrower
         self._demands: dict[str, _Demand] = {}
-        self._pauses: dict[str, tuple[int, int]] = {}
-        self._debts: dict[str, int] = {}
+        self._backoffs: dict[str, tuple[int, int]] = {}
+        self._deficits: dict[str, int] = {}
 
     def reserve(
         self, account: str, tokens: int, now_ms: int
@@ -118,17 +118,17 @@
         :param now_ms: current time in ms, read immediately before use
         :returns: the reservation, or None if there are too few tokens
         """
-        wanted = tokens + self._debts.get(account, 0)
-        if self.read_available(account, now_ms) < wanted:
+        requested = tokens + self._deficits.get(account, 0)
+        if self.read_available(account, now_ms) < requested:
             return None
-        pieces = self._spend_loans(account, wanted, now_ms)
-        missing = wanted - sum(piece.tokens for piece in pieces)
-        pieces += [
+        sources = self._spend_loans(account, requested, now_ms)
+        missing = requested - sum(entry.tokens for entry in sources)
+        sources += [
             ReservationSource(loan, loan.tokens)
             for loan in self.lender.take(account, missing, now_ms)
         ]
-        self._debts.pop(account, None)
-        return LeasedReservation(account, tokens, pieces)
+        self._deficits.pop(account, None)
+        return LeasedReservation(account, tokens, sources)
 
     def read_available(self, account: str, now_ms: int) -> int:
         """Return the number of tokens available on this VM.
@@ -138,12 +138,12 @@
         :returns: tokens
         """
         loans = self.borrower.list_usable(account, now_ms)
-        shares = self.lender.list_buckets(account, now_ms)
+        buckets = self.lender.list_buckets(account, now_ms)
         return sum(loan.left for loan in loans) + sum(
-            share.bucket.read_level(now_ms) for share in shares
+            slot_bucket.bucket.read_level(now_ms) for slot_bucket in buckets
         )
 
-    def is_usable(self, reservation: LeasedReservation, now_ms: int) -> bool:
+    def commit(self, reservation: LeasedReservation, now_ms: int) -> bool:
         """Return whether a reservation is valid, and count it as used.
 
         The process may have been paused since it last read the clock.  The
@@ -158,12 +158,12 @@
         if reservation.is_used:
             # The request is retried on another upstream; it counts once.
             return True
-        sources = [piece.source for piece in reservation.sources]
+        sources = [entry.source for entry in reservation.sources]
         if not all(self._is_usable(source, now_ms) for source in sources):
             return False
         for source in sources:
             if isinstance(source, allowance_lender.Loan):
-                self.lender.confirm(source, now_ms)
+                self.lender.commit(source, now_ms)
         reservation.is_used = True
         return True
 
@@ -183,12 +183,12 @@
         account = reservation.account
         unused = reservation.tokens - used
         if unused < 0:
-            self._debts[account] = self._debts.get(account, 0) - unused
-        for piece in reservation.sources:
-            part = min(max(unused, 0), piece.tokens)
-            unused -= part
-            if part > 0:
-                self._put_back(piece, part, now_ms)
+            self._deficits[account] = self._deficits.get(account, 0) - unused
+        for entry in reservation.sources:
+            amount = min(max(unused, 0), entry.tokens)
+            unused -= amount
+            if amount > 0:
+                self._refund(entry, amount, now_ms)
 
     def plan(
         self, account: str, tokens: int, now_ms: int
@@ -204,17 +204,19 @@
         :param now_ms: current time in ms
         :returns: the tokens to request, or None if a request is useless now
         """
-        until_ms, refused = self._pauses.get(account, (0, 0))
-        if now_ms < until_ms and tokens >= refused:
+        until_ms, rejected = self._backoffs.get(account, (0, 0))
+        if now_ms < until_ms and tokens >= rejected:
             return None
         row = self.lender.find_account(account)
         if row is None or tokens > row.burst:
             return None
-        wanted = tokens + self._debts.get(account, 0)
-        need = wanted - self.read_available(account, now_ms)
+        requested = tokens + self._deficits.get(account, 0)
+        need = requested - self.read_available(account, now_ms)
         demand = self._demands.get(account)
-        ahead = 0 if demand is None else max(demand.per_window, demand.tokens)
-        return BorrowPlan(max(need, 1), max(need, 1) + ahead)
+        prefetch = (
+            0 if demand is None else max(demand.per_window, demand.tokens)
+        )
+        return BorrowPlan(max(need, 1), max(need, 1) + prefetch)
 
     def record_demand(self, account: str, tokens: int, now_ms: int) -> None:
         """Record an account's demand on this VM.
@@ -240,28 +242,30 @@
         rate = 0 if row is None else row.rate
         missing = tokens - self.read_available(account, now_ms)
         wait_ms = max(missing, 1) * 1_000 // max(rate, 1)
-        pause_ms = min(max(wait_ms, MIN_BACKOFF_MS), MAX_BACKOFF_MS)
-        until_ms, refused = self._pauses.get(account, (0, 0))
-        if now_ms >= until_ms or tokens < refused:
-            self._pauses[account] = (now_ms + pause_ms, tokens)
+        backoff_ms = min(max(wait_ms, MIN_BACKOFF_MS), MAX_BACKOFF_MS)
+        until_ms, rejected = self._backoffs.get(account, (0, 0))
+        if now_ms >= until_ms or tokens < rejected:
+            self._backoffs[account] = (now_ms + backoff_ms, tokens)
         return max(wait_ms, MIN_BACKOFF_MS)
 
     def prune_accounts(self) -> None:
         """Remove the state of accounts that no longer exist."""
-        for memory in (self._demands, self._pauses, self._debts):
-            _drop(memory, lambda name: self.lender.find_account(name) is None)
+        for entries in (self._demands, self._backoffs, self._deficits):
+            _remove_matching(
+                entries, lambda name: self.lender.find_account(name) is None
+            )
 
     def _spend_loans(
         self, account: str, tokens: int, now_ms: int
     ) -> list[ReservationSource]:
-        pieces = []
+        sources = []
         for loan in self.borrower.list_usable(account, now_ms):
-            part = min(loan.left, tokens)
-            if part > 0:
-                self.borrower.spend(loan, part, now_ms)
-                pieces.append(ReservationSource(loan, part))
-                tokens -= part
-        return pieces
+            amount = min(loan.left, tokens)
+            if amount > 0:
+                self.borrower.spend(loan, amount, now_ms)
+                sources.append(ReservationSource(loan, amount))
+                tokens -= amount
+        return sources
 
     def _is_usable(
         self,
@@ -272,18 +276,19 @@
             return now_ms < source.end_ms
         return self.lender.is_usable(source, now_ms)
 
-    def _put_back(
-        self, piece: ReservationSource, tokens: int, now_ms: int
+    def _refund(
+        self, entry: ReservationSource, tokens: int, now_ms: int
     ) -> None:
-        source = piece.source
+        source = entry.source
         if isinstance(source, allowance_borrower.BorrowedLoan):
             self.borrower.refund(source, tokens, now_ms)
         else:
             self.lender.settle(source, tokens, now_ms)
 
 
-def _drop(
-    memory: dict[str, object], is_gone: collections.abc.Callable[[str], bool]
+def _remove_matching(
+    entries: dict[str, object],
+    is_removed: collections.abc.Callable[[str], bool],
 ) -> None:
-    for name in list(filter(is_gone, memory)):
-        del memory[name]
+    for name in list(filter(is_removed, entries)):
+        del entries[name]
--- a/mulberryway/policy/pool_stats.py
+++ b/mulberryway/policy/pool_stats.py
@@ -19,12 +19,12 @@
 class PoolStats:
     """Moving averages over the jobs of one pool."""
 
-    __slots__ = ("hold_ms", "cost", "_outputs")
+    __slots__ = ("hold_ms", "cost", "_output_lengths")
 
     def __init__(self) -> None:
         self.hold_ms = health.Ewma(INITIAL_SLOT_TIME_MS, 0.05)
         self.cost = health.Ewma(OUTPUT_TOKENS, 0.05)
-        self._outputs: dict[str, health.Ewma] = {}
+        self._output_lengths: dict[str, health.Ewma] = {}
 
     def estimate_cost(self, job: jobs.Job, prompt_tokens: float) -> float:
         """Return the expected cost of a job, in tokens.
@@ -37,7 +37,7 @@
         :param prompt_tokens: prompt tokens that have to be computed
         :returns: cost in tokens
         """
-        output = self._outputs.get(job.account)
+        output = self._output_lengths.get(job.account)
         expected = output.value if output is not None else OUTPUT_TOKENS
         return self.sum_cost(prompt_tokens, min(expected, job.max_tokens))
 
@@ -63,11 +63,11 @@
         """
         self.cost.note(cost)
         self.hold_ms.note(hold_ms)
-        output = self._outputs.get(account)
+        output = self._output_lengths.get(account)
         if output is None:
-            if len(self._outputs) >= MAX_ACCOUNTS:
-                self._outputs.clear()
-            output = self._outputs[account] = health.Ewma(OUTPUT_TOKENS)
+            if len(self._output_lengths) >= MAX_ACCOUNTS:
+                self._output_lengths.clear()
+            output = self._output_lengths[account] = health.Ewma(OUTPUT_TOKENS)
         output.note(tokens)
 
     def estimate_throughput(self, slots: int) -> float:
--- a/mulberryway/policy/slot_lease_manager.py
+++ b/mulberryway/policy/slot_lease_manager.py
@@ -59,7 +59,9 @@
         self._leases: dict[int, tuple[tuple[int, int], int]] = {}
         self._absent: dict[tuple[str, str], tuple[int, int]] = {}
 
-    def find(self, slot: int, now_ms: int) -> allowance_slots.Holding | None:
+    def find_valid(
+        self, slot: int, now_ms: int
+    ) -> allowance_slots.Holding | None:
         """Return the holding of a slot if its lease has not expired.
 
         :param slot: number of the slot
@@ -80,10 +82,12 @@
         :param now_ms: time in ms at which the list was requested
         """
         self.is_listed = (self.vm, self.address) in listed
-        kept = {
+        remaining = {
             vm: times for vm, times in self._absent.items() if vm not in listed
         }
-        self._absent = {vm: (first, now_ms) for vm, (first, _) in kept.items()}
+        self._absent = {
+            vm: (first, now_ms) for vm, (first, _) in remaining.items()
+        }
 
     def track_absence(
         self,
@@ -113,34 +117,34 @@
         self,
         slot: int,
         record: allowance_slots.SlotRecord | None,
-        is_wanted: bool,
+        is_preferred_holder: bool,
         now_ms: int,
     ) -> LeaseAction:
         """Decide about a slot, given its current record on the platform.
 
         :param slot: number of the slot
         :param record: its record, or None if it was never taken
-        :param is_wanted: whether this VM should hold the slot
+        :param is_preferred_holder: whether this VM should hold the slot
         :param now_ms: current time in ms
         :returns: the write that is required
         """
-        self._note_lease(slot, record, now_ms)
+        self._track_lease(slot, record, now_ms)
         holding = self.holdings.get(slot)
-        if holding is not None and not self._is_own(holding, record, now_ms):
+        if holding is not None and not self._is_valid(holding, record, now_ms):
             del self.holdings[slot]
             holding = None
         if holding is not None:
-            if not is_wanted:
+            if not is_preferred_holder:
                 return LeaseAction.RELEASE
             is_due = holding.until_ms - now_ms <= self._times.renew_before_ms
             return LeaseAction.RENEW if is_due else LeaseAction.NONE
-        if is_wanted:
-            is_free = self._may_take(slot, record, now_ms)
+        if is_preferred_holder:
+            is_free = self._can_take(slot, record, now_ms)
             return LeaseAction.TAKE if is_free else LeaseAction.NONE
         # Either a release was lost, or this VM's previous process held the
         # slot.  Nobody else can take it while the platform lists this VM.
-        is_left = record is not None and not record.is_released
-        if is_left and self._is_here(record):
+        is_unreleased = record is not None and not record.is_released
+        if is_unreleased and self._is_from_this_vm(record):
             return LeaseAction.RELEASE
         return LeaseAction.NONE
 
@@ -169,7 +173,7 @@
             decision is LeaseAction.RELEASE,
         )
 
-    def note_written(
+    def record_write(
         self,
         slot: int,
         decision: LeaseAction,
@@ -194,7 +198,7 @@
         until_ms = sent_ms + self._times.lease_ms
         if decision is LeaseAction.TAKE:
             is_first = record.term == FIRST_TERM
-            wait_ms = 0 if is_first else self._times.lapse_ms
+            wait_ms = 0 if is_first else self._times.max_loan_ms
             self.holdings[slot] = allowance_slots.Holding(
                 slot, record.term, until_ms, now_ms + wait_ms
             )
@@ -208,15 +212,15 @@
         """
         self.holdings.pop(slot, None)
 
-    def _is_own(
+    def _is_valid(
         self,
         holding: allowance_slots.Holding,
         record: allowance_slots.SlotRecord | None,
         now_ms: int,
     ) -> bool:
         is_current = record is not None and record.term == holding.term
-        has_time = holding.until_ms > now_ms
-        return has_time and is_current and self._is_recorded(record)
+        is_unexpired = holding.until_ms > now_ms
+        return is_unexpired and is_current and self._is_recorded(record)
 
     def _is_recorded(self, record: allowance_slots.SlotRecord | None) -> bool:
         return (
@@ -226,7 +230,7 @@
             and record.incarnation == self.incarnation
         )
 
-    def _note_lease(
+    def _track_lease(
         self, slot: int, record: allowance_slots.SlotRecord | None, now_ms: int
     ) -> None:
         if record is None:
@@ -236,21 +240,25 @@
         if known is None or known[0] != record.lease_version():
             self._leases[slot] = (record.lease_version(), now_ms)
 
-    def _may_take(
+    def _can_take(
         self, slot: int, record: allowance_slots.SlotRecord | None, now_ms: int
     ) -> bool:
         if record is None or record.is_released:
             return True
-        if self._is_here(record):
+        if self._is_from_this_vm(record):
             return True
-        return self._is_gone(slot, record) or self._has_lapsed(slot, now_ms)
+        return self._is_removed(slot, record) or self._has_expired(
+            slot, now_ms
+        )
 
-    def _is_here(self, record: allowance_slots.SlotRecord) -> bool:
+    def _is_from_this_vm(self, record: allowance_slots.SlotRecord) -> bool:
         """Return whether this VM's current or an earlier process wrote it."""
         is_vm = (record.vm, record.address) == (self.vm, self.address)
         return is_vm and record.incarnation <= self.incarnation
 
-    def _is_gone(self, slot: int, record: allowance_slots.SlotRecord) -> bool:
+    def _is_removed(
+        self, slot: int, record: allowance_slots.SlotRecord
+    ) -> bool:
         absent = self._absent.get((record.vm, record.address))
         if absent is None or not record.is_listed:
             return False
@@ -261,7 +269,7 @@
         absent_ms = last_ms - max(first_ms, seen_ms)
         return absent_ms >= self._times.absence_timeout_ms
 
-    def _has_lapsed(self, slot: int, now_ms: int) -> bool:
+    def _has_expired(self, slot: int, now_ms: int) -> bool:
         _, seen_ms = self._leases[slot]
         lease_ms = self._times.lease_ms + self._times.lease_margin_ms
         return now_ms - seen_ms >= lease_ms
--- a/mulberryway/policy/static_allowances.py
+++ b/mulberryway/policy/static_allowances.py
@@ -17,7 +17,7 @@
 __all__ = ["StaticAllowances"]
 
 
-class _SplitReservation(allowance.Reservation):
+class _StaticReservation(allowance.Reservation):
     """A reservation with its bucket and the mark taken after it."""
 
     __slots__ = ("bucket", "stamp")
@@ -53,10 +53,10 @@
         self._vms = vms
         self._lock = threading.Lock()
         self._buckets: dict[str, token_bucket.TokenBucket] = {}
-        source.subscribe(self._take_tables)
+        source.subscribe(self._apply_tables)
         current = source.read_tables()
         if current is not None:
-            self._take_tables(current)
+            self._apply_tables(current)
 
     def reserve(
         self, account: str, tokens: int
@@ -71,9 +71,11 @@
         with self._lock:
             bucket = self._buckets.get(account)
             if bucket is None or not bucket.take(tokens, now_ms):
-                return expression.Error(_refuse(bucket, tokens, now_ms))
-            stamp = bucket.stamp(now_ms)
-        return expression.Ok(_SplitReservation(account, tokens, bucket, stamp))
+                return expression.Error(_reject(bucket, tokens, now_ms))
+            stamp = bucket.mark(now_ms)
+        return expression.Ok(
+            _StaticReservation(account, tokens, bucket, stamp)
+        )
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
         """Refund tokens that a request did not use; call exactly once.
@@ -81,7 +83,7 @@
         :param reservation: the reservation
         :param used: number of tokens computed or received by the caller
         """
-        if not isinstance(reservation, _SplitReservation):
+        if not isinstance(reservation, _StaticReservation):
             return
         unused = max(reservation.tokens - used, 0)
         with self._lock:
@@ -89,26 +91,28 @@
                 unused, reservation.stamp, self._clock.now_ms()
             )
 
-    def _take_tables(self, current: tables.Tables) -> None:
+    def _apply_tables(self, current: tables.Tables) -> None:
         now_ms = self._clock.now_ms()
         with self._lock:
-            gone = self._buckets.keys() - current.accounts.keys()
-            for name in gone:
+            removed = self._buckets.keys() - current.accounts.keys()
+            for name in removed:
                 del self._buckets[name]
             for account in current.accounts.values():
-                self._change(account, now_ms)
+                self._apply_limits(account, now_ms)
 
-    def _change(self, account: tables.ClientAccount, now_ms: int) -> None:
+    def _apply_limits(
+        self, account: tables.ClientAccount, now_ms: int
+    ) -> None:
         bucket = self._buckets.get(account.name)
         if bucket is None:
             self._buckets[account.name] = token_bucket.TokenBucket(
                 account.rate, account.burst, self._vms, now_ms
             )
         else:
-            bucket.change(account.rate, account.burst, now_ms)
+            bucket.update_limits(account.rate, account.burst, now_ms)
 
 
-def _refuse(
+def _reject(
     bucket: token_bucket.TokenBucket | None, tokens: int, now_ms: int
 ) -> errors.Fault:
     wait_ms = None if bucket is None else bucket.time_until(tokens, now_ms)
--- a/mulberryway/policy/token_bucket.py
+++ b/mulberryway/policy/token_bucket.py
@@ -96,7 +96,7 @@
         self._level -= tokens * self._scale
         return True
 
-    def stamp(self, now_ms: int) -> int:
+    def mark(self, now_ms: int) -> int:
         """Mark the current time, for later refunds to refer to.
 
         :param now_ms: current time in ms
@@ -104,9 +104,9 @@
         """
         self._refill(now_ms)
         self._last_stamp += 1
-        held = self._level + self._on_loan
-        if not self._marks or self._marks[-1].highest > held:
-            self._marks.append(_Mark(self._last_stamp, held))
+        total = self._level + self._on_loan
+        if not self._marks or self._marks[-1].highest > total:
+            self._marks.append(_Mark(self._last_stamp, total))
         if len(self._marks) > MAX_MARKS:
             self._marks = self._marks[::2]
         return self._last_stamp
@@ -159,7 +159,7 @@
         self._on_loan -= tokens * self._scale
         self._level += returned * self._scale
 
-    def change(self, rate: int, burst: int, now_ms: int) -> None:
+    def update_limits(self, rate: int, burst: int, now_ms: int) -> None:
         """Switch to another rate and burst without adding tokens.
 
         :param rate: tokens per second, summed over all partitions
@@ -181,18 +181,18 @@
         :returns: time in ms, or None if they exceed the capacity
         """
         self._refill(now_ms)
-        wanted = tokens * self._scale
-        if wanted > self._capacity():
+        requested = tokens * self._scale
+        if requested > self._capacity():
             return None
-        lacking = max(wanted - self._level, 0)
-        if lacking == 0:
+        missing = max(requested - self._level, 0)
+        if missing == 0:
             return 0
-        return -(-lacking // self._count_refill()) if self.rate else None
+        return -(-missing // self._get_refill_per_ms()) if self.rate else None
 
     def _capacity(self) -> int:
         return self.burst * UNITS_PER_TOKEN
 
-    def _count_refill(self) -> int:
+    def _get_refill_per_ms(self) -> int:
         """Return the units that are refilled in one millisecond."""
         return self.rate * REFILL_PER_MILLE
 
@@ -200,11 +200,11 @@
         # A clock that runs backwards must not add or remove tokens.
         elapsed_ms = max(now_ms - self._updated_ms, 0)
         self._updated_ms += elapsed_ms
-        room = max(self._capacity() - self._on_loan - self._level, 0)
-        self._level += min(self._count_refill() * elapsed_ms, room)
-        self._note_level()
+        free_units = max(self._capacity() - self._on_loan - self._level, 0)
+        self._level += min(self._get_refill_per_ms() * elapsed_ms, free_units)
+        self._update_marks()
 
-    def _note_level(self) -> None:
+    def _update_marks(self) -> None:
         self._raise_marks(self._level + self._on_loan, len(self._marks))
 
     def _raise_marks(self, highest: int, end: int) -> None:
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -58,7 +58,7 @@
 UNKNOWN = -1
 # A VM that has counted for so long knows the tokens granted before it started.
 WARM_UP_MS = 3_000
-# Every so many heartbeats are full snapshots of all accounts.  While a VM has
+# Each ``FULL_SYNC_INTERVAL``-th heartbeat is a full snapshot.  While a VM has
 # counted for less than ``STARTUP_FULL_SYNC_MS``, every heartbeat is one, or
 # every second one in a fleet of more than ``HEARTBEAT_SCALING_VMS``.  The
 # others repeat only the accounts announced since the heartbeat before the
@@ -76,7 +76,13 @@
 class _Peer:
     """State received from one other VM."""
 
-    __slots__ = ("incarnation", "sequence", "heard_ms", "spent", "silent_ms")
+    __slots__ = (
+        "incarnation",
+        "sequence",
+        "heard_ms",
+        "spent",
+        "unresponsive_since_ms",
+    )
 
     def __init__(self, incarnation: int, now_ms: int) -> None:
         self.incarnation = incarnation
@@ -84,7 +90,7 @@
         self.heard_ms = now_ms
         self.spent: dict[str, int] = {}
         # Time from which its fraction is reserved; None while it responds.
-        self.silent_ms: int | None = None
+        self.unresponsive_since_ms: int | None = None
 
 
 class ReplicatedRateLimiter:
@@ -109,24 +115,24 @@
         self._vm = vm
         self._incarnation = incarnation
         self._margin = margin
-        self._began_ms = now_ms
-        self._told_ms: int | None = None
+        self._started_ms = now_ms
+        self._last_heartbeat_ms: int | None = None
         self._numbers = itertools.count(1)
         self._heartbeats = 0
-        self._whole_until_ms = now_ms + STARTUP_FULL_SYNC_MS
+        self._startup_sync_until_ms = now_ms + STARTUP_FULL_SYNC_MS
         # Accounts announced since the last heartbeat, and in the one before.
         self._recent: set[str] = set()
         self._earlier: set[str] = set()
         self._buckets: dict[str, usage_bucket.UsageBucket] = {}
         self._peers: dict[str, _Peer] = {}
-        self._gone: collections.OrderedDict[str, _Peer] = (
+        self._evicted: collections.OrderedDict[str, _Peer] = (
             collections.OrderedDict()
         )
         self._has_adopted = False
         # Fraction of all rates that the responsive VMs may grant, and the
         # time until which it is valid unless VMs join or return.
-        self._part = 1.0
-        self._part_until_ms = 0
+        self._fraction = 1.0
+        self._fraction_valid_until_ms = 0
 
     def update_members(
         self, vms: collections.abc.Iterable[str], now_ms: int
@@ -143,7 +149,7 @@
         for name in vms:
             if name != self._vm and name not in self._peers:
                 self._peers[name] = _Peer(UNKNOWN, now_ms)
-        self._part_until_ms = 0
+        self._fraction_valid_until_ms = 0
 
     def update_accounts(
         self,
@@ -156,8 +162,8 @@
         :param now_ms: current time in ms
         """
         for account in accounts:
-            bucket = self._find(account.name, now_ms)
-            bucket.refill(self._read_part(now_ms), now_ms)
+            bucket = self._find_bucket(account.name, now_ms)
+            bucket.refill(self._get_fraction(now_ms), now_ms)
             is_new = not bucket.burst
             self._set_limits(bucket, account)
             if is_new:
@@ -176,18 +182,18 @@
         if not account.rate:
             bucket.rate = bucket.burst = 0.0
             return
-        free = 1 + margin.over_part / 2
+        upfront = 1 + margin.over_part / 2
         extra = margin.over_tokens * UPFRONT_MARGIN_FRACTION
-        due = margin.compute_limit(account)
-        spread = (
+        limit = margin.compute_limit(account)
+        remainder = (
             margin.read_tokens(account)
-            - due * (margin.over_part / 2 + OVERRUN_RESERVE_FRACTION)
+            - limit * (margin.over_part / 2 + OVERRUN_RESERVE_FRACTION)
             - extra
         )
-        bucket.rate = account.rate * free + (
-            max(spread, 0.0) * MS_IN_S / margin.window_ms
+        bucket.rate = account.rate * upfront + (
+            max(remainder, 0.0) * MS_IN_S / margin.window_ms
         )
-        bucket.burst = account.burst * free + extra
+        bucket.burst = account.burst * upfront + extra
 
     def take(self, account: str, tokens: int, now_ms: int) -> int | None:
         """Take tokens for a request.
@@ -198,18 +204,18 @@
         :returns: None if the tokens were taken, else the time in ms until
             they will be available
         """
-        bucket = self._find(account, now_ms)
+        bucket = self._find_bucket(account, now_ms)
         if not bucket.rate:
             return None
-        part = self._read_part(now_ms)
-        bucket.refill(part, now_ms)
-        usable = bucket.compute_available(part)
+        fraction = self._get_fraction(now_ms)
+        bucket.refill(fraction, now_ms)
+        available = bucket.compute_available(fraction)
         # A request larger than the burst is admitted when the bucket is full;
         # the level becomes negative.
-        needed = min(tokens, bucket.burst * part)
-        if usable < needed:
-            rate = max(bucket.rate * part, 1.0)
-            return int((needed - usable) * MS_IN_S / rate) + 1
+        needed = min(tokens, bucket.burst * fraction)
+        if available < needed:
+            rate = max(bucket.rate * fraction, 1.0)
+            return int((needed - available) * MS_IN_S / rate) + 1
         self._spend(bucket, tokens)
         return None
 
@@ -220,7 +226,7 @@
         :param tokens: number of tokens to refund
         :param now_ms: current time in ms
         """
-        self._spend(self._find(account, now_ms), -tokens)
+        self._spend(self._find_bucket(account, now_ms), -tokens)
 
     def describe(
         self, account: str, now_ms: int
@@ -231,11 +237,11 @@
         :param now_ms: current time in ms
         :returns: the level in tokens and the values it depends on
         """
-        bucket = self._find(account, now_ms)
+        bucket = self._find_bucket(account, now_ms)
         return {
             "left": int(bucket.level),
             "rate": int(bucket.rate),
-            "part": round(self._read_part(now_ms), 2),
+            "part": round(self._get_fraction(now_ms), 2),
             "heard_ms": max(
                 (now_ms - peer.heard_ms for peer in self._peers.values()),
                 default=0,
@@ -251,7 +257,7 @@
         return frozenset(
             name
             for name, peer in self._peers.items()
-            if self._is_silent(peer, now_ms)
+            if self._is_unresponsive(peer, now_ms)
         )
 
     def make_usage(
@@ -268,28 +274,31 @@
             changed
         :returns: a message, or None if nothing is due
         """
-        pause_ms = HEARTBEAT_MS * self._read_scale()
-        is_due = self._told_ms is None or now_ms - self._told_ms >= pause_ms
+        interval_ms = HEARTBEAT_MS * self._compute_interval_scale()
+        is_due = (
+            self._last_heartbeat_ms is None
+            or now_ms - self._last_heartbeat_ms >= interval_ms
+        )
         changed = {
             name
             for name, bucket in self._buckets.items()
             if bucket.unannounced
         }
-        is_urgent = any(not self._may_wait(name) for name in changed)
+        is_urgent = any(not self._can_defer(name) for name in changed)
         if not is_urgent and not is_due and not has_other_changes:
             return None
-        is_whole = is_due and self._must_tell_all(now_ms)
+        is_whole = is_due and self._needs_full_sync(now_ms)
         self._recent |= changed
         names = changed
         if is_due:
             names = self._recent | self._earlier
             self._earlier, self._recent = self._recent, set()
-            self._told_ms = now_ms
+            self._last_heartbeat_ms = now_ms
             self._heartbeats += 1
         if is_whole:
             names = set(self._buckets)
-        told = {name: self._buckets[name] for name in sorted(names)}
-        for bucket in told.values():
+        announced = {name: self._buckets[name] for name in sorted(names)}
+        for bucket in announced.values():
             bucket.announced = bucket.spent
         return Usage(
             self._vm,
@@ -297,16 +306,16 @@
             next(self._numbers),
             [
                 AccountUsage(name, bucket.spent, int(bucket.level))
-                for name, bucket in told.items()
+                for name, bucket in announced.items()
                 if bucket.spent or bucket.rate
             ],
             mirrors,
-            now_ms - self._began_ms,
+            now_ms - self._started_ms,
             is_whole=is_whole,
             is_heartbeat=not is_urgent and not has_other_changes,
         )
 
-    def _may_wait(self, name: str) -> bool:
+    def _can_defer(self, name: str) -> bool:
         """Return whether an account's count may wait for a heartbeat.
 
         In a small fleet there are few messages, and each VM would withhold a
@@ -319,15 +328,22 @@
 
     def compute_next_heartbeat_ms(self) -> int:
         """Return the time in ms of the next heartbeat."""
-        if self._told_ms is None:
-            return self._began_ms
-        return int(self._told_ms + HEARTBEAT_MS * self._read_scale())
+        if self._last_heartbeat_ms is None:
+            return self._started_ms
+        return int(
+            self._last_heartbeat_ms
+            + HEARTBEAT_MS * self._compute_interval_scale()
+        )
 
-    def _must_tell_all(self, now_ms: int) -> bool:
-        every = FULL_SYNC_INTERVAL
-        if now_ms < self._whole_until_ms:
-            every = STARTUP_FULL_SYNC_INTERVAL if self._read_scale() > 1 else 1
-        return self._heartbeats % every == 0
+    def _needs_full_sync(self, now_ms: int) -> bool:
+        interval = FULL_SYNC_INTERVAL
+        if now_ms < self._startup_sync_until_ms:
+            interval = (
+                STARTUP_FULL_SYNC_INTERVAL
+                if self._compute_interval_scale() > 1
+                else 1
+            )
+        return self._heartbeats % interval == 0
 
     def merge_usage(self, usage: Usage, now_ms: int) -> None:
         """Merge another VM's counts.
@@ -338,31 +354,31 @@
         if usage.vm == self._vm:
             return
         peer = self._peers.get(usage.vm)
-        if peer is None and usage.vm in self._gone:
-            peer = self._peers[usage.vm] = self._gone.pop(usage.vm)
-            peer.silent_ms = None
-            self._part_until_ms = 0
+        if peer is None and usage.vm in self._evicted:
+            peer = self._peers[usage.vm] = self._evicted.pop(usage.vm)
+            peer.unresponsive_since_ms = None
+            self._fraction_valid_until_ms = 0
         is_new = peer is None or peer.incarnation != usage.incarnation
         if peer is None or is_new:
-            self._return_part(peer, now_ms)
+            self._restore_fraction(peer, now_ms)
             peer = _Peer(usage.incarnation, now_ms)
             self._peers[usage.vm] = peer
         elif usage.sequence <= peer.sequence:
             return
-        was_silent = peer.silent_ms is not None
-        self._return_part(peer, now_ms)
+        was_unresponsive = peer.unresponsive_since_ms is not None
+        self._restore_fraction(peer, now_ms)
         peer.sequence = usage.sequence
         peer.heard_ms = now_ms
-        if was_silent or is_new:
-            self._part_until_ms = 0
+        if was_unresponsive or is_new:
+            self._fraction_valid_until_ms = 0
         if usage.age_ms < STARTUP_FULL_SYNC_MS:
-            self._whole_until_ms = max(
-                self._whole_until_ms,
+            self._startup_sync_until_ms = max(
+                self._startup_sync_until_ms,
                 now_ms + STARTUP_FULL_SYNC_MS - usage.age_ms,
             )
         self._adopt(usage, now_ms)
-        for told in usage.accounts:
-            self._subtract(peer, told, now_ms)
+        for entry in usage.accounts:
+            self._subtract(peer, entry, now_ms)
 
     def _adopt(self, usage: Usage, now_ms: int) -> None:
         # A VM that has just started does not know the tokens granted before;
@@ -373,45 +389,47 @@
             or not usage.is_whole
         ):
             return
-        if now_ms - self._began_ms > WARM_UP_MS:
+        if now_ms - self._started_ms > WARM_UP_MS:
             self._has_adopted = True
             return
         self._has_adopted = bool(usage.accounts)
-        for told in usage.accounts:
-            bucket = self._find(told.account, now_ms)
-            bucket.level = float(told.left) - bucket.spent
+        for entry in usage.accounts:
+            bucket = self._find_bucket(entry.account, now_ms)
+            bucket.level = float(entry.left) - bucket.spent
 
-    def _subtract(self, peer: _Peer, told: AccountUsage, now_ms: int) -> None:
+    def _subtract(self, peer: _Peer, entry: AccountUsage, now_ms: int) -> None:
         # Tokens that a VM granted before this one started are part of the
         # adopted levels.  After warm-up, a VM's first count was granted just
         # now.
-        has_begun = now_ms - self._began_ms < WARM_UP_MS
-        first = told.spent if has_begun else 0
-        before = peer.spent.get(told.account, first)
-        peer.spent[told.account] = told.spent
-        bucket = self._find(told.account, now_ms)
+        is_warming_up = now_ms - self._started_ms < WARM_UP_MS
+        first = entry.spent if is_warming_up else 0
+        before = peer.spent.get(entry.account, first)
+        peer.spent[entry.account] = entry.spent
+        bucket = self._find_bucket(entry.account, now_ms)
         # Refill first: tokens that would have overflowed the bucket must not
         # compensate for the ones subtracted now.
-        bucket.refill(self._read_part(now_ms), now_ms)
-        bucket.level -= told.spent - before
+        bucket.refill(self._get_fraction(now_ms), now_ms)
+        bucket.level -= entry.spent - before
 
-    def _return_part(self, peer: _Peer | None, now_ms: int) -> None:
+    def _restore_fraction(self, peer: _Peer | None, now_ms: int) -> None:
         """Add the refill that was reserved for a VM while unresponsive."""
-        if peer is None or peer.silent_ms is None:
+        if peer is None or peer.unresponsive_since_ms is None:
             return
-        passed_ms = min(now_ms - peer.silent_ms, EVICTION_TIMEOUT_MS)
-        part = 1.0 / (len(self._peers) + 1)
+        elapsed_ms = min(
+            now_ms - peer.unresponsive_since_ms, EVICTION_TIMEOUT_MS
+        )
+        fraction = 1.0 / (len(self._peers) + 1)
         # The refill up to now is computed with the VM still unresponsive.
-        before = self._read_part(now_ms)
-        peer.silent_ms = None
+        before = self._get_fraction(now_ms)
+        peer.unresponsive_since_ms = None
         for bucket in self._buckets.values():
             bucket.refill(before, now_ms)
             bucket.level = min(
-                bucket.level + bucket.rate * part * passed_ms / MS_IN_S,
+                bucket.level + bucket.rate * fraction * elapsed_ms / MS_IN_S,
                 bucket.burst,
             )
 
-    def _read_part(self, now_ms: int) -> float:
+    def _get_fraction(self, now_ms: int) -> float:
         """Return the fraction of all rates that responsive VMs may grant.
 
         It is needed for each account of each message, forty messages per
@@ -420,66 +438,75 @@
         the fraction cached until a VM joins, returns, becomes unresponsive
         or is evicted.
         """
-        if now_ms >= self._part_until_ms:
-            self._part = self._count_part(now_ms)
-            self._part_until_ms = self._find_change_ms(now_ms)
-        return self._part
+        if now_ms >= self._fraction_valid_until_ms:
+            self._fraction = self._compute_fraction(now_ms)
+            self._fraction_valid_until_ms = self._compute_valid_until_ms(
+                now_ms
+            )
+        return self._fraction
 
-    def _find_change_ms(self, now_ms: int) -> int:
+    def _compute_valid_until_ms(self, now_ms: int) -> int:
         """Return the earliest time a VM gets unresponsive or is evicted."""
-        silent_ms = int(HEARTBEAT_TIMEOUT_MS * self._read_scale())
+        timeout_ms = int(HEARTBEAT_TIMEOUT_MS * self._compute_interval_scale())
         changes = (
             peer.heard_ms
-            + (silent_ms if peer.silent_ms is None else EVICTION_TIMEOUT_MS)
+            + (
+                timeout_ms
+                if peer.unresponsive_since_ms is None
+                else EVICTION_TIMEOUT_MS
+            )
             for peer in self._peers.values()
         )
         return min(
             (at_ms for at_ms in changes if at_ms > now_ms),
-            default=now_ms + silent_ms,
+            default=now_ms + timeout_ms,
         )
 
-    def _count_part(self, now_ms: int) -> float:
-        silent = [
+    def _compute_fraction(self, now_ms: int) -> float:
+        unresponsive = [
             peer
             for peer in self._peers.values()
-            if self._is_silent(peer, now_ms)
+            if self._is_unresponsive(peer, now_ms)
         ]
-        if len(silent) * 2 < len(self._peers) + 1:
-            self._forget_gone(now_ms)
-            silent = [
+        if len(unresponsive) * 2 < len(self._peers) + 1:
+            self._evict_peers(now_ms)
+            unresponsive = [
                 peer
-                for peer in silent
+                for peer in unresponsive
                 if now_ms - peer.heard_ms < EVICTION_TIMEOUT_MS
             ]
-        for peer in silent:
-            if peer.silent_ms is None:
-                peer.silent_ms = now_ms
-        if not self._peers and not self._gone and self._has_others:
+        for peer in unresponsive:
+            if peer.unresponsive_since_ms is None:
+                peer.unresponsive_since_ms = now_ms
+        if not self._peers and not self._evicted and self._has_others:
             return ISOLATED_FRACTION
-        return 1.0 - len(silent) / (len(self._peers) + 1)
+        return 1.0 - len(unresponsive) / (len(self._peers) + 1)
 
-    def _is_silent(self, peer: _Peer, now_ms: int) -> bool:
+    def _is_unresponsive(self, peer: _Peer, now_ms: int) -> bool:
         if peer.incarnation == UNKNOWN:
             return True
         return (
-            now_ms - peer.heard_ms >= HEARTBEAT_TIMEOUT_MS * self._read_scale()
+            now_ms - peer.heard_ms
+            >= HEARTBEAT_TIMEOUT_MS * self._compute_interval_scale()
         )
 
-    def _read_scale(self) -> float:
+    def _compute_interval_scale(self) -> float:
         return max((len(self._peers) + 1) / HEARTBEAT_SCALING_VMS, 1.0)
 
-    def _forget_gone(self, now_ms: int) -> None:
-        gone = [
+    def _evict_peers(self, now_ms: int) -> None:
+        evicted = [
             name
             for name, peer in self._peers.items()
             if now_ms - peer.heard_ms >= EVICTION_TIMEOUT_MS
         ]
-        for name in gone:
-            self._gone[name] = self._peers.pop(name)
-        while len(self._gone) > MAX_EVICTED_PEERS:
-            self._gone.popitem(last=False)
+        for name in evicted:
+            self._evicted[name] = self._peers.pop(name)
+        while len(self._evicted) > MAX_EVICTED_PEERS:
+            self._evicted.popitem(last=False)
 
-    def _find(self, account: str, now_ms: int) -> usage_bucket.UsageBucket:
+    def _find_bucket(
+        self, account: str, now_ms: int
+    ) -> usage_bucket.UsageBucket:
         bucket = self._buckets.get(account)
         if bucket is None:
             bucket = self._buckets[account] = usage_bucket.UsageBucket(now_ms)
--- a/mulberryway/policy/usage_bucket.py
+++ b/mulberryway/policy/usage_bucket.py
@@ -52,27 +52,30 @@
 
         :param vms: number of VMs
         """
-        least = self.margin * UNANNOUNCED_MARGIN_FRACTION / vms
-        return abs(self.unannounced) <= least and self.level * 2 >= self.burst
+        threshold = self.margin * UNANNOUNCED_MARGIN_FRACTION / vms
+        return (
+            abs(self.unannounced) <= threshold and self.level * 2 >= self.burst
+        )
 
-    def refill(self, part: float, now_ms: int) -> None:
+    def refill(self, fraction: float, now_ms: int) -> None:
         """Add the tokens that accrued since the last refill.
 
-        :param part: fraction of the rate that may be granted here
+        :param fraction: fraction of the rate that may be granted here
         :param now_ms: current time in ms
         """
-        passed_ms = max(now_ms - self.updated_ms, 0)
+        elapsed_ms = max(now_ms - self.updated_ms, 0)
         self.updated_ms = now_ms
         self.level = min(
-            self.level + self.rate * part * passed_ms / MS_IN_S, self.burst
+            self.level + self.rate * fraction * elapsed_ms / MS_IN_S,
+            self.burst,
         )
         self.shared_level = max(
-            self.level, 0.0 if part >= 1 else self.shared_level
+            self.level, 0.0 if fraction >= 1 else self.shared_level
         )
 
-    def compute_available(self, part: float) -> float:
+    def compute_available(self, fraction: float) -> float:
         """Return the number of tokens that may be granted here.
 
-        :param part: fraction of all rates that may be granted here
+        :param fraction: fraction of all rates that may be granted here
         """
-        return self.level - self.shared_level * (1.0 - part)
+        return self.level - self.shared_level * (1.0 - fraction)
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -1,6 +1,6 @@
-"""VMs that count allowances together, on a clock that a test turns.
+"""VMs that share allowances, on a manual clock.
 
-The platform and the network work; calls and messages are counted.
+The platform and the network have no faults; calls and messages are counted.
 """
 
 import collections
@@ -22,7 +22,7 @@
 
 
 class Store(platform.ObjectStore):
-    """A platform in memory that counts calls."""
+    """An object store in memory that counts calls."""
 
     def __init__(self, vms):
         self.objects = {}
@@ -70,14 +70,14 @@
 
 
 class Vm:
-    """One VM's part in allowances; knows the others without messages."""
+    """One VM's allowance controllers; members are known without messages."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
         self.own = member.Member(name, name, 1, 2, "z", "r", 1)
         self.state = allowance_state.AllowanceState(self.own)
-        answers = allowances.AllowanceService(self.state, fleet.clock)
-        fleet.network.attach(self.own.peer, service.Processor(answers))
+        handler = allowances.AllowanceService(self.state, fleet.clock)
+        fleet.network.attach(self.own.peer, service.Processor(handler))
         self.allowances = allowances.AllowancesController(
             self.state,
             fleet.source,
@@ -96,7 +96,7 @@
 
 
 class Fleet:
-    """VMs with shares, or with the fixed split."""
+    """VMs that lease slots, or that use static fractions."""
 
     def __init__(self, count, source, is_split):
         self.clock = clock.ManualClock(1_000)
@@ -132,7 +132,7 @@
 
 
 class IdealAllowances(allowance.Allowances):
-    """One bucket for the whole fleet, as if messages cost nothing."""
+    """One bucket for the whole fleet, as if messages had no cost."""
 
     def __init__(self, accounts, clock_):
         self.clock = clock_
@@ -147,7 +147,7 @@
         if not bucket.take(tokens, now_ms):
             return _fail("OVER_ALLOWANCE")
         reservation = allowance.Reservation(account, tokens)
-        return expression.Ok((reservation, bucket.stamp(now_ms)))
+        return expression.Ok((reservation, bucket.mark(now_ms)))
 
     def settle(self, pair, used):
         reservation, stamp = pair
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -56,7 +56,7 @@
         self.fault = None
         self.has_lapsed = False
 
-    def is_usable(self, reservation):
+    def commit(self, reservation):
         return not self.has_lapsed
 
     def reserve(self, account, tokens):
--- a/tests/test_allowance_sockets.py
+++ b/tests/test_allowance_sockets.py
@@ -1,4 +1,4 @@
-"""Three VMs in one process that lend one another tokens over sockets."""
+"""Three VMs in one process that lend tokens to each other over sockets."""
 
 import time
 import unittest
@@ -16,12 +16,12 @@
 from tests import allowance_simulation
 
 SECRET = "fleet secret"
-GUARD_S = 20
+TIMEOUT_S = 20
 RATE, BURST = 10_000, 8_000
 
 
 class Vm:
-    """One VM's allowances; membership is shared in memory."""
+    """One VM's allowance controllers; membership is shared in memory."""
 
     def __init__(self, name, store, source, members):
         clock_ = clock.SystemClock()
@@ -74,7 +74,7 @@
         result = self.allowances.reserve("tea", tokens)
         if not result.is_ok():
             return 0
-        return tokens * self.allowances.is_usable(result.ok)
+        return tokens * self.allowances.commit(result.ok)
 
 
 class AllowanceSocketsTest(unittest.TestCase):
@@ -92,23 +92,25 @@
             vm.start()
 
     def wait_for(self, is_met):
-        end_s = time.monotonic() + GUARD_S
+        deadline_s = time.monotonic() + TIMEOUT_S
         while not is_met():
-            self.assertLess(time.monotonic(), end_s, "nothing happened")
+            self.assertLess(
+                time.monotonic(), deadline_s, "condition timed out"
+            )
             time.sleep(0.05)
 
     def count_held(self, vms):
-        return sum(len(vm.state.keeper.holdings) for vm in vms)
+        return sum(len(vm.state.lease_manager.holdings) for vm in vms)
 
-    def test_one_vm_uses_what_all_hold_and_a_stop_hands_over(self):
-        """All callers meet one VM, and later another VM is stopped."""
+    def test_one_vm_borrows_from_all_and_a_stopped_vm_is_replaced(self):
+        """Callers connect to one VM only, and then another VM shuts down."""
         self.wait_for(lambda: self.count_held(self.vms) == 512)
         self.wait_for(lambda: self.vms[0].take(BURST * 3 // 4) > 0)
         self.vms[1].stop()
         self.assertEqual(self.count_held(self.vms[1:2]), 0)
-        rest = [self.vms[0], self.vms[2]]
+        remaining = [self.vms[0], self.vms[2]]
         del self.vms[0].members[1]
-        self.wait_for(lambda: self.count_held(rest) == 512)
+        self.wait_for(lambda: self.count_held(remaining) == 512)
         self.wait_for(lambda: self.vms[2].take(BURST * 3 // 4) > 0)
-        for vm in rest:
+        for vm in remaining:
             vm.stop()
--- a/tests/test_allowance_split.py
+++ b/tests/test_allowance_split.py
@@ -1,4 +1,4 @@
-"""The fixed split, the baseline for allowances."""
+"""Static rate limiter, the baseline for allowances."""
 
 import unittest
 
@@ -22,11 +22,11 @@
     def put(self, revision, rate, burst):
         account = tables.ClientAccount("tea", (), rate, burst)
         self.current = tables.Tables(revision, (), (), (account,))
-        for tell in self.on_change:
-            tell(self.current)
+        for callback in self.on_change:
+            callback(self.current)
 
 
-class SplitAllowancesTest(unittest.TestCase):
+class StaticAllowancesTest(unittest.TestCase):
     def setUp(self):
         self.clock = clock.ManualClock()
         self.source = FakeSource()
@@ -35,15 +35,15 @@
         )
         self.source.put(1, 400, 4_000)
 
-    def test_a_part_of_rate_and_burst(self):
+    def test_fraction_of_rate_and_burst(self):
         self.assertFalse(self.allowances.reserve("tea", 1).is_ok())
         self.clock.advance_ms(1_002)
         self.assertTrue(self.allowances.reserve("tea", 100).is_ok())
-        refused = self.allowances.reserve("tea", 50)
-        self.assertIs(refused.error.code, errors.Code.OVER_ALLOWANCE)
-        self.assertEqual(refused.error.retry_after_ms, 500)
+        rejected = self.allowances.reserve("tea", 50)
+        self.assertIs(rejected.error.code, errors.Code.OVER_ALLOWANCE)
+        self.assertEqual(rejected.error.retry_after_ms, 500)
 
-    def test_settle_gives_back(self):
+    def test_settle_refunds(self):
         self.clock.advance_ms(1_002)
         reserved = self.allowances.reserve("tea", 100)
         self.allowances.settle(reserved.ok, 30)
@@ -54,6 +54,6 @@
         self.assertFalse(self.allowances.reserve("nobody", 1).is_ok())
         self.clock.advance_ms(1_000)
         self.source.current = tables.Tables(2, (), (), ())
-        for tell in self.source.on_change:
-            tell(self.source.current)
+        for callback in self.source.on_change:
+            callback(self.source.current)
         self.assertFalse(self.allowances.reserve("tea", 1).is_ok())
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket against the window bound, in exact arithmetic."""
+"""Token bucket against the bound on any window, in exact arithmetic."""
 
 import random
 import unittest
@@ -7,43 +7,43 @@
 
 
 class TokenBucketTest(unittest.TestCase):
-    def test_parts_lose_nothing(self):
+    def test_partitions_are_exact(self):
         bucket = token_bucket.TokenBucket(10, 70, 7, 0, is_full=True)
         self.assertEqual(bucket.read_level(0), 10)
         self.assertTrue(bucket.take(10, 0))
-        # A seventh of ten tokens a second, less a thousandth.
+        # A seventh of ten tokens per second, less one per mille.
         self.assertEqual(bucket.read_level(700), 0)
         self.assertEqual(bucket.read_level(701), 1)
         self.assertEqual(bucket.time_until(10, 701), 6_307)
         self.assertIsNone(bucket.time_until(11, 701))
 
-    def test_refund_is_whole_while_nothing_overflowed(self):
+    def test_refund_is_complete_without_overflow(self):
         bucket = token_bucket.TokenBucket(10, 1_000, 1, 0, is_full=True)
         stamps = []
         for _ in range(10):
             self.assertTrue(bucket.take(100, 0))
-            stamps.append(bucket.stamp(0))
+            stamps.append(bucket.mark(0))
         refunds = [bucket.refund(90, stamp, 1) for stamp in stamps]
         self.assertEqual(refunds, [90] * 10)
 
-    def test_late_refund_brings_no_second_burst(self):
-        """A caller reserves its whole burst, uses nothing and waits.
+    def test_late_refund_allows_no_second_burst(self):
+        """Guards against a burst twice in one window.
 
-        The bucket fills again; were the refund then added, the caller would
-        have its burst twice at once.
+        A caller reserves its whole burst, uses nothing and waits until the
+        bucket is full again.  The refund must not be added to that.
         """
         bucket = token_bucket.TokenBucket(10, 100, 1, 0, is_full=True)
         bucket.take(100, 0)
-        stamp = bucket.stamp(0)
+        stamp = bucket.mark(0)
         self.assertTrue(bucket.take(100, 11_000))
         self.assertEqual(bucket.refund(100, stamp, 11_000), 0)
         self.assertFalse(bucket.take(1, 11_000))
 
-    def test_tokens_on_loan_leave_no_room(self):
-        """A lender refills while a borrower still holds what it lent.
+    def test_tokens_on_loan_reserve_capacity(self):
+        """Guards against a burst twice in one window.
 
-        Both could spend a full burst at once, and the account would have
-        its burst twice.
+        A lender's bucket refills while a borrower still holds its tokens, and
+        both could spend a full burst at once.
         """
         bucket = token_bucket.TokenBucket(10, 100, 1, 0, is_full=True)
         self.assertTrue(bucket.lend(60, 0))
@@ -53,17 +53,17 @@
         self.assertEqual(bucket.read_level(70_000), 100)
         self.assertFalse(bucket.take(101, 70_000))
 
-    def test_change_brings_no_tokens(self):
+    def test_update_limits_adds_no_tokens(self):
         bucket = token_bucket.TokenBucket(10, 100, 1, 0, is_full=True)
-        bucket.change(20, 40, 0)
+        bucket.update_limits(20, 40, 0)
         self.assertEqual(bucket.read_level(0), 40)
-        bucket.change(20, 400, 0)
+        bucket.update_limits(20, 400, 0)
         self.assertEqual(bucket.read_level(0), 40)
 
     def test_used_tokens_keep_the_window_bound(self):
-        """Requests reserve too much and settle late, in any order.
+        """Guards against an account getting more than its rate and burst.
 
-        A user would see its account get more than its rate and burst.
+        Requests reserve too many tokens and settle late, in any order.
         """
         for seed in range(100):
             rng = random.Random(seed)
@@ -80,7 +80,7 @@
 
 
 def _run_random_requests(rng):
-    """Return pairs of time and thousandths of tokens that were used."""
+    """Return pairs of time in ms and used thousandths of tokens."""
     bucket = token_bucket.TokenBucket(5, 200, 1, 0, is_full=True)
     now_ms = 0
     used, pending = [], []
@@ -90,7 +90,7 @@
         if bucket.take(tokens, now_ms):
             spent = rng.randint(0, tokens)
             used.append((now_ms, spent * 1_000))
-            pending.append((tokens - spent, bucket.stamp(now_ms)))
+            pending.append((tokens - spent, bucket.mark(now_ms)))
         if pending and rng.random() < 0.5:
             unused, stamp = pending.pop(rng.randrange(len(pending)))
             bucket.refund(unused, stamp, now_ms)
