--- a/mulberryway/controllers/allowance_state.py
+++ b/mulberryway/controllers/allowance_state.py
@@ -71,7 +71,7 @@
     @property
     def borrower_name(self) -> str:
         """Name that identifies this process to lenders."""
-        return f"{self.keeper.vm}/{self.keeper.incarnation}"
+        return f"{self.lease_manager.vm}/{self.lease_manager.incarnation}"
 
 
 def pack_holdings(slots: list[int]) -> bytes:
