--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -23,7 +23,7 @@
     caller the time for trying elsewhere, and has delayed other jobs.  So it
     is rejected at once, before it runs, with a retry hint.
 
-    :param fair: fair queue of the pool
+    :param queue: fair queue of the pool
     :param placer: placer of the pool
     :param peers: account state received from peers
     :param stats: statistics of the pool
@@ -33,12 +33,12 @@
 
     def __init__(
         self,
-        fair: fair_queue.FairQueue,
+        queue: fair_queue.FairQueue,
         placer: job_placement.Placer,
         peers: peer_accounts.PeerAccounts,
         stats: pool_stats.PoolStats,
     ) -> None:
-        self._queue = fair
+        self._queue = queue
         self._placer = placer
         self._peers = peers
         self._stats = stats
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -120,7 +120,8 @@
         self._numbers = itertools.count(1)
         self._heartbeats = 0
         self._startup_sync_until_ms = now_ms + STARTUP_FULL_SYNC_MS
-        # Accounts announced since the last heartbeat, and between the last two.
+        # Accounts announced since the last heartbeat, and in the interval
+        # before it.
         self._recent: set[str] = set()
         self._earlier: set[str] = set()
         self._buckets: dict[str, usage_bucket.UsageBucket] = {}
