--- a/mulberryway/policy/static_allowances.py
+++ b/mulberryway/policy/static_allowances.py
@@ -1,7 +1,7 @@
-"""The baseline: each VM has a fixed part of every rate and burst.
+"""Baseline rate limiter: each VM gets a fixed fraction of rate and burst.
 
-It needs no message and never overruns while the number of VMs is right, but
-it refuses an account whose callers meet few of the VMs.
+It needs no messages and never overruns while the configured number of VMs is
+right, but it rejects accounts whose callers connect to only a few VMs.
 """
 
 import threading
@@ -17,8 +17,8 @@
 __all__ = ["StaticAllowances"]
 
 
-class _SplitReservation(allowance.Reservation):
-    """Remembers the bucket, and when the tokens were taken from it."""
+class _StaticReservation(allowance.Reservation):
+    """A reservation with its bucket and the mark taken after it."""
 
     __slots__ = ("bucket", "stamp")
 
@@ -37,11 +37,12 @@
 class StaticAllowances(allowance.Allowances):
     """Divides each account's rate and burst evenly over a number of VMs.
 
-    Buckets begin empty, so that a VM which restarts brings no second burst.
+    Buckets start empty, so that a restart does not allow a burst twice in one
+    window.
 
-    :param source: the tables in force
-    :param clock_: where the time comes from
-    :param vms: over how many VMs
+    :param source: source of the active tables
+    :param clock_: time source
+    :param vms: number of VMs
     """
 
     def __init__(
@@ -52,35 +53,37 @@
         self._vms = vms
         self._lock = threading.Lock()
         self._buckets: dict[str, token_bucket.TokenBucket] = {}
-        source.subscribe(self._take_tables)
+        source.subscribe(self._apply_tables)
         current = source.read_tables()
         if current is not None:
-            self._take_tables(current)
+            self._apply_tables(current)
 
     def reserve(
         self, account: str, tokens: int
     ) -> expression.Result[allowance.Reservation, errors.Fault]:
-        """Take tokens for a request before it runs.
+        """Reserve tokens for a request before it runs.
 
-        :param account: the client account
-        :param tokens: the prompt and the most that can be generated
+        :param account: name of the client account
+        :param tokens: prompt tokens plus the maximum of generated tokens
         :returns: the reservation, or ``OVER_ALLOWANCE`` with a retry hint
         """
         now_ms = self._clock.now_ms()
         with self._lock:
             bucket = self._buckets.get(account)
             if bucket is None or not bucket.take(tokens, now_ms):
-                return expression.Error(_refuse(bucket, tokens, now_ms))
-            stamp = bucket.stamp(now_ms)
-        return expression.Ok(_SplitReservation(account, tokens, bucket, stamp))
+                return expression.Error(_reject(bucket, tokens, now_ms))
+            stamp = bucket.mark(now_ms)
+        return expression.Ok(
+            _StaticReservation(account, tokens, bucket, stamp)
+        )
 
     def settle(self, reservation: allowance.Reservation, used: int) -> None:
-        """Give back what a request did not use; called exactly once.
+        """Refund tokens that a request did not use; call exactly once.
 
-        :param reservation: what was taken
-        :param used: tokens that the caller received or that were computed
+        :param reservation: the reservation
+        :param used: number of tokens computed or received by the caller
         """
-        if not isinstance(reservation, _SplitReservation):
+        if not isinstance(reservation, _StaticReservation):
             return
         unused = max(reservation.tokens - used, 0)
         with self._lock:
@@ -88,32 +91,34 @@
                 unused, reservation.stamp, self._clock.now_ms()
             )
 
-    def _take_tables(self, current: tables.Tables) -> None:
+    def _apply_tables(self, current: tables.Tables) -> None:
         now_ms = self._clock.now_ms()
         with self._lock:
-            gone = self._buckets.keys() - current.accounts.keys()
-            for name in gone:
+            removed = self._buckets.keys() - current.accounts.keys()
+            for name in removed:
                 del self._buckets[name]
             for account in current.accounts.values():
-                self._change(account, now_ms)
+                self._apply_limits(account, now_ms)
 
-    def _change(self, account: tables.ClientAccount, now_ms: int) -> None:
+    def _apply_limits(
+        self, account: tables.ClientAccount, now_ms: int
+    ) -> None:
         bucket = self._buckets.get(account.name)
         if bucket is None:
             self._buckets[account.name] = token_bucket.TokenBucket(
                 account.rate, account.burst, self._vms, now_ms
             )
         else:
-            bucket.change(account.rate, account.burst, now_ms)
+            bucket.update_limits(account.rate, account.burst, now_ms)
 
 
-def _refuse(
+def _reject(
     bucket: token_bucket.TokenBucket | None, tokens: int, now_ms: int
 ) -> errors.Fault:
     wait_ms = None if bucket is None else bucket.time_until(tokens, now_ms)
     return errors.Fault(
         errors.Code.OVER_ALLOWANCE,
         errors.Step.ADMISSION,
-        message="the client account's allowance is used up",
+        message="the client account's allowance is exhausted",
         retry_after_ms=wait_ms,
     )
