--- a/mulberryway/filters/__init__.py
+++ b/mulberryway/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The chain that each request passes through."""
+"""Filters that process each request, and the chain that runs them."""
--- a/mulberryway/filters/attempt.py
+++ b/mulberryway/filters/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a model request at a prefill and a decode engine."""
+"""One attempt to run a model request on a prefill and a decode engine."""
 
 import threading
 
@@ -11,19 +11,20 @@
 
 
 class Attempt:
-    """Holds a decode slot, and engine memory, until it is ended.
-
-    The end comes from whichever notices first: the worker thread, the
-    relay's loop or the caller's going.  Only the first counts, so a slot is
-    given back once.
-
-    :param label: names it at the engines
-    :param job_id: names it at the scheduler
-    :param prefill: the engine for the prefill
-    :param decode: the engine whose slot is reserved
-    :param prefill_name: the prefill engine's name in its pool
-    :param decode_name: the decode engine's name in its pool
-    :param chosen_ms: when the decode engine was chosen
+    """Holds a decode slot and KV cache until the attempt ends.
+
+    A worker thread, the relay's event loop or the disconnect monitor may end
+    an attempt.  Only the first call has an effect, so the slot is released
+    exactly once.
+
+    :param label: identifies the attempt to the engines
+    :param job_id: identifies the attempt to the scheduler
+    :param prefill: the prefill engine
+    :param decode: the decode engine, where a slot is reserved
+    :param assignment: the scheduler's choice of engines
+    :param scheduling_: releases the slot when the attempt ends
+    :param cancelling_: sends cancellations to the engines
+    :param chosen_ms: when the decode engine was chosen, in ms
     """
 
     __slots__ = (
@@ -40,7 +41,7 @@
         "_scheduling",
         "_cancelling",
         "_lock",
-        "_is_over",
+        "_has_ended",
         "_is_cancelled",
     )
 
@@ -68,27 +69,27 @@
         self._scheduling = scheduling_
         self._cancelling = cancelling_
         self._lock = threading.Lock()
-        self._is_over = False
+        self._has_ended = False
         self._is_cancelled = False
 
     def end(self, how: jobs.JobOutcome, failed_upstream: str = "") -> None:
-        """Give the slot back, and free engine memory unless all went well.
+        """Release the slot; cancel at the engines unless the attempt is done.
 
-        :param how: how it ended
+        :param how: the outcome of the attempt
         :param failed_upstream: the name of the upstream that failed, if any
         """
         with self._lock:
-            if self._is_over:
+            if self._has_ended:
                 return
-            self._is_over = True
+            self._has_ended = True
         self._scheduling.finish(self.job_id, how, failed_upstream)
         if how is not jobs.JobOutcome.DONE:
             self.free()
 
     def require_reservation(self, tokens: int) -> None:
-        """Let the decode begin only where the engine has reserved its room.
+        """Require a KV cache reservation before the decode may start.
 
-        :param tokens: tokens of KV cache that it needs at least
+        :param tokens: the minimum size of the reservation in tokens
         """
         self.kv_tokens = max(self.kv_tokens, tokens)
         self.requires_reservation = True
@@ -96,11 +97,11 @@
     def reassign_decode(
         self, name: str, engine: upstreams.Engine, now_ms: int
     ) -> None:
-        """Decode elsewhere, for the engine chosen first has refused.
+        """Move the decode to another engine after the first one failed.
 
-        :param name: the other upstream's name
-        :param engine: the other upstream
-        :param now_ms: the present
+        :param name: the name of the new decode engine
+        :param engine: the new decode engine
+        :param now_ms: the current time in ms
         """
         with self._lock:
             self.chosen_ms = now_ms
@@ -108,10 +109,10 @@
             self.decode = engine
 
     def free(self) -> None:
-        """Let both engines free what they hold; the slot is kept.
+        """Cancel at both engines so that they free memory; keep the slot.
 
-        While a worker still waits for an engine, its answer to this cancel
-        is what wakes the worker up.
+        A worker that is waiting for an engine wakes up when the engine answers
+        this cancellation.
         """
         with self._lock:
             if self._is_cancelled:
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the client account to which a request's key belongs."""
+"""Authenticates requests by their API key."""
 
 import expression
 
@@ -14,16 +14,16 @@
 
 
 class Authentication(base.Filter):
-    """Checks the key of every request and takes it out of the request.
+    """Checks the API key of each request and removes it from the request.
 
-    A connection says nothing about its next request: keys are withdrawn
-    while connections stay open.
+    The key is checked per request, not per connection, because keys may be
+    revoked while a connection is open.
 
-    :param source: the tables in force
-    :param scheme: the word before the key in ``Authorization``
-    :param scrubs_whole_request: whether the key is sought in all of the
-        request; if not, the body goes on unchanged and only headers are looked
-        at
+    :param source: provides the active tables
+    :param scheme: the prefix of the key in ``Authorization``
+    :param scrubs_whole_request: whether the key is removed from the whole
+        request; if not, only headers are checked and the body is forwarded
+        unchanged
     """
 
     def __init__(
@@ -34,16 +34,16 @@
     ) -> None:
         self._source = source
         self._scheme = scheme
-        self._cleans_whole = scrubs_whole_request
+        self._scrubs_whole_request = scrubs_whole_request
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Let a request with a known key go on, without the key.
+        """Forward a request with a valid key, without the key.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers, or a fault
+        :returns: the chain's answer, or a fault
         """
         found = self._source.read_tables()
         if found is None:
@@ -51,7 +51,7 @@
                 errors.Fault(
                     errors.Code.NO_CONFIGURATION,
                     errors.Step.TABLES,
-                    message="no tables are known yet",
+                    message="no configuration has been loaded yet",
                     retry_after_ms=RETRY_AFTER_MS,
                 )
             )
@@ -61,11 +61,11 @@
         if account is None and has_public_route(found, exchange):
             account = tables.ANONYMOUS_ACCOUNT
         if account is None:
-            return expression.Error(_refuse())
+            return expression.Error(_reject())
         exchange.tables = found
         exchange.key_digest = digest
         exchange.account = account
-        if not self._cleans_whole:
+        if not self._scrubs_whole_request:
             credentials.strip_key_headers(exchange, key)
             return proceed(exchange)
         cleaned = credentials.CredentialScrubber(key).scrub(exchange)
@@ -77,14 +77,14 @@
 def revalidate_key(
     source: tables.TableSource, exchange: base.Exchange, step: errors.Step
 ) -> expression.Result[None, errors.Fault]:
-    """Check again that a request's key still belongs to its account.
+    """Check that a request's key still belongs to its account.
 
-    A request may have waited for seconds; in that time its key may have
-    been withdrawn, and nothing may run on it any more.
+    A request may wait in the queue for seconds.  If its key was revoked in the
+    meantime, it must not run.
 
-    :param source: the tables in force
+    :param source: provides the active tables
     :param exchange: the request
-    :param step: where it stands now
+    :param step: the step to report in the fault
     :returns: nothing, or ``UNAUTHENTICATED``
     """
     found = source.read_tables()
@@ -94,14 +94,14 @@
         None if found is None else found.find_account(exchange.key_digest)
     )
     if account is None or account.name != exchange.account.name:
-        return expression.Error(_refuse(step))
+        return expression.Error(_reject(step))
     return expression.Ok(None)
 
 
 def has_public_route(found: tables.Tables, exchange: base.Exchange) -> bool:
-    """Tell whether a request needs no key.
+    """Return whether a request needs no key.
 
-    :param found: the tables in force
+    :param found: the active tables
     :param exchange: the request
     :returns: whether its route is public
     """
@@ -117,7 +117,7 @@
     return value[len(scheme) :].strip()
 
 
-def _refuse(step: errors.Step = errors.Step.CALLER) -> errors.Fault:
+def _reject(step: errors.Step = errors.Step.CALLER) -> errors.Fault:
     return errors.Fault(
-        errors.Code.UNAUTHENTICATED, step, message="no valid key"
+        errors.Code.UNAUTHENTICATED, step, message="no valid API key"
     )
--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -1,4 +1,4 @@
-"""What passes through the filter chain, and what a filter is."""
+"""The interface of filters and the data that they pass on."""
 
 import abc
 import collections.abc
@@ -28,9 +28,9 @@
 
 
 class StreamedAnswer:
-    """An answer that goes on after the chain has ended.
+    """An answer that is still being sent after the chain has returned.
 
-    :param stream: what the relay carries to the caller
+    :param stream: the stream that the relay sends to the caller
     """
 
     __slots__ = ("stream",)
@@ -40,11 +40,11 @@
 
 
 class Outcome:
-    """How a request came to its end.
+    """The result of a finished request.
 
-    :param fault: why the caller got no whole answer; none if it did
-    :param used_tokens: what an allowance is charged
-    :param tokens: how many tokens were generated
+    :param fault: why the answer is incomplete; none if it is complete
+    :param used_tokens: the tokens to charge to the allowance
+    :param tokens: the number of generated tokens
     """
 
     __slots__ = ("fault", "used_tokens", "tokens")
@@ -57,16 +57,16 @@
         self.tokens = tokens
 
 
-Finisher = collections.abc.Callable[[Outcome], None]
+CompletionCallback = collections.abc.Callable[[Outcome], None]
 Answer = expression.Result[replies.Reply | StreamedAnswer, errors.Fault]
 
 
 class TokenReservation:
-    """The tokens of one request, from its admission to its end.
+    """The allowance tokens reserved for one request.
 
-    :param allowances: the accounts' tokens
+    :param allowances: the token allowances of all client accounts
     :param account: the client account
-    :param tokens: the prompt and the most that may be generated
+    :param tokens: the prompt tokens plus the maximum output tokens
     """
 
     __slots__ = ("_allowances", "_account", "_tokens", "_reservation")
@@ -80,7 +80,7 @@
         self._reservation: allowance.Reservation | None = None
 
     def reserve(self) -> expression.Result[None, errors.Fault]:
-        """Take the tokens.
+        """Reserve the tokens.
 
         :returns: nothing, or ``OVER_ALLOWANCE``
         """
@@ -91,53 +91,54 @@
         return expression.Ok(None)
 
     def confirm(self) -> expression.Result[None, errors.Fault]:
-        """Make sure of the tokens, right before an upstream is called.
+        """Check the reservation right before an upstream is called.
 
-        A request that waited for long, or a process that was paused, may
-        hold tokens that have passed on meanwhile; were they used all the
-        same, the account would get more than its rate.  They are taken anew
-        then, once: what lapses at once again is a sign of another pause.
+        After a long wait in the queue or a pause of the process, the tokens
+        may have expired and been granted to other requests.  Using them
+        anyway would let the account exceed its rate, so they are reserved
+        again.  This is done once only: if the new reservation expires at
+        once, the process was paused again.
 
         :returns: nothing, or ``OVER_ALLOWANCE``
         """
-        if self._is_usable():
+        if self._is_valid():
             return expression.Ok(None)
         self.settle(0)
         reserved = self.reserve()
-        if reserved.is_error() or self._is_usable():
+        if reserved.is_error() or self._is_valid():
             return reserved
         return expression.Error(
             errors.Fault(
                 errors.Code.OVER_ALLOWANCE,
                 errors.Step.QUEUE,
-                message="the tokens lapsed while the request waited",
+                message="the token reservation expired in the queue",
                 retry_after_ms=0,
             )
         )
 
     def settle(self, used: int) -> None:
-        """Give back what was not used; nothing if nothing is held.
+        """Return unused tokens; do nothing without a reservation.
 
-        :param used: tokens
+        :param used: the number of tokens that were used
         """
         held, self._reservation = self._reservation, None
         if held is not None:
             self._allowances.settle(held, used)
 
-    def _is_usable(self) -> bool:
+    def _is_valid(self) -> bool:
         held = self._reservation
         return held is not None and self._allowances.is_usable(held)
 
 
 class StageTimings:
-    """How long a model request's steps took, over all its attempts, in ms.
+    """Durations of a model request's stages over all attempts, in ms.
 
-    They tell whether a late stream waited for room, for other prompts or for
-    the engine that decodes.
+    They show whether a late stream waited in the queue, for the prefill or
+    for the decode engine.
 
-    ``queued_ms`` is the wait for a choice of engines, ``read_ms`` the calls
-    that had the prompt read, ``begin_ms`` the time from sending a decode to
-    its reply's head.
+    ``queued_ms`` is the time until engines were chosen, ``read_ms`` the time
+    of the prefill calls, and ``begin_ms`` the time from sending a decode
+    request to receiving the response headers.
     """
 
     __slots__ = ("queued_ms", "read_ms", "begin_ms")
@@ -149,18 +150,19 @@
 
 
 class Exchange:
-    """One request and what the filters have found out about it.
+    """One request and the state that the filters add to it.
 
-    :param request_id: unique in the fleet; also in the reply
+    :param request_id: unique in the fleet; also sent in the reply
     :param method: the HTTP method
     :param path: the path, percent-decoded
-    :param target: path and query as they came
-    :param headers: pairs as they came; filters take credentials out
-    :param body: the whole body
+    :param target: path and query as received
+    :param headers: name and value pairs as received; filters remove
+        credentials
+    :param body: the complete body
     :param connection: the caller's socket
-    :param head: writes the reply's head
-    :param release: takes the connection back after it was lent
-    :param arrived_ms: when the request came
+    :param head: writes the reply's status line and headers
+    :param release: returns the connection to the server after streaming
+    :param arrived_ms: when the request arrived, in ms
     """
 
     __slots__ = (
@@ -196,7 +198,7 @@
         "first_ms",
         "gap_ms",
         "stages",
-        "_finishers",
+        "_completion_callbacks",
         "_lock",
     )
 
@@ -229,35 +231,35 @@
         self.account: tables.ClientAccount
         self.route: tables.Route
         self.pool: tables.Pool
-        # A model request's body, parsed and without credentials.
-        # Where upstreams take requests as they came it is a ``RawCall``.
+        # The parsed body of a model request, without credentials.
+        # A ``RawCall`` where requests are forwarded unchanged.
         self.call: typing.Any = {}
         self.model = ""
         self.prefix_hashes: tuple[str, ...] = ()
         self.charge: TokenReservation | None = None
         self.estimate = 0
         self.max_tokens = 0
-        # How many tokens the answer probably has; 0 for as many as it may.
+        # The predicted number of output tokens; 0 if there is no prediction.
         self.expected_tokens = 0
         self.digest = ""
         self.span: traces.Span = traces.NO_SPAN
         self.has_gone = threading.Event()
-        # Prompt tokens that engines have computed for this request.
+        # Prompt tokens prefilled for this request, over all attempts.
         self.prefilled_tokens = 0
         # Names of the upstreams that it was sent to, in order.
         self.tried: list[str] = []
-        # When each was chosen, counted from the request's arrival.
+        # The time of each attempt, in ms after the request's arrival.
         self.tried_ms: list[int] = []
-        # Of a stream: when its first piece came, counted from the request's
-        # arrival, and the longest time between two pieces; 0 for none yet.
+        # For streams: the time of the first piece in ms after the request's
+        # arrival, and the longest inter-token gap in ms; 0 for none yet.
         self.first_ms = 0
         self.gap_ms = 0
         self.stages = StageTimings()
-        self._finishers: list[Finisher] = []
+        self._completion_callbacks: list[CompletionCallback] = []
         self._lock = threading.Lock()
 
     def find_header(self, name: str) -> str | None:
-        """Return a header's value.
+        """Return the value of a header.
 
         :param name: the name in lower case
         :returns: the value, or none
@@ -268,46 +270,50 @@
         )
 
     def record_attempt(self, upstream: str, now_ms: int) -> None:
-        """Note an upstream that the request is sent to.
+        """Record that the request is sent to an upstream.
 
-        :param upstream: its name
-        :param now_ms: the present
+        :param upstream: the upstream's name
+        :param now_ms: the current time in ms
         """
         self.tried.append(upstream)
         self.tried_ms.append(now_ms - self.arrived_ms)
 
-    def add_completion_callback(self, finisher: Finisher) -> None:
-        """Have something done when the request has ended, on every path.
+    def add_completion_callback(self, callback: CompletionCallback) -> None:
+        """Register a callback that is called when the request has ended.
 
-        :param finisher: gets the outcome, on whatever thread it comes
+        :param callback: receives the outcome, on any thread and however the
+            request ends
         """
-        self._finishers.append(finisher)
+        self._completion_callbacks.append(callback)
 
     def finish(self, outcome: Outcome) -> None:
-        """Do what has to be done at the end; further calls do nothing.
+        """Call the completion callbacks; further calls do nothing.
 
-        The chain's end and a lent stream's end may both come here; what
-        was reserved must be given back once and not twice.
+        Both the end of the chain and the end of a stream may call this, and
+        reservations must be released only once.
 
-        :param outcome: how it ended
+        :param outcome: the result of the request
         """
         with self._lock:
-            finishers, self._finishers = self._finishers, []
-        for finisher in reversed(finishers):
-            finisher(outcome)
+            callbacks, self._completion_callbacks = (
+                self._completion_callbacks,
+                [],
+            )
+        for callback in reversed(callbacks):
+            callback(outcome)
 
 
 NextHandler = collections.abc.Callable[[Exchange], Answer]
 
 
 class Filter(abc.ABC):
-    """One step of the chain."""
+    """One step of the filter chain."""
 
     @abc.abstractmethod
     def handle(self, exchange: Exchange, proceed: NextHandler) -> Answer:
-        """Answer a request, refuse it, or let the rest of the chain do so.
+        """Answer a request, reject it, or pass it to the rest of the chain.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: a reply, a lent stream, or a fault
+        :returns: a reply, a streamed answer, or a fault
         """
--- a/mulberryway/filters/caller_api.py
+++ b/mulberryway/filters/caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface: which filters see a request, in which order."""
+"""Defines which filters process a request, and in which order."""
 
 import abc
 import collections.abc
@@ -24,15 +24,15 @@
 
 
 class FilterDependencies:
-    """What the filters of a router are made from.
+    """Dependencies that a router's filters are created from.
 
     :param settings_: the settings of the process
-    :param lifecycle: tells whether callers should come
-    :param source: the tables in force
-    :param entries: knows the VMs that take callers
-    :param allowances: the accounts' tokens
-    :param claim_store: grants calls that must run at most once, or none
-    :param parts: what all model requests share
+    :param lifecycle: the state of the VM's startup and shutdown
+    :param source: provides the active tables
+    :param entries: lists the VMs that accept callers
+    :param allowances: the token allowances of all client accounts
+    :param claim_store: claims calls that must run at most once, or none
+    :param parts: the dependencies shared by all model requests
     """
 
     __slots__ = (
@@ -65,36 +65,36 @@
 
 
 class CallerApi(abc.ABC):
-    """Another interface for callers fits in here."""
+    """Base class of the interfaces that a router can offer to callers."""
 
     @abc.abstractmethod
     def make_filters(
         self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
-        """Return the filters for requests, in order.
+        """Return the filters for callers' requests, in order.
 
-        :param context: what they are made from
+        :param context: the dependencies of the filters
         """
 
     def make_auxiliary_filters(
         self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
-        """Return the filters for what is asked on ports of its own.
+        """Return the filters for requests on auxiliary ports.
 
-        :param context: what they are made from
+        :param context: the dependencies of the filters
         """
         return [status.MetricsEndpoint(context.parts.metrics)]
 
 
 class NativeApi(CallerApi):
-    """The project's own interface, as docs/design/interfaces.md tells it."""
+    """The native API, as described in docs/design/interfaces.md."""
 
     def make_filters(
         self, context: FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
-        """Return the filters for requests, in order.
+        """Return the filters for callers' requests, in order.
 
-        :param context: what they are made from
+        :param context: the dependencies of the filters
         """
         settings_, parts = context.settings, context.parts
         return [
--- a/mulberryway/filters/chain.py
+++ b/mulberryway/filters/chain.py
@@ -1,4 +1,4 @@
-"""The order in which filters see a request."""
+"""Runs filters in order."""
 
 import collections.abc
 import logging
@@ -14,27 +14,27 @@
 
 
 class Chain:
-    """Filters, each of which decides whether the next one sees a request.
+    """A sequence of filters, each of which may call the next one.
 
-    :param filters: in order; the last one always answers
+    :param filters: the filters in order; the last one must always answer
     """
 
     def __init__(self, filters: collections.abc.Sequence[base.Filter]) -> None:
         self._filters = tuple(filters)
 
     def handle(self, exchange: base.Exchange) -> base.Answer:
-        """Pass a request through all filters.
+        """Run a request through the filters.
 
-        An exception in a filter is answered like any fault: the worker
-        thread and the connection's state are worth more than the request.
+        An exception in a filter becomes an internal error reply, so that the
+        worker thread and the connection remain usable.
 
         :param exchange: the request
-        :returns: a reply, a lent stream, or a fault
+        :returns: a reply, a streamed answer, or a fault
         """
         try:
             return self._step(0)(exchange)
         except Exception:
-            LOG.exception("a filter failed: request %s", exchange.request_id)
+            LOG.exception("filter failed: request %s", exchange.request_id)
             return expression.Error(
                 errors.Fault(
                     errors.Code.INTERNAL,
@@ -43,14 +43,14 @@
                 )
             )
 
-    def _step(self, place: int) -> base.NextHandler:
-        if place == len(self._filters):
-            return _refuse
-        filter_ = self._filters[place]
-        return lambda exchange: filter_.handle(exchange, self._step(place + 1))
+    def _step(self, index: int) -> base.NextHandler:
+        if index == len(self._filters):
+            return _reject
+        filter_ = self._filters[index]
+        return lambda exchange: filter_.handle(exchange, self._step(index + 1))
 
 
-def _refuse(exchange: base.Exchange) -> base.Answer:
+def _reject(exchange: base.Exchange) -> base.Answer:
     return expression.Error(
         errors.Fault(errors.Code.UNKNOWN_ROUTE, errors.Step.CALLER)
     )
--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -1,4 +1,4 @@
-"""Takes callers' credentials out of what upstreams will see."""
+"""Removes callers' credentials before requests reach upstreams."""
 
 import json
 import typing
@@ -11,7 +11,7 @@
 
 __all__ = ["CredentialScrubber", "strip_key_headers"]
 
-# Headers that carry credentials by their purpose, whatever their value.
+# Headers that always carry credentials, whatever their value.
 SECRET_HEADERS = frozenset(
     (
         "authorization",
@@ -28,8 +28,8 @@
         "x-forwarded-authorization",
     )
 )
-# What the router alone says to upstreams; a caller's own would let it speak
-# for another client account, or free another request's memory.
+# Headers that only the router may set; from a caller they would allow it to
+# impersonate another client account or free another request's memory.
 ROUTER_HEADERS = frozenset(
     (
         "x-request-id",
@@ -56,18 +56,18 @@
 )
 FORM_TYPE = "application/x-www-form-urlencoded"
 REPLACEMENT = "[removed]"
-# A key this short, as people give in trials, may be part of any word, so it
-# is looked for as a whole value only.  Keys that are given out are longer.
+# A shorter key, as used in tests, may occur inside ordinary words, so it is
+# only matched as a whole value.  Issued keys are longer.
 MIN_SUBSTRING_KEY_LENGTH = 8
 
 Json = typing.Any
 
 
 def strip_key_headers(exchange: base.Exchange, key: str) -> None:
-    """Take the headers out that carry a key, and leave the rest as it is.
+    """Remove headers that contain the key and keep all others unchanged.
 
     :param exchange: the request
-    :param key: the key; empty for none
+    :param key: the caller's key; empty for none
     """
     exchange.headers = [
         (name, value)
@@ -77,60 +77,60 @@
 
 
 class CredentialScrubber:
-    """Removes one key from one request.
+    """Removes one API key from one request.
 
-    A key is removed by the usual places of credentials and, wherever else
-    a caller has put it, by its value.
+    Headers and parameters that usually carry credentials are removed, as is
+    the key's value anywhere else in the request.
 
     :param key: the key as the caller presented it
     """
 
-    __slots__ = ("_key", "_raw", "_is_short", "_has_changed")
+    __slots__ = ("_key", "_key_bytes", "_is_short", "_has_changed")
 
     def __init__(self, key: str) -> None:
         self._key = key
-        self._raw = key.encode()
+        self._key_bytes = key.encode()
         self._is_short = len(key) < MIN_SUBSTRING_KEY_LENGTH
         self._has_changed = False
 
     def scrub(
         self, exchange: base.Exchange
     ) -> expression.Result[None, errors.Fault]:
-        """Clean a request in place.
+        """Remove the key from a request in place.
 
         :param exchange: the request
-        :returns: nothing, or ``BAD_REQUEST`` if the key stands where it
-            cannot be taken out without changing what is asked
+        :returns: nothing, or ``BAD_REQUEST`` if the key cannot be removed
+            without changing the meaning of the request
         """
-        if self._holds(exchange.path):
-            return expression.Error(_refuse("the path holds the key"))
+        if self._contains_key(exchange.path):
+            return expression.Error(_reject("the path contains the key"))
         exchange.headers = [
             (name, value)
             for name, value in exchange.headers
             if not self._is_secret_header(name, value)
         ]
         path, mark, query = exchange.target.partition("?")
-        exchange.target = path + mark + self._clean_query(query)
-        return self._clean_body(exchange)
+        exchange.target = path + mark + self._scrub_query(query)
+        return self._scrub_body(exchange)
 
     def _is_secret_header(self, name: str, value: str) -> bool:
-        # Some servers take an underscore for a hyphen.
+        # Some servers treat an underscore in a header name as a hyphen.
         name = name.lower().replace("_", "-")
         return (
             name in SECRET_HEADERS
             or name in ROUTER_HEADERS
-            or self._holds(value)
-            or self._holds(urllib.parse.unquote_plus(value))
-            or self._holds(name)
+            or self._contains_key(value)
+            or self._contains_key(urllib.parse.unquote_plus(value))
+            or self._contains_key(name)
         )
 
-    def _holds(self, text: str) -> bool:
+    def _contains_key(self, text: str) -> bool:
         return self._key == text if self._is_short else self._key in text
 
-    def _remains(self, body: bytes) -> bool:
-        return not self._is_short and self._raw in body
+    def _body_contains_key(self, body: bytes) -> bool:
+        return not self._is_short and self._key_bytes in body
 
-    def _clean_query(self, query: str) -> str:
+    def _scrub_query(self, query: str) -> str:
         return "&".join(
             part
             for part in query.split("&")
@@ -138,57 +138,57 @@
         )
 
     def _is_secret_parameter(self, part: str) -> bool:
-        whole = urllib.parse.unquote_plus(part)
-        name, _, value = whole.partition("=")
+        decoded = urllib.parse.unquote_plus(part)
+        name, _, value = decoded.partition("=")
         return (
             name.lower() in SECRET_PARAMETERS
-            or self._holds(value)
-            or self._holds(whole)
+            or self._contains_key(value)
+            or self._contains_key(decoded)
         )
 
-    def _clean_body(
+    def _scrub_body(
         self, exchange: base.Exchange
     ) -> expression.Result[None, errors.Fault]:
         kind = (exchange.find_header("content-type") or "").lower()
         if exchange.body[:1] in (b"{", b"["):
-            self._clean_json(exchange)
+            self._scrub_json(exchange)
         elif kind.startswith(FORM_TYPE):
             form = exchange.body.decode("latin-1")
-            exchange.body = self._clean_query(form).encode("latin-1")
-        if self._remains(exchange.body):
-            return expression.Error(_refuse("the body holds the key"))
+            exchange.body = self._scrub_query(form).encode("latin-1")
+        if self._body_contains_key(exchange.body):
+            return expression.Error(_reject("the body contains the key"))
         return expression.Ok(None)
 
-    def _clean_json(self, exchange: base.Exchange) -> None:
+    def _scrub_json(self, exchange: base.Exchange) -> None:
         try:
-            value = self._clean_value(json.loads(exchange.body))
+            value = self._scrub_value(json.loads(exchange.body))
         except (ValueError, RecursionError):
-            # Not JSON after all; whoever needs JSON will say so.
+            # Not JSON; a later filter rejects the body if it requires JSON.
             return
-        if self._has_changed or self._remains(exchange.body):
+        if self._has_changed or self._body_contains_key(exchange.body):
             exchange.body = json.dumps(value).encode()
         if isinstance(value, dict):
             exchange.call = value
 
-    def _clean_value(self, value: Json) -> Json:
+    def _scrub_value(self, value: Json) -> Json:
         if isinstance(value, str):
-            return self._clean_text(value)
+            return self._scrub_text(value)
         if isinstance(value, dict):
             return {
-                name: self._clean_value(member)
+                name: self._scrub_value(member)
                 for name, member in value.items()
                 if not self._is_key(name) and not self._is_key(member)
             }
         if isinstance(value, list):
             return [
-                self._clean_value(member)
+                self._scrub_value(member)
                 for member in value
                 if not self._is_key(member)
             ]
         return value
 
-    def _clean_text(self, text: str) -> str:
-        if not self._holds(text):
+    def _scrub_text(self, text: str) -> str:
+        if not self._contains_key(text):
             return text
         self._has_changed = True
         return text.replace(self._key, REPLACEMENT)
@@ -201,7 +201,7 @@
         return found
 
 
-def _refuse(message: str) -> errors.Fault:
+def _reject(message: str) -> errors.Fault:
     return errors.Fault(
         errors.Code.BAD_REQUEST, errors.Step.CALLER, message=message
     )
--- a/mulberryway/filters/model_dependencies.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -1,4 +1,4 @@
-"""What all model requests share."""
+"""Dependencies shared by all model requests."""
 
 import collections.abc
 
@@ -25,7 +25,7 @@
 ]
 
 SourceResult = expression.Result[upstreams.TokenStream, errors.Fault]
-JOB_END_BY_CODE = {
+JOB_OUTCOME_BY_CODE = {
     errors.Code.UPSTREAM_TIMEOUT: jobs.JobOutcome.TIMED_OUT,
     errors.Code.UPSTREAM_REFUSED: jobs.JobOutcome.REFUSED_BY_ENGINE,
     errors.Code.UPSTREAM_UNREACHABLE: jobs.JobOutcome.UNREACHED,
@@ -33,27 +33,37 @@
 
 
 def classify_job_end(fault: errors.Fault) -> jobs.JobOutcome:
-    """Return how an attempt ended that an upstream did not answer whole.
+    """Return the outcome of an attempt without a complete answer.
 
-    :param fault: what befell it
-    :returns: the end; an upstream that may have died of the request is told
-        from one that answered with an error
+    :param fault: the fault that ended the attempt
+    :returns: the outcome; an upstream that may have crashed on the request
+        is distinguished from one that returned an error
     """
     if fault.has_died:
         return jobs.JobOutcome.DIED
-    return JOB_END_BY_CODE.get(fault.code, jobs.JobOutcome.FAILED)
+    return JOB_OUTCOME_BY_CODE.get(fault.code, jobs.JobOutcome.FAILED)
 
 
 class ModelDependencies:
-    """What all model requests share.
+    """Dependencies shared by all model requests.
 
     :param vm: the VM's name
-    :param incarnation: which life of the VM's router this is
-    :param gap_ms: the longest wait for a further token
-    :param try_withdraw_retry: takes a repeat out of a pool's budget for them
-    :param choice_ttl_ms: for how long a chosen upstream may be used without a
-        look at the tables; shorter than upstreams that leave serve on
-    :param cuts_withdrawn: whether a withdrawn key ends running streams
+    :param incarnation: the incarnation of this VM's router
+    :param gap_ms: the timeout for a further token in ms
+    :param clock_: the source of the current time
+    :param source: provides the active tables
+    :param scheduling_: assigns engines to jobs
+    :param cancelling_: sends cancellations to engines
+    :param directory_: finds upstreams
+    :param relay: sends streams to callers
+    :param callers: detects callers that disconnect
+    :param tracer: creates spans
+    :param metrics_: the process's instruments
+    :param try_withdraw_retry: withdraws a retry from a pool's retry budget
+    :param choice_ttl_ms: how long a chosen upstream may be used without
+        checking the tables again, in ms; must be shorter than the time for
+        which draining upstreams still serve
+    :param cuts_withdrawn: whether a revoked key ends running streams
     """
 
     __slots__ = (
@@ -110,9 +120,9 @@
 
 
 def make_disconnect_fault() -> errors.Fault:
-    """Return the fault of a request whose caller has gone."""
+    """Return the fault of a request whose client disconnected."""
     return errors.Fault(
         errors.Code.CANCELLED,
         errors.Step.CALLER,
-        message="the caller has gone",
+        message="the client disconnected",
     )
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -1,4 +1,4 @@
-"""Takes one model request through a prefill and a decode engine."""
+"""Runs a model request's calls to its prefill and decode engines."""
 
 import collections.abc
 import logging
@@ -19,36 +19,37 @@
 
 LOG = logging.getLogger(__name__)
 
-# An engine that fell silent must leave time for another one.
+# An unresponsive engine must leave enough time to try another one.
 REMAINING_TIME_DIVISOR = 2
 MIN_ATTEMPT_TIMEOUT_MS = 200
-# A prefill's result lives for less than a second; some of it is needed for
-# the transfer.
+# Engines keep a prefill result for less than a second, and part of that time
+# is needed for the transfer.
 DECODE_REASSIGN_TIMEOUT_MS = 500
 DECODE_REASSIGN_DELAY_MS = 30
-# Engines that are asked for room in one try; each costs a round trip.
+# Engines asked for a reservation per attempt; each costs a round trip.
 MAX_RESERVE_ATTEMPTS = 4
-# A prefill without an answer is given up early enough for the decode engine,
-# which holds a slot for the request, to read the prompt itself.
+# A prefill without a response is abandoned early enough for the decode
+# engine, where a slot is reserved, to prefill the prompt itself.
 PREFILL_TIMEOUT_FACTOR = 3
 MIN_PREFILL_TIMEOUT_MS = 400
-# After these a decode has not run, and the prefill's result is still there.
+# After these faults the decode has not started and the prefill result is
+# still available.
 DECODE_NOT_STARTED = frozenset(
     (errors.Code.UPSTREAM_REFUSED, errors.Code.UPSTREAM_UNREACHABLE)
 )
-# After these the engine may have read the prompt, which runs nothing; a
-# refusal counts as an attempt of its own, and a connection that was never
-# made lets the whole request move.
+# After these faults the engine may have run the prefill, which produces no
+# output.  A rejection counts as a separate attempt, and after a failed
+# connect the whole request may fail over.
 PREFILL_OUTCOME_UNKNOWN = frozenset(
     (errors.Code.UPSTREAM_TIMEOUT, errors.Code.UPSTREAM_FAILED)
 )
 
 
 def compute_attempt_timeout_ms(limit: clock.Deadline, now_ms: int) -> int:
-    """Return how long one engine may take.
+    """Return the timeout of a call to one engine in ms.
 
-    :param limit: when the caller stops waiting
-    :param now_ms: the present
+    :param limit: the deadline of the request
+    :param now_ms: the current time in ms
     """
     return max(
         limit.left_ms(now_ms) // REMAINING_TIME_DIVISOR, MIN_ATTEMPT_TIMEOUT_MS
@@ -56,13 +57,14 @@
 
 
 class EngineCalls:
-    """The calls of one request to engines, over all its attempts.
+    """Makes the engine calls of one request, over all its attempts.
 
-    ``has_run`` tells whether the request may have run at any of them, and
-    ``sent_to`` names those that it was sent to, refused or not.
+    ``has_run`` is true if the request may have run on any engine.
+    ``sent_to`` names the engines that received it, including those that
+    rejected it.
 
     :param exchange: the request
-    :param parts: what all model requests share
+    :param parts: the dependencies shared by all model requests
     """
 
     __slots__ = ("has_run", "sent_to", "_exchange", "_parts", "_may_begin")
@@ -85,24 +87,29 @@
         limit: clock.Deadline,
         may_begin: collections.abc.Callable[[], bool],
     ) -> model_dependencies.SourceResult:
-        """Take an attempt to the beginning of its stream.
+        """Run an attempt until its token stream begins.
 
-        :param attempt: the attempt, its slot reserved
-        :param offset: how much of the answer the caller has already
-        :param limit: when the caller stops waiting
-        :param may_begin: asked right before a decode engine gets the request
+        :param attempt: the attempt, with a reserved slot
+        :param offset: the number of tokens that the caller already has
+        :param limit: the deadline of the request
+        :param may_begin: called right before the request is sent to a decode
+            engine; it is not sent if this returns false
         :returns: the stream, or a fault
         """
         self._may_begin = may_begin
-        is_alone = (
+        uses_chunked_prefill = (
             attempt.prefill is attempt.decode
             and attempt.decode.supports_chunked_prefill
         )
-        if is_alone:
-            nothing = upstreams.PrefillResult({}, 0, 0)
+        if uses_chunked_prefill:
+            empty_prefill = upstreams.PrefillResult({}, 0, 0)
             result = attempt.decode.prepare(
-                attempt.label, self._read_room(attempt)
-            ).bind(lambda made: self._decode(attempt, nothing, offset, limit))
+                attempt.label, self._make_reservation_request(attempt)
+            ).bind(
+                lambda made: self._decode(
+                    attempt, empty_prefill, offset, limit
+                )
+            )
             if result.is_ok():
                 self._parts.scheduling.record_prefilled(attempt.job_id)
         else:
@@ -115,32 +122,32 @@
                 )
             )
         if result.is_error():
-            # A cancel that came before the connection was made has found
-            # nothing to close, and none comes again.
+            # A cancellation that arrived before the connection was made
+            # had nothing to close, and it is not sent again.
             attempt.decode.release(attempt.label)
         return result
 
     def _prepare(
         self, attempt: attempts.Attempt
     ) -> expression.Result[None, errors.Fault]:
-        """Reserve room at the decode engine, or at another one.
+        """Reserve KV cache at the decode engine, or at another one.
 
-        Many VMs choose among the same engines, and what each believes of
-        their memory is some time old.  A prompt that was read for an engine
-        without room is lost.
+        Many VMs choose among the same engines, based on load reports that
+        are already out of date.  A prefill for an engine without free
+        capacity would be wasted.
         """
         for _ in range(MAX_RESERVE_ATTEMPTS):
             result = attempt.decode.prepare(
-                attempt.label, self._read_room(attempt)
+                attempt.label, self._make_reservation_request(attempt)
             )
             is_full = (
                 result.is_error() and result.error.step is errors.Step.RESERVE
             )
-            if not is_full or not self._move_decode(attempt):
+            if not is_full or not self._reassign_decode(attempt):
                 break
         return result
 
-    def _read_room(
+    def _make_reservation_request(
         self, attempt: attempts.Attempt
     ) -> upstreams.ReservationRequest | None:
         hold_ms = self._exchange.pool.hold_ms
@@ -150,7 +157,7 @@
             attempt.kv_tokens, hold_ms, attempt.requires_reservation
         )
 
-    def _note_vain(
+    def _log_wasted_prefill(
         self,
         attempt: attempts.Attempt,
         found: upstreams.PrefillResult,
@@ -171,14 +178,14 @@
     def _skip_prefill(
         self, attempt: attempts.Attempt, fault: errors.Fault
     ) -> expression.Result[upstreams.PrefillResult, errors.Fault]:
-        """Let the decode engine read a prompt whose prefill has no answer."""
-        is_lost = (
+        """Fall back to chunked prefill if the prefill has no response."""
+        is_outcome_unknown = (
             fault.code in PREFILL_OUTCOME_UNKNOWN
             and fault.step is errors.Step.PREFILL
             and not fault.has_died
         )
         if (
-            not is_lost
+            not is_outcome_unknown
             or not attempt.decode.supports_chunked_prefill
             or self._exchange.has_gone.is_set()
         ):
@@ -199,14 +206,14 @@
         self, attempt: attempts.Attempt, limit: clock.Deadline
     ) -> expression.Result[upstreams.PrefillResult, errors.Fault]:
         parts = self._parts
-        began_ms = parts.clock.now_ms()
-        with self._begin_hop(attempt, errors.Step.PREFILL) as span:
+        started_ms = parts.clock.now_ms()
+        with self._begin_span(attempt, errors.Step.PREFILL) as span:
             result = attempt.prefill.prefill(
                 attempt.label,
                 self._exchange.call,
-                self._limit_prefill(attempt, limit),
+                self._compute_prefill_timeout_ms(attempt, limit),
             )
-            read_ms = parts.clock.now_ms() - began_ms
+            read_ms = parts.clock.now_ms() - started_ms
             self._exchange.stages.read_ms += read_ms
             if result.is_error():
                 span.fail(result.error)
@@ -223,56 +230,60 @@
         offset: int,
         limit: clock.Deadline,
     ) -> model_dependencies.SourceResult:
-        """Decode where a slot is reserved, or where one comes free.
+        """Decode at the chosen engine, or at another one with a free slot.
 
-        Another router may have taken the slot before its note came, or the
-        engine has died while the prompt was read.  The prefill would be lost
-        with it, and its result lives long enough to look for another slot.
+        Another router may have taken the slot before its gossip message
+        arrived, or the engine may have crashed during the prefill.  The
+        prefill result is kept long enough to look for another slot.
         """
         clock_ = self._parts.clock
-        until = clock.Deadline(clock_.now_ms() + DECODE_REASSIGN_TIMEOUT_MS)
+        reassign_deadline = clock.Deadline(
+            clock_.now_ms() + DECODE_REASSIGN_TIMEOUT_MS
+        )
         result = self._decode_once(attempt, found, offset, limit)
         while (
             result.is_error()
             and result.error.code in DECODE_NOT_STARTED
             and result.error.step is errors.Step.DECODE
-            and not until.has_passed(clock_.now_ms())
+            and not reassign_deadline.has_passed(clock_.now_ms())
             and not self._exchange.has_gone.is_set()
         ):
             is_unreached = (
                 result.error.code is errors.Code.UPSTREAM_UNREACHABLE
             )
-            found_again = (
-                self._leave_unreached(attempt, found, until)
+            retry_input = (
+                self._reassign_unreached_decode(
+                    attempt, found, reassign_deadline
+                )
                 if is_unreached
-                else self._prepare_again(attempt, found)
+                else self._prepare_decode_retry(attempt, found)
             )
-            if found_again is None:
+            if retry_input is None:
                 break
-            if found.transfer and not found_again.transfer:
-                self._note_vain(attempt, found, result.error)
-            found = found_again
-            # What did not reach an engine takes nothing from the budget.
+            if found.transfer and not retry_input.transfer:
+                self._log_wasted_prefill(attempt, found, result.error)
+            found = retry_input
+            # An attempt that did not reach an engine costs no retry budget.
             if not is_unreached and not self._parts.try_withdraw_retry(
                 self._exchange.pool.name
             ):
                 break
             result = self._decode_once(attempt, found, offset, limit)
         if result.is_error() and found.transfer:
-            self._note_vain(attempt, found, result.error)
+            self._log_wasted_prefill(attempt, found, result.error)
         return result
 
-    def _prepare_again(
+    def _prepare_decode_retry(
         self, attempt: attempts.Attempt, found: upstreams.PrefillResult
     ) -> upstreams.PrefillResult | None:
-        """Return with what a refused decode is sent once more, if at all.
+        """Return the prefill result for a retry of a rejected decode, or none.
 
-        An engine refuses when it is full, and also when the KV cache cannot
-        be had any more.  Where it can read the prompt itself, it is asked
-        to, once: that serves the caller in either case if there is room by
-        now, and needs no third engine.
+        An engine rejects a decode when it is full or when it cannot fetch
+        the KV cache.  If it supports chunked prefill, it is asked once to
+        prefill the prompt itself, which handles both cases if it has free
+        capacity by now, and needs no third engine.
         """
-        if self._move_decode(attempt):
+        if self._reassign_decode(attempt):
             return found
         if not attempt.decode.supports_chunked_prefill:
             self._parts.clock.sleep_ms(DECODE_REASSIGN_DELAY_MS)
@@ -282,26 +293,27 @@
         self._parts.cancelling.cancel(attempt.prefill, attempt.label)
         return upstreams.PrefillResult({}, found.prompt_tokens, 0)
 
-    def _leave_unreached(
+    def _reassign_unreached_decode(
         self,
         attempt: attempts.Attempt,
         found: upstreams.PrefillResult,
-        until: clock.Deadline,
+        reassign_deadline: clock.Deadline,
     ) -> upstreams.PrefillResult | None:
-        """Find another engine for a decode that did not reach its own.
+        """Find another engine for a decode that did not reach its engine.
 
-        :returns: what it is sent with; none if no engine has room in time
+        :returns: the prefill result to send; none if no engine has free
+            capacity in time
         """
         clock_ = self._parts.clock
-        while not until.has_passed(clock_.now_ms()):
+        while not reassign_deadline.has_passed(clock_.now_ms()):
             if self._exchange.has_gone.is_set():
                 break
-            if self._move_decode(attempt, is_unreached=True):
+            if self._reassign_decode(attempt, is_unreached=True):
                 return found
             clock_.sleep_ms(DECODE_REASSIGN_DELAY_MS)
         return None
 
-    def _move_decode(
+    def _reassign_decode(
         self, attempt: attempts.Attempt, is_unreached: bool = False
     ) -> bool:
         if len(self.sent_to) >= self._exchange.route.max_attempts:
@@ -328,31 +340,31 @@
                     errors.Code.CANCELLED,
                     errors.Step.DECODE,
                     attempt.decode_name,
-                    message="the silent engine goes on",
+                    message="the unresponsive engine has continued",
                 )
             )
-        if self._has_left(attempt):
+        if self._is_removed_or_draining(attempt):
             return expression.Error(
                 errors.Fault(
                     errors.Code.UPSTREAM_UNREACHABLE,
                     errors.Step.DECODE,
                     attempt.decode_name,
-                    message="the chosen engine leaves",
+                    message="the chosen engine is draining or removed",
                 )
             )
         self._exchange.record_attempt(
             attempt.decode_name, self._parts.clock.now_ms()
         )
-        began_ms = self._parts.clock.now_ms()
-        with self._begin_hop(attempt, errors.Step.TRANSFER) as span:
+        started_ms = self._parts.clock.now_ms()
+        with self._begin_span(attempt, errors.Step.TRANSFER) as span:
             result = attempt.decode.decode(
                 attempt.label,
                 self._exchange.call,
                 found.transfer,
                 offset,
-                self._share(limit),
+                self._compute_call_timeout_ms(limit),
             )
-            begin_ms = self._parts.clock.now_ms() - began_ms
+            begin_ms = self._parts.clock.now_ms() - started_ms
             self._exchange.stages.begin_ms += begin_ms
             if (
                 result.is_ok()
@@ -363,11 +375,11 @@
                 span.fail(result.error)
         return result
 
-    def _has_left(self, attempt: attempts.Attempt) -> bool:
-        """Tell whether the decode engine has left since it was chosen.
+    def _is_removed_or_draining(self, attempt: attempts.Attempt) -> bool:
+        """Return whether the decode engine was removed or is draining.
 
-        A prompt may be read for longer than an engine that leaves serves on;
-        a younger choice holds.
+        A prefill may take longer than a draining engine still serves.  The
+        tables are checked only if the choice is older than its TTL.
         """
         parts = self._parts
         if parts.clock.now_ms() - attempt.chosen_ms < parts.choice_ttl_ms:
@@ -375,33 +387,33 @@
         row = self._find_row(attempt.decode_name)
         return row is None or row[1].leaving
 
-    def _begin_hop(
+    def _begin_span(
         self, attempt: attempts.Attempt, step: errors.Step
     ) -> traces.Span:
         span = self._exchange.span.begin(self._parts.tracer, step)
         attempt.label.traceparent = span.traceparent
         return span
 
-    def _limit_prefill(
+    def _compute_prefill_timeout_ms(
         self, attempt: attempts.Attempt, limit: clock.Deadline
     ) -> int:
-        share = self._share(limit)
+        timeout_ms = self._compute_call_timeout_ms(limit)
         if not attempt.decode.supports_chunked_prefill:
-            return share
-        patience_ms = attempt.ready_in_ms * PREFILL_TIMEOUT_FACTOR
-        return min(share, max(patience_ms, MIN_PREFILL_TIMEOUT_MS))
+            return timeout_ms
+        prefill_timeout_ms = attempt.ready_in_ms * PREFILL_TIMEOUT_FACTOR
+        return min(timeout_ms, max(prefill_timeout_ms, MIN_PREFILL_TIMEOUT_MS))
 
-    def _share(self, limit: clock.Deadline) -> int:
+    def _compute_call_timeout_ms(self, limit: clock.Deadline) -> int:
         return compute_attempt_timeout_ms(limit, self._parts.clock.now_ms())
 
     def find_engine(self, name: str) -> upstreams.Engine | None:
-        """Return an engine by the newest tables.
+        """Return an engine from the active tables.
 
-        The scheduler has the newest pools, and the request may have come
-        under older ones.
+        The scheduler uses the active pools, while the request may have
+        arrived under older tables.
 
         :param name: the engine's name
-        :returns: the engine, or none if it has left the tables
+        :returns: the engine, or none if it has been removed
         """
         row = self._find_row(name)
         if row is None:
--- a/mulberryway/filters/model_forward.py
+++ b/mulberryway/filters/model_forward.py
@@ -1,4 +1,4 @@
-"""Sends model requests to engines and lends their answers to the relay."""
+"""Sends model requests to engines and hands their streams to the relay."""
 
 import collections.abc
 
@@ -23,11 +23,11 @@
 
 
 class ModelForward(base.Filter):
-    """Serves requests whose pool holds model engines.
+    """Serves requests to pools of model engines.
 
-    :param parts: what all model requests share
-    :param make_stream: puts an answer's state together; one that reads the
-        events of the project's own engines if none is given
+    :param parts: the dependencies shared by all model requests
+    :param make_stream: creates the stream of an answer; by default one that
+        parses the events of the native engines
     """
 
     def __init__(
@@ -41,11 +41,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Begin a decode and lend the caller's connection.
+        """Start the decode and hand the caller's connection over to the relay.
 
         :param exchange: the request
         :param proceed: the rest of the chain, for other pools
-        :returns: a lent stream, or a fault
+        :returns: a streamed answer, or a fault
         """
         if exchange.pool.kind is tables.PoolKind.PLAIN:
             return proceed(exchange)
@@ -65,12 +65,12 @@
     source: upstreams.TokenStream,
     gap_limit_ms: int,
 ) -> streams.Stream:
-    """Return the state of an answer whose events are read.
+    """Return a stream that parses the engine's events.
 
     :param exchange: the request
-    :param run: its run
+    :param run: the owner of the stream
     :param source: the engine's stream
-    :param gap_limit_ms: the longest wait for a further event
+    :param gap_limit_ms: the timeout for a further event in ms
     """
     return streams.Stream(
         run,
@@ -91,12 +91,12 @@
     source: upstreams.TokenStream,
     gap_limit_ms: int,
 ) -> streams.Stream:
-    """Return the state of an answer that passes as it came.
+    """Return a stream that forwards the engine's bytes unchanged.
 
     :param exchange: the request
-    :param run: its run
+    :param run: the owner of the stream
     :param source: the engine's stream
-    :param gap_limit_ms: the longest wait for a further event
+    :param gap_limit_ms: the timeout for a further event in ms
     """
     stream = passthrough_stream.PassthroughStream(
         run,
--- a/mulberryway/filters/model_job.py
+++ b/mulberryway/filters/model_job.py
@@ -1,4 +1,4 @@
-"""Puts the job of a model request together, and tells what became of it."""
+"""Creates the scheduler jobs of a model request and logs the decisions."""
 
 import logging
 
@@ -16,20 +16,21 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long callers wait for a stream's next event, and for its first: the
-# longest of a time, of the target for the first, and of that for pauses.
+# The time that callers are assumed to wait for a stream's first and next
+# event: the maximum of a fixed time and of multiples of the targets for the
+# first token and for the inter-token gap.
 MIN_CALLER_TIMEOUT_MS = 2_000
 CALLER_TIMEOUT_TARGETS = 4
 CALLER_TIMEOUT_GAPS = 8
-# Of it so much may go by in the queue and the prefill.
+# The fraction of this time that the queue and the prefill may take.
 QUEUE_TIME_FRACTION = 0.55
 
 
 class JobBuilder:
-    """Makes the jobs of one request.
+    """Creates the jobs of one request.
 
     :param exchange: the request
-    :param clock_: where the time comes from
+    :param clock_: the source of the current time
     """
 
     __slots__ = ("_exchange", "_clock")
@@ -45,13 +46,14 @@
         limit: clock.Deadline,
         since_ms: int,
     ) -> jobs.Job:
-        """Return the job of one try.
-
-        :param number: 0 at first
-        :param avoid: names of upstreams that failed the request
-        :param limit: when the caller stops waiting
-        :param since_ms: since when the caller waits for the next event: the
-            arrival of the request, or when a begun stream lost its engine
+        """Return the job of one attempt.
+
+        :param number: the number of the attempt, from 0
+        :param avoid: names of upstreams that failed this request
+        :param limit: the deadline of the request
+        :param since_ms: the time since when the caller has waited for the next
+            event, in ms: the request's arrival, or when its stream lost its
+            engine
         """
         exchange = self._exchange
         return jobs.Job(
@@ -65,9 +67,9 @@
             exchange.prefix_hashes,
             len(exchange.body),
             self._clock.now_ms(),
-            self._limit_start(limit, since_ms),
+            self._compute_start_deadline(limit, since_ms),
             number,
-            self._choose_avoided(avoid),
+            self._choose_excluded(avoid),
             exchange.digest,
             exchange.expected_tokens,
             since_ms + exchange.route.target_ms
@@ -77,33 +79,33 @@
             and number + 1 < exchange.route.max_attempts,
         )
 
-    def _limit_start(
+    def _compute_start_deadline(
         self, limit: clock.Deadline, since_ms: int
     ) -> clock.Deadline:
-        """Return when the next event is too late to be of use.
+        """Return the time after which starting the job would be useless.
 
-        Callers leave a stream that does not begin within their patience, and
-        what is refused well before can still be served on its return.
+        Callers abandon a stream that does not begin within their timeout.  A
+        request rejected well before that can still succeed when it is retried.
         """
         exchange = self._exchange
-        row = exchange.route
-        if not row.is_streaming or not row.target_ms:
+        route_ = exchange.route
+        if not route_.is_streaming or not route_.target_ms:
             return limit
-        patience_ms = max(
+        caller_timeout_ms = max(
             MIN_CALLER_TIMEOUT_MS,
-            row.target_ms * CALLER_TIMEOUT_TARGETS,
-            row.target_gap_ms * CALLER_TIMEOUT_GAPS,
+            route_.target_ms * CALLER_TIMEOUT_TARGETS,
+            route_.target_gap_ms * CALLER_TIMEOUT_GAPS,
         )
-        start_ms = since_ms + int(patience_ms * QUEUE_TIME_FRACTION)
+        start_ms = since_ms + int(caller_timeout_ms * QUEUE_TIME_FRACTION)
         return clock.Deadline(min(limit.at_ms, start_ms))
 
-    def _choose_avoided(self, avoid: frozenset[str]) -> frozenset[str]:
-        """Return the upstreams to avoid, unless none would be left.
+    def _choose_excluded(self, avoid: frozenset[str]) -> frozenset[str]:
+        """Return the upstreams to avoid, or none if no upstream would remain.
 
-        A pool whose every upstream has failed once is better tried again
-        than given up: a restarted engine serves within seconds.
+        If every upstream of a pool has failed once, retrying is better than
+        giving up: a restarted engine serves within seconds.
         """
-        usable = {
+        names_by_role = {
             role: {
                 upstream.name
                 for upstream in self._exchange.pool.upstreams
@@ -114,7 +116,7 @@
                 tables.UpstreamRole.DECODE,
             )
         }
-        if all(names - avoid for names in usable.values()):
+        if all(names - avoid for names in names_by_role.values()):
             return avoid
         return frozenset()
 
@@ -124,11 +126,11 @@
         decision: expression.Result[jobs.Assignment, errors.Fault],
         waited_ms: int,
     ) -> None:
-        """Tell what was decided for a job, and what decided.
+        """Log the scheduler's decision on a job and its inputs.
 
         :param job: the job
-        :param decision: where it runs, or why not
-        :param waited_ms: how long it waited
+        :param decision: the assigned engines, or a fault
+        :param waited_ms: the time in the queue in ms
         """
         exchange = self._exchange
         fields = {
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -1,4 +1,4 @@
-"""Runs one model request: queue, prefill, decode, and a second try."""
+"""Runs one model request: queue, prefill, decode and retries."""
 
 import logging
 import threading
@@ -27,14 +27,14 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long a stream that has lost its engine may seek another.
+# The time that a stream may spend on finding another engine.
 RESUME_TIMEOUT_MS = 5_000
-# When a caller should come again whose request no engine took: by then a
-# stream or two has ended on each engine.
+# The retry delay for requests that no engine accepted: by then a stream or two
+# has ended on each engine.
 RETRY_AFTER_MS = 1_000
-# An engine that makes no token for so many times the pause that is on time
-# has probably fallen silent; callers leave after eight of them or two
-# seconds, so there is time for another engine.
+# An engine without a token for this many target inter-token gaps is probably
+# unresponsive.  Callers disconnect after eight gaps or two seconds, which
+# leaves time for another engine.
 STALL_TIMEOUT_GAPS = 4
 MIN_STALL_TIMEOUT_MS = 1_000
 RETRIABLE_CODES = frozenset(
@@ -50,11 +50,11 @@
 
 
 class _Replacement:
-    """A search for the engine that goes on with a silent one's stream.
+    """A search for an engine to resume a stalled stream.
 
     :param stream: the stream
-    :param offset: how far it was when the search began
-    :param fault: what befell the silent engine
+    :param offset: the stream's position when the search began
+    :param fault: the fault of the unresponsive engine
     """
 
     __slots__ = ("stream", "offset", "fault")
@@ -68,10 +68,10 @@
 
 
 class ModelRequest(streams.StreamOwner):
-    """One model request from its admission to its end.
+    """One model request, from its admission to its end.
 
     :param exchange: the request
-    :param parts: what all model requests share
+    :param parts: the dependencies shared by all model requests
     """
 
     def __init__(
@@ -81,12 +81,12 @@
     ) -> None:
         self._exchange = exchange
         self._parts = parts
-        self._tries = retry_state.RetryState(exchange.arrived_ms)
-        self._avoid: frozenset[str] = frozenset()
+        self._retry_state = retry_state.RetryState(exchange.arrived_ms)
+        self._avoided: frozenset[str] = frozenset()
         self._ticket: scheduling.Ticket | None = None
         self._attempt: attempts.Attempt | None = None
-        # The attempt that is to take over from one whose engine is silent.
-        self._next: attempts.Attempt | None = None
+        # The attempt that will replace one on an unresponsive engine.
+        self._next_attempt: attempts.Attempt | None = None
         self._replacement: _Replacement | None = None
         self._is_closed = False
         self._decode_span = traces.NO_SPAN
@@ -95,9 +95,9 @@
         self._lock = threading.Lock()
 
     def begin(self) -> SourceResult:
-        """Find engines for the request and begin its decode.
+        """Find engines for the request and start its decode.
 
-        The caller is watched meanwhile.
+        The caller's connection is monitored in the meantime.
 
         :returns: the stream, or a fault
         """
@@ -110,7 +110,7 @@
             self._parts.callers.end(watch_)
 
     def on_first_token(self) -> None:
-        """Tell the scheduler and the metrics."""
+        """Report the first token to the scheduler and the metrics."""
         parts = self._parts
         if self._attempt is not None:
             parts.scheduling.record_first_token(self._attempt.job_id)
@@ -119,107 +119,111 @@
         self._exchange.first_ms = took_ms
 
     def on_tokens(self, tokens: int) -> None:
-        """Tell the scheduler how far the answer is.
+        """Report the progress of the answer to the scheduler.
 
-        :param tokens: how many tokens have come so far
+        :param tokens: the number of tokens received so far
         """
         if self._attempt is not None:
             self._parts.scheduling.record_tokens(self._attempt.job_id, tokens)
 
     def on_longest_gap(self, gap_ms: int) -> None:
-        """Keep it for the request's log line.
+        """Store the longest gap for the request's log line.
 
-        :param gap_ms: the longest time between two pieces
+        :param gap_ms: the longest inter-token gap in ms
         """
         self._exchange.gap_ms = gap_ms
 
     def on_source_end(self, tokens: int) -> None:
-        """Give the decode slot back.
+        """Release the decode slot.
 
-        :param tokens: how many tokens have come in all
+        :param tokens: the total number of tokens received
         """
         self.on_tokens(tokens)
         self._end_attempt(jobs.JobOutcome.DONE)
 
     def cancel_source(self) -> None:
-        """Let everything go, because the caller has gone or was cut off."""
+        """Cancel all work after the caller disconnected or was cut off."""
         self._exchange.has_gone.set()
         with self._lock:
             ticket = self._ticket
-            held = [one for one in (self._attempt, self._next) if one]
+            open_attempts = [
+                one for one in (self._attempt, self._next_attempt) if one
+            ]
         if ticket is not None:
             self._parts.scheduling.give_up(
                 ticket, model_dependencies.make_disconnect_fault()
             )
-        for attempt in held:
+        for attempt in open_attempts:
             attempt.free()
 
     def recover(self, stream: streams.Stream, fault: errors.Fault) -> None:
-        """Go on at another engine where the last one failed, or give up.
+        """Resume a stream at another engine after a failure, or end it.
 
         :param stream: the stream
-        :param fault: what befell the engine
+        :param fault: the fault of the engine
         """
-        fault.peer = fault.peer or self._name_decode()
+        fault.peer = fault.peer or self._get_decode_name()
         self._begin_search(stream.expected)
         if fault.has_died and self._attempt is not None:
             address = self._attempt.decode.address
             fault.has_died = not connections.is_accepting_connections(address)
-        self._note_failure(fault)
+        self._record_failure(fault)
         self._end_attempt(
-            model_dependencies.classify_job_end(fault), self._name_decode()
+            model_dependencies.classify_job_end(fault), self._get_decode_name()
         )
         result: SourceResult = expression.Error(fault)
-        if self._may_move(fault):
+        if self._may_retry(fault):
             result = self._find_next_source(stream.expected)
         if result.is_ok():
             self._parts.relay.resume(stream, result.ok)
         else:
-            self._parts.relay.fail(stream, self._word_last(result.error))
+            self._parts.relay.fail(stream, self._finalize_fault(result.error))
 
     def replace(self, stream: streams.Stream, fault: errors.Fault) -> None:
-        """Go on at another engine where the last one is silent.
+        """Resume a stalled stream at another engine.
 
-        The silent one is left only when all that the other needs is there:
-        its slot and connection, and the prompt's KV cache.
+        The unresponsive engine is abandoned only when the other engine is
+        ready to decode: with a slot, a connection and the prompt's KV cache.
 
         :param stream: the stream
-        :param fault: what befell the engine
+        :param fault: the fault of the engine
         """
-        fault.peer = fault.peer or self._name_decode()
+        fault.peer = fault.peer or self._get_decode_name()
         offset = stream.expected
         self._begin_search(offset)
-        if not self._may_move(fault):
-            self._log_stay(fault)
+        if not self._may_retry(fault):
+            self._log_wait(fault)
             self._parts.relay.keep_source(stream, fault)
             return
-        self._avoid = self._avoid | {self._name_decode()}
+        self._avoided = self._avoided | {self._get_decode_name()}
         self._replacement = _Replacement(stream, offset, fault)
         result = self._find_next_source(offset)
         self._replacement = None
         if result.is_ok():
             self._parts.relay.resume(stream, result.ok)
             return
-        self._log_stay(result.error)
-        self._parts.relay.keep_source(stream, self._word_last(result.error))
+        self._log_wait(result.error)
+        self._parts.relay.keep_source(
+            stream, self._finalize_fault(result.error)
+        )
 
     def may_replace_source(self) -> bool:
-        """Tell whether another engine can probably take the stream."""
+        """Return whether another engine can probably resume the stream."""
         exchange = self._exchange
         return (
             route.is_idempotent(exchange)
             and self._count_attempts() < exchange.route.max_attempts
             and not exchange.has_gone.is_set()
             and self._parts.scheduling.has_decode_capacity(
-                exchange.pool.name, self._name_decode()
+                exchange.pool.name, self._get_decode_name()
             )
         )
 
     def close(self, tokens: int, fault: errors.Fault | None) -> None:
-        """Settle what is still open.
+        """Release all remaining resources and report the outcome.
 
-        :param tokens: how many tokens were taken from engines
-        :param fault: why the answer is not whole; none if it is
+        :param tokens: the number of tokens received from engines
+        :param fault: why the answer is incomplete; none if it is complete
         """
         self._is_closed = True
         how = jobs.JobOutcome.DONE
@@ -233,17 +237,17 @@
         )
 
     def compute_first_token_timeout_ms(self) -> int:
-        """Return how long the first token may take from now on."""
+        """Return the timeout for the first token, from now on, in ms."""
         return model_engines.compute_attempt_timeout_ms(
             self._exchange.deadline, self._parts.clock.now_ms()
         )
 
     def compute_token_timeout_ms(self) -> int:
-        """Return how long a further token may take.
+        """Return the timeout for a further token in ms.
 
-        Where another engine can go on, a silent one is left soon enough for
-        the caller to wait for the other; where none can, nothing is gained
-        by giving it up.
+        If another engine can resume the stream, the timeout leaves enough
+        time for that before the caller disconnects.  If none can, abandoning
+        an unresponsive engine has no benefit.
         """
         exchange = self._exchange
         target_ms = exchange.route.target_gap_ms
@@ -251,58 +255,58 @@
             return self._parts.gap_ms
         return max(target_ms * STALL_TIMEOUT_GAPS, MIN_STALL_TIMEOUT_MS)
 
-    def _leave_silent(self) -> bool:
-        """Leave a silent engine right before its stream begins elsewhere.
+    def _switch_to_replacement(self) -> bool:
+        """Abandon an unresponsive engine right before its replacement starts.
 
-        :returns: false if it has gone on meanwhile, so that the stream must
-            not begin a second time
+        :returns: false if the engine has continued, so that the replacement
+            must not start
         """
         replacement = self._replacement
         if replacement is None:
             return True
         with self._lock:
-            before, chosen = self._attempt, self._next
-        if chosen is None or before is None:
+            previous, chosen = self._attempt, self._next_attempt
+        if chosen is None or previous is None:
             return False
-        is_same = chosen.decode_name == before.decode_name
+        is_same = chosen.decode_name == previous.decode_name
         if is_same or not self._parts.relay.try_close_source(
             replacement.stream, replacement.offset
         ):
             return False
         self._replacement = None
         with self._lock:
-            self._attempt, self._next = chosen, None
-        self._note_failure(replacement.fault)
-        before.end(
+            self._attempt, self._next_attempt = chosen, None
+        self._record_failure(replacement.fault)
+        previous.end(
             model_dependencies.classify_job_end(replacement.fault),
-            before.decode_name,
+            previous.decode_name,
         )
         return True
 
-    def _log_stay(self, fault: errors.Fault) -> None:
+    def _log_wait(self, fault: errors.Fault) -> None:
         LOG.info(
             "a silent engine is waited for",
             extra=logs.make_extra(
                 fault,
                 request_id=self._exchange.request_id,
-                decode=self._name_decode(),
+                decode=self._get_decode_name(),
                 attempts=self._count_attempts(),
-                tries=self._tries.number,
+                tries=self._retry_state.number,
             ),
         )
 
     def _begin_search(self, offset: int) -> None:
-        """Count time and tries anew where a stream that began is lost.
+        """Restart time and attempt counts for a stream that lost its engine.
 
-        :param offset: how much of it the caller has
+        :param offset: the number of tokens that the caller already has
         """
         if offset:
-            self._tries.begin_search(self._parts.clock.now_ms())
+            self._retry_state.begin_search(self._parts.clock.now_ms())
 
     def _find_next_source(self, offset: int) -> SourceResult:
         """Find engines for the rest of a stream.
 
-        :param offset: how much of it the caller has
+        :param offset: the number of tokens that the caller already has
         """
         resume_ms = self._parts.clock.now_ms() + RESUME_TIMEOUT_MS
         limit = clock.Deadline(max(self._exchange.deadline.at_ms, resume_ms))
@@ -312,14 +316,14 @@
         while True:
             result = self._try_once(offset, limit)
             if self._exchange.has_gone.is_set():
-                return self._drop_result(result)
+                return self._discard_result(result)
             if result.is_ok():
                 return result
-            self._note_failure(result.error)
-            if not self._may_move(result.error) or limit.has_passed(
+            self._record_failure(result.error)
+            if not self._may_retry(result.error) or limit.has_passed(
                 self._parts.clock.now_ms()
             ):
-                return expression.Error(self._word_last(result.error))
+                return expression.Error(self._finalize_fault(result.error))
 
     def _try_once(self, offset: int, limit: clock.Deadline) -> SourceResult:
         return self._queue(limit).bind(
@@ -330,12 +334,12 @@
         self, limit: clock.Deadline
     ) -> expression.Result[attempts.Attempt, errors.Fault]:
         parts = self._parts
-        began_ms = parts.clock.now_ms()
-        tries = self._tries
+        started_ms = parts.clock.now_ms()
+        state = self._retry_state
         job = self._jobs.make(
-            tries.number, self._avoid, limit, tries.search.since_ms
+            state.number, self._avoided, limit, state.search.since_ms
         )
-        tries.record_attempt()
+        state.record_attempt()
         with self._exchange.span.begin(parts.tracer, errors.Step.QUEUE):
             submitted = parts.scheduling.submit(job)
             if submitted.is_error():
@@ -347,32 +351,32 @@
                     submitted.ok, model_dependencies.make_disconnect_fault()
                 )
             decision = parts.scheduling.wait(submitted.ok)
-        waited_ms = parts.clock.now_ms() - began_ms
+        waited_ms = parts.clock.now_ms() - started_ms
         parts.metrics.queue_wait.record(waited_ms)
         self._exchange.stages.queued_ms += waited_ms
         self._jobs.log_decision(job, decision, waited_ms)
-        return decision.bind(lambda found: self._take(job, found))
+        return decision.bind(lambda found: self._make_attempt(job, found))
 
-    def _take(
+    def _make_attempt(
         self, job: jobs.Job, assignment: jobs.Assignment
     ) -> expression.Result[attempts.Attempt, errors.Fault]:
-        """Turn a decision into an attempt, if the key still holds."""
+        """Create an attempt from a decision, if the request may still run."""
         parts = self._parts
-        held = self._confirm()
+        checked = self._check_still_admitted()
         engines = [
             self._engines.find_engine(name)
             for name in (assignment.prefill, assignment.decode)
         ]
-        if held.is_error() or None in engines:
+        if checked.is_error() or None in engines:
             parts.scheduling.finish(job.job_id, jobs.JobOutcome.CANCELLED)
-            if held.is_error():
-                return expression.Error(held.error)
+            if checked.is_error():
+                return expression.Error(checked.error)
             return expression.Error(
                 errors.Fault(
                     errors.Code.UPSTREAM_UNREACHABLE,
                     errors.Step.QUEUE,
                     job.pool,
-                    message="the chosen upstream has left the tables",
+                    message="the chosen upstream was removed from the tables",
                 )
             )
         attempt = attempts.Attempt(
@@ -389,30 +393,30 @@
             if self._replacement is None:
                 self._attempt = attempt
             else:
-                # A stream that has left its engine cannot go back to it.
+                # A stream cannot return to an engine it was moved away from.
                 attempt.require_reservation(self._exchange.estimate)
-                self._next = attempt
+                self._next_attempt = attempt
         return expression.Ok(attempt)
 
-    def _confirm(self) -> expression.Result[None, errors.Fault]:
-        """Make sure that the request may still run after its wait."""
+    def _check_still_admitted(self) -> expression.Result[None, errors.Fault]:
+        """Check that the request may still run after its wait."""
         charge = self._exchange.charge
-        held: expression.Result[None, errors.Fault] = expression.Ok(None)
-        is_owed = (
-            self._tries.search.has_partial_answer
+        checked: expression.Result[None, errors.Fault] = expression.Ok(None)
+        keeps_stream = (
+            self._retry_state.search.has_partial_answer
             and not self._parts.cuts_withdrawn
         )
-        if not is_owed:
-            held = authentication.revalidate_key(
+        if not keeps_stream:
+            checked = authentication.revalidate_key(
                 self._parts.source, self._exchange, errors.Step.QUEUE
             )
-        # What has begun was granted its tokens, and has used some of them.
+        # A stream that has begun was granted its tokens and has used some.
         if (
-            held.is_error()
+            checked.is_error()
             or charge is None
-            or self._tries.search.has_partial_answer
+            or self._retry_state.search.has_partial_answer
         ):
-            return held
+            return checked
         return charge.confirm()
 
     def _run_attempt(
@@ -421,28 +425,30 @@
         if self._exchange.has_gone.is_set():
             attempt.end(jobs.JobOutcome.CANCELLED)
             return expression.Error(model_dependencies.make_disconnect_fault())
-        result = self._engines.run(attempt, offset, limit, self._leave_silent)
+        result = self._engines.run(
+            attempt, offset, limit, self._switch_to_replacement
+        )
         if result.is_error():
             fault = result.error
-            blame = attempt.decode_name
+            failed_name = attempt.decode_name
             if fault.step is errors.Step.PREFILL:
-                blame = attempt.prefill_name
-            # An engine that is told to cancel may close the connection; it
-            # has not died, and is not to blame.
+                failed_name = attempt.prefill_name
+            # An engine may close the connection after a cancellation; it has
+            # not crashed and is not at fault.
             is_cancelled = (
-                not self._is_wanted() or fault.code is errors.Code.CANCELLED
+                not self._is_active() or fault.code is errors.Code.CANCELLED
             )
             end = jobs.JobOutcome.CANCELLED
             if not is_cancelled:
                 end = model_dependencies.classify_job_end(fault)
-                self._avoid = self._avoid | {blame}
-            attempt.end(end, blame)
+                self._avoided = self._avoided | {failed_name}
+            attempt.end(end, failed_name)
         return result
 
-    def _may_move(self, fault: errors.Fault) -> bool:
-        """Tell whether another upstream may be tried, and log why not.
+    def _may_retry(self, fault: errors.Fault) -> bool:
+        """Return whether another upstream may be tried; log why not.
 
-        :param fault: what befell the last one
+        :param fault: the fault of the last attempt
         """
         if fault.code not in RETRIABLE_CODES:
             return False
@@ -456,7 +462,7 @@
                 request_id=self._exchange.request_id,
                 obstacle=obstacle,
                 attempts=self._count_attempts(),
-                tries=self._tries.number,
+                tries=self._retry_state.number,
             ),
         )
         return False
@@ -464,11 +470,11 @@
     def _find_obstacle(self, fault: errors.Fault) -> str:
         """Return why no other upstream may be tried; empty if one may.
 
-        Repeats cost a prefill each, and come just when upstreams fail; the
-        budget keeps them a small part of all work.
+        Each retry costs a prefill, and retries are most frequent while
+        upstreams fail; the budget limits them to a fraction of all work.
         """
         exchange = self._exchange
-        # Nothing of the request was sent, so nothing is repeated.
+        # Nothing of the request was sent, so this is not a retry.
         is_unsent = fault.step is errors.Step.RESERVE
         if not (
             fault.run is errors.ExecutionStatus.NOT_RUN
@@ -477,9 +483,9 @@
             return "the request may run once only"
         if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
-        if self._tries.search.is_over():
+        if self._retry_state.search.is_over():
             return "too many tries have failed"
-        if not self._is_wanted():
+        if not self._is_active():
             return "the caller has gone"
         if not is_unsent and not self._parts.try_withdraw_retry(
             exchange.pool.name
@@ -487,16 +493,18 @@
             return "the budget for repeats is spent"
         return ""
 
-    def _is_wanted(self) -> bool:
+    def _is_active(self) -> bool:
         return not (self._is_closed or self._exchange.has_gone.is_set())
 
     def _count_attempts(self) -> int:
-        return self._tries.count_sent_attempts(len(self._engines.sent_to))
+        return self._retry_state.count_sent_attempts(
+            len(self._engines.sent_to)
+        )
 
-    def _note_failure(self, fault: errors.Fault) -> None:
+    def _record_failure(self, fault: errors.Fault) -> None:
         if fault.run is not errors.ExecutionStatus.NOT_RUN:
             self._engines.has_run = True
-        self._tries.record_failure(fault)
+        self._retry_state.record_failure(fault)
         self._parts.metrics.attempts.add(
             1,
             {
@@ -510,10 +518,10 @@
             extra=logs.make_extra(fault, request_id=self._exchange.request_id),
         )
 
-    def _word_last(self, fault: errors.Fault) -> errors.Fault:
-        """Return what the caller is told, true for all attempts together.
+    def _finalize_fault(self, fault: errors.Fault) -> errors.Fault:
+        """Return the fault for the caller, valid for all attempts together.
 
-        The last attempt may have been refused before it ran, but an earlier
+        The last attempt may have been rejected before it ran, but an earlier
         one may have run.
         """
         if (
@@ -528,33 +536,35 @@
             fault.retry_after_ms = RETRY_AFTER_MS
         return fault
 
-    def _drop_result(self, result: SourceResult) -> SourceResult:
+    def _discard_result(self, result: SourceResult) -> SourceResult:
         if result.is_ok():
             result.ok.connection.close()
         self._end_attempt(jobs.JobOutcome.CANCELLED)
         return expression.Error(
-            self._word_last(model_dependencies.make_disconnect_fault())
+            self._finalize_fault(model_dependencies.make_disconnect_fault())
         )
 
-    def _end_attempt(self, how: jobs.JobOutcome, blame: str = "") -> None:
+    def _end_attempt(
+        self, how: jobs.JobOutcome, failed_name: str = ""
+    ) -> None:
         with self._lock:
             attempt = self._attempt
-        if blame:
-            self._avoid = self._avoid | {blame}
+        if failed_name:
+            self._avoided = self._avoided | {failed_name}
         if attempt is not None:
-            attempt.end(how, blame)
+            attempt.end(how, failed_name)
 
     def _end_search(self) -> None:
-        """End the search for another engine: the stream is over."""
+        """End the search for another engine when the stream is closed."""
         with self._lock:
-            ticket, attempt = self._ticket, self._next
+            ticket, attempt = self._ticket, self._next_attempt
         if self._replacement is None:
             return
-        gone = model_dependencies.make_disconnect_fault()
+        disconnect_fault = model_dependencies.make_disconnect_fault()
         if ticket is not None:
-            self._parts.scheduling.give_up(ticket, gone)
+            self._parts.scheduling.give_up(ticket, disconnect_fault)
         if attempt is not None:
             attempt.end(jobs.JobOutcome.CANCELLED)
 
-    def _name_decode(self) -> str:
+    def _get_decode_name(self) -> str:
         return "" if self._attempt is None else self._attempt.decode_name
--- a/mulberryway/filters/observe.py
+++ b/mulberryway/filters/observe.py
@@ -1,4 +1,4 @@
-"""Traces, counts and logs each request."""
+"""Records a trace, metrics and a log line for each request."""
 
 import logging
 
@@ -15,11 +15,11 @@
 
 
 class RequestTelemetry(base.Filter):
-    """Begins a request's span and tells how the request ended.
+    """Starts a request's span and records its outcome.
 
-    :param tracer: makes spans
-    :param metrics_: counts
-    :param clock_: where the time comes from
+    :param tracer: creates spans
+    :param metrics_: the process's instruments
+    :param clock_: the source of the current time
     """
 
     def __init__(
@@ -35,11 +35,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Begin the span; it ends with the request.
+        """Start a span that ends with the request.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers
+        :returns: the chain's answer, or a fault
         """
         exchange.span = self._tracer.begin_from(
             errors.Step.CALLER, exchange.find_header("traceparent")
@@ -87,13 +87,13 @@
                 first_ms=exchange.first_ms,
                 gap_ms=exchange.gap_ms,
                 took_ms=took_ms,
-                **_describe_stages(exchange),
+                **_make_stage_fields(exchange),
             ),
         )
 
 
-def _describe_stages(exchange: base.Exchange) -> dict[str, int]:
-    """Return what tells why a model request was late; nothing for others."""
+def _make_stage_fields(exchange: base.Exchange) -> dict[str, int]:
+    """Return log fields that explain a late stream; empty for other routes."""
     stages = exchange.stages
     route = getattr(exchange, "route", None)
     if route is None or not route.is_streaming:
--- a/mulberryway/filters/once.py
+++ b/mulberryway/filters/once.py
@@ -1,4 +1,4 @@
-"""Lets calls that must not be repeated run at most once."""
+"""Runs non-idempotent calls at most once."""
 
 import expression
 
@@ -16,14 +16,14 @@
 
 
 class IdempotencyGuard(base.Filter):
-    """Claims a call that must not be repeated before it runs.
+    """Claims a non-idempotent call before it runs.
 
-    A caller that lost the reply to a booking sends it again, perhaps to
-    another VM; without the claim a pen would be cleaned, and paid for,
-    twice.  A repeat gets the first run's reply.
+    A caller that lost the reply to a booking retries it, possibly at another
+    VM.  Without a claim the booking would be made, and paid for, twice.  A
+    retry gets the reply of the first run.
 
-    :param store: keeps the claims; without one nothing is let through,
-        since no promise could be kept
+    :param store: stores the claims; without one all such calls are rejected,
+        since at-most-once execution cannot be guaranteed
     """
 
     def __init__(self, store: claims.ClaimStore | None) -> None:
@@ -32,11 +32,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Run a call, or answer from what it answered before.
+        """Run a call, or replay the reply of its first run.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers, a replay, or a fault
+        :returns: the chain's answer, a replayed reply, or a fault
         """
         if exchange.pool.kind is tables.PoolKind.MODEL or route.is_idempotent(
             exchange
@@ -47,10 +47,10 @@
                 errors.Fault(
                     errors.Code.PLATFORM_UNAVAILABLE,
                     errors.Step.ADMISSION,
-                    message="no claims can be kept here",
+                    message="this VM has no claim store",
                 )
             )
-        began = self._store.begin(
+        result = self._store.begin(
             exchange.account.name,
             exchange.find_header(route.IDEMPOTENCY_KEY_HEADER) or "",
             claim_records.fingerprint_call(
@@ -58,11 +58,11 @@
             ),
             exchange.deadline,
         )
-        if began.is_error():
-            return expression.Error(began.error)
-        if isinstance(began.ok, claim_records.CachedReply):
-            return expression.Ok(_replay(began.ok))
-        return self._run(self._store, exchange, proceed, began.ok)
+        if result.is_error():
+            return expression.Error(result.error)
+        if isinstance(result.ok, claim_records.CachedReply):
+            return expression.Ok(_replay(result.ok))
+        return self._run(self._store, exchange, proceed, result.ok)
 
     @staticmethod
     def _run(
@@ -72,26 +72,28 @@
         grant: claims.Grant,
     ) -> base.Answer:
         run = errors.ExecutionStatus.MAY_HAVE_RUN
-        kept = None
+        cached = None
         try:
             answer = proceed(exchange)
             if answer.is_error():
                 run = answer.error.run
             elif isinstance(answer.ok, replies.Reply):
                 run = errors.ExecutionStatus.RAN
-                kept = _keep(answer.ok)
+                cached = _make_cached_reply(answer.ok)
             return answer
         finally:
-            # Also after an exception: an end that is never noted would let
-            # every repeat wait for it.
-            store.end(grant, run, kept)
+            # Also after an exception: retries would wait for a claim that
+            # is never ended.
+            store.end(grant, run, cached)
 
 
-def _keep(reply: replies.Reply) -> claim_records.CachedReply:
+def _make_cached_reply(reply: replies.Reply) -> claim_records.CachedReply:
     return claim_records.CachedReply(
         reply.status, list(reply.headers), reply.body
     )
 
 
-def _replay(kept: claim_records.CachedReply) -> replies.Reply:
-    return replies.Reply(kept.status, [*kept.headers, REPLAYED], kept.body)
+def _replay(cached: claim_records.CachedReply) -> replies.Reply:
+    return replies.Reply(
+        cached.status, [*cached.headers, REPLAYED], cached.body
+    )
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -1,4 +1,4 @@
-"""Counts requests, so that repeats stay a small part of them."""
+"""Limits retries to a fraction of all requests."""
 
 import collections.abc
 import threading
@@ -11,12 +11,12 @@
 
 
 class SharedRetryBudget:
-    """Holds the lock around a budget, which has none of its own.
+    """A retry budget with a lock, for use by several threads.
 
-    :param budget: what may be spent
-    :param clock_: where the time comes from
-    :param count_vms: returns how many VMs share the budget, this one and
-        those that are silent among them
+    :param budget: the budget, which is not thread-safe itself
+    :param clock_: the source of the current time
+    :param count_vms: returns the number of VMs that share the budget,
+        including this one and unresponsive ones
     """
 
     def __init__(
@@ -31,18 +31,18 @@
         self._lock = threading.Lock()
 
     def deposit(self, pool: str) -> None:
-        """Count a request.
+        """Count a request, which raises the budget.
 
-        :param pool: the pool that it is for
+        :param pool: the name of the request's pool
         """
         with self._lock:
             self._budget.deposit(pool, self._clock.now_ms())
 
     def try_withdraw(self, pool: str) -> bool:
-        """Take one repeat out.
+        """Withdraw one retry from the budget.
 
-        :param pool: the pool that it is for
-        :returns: false if none is left
+        :param pool: the name of the request's pool
+        :returns: false if no retry is left
         """
         with self._lock:
             self._budget.change_vms(self._count_vms())
@@ -50,9 +50,9 @@
 
 
 class RetryBudgetDeposit(base.Filter):
-    """Counts each request for the pool that it goes to.
+    """Counts each request in its pool's retry budget.
 
-    :param budget: where it is counted
+    :param budget: the budget to raise
     """
 
     def __init__(self, budget: SharedRetryBudget) -> None:
@@ -61,11 +61,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Count a request and let it go on.
+        """Count a request and forward it.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers
+        :returns: the chain's answer, or a fault
         """
         self._budget.deposit(exchange.pool.name)
         return proceed(exchange)
--- a/mulberryway/filters/route.py
+++ b/mulberryway/filters/route.py
@@ -1,4 +1,4 @@
-"""Finds the route and the pool of a request."""
+"""Matches requests to routes and pools."""
 
 import random
 
@@ -15,11 +15,11 @@
 
 
 class RouteMatcher(base.Filter):
-    """Joins a request with the tables by its path and its account.
+    """Finds the route by path and host, and checks the account's access.
 
-    :param requires_idempotency_key: whether calls that may run only once must
-        bring an id by which a repeat at another VM is recognised
-    :param random_: chooses among the pools of a divided route
+    :param requires_idempotency_key: whether non-idempotent calls must carry
+        a key by which a retry at another VM is recognised
+    :param random_: chooses the pool of a route with a traffic split
     """
 
     def __init__(
@@ -27,37 +27,39 @@
         requires_idempotency_key: bool = True,
         random_: random.Random | None = None,
     ) -> None:
-        self._needs_id = requires_idempotency_key
+        self._requires_idempotency_key = requires_idempotency_key
         self._random = random_ or random.Random()
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Let a request go on that some route serves.
+        """Forward a request if a route serves it.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers, or a fault
+        :returns: the chain's answer, or a fault
         """
         host = (exchange.find_header("host") or "").partition(":")[0]
         route = exchange.tables.find_route(exchange.path, host.lower())
         if route is None:
-            return _refuse(errors.Code.UNKNOWN_ROUTE, "no route has this path")
+            return _reject(
+                errors.Code.UNKNOWN_ROUTE, "no route matches this path"
+            )
         if route.accounts and exchange.account.name not in route.accounts:
-            return _refuse(
-                errors.Code.FORBIDDEN, "the route is for other accounts"
+            return _reject(
+                errors.Code.FORBIDDEN, "the account may not use this route"
             )
         exchange.route = route
         exchange.pool = exchange.tables.pools[self._choose_pool(route)]
         exchange.deadline.at_ms = exchange.arrived_ms + route.timeout_ms
         if (
-            self._needs_id
+            self._requires_idempotency_key
             and not is_idempotent(exchange)
             and not exchange.find_header(IDEMPOTENCY_KEY_HEADER)
         ):
-            return _refuse(
+            return _reject(
                 errors.Code.REQUEST_ID_REQUIRED,
-                "this route needs an Idempotency-Key",
+                "this route requires an Idempotency-Key header",
             )
         return proceed(exchange)
 
@@ -71,10 +73,10 @@
 
 
 def is_idempotent(exchange: base.Exchange) -> bool:
-    """Tell whether a request may run more than once.
+    """Return whether a request may run more than once.
 
-    :param exchange: the request, its route known
-    :returns: whether a repeat does no harm
+    :param exchange: the request, whose route is already set
+    :returns: whether a retry has no further effect
     """
     row = exchange.route
     return row.idempotent or (
@@ -82,7 +84,7 @@
     )
 
 
-def _refuse(code: errors.Code, message: str) -> base.Answer:
+def _reject(code: errors.Code, message: str) -> base.Answer:
     return expression.Error(
         errors.Fault(code, errors.Step.CALLER, message=message)
     )
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -1,4 +1,4 @@
-"""Passes calls on to plain services."""
+"""Forwards calls to plain services."""
 
 import collections.abc
 import logging
@@ -28,28 +28,28 @@
 LOG = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 1_000
-# Servers that are tried in all, also those that cannot be reached: of a
-# service with three or four, all.
+# The maximum number of servers per call, including unreachable ones; enough to
+# try every server of a service with three or four.
 MAX_ATTEMPTS = 4
-# A server that has fallen silent must leave an idempotent call time for
-# another one: it gets half of what is left, and at least so much, which is
-# several times what calls usually take.
+# An unresponsive server must leave time to send an idempotent call to another
+# one.  It gets half of the remaining time, but at least this long, which is
+# several times the usual duration of a call.
 REMAINING_TIME_DIVISOR = 2
 MIN_ATTEMPT_TIMEOUT_MS = 500
 
 
 class ServiceForward(base.Filter):
-    """Serves requests whose pool holds a plain service.
+    """Serves requests to pools of plain service servers.
 
-    :param directory_: finds the servers
-    :param chooser: chooses among them
-    :param tracer: makes spans
-    :param clock_: where the time comes from
-    :param source: the tables in force
-    :param callers: notices callers that go while a server works for them
-    :param try_withdraw_retry: takes one repeat out of a pool's budget for them
-    :param scheduling_: knows requests under which upstreams died; without
-        it none is kept back
+    :param directory_: finds the clients of servers
+    :param chooser: selects a server for each attempt
+    :param tracer: creates spans
+    :param clock_: the source of the current time
+    :param source: provides the active tables
+    :param callers: detects callers that disconnect during a call
+    :param try_withdraw_retry: withdraws a retry from a pool's retry budget
+    :param scheduling_: records calls that crashed servers; without it no
+        call is quarantined
     """
 
     def __init__(
@@ -71,14 +71,14 @@
         self._clock = clock_
         self._source = source
         self._callers = callers
-        self._may_repeat = try_withdraw_retry
+        self._try_withdraw_retry = try_withdraw_retry
         self._scheduling = scheduling_
         self._lock = threading.Lock()
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Pass a call on, to a second server only where that is safe.
+        """Forward a call; retry it on another server only if that is safe.
 
         :param exchange: the request
         :param proceed: the rest of the chain
@@ -87,42 +87,44 @@
         if self._scheduling is not None:
             exchange.digest = _digest(exchange)
             if self._scheduling.is_quarantined(exchange.digest):
-                return expression.Error(_keep_back(exchange))
-        interrupt = connections.CallCanceller()
+                return expression.Error(_make_quarantine_fault(exchange))
+        canceller = connections.CallCanceller()
         if self._callers is None:
-            return self._forward(exchange, interrupt)
+            return self._forward(exchange, canceller)
 
         def give_up() -> None:
             exchange.has_gone.set()
-            interrupt.set()
+            canceller.set()
 
         watched = self._callers.begin(exchange.connection, give_up)
         try:
-            return self._forward(exchange, interrupt)
+            return self._forward(exchange, canceller)
         finally:
             self._callers.end(watched)
 
     def _forward(
-        self, exchange: base.Exchange, interrupt: connections.CallCanceller
+        self, exchange: base.Exchange, canceller: connections.CallCanceller
     ) -> base.Answer:
         avoid: frozenset[str] = frozenset()
         has_run = False
-        fault = _no_server(exchange)
+        fault = _make_no_server_fault(exchange)
         sent = 0
         for number in range(MAX_ATTEMPTS):
             if sent >= exchange.route.max_attempts:
                 break
-            if number and not self._may_go_on(exchange, has_run, sent):
+            if number and not self._may_try_next_server(
+                exchange, has_run, sent
+            ):
                 break
             upstream = self._choose(exchange, avoid)
             if upstream is None:
                 break
             exchange.record_attempt(upstream.name, self._clock.now_ms())
-            result = self._call_once(exchange, upstream, number, interrupt)
+            result = self._call_once(exchange, upstream, number, canceller)
             if result.is_ok():
                 return expression.Ok(_make_reply(result.ok))
             fault = result.error
-            # Where no connection was made, nothing was sent.
+            # Without a connection, nothing was sent.
             sent += fault.code is not errors.Code.UPSTREAM_UNREACHABLE
             if fault.has_died and self._scheduling is not None:
                 self._scheduling.record_crash(
@@ -146,49 +148,49 @@
             fault.retry_after_ms = RETRY_AFTER_MS
         return expression.Error(fault)
 
-    def _may_go_on(
+    def _may_try_next_server(
         self, exchange: base.Exchange, has_run: bool, sent: int
     ) -> bool:
-        """Tell whether another server may be tried.
+        """Return whether the call may be sent to another server.
 
-        A call that may have run must not run again elsewhere, unless its
-        route says that this does no harm.
+        A call that may have run must not be sent again unless its route is
+        idempotent.
         """
         return (
             (not has_run or route.is_idempotent(exchange))
             and not exchange.has_gone.is_set()
             and not exchange.deadline.has_passed(self._clock.now_ms())
-            and (not sent or self._may_repeat(exchange.pool.name))
+            and (not sent or self._try_withdraw_retry(exchange.pool.name))
         )
 
     def _choose(
         self, exchange: base.Exchange, avoid: frozenset[str]
     ) -> tables.Upstream | None:
-        pool = self._read_pool(exchange)
+        pool = self._find_current_pool(exchange)
         with self._lock:
             return self._chooser.choose(pool, avoid, self._clock.now_ms())
 
-    def _read_pool(self, exchange: base.Exchange) -> tables.Pool:
-        """Return a call's pool as it is now.
+    def _find_current_pool(self, exchange: base.Exchange) -> tables.Pool:
+        """Return a call's pool from the active tables.
 
-        A call may wait for a silent server for longer than servers that
-        leave serve on, so a repeat must not go by the tables of its arrival.
+        A call may wait for an unresponsive server for longer than draining
+        servers still serve, so a retry must not use the tables of its arrival.
         """
-        newest = self._source.read_tables()
-        if newest is None:
+        current = self._source.read_tables()
+        if current is None:
             return exchange.pool
-        return newest.pools.get(exchange.pool.name, exchange.pool)
+        return current.pools.get(exchange.pool.name, exchange.pool)
 
     def _call_once(
         self,
         exchange: base.Exchange,
         upstream: tables.Upstream,
         number: int,
-        interrupt: connections.CallCanceller,
+        canceller: connections.CallCanceller,
     ) -> expression.Result[upstreams.ServiceReply, errors.Fault]:
         service = self._directory.find_service(exchange.pool, upstream)
         step = errors.Step.SERVICE
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         with exchange.span.begin(self._tracer, step) as span:
             headers = http_service.strip_hop_by_hop_headers(exchange.headers)
             headers.append(("traceparent", span.traceparent))
@@ -198,16 +200,16 @@
                 exchange.target,
                 headers,
                 exchange.body,
-                self._limit_ms(exchange, number, began_ms),
+                self._compute_timeout_ms(exchange, number, started_ms),
                 route.is_idempotent(exchange),
-                interrupt,
+                canceller,
             )
             if result.is_error():
                 span.fail(result.error)
-        self._note_end(exchange, upstream, result, began_ms)
+        self._record_call_end(exchange, upstream, result, started_ms)
         return result
 
-    def _limit_ms(
+    def _compute_timeout_ms(
         self, exchange: base.Exchange, number: int, now_ms: int
     ) -> int:
         left_ms = max(exchange.deadline.left_ms(now_ms), 1)
@@ -219,27 +221,31 @@
             left_ms,
         )
 
-    def _note_end(
+    def _record_call_end(
         self,
         exchange: base.Exchange,
         upstream: tables.Upstream,
         result: expression.Result[upstreams.ServiceReply, errors.Fault],
-        began_ms: int,
+        started_ms: int,
     ) -> None:
         now_ms = self._clock.now_ms()
         fault = None if result.is_ok() else result.error
         if exchange.has_gone.is_set():
-            # A call that was ended for its caller says nothing of the server.
-            end = server_selection.CallOutcome.NO_VERDICT
+            # A call cancelled for its caller proves nothing about the server.
+            call_outcome = server_selection.CallOutcome.NO_VERDICT
         elif fault is None:
-            end = server_selection.CallOutcome.DONE
+            call_outcome = server_selection.CallOutcome.DONE
         elif fault.code is errors.Code.UPSTREAM_UNREACHABLE:
-            end = server_selection.CallOutcome.UNREACHED
+            call_outcome = server_selection.CallOutcome.UNREACHED
         else:
-            end = server_selection.CallOutcome.FAILED
+            call_outcome = server_selection.CallOutcome.FAILED
         with self._lock:
             self._chooser.finish(
-                exchange.pool, upstream, end, now_ms - began_ms, now_ms
+                exchange.pool,
+                upstream,
+                call_outcome,
+                now_ms - started_ms,
+                now_ms,
             )
         if fault is not None:
             LOG.info(
@@ -248,7 +254,7 @@
                     fault,
                     request_id=exchange.request_id,
                     upstream=upstream.name,
-                    took_ms=now_ms - began_ms,
+                    took_ms=now_ms - started_ms,
                 ),
             )
 
@@ -258,27 +264,29 @@
 
 
 def _digest(exchange: base.Exchange) -> str:
-    """Name a call, so that a repeat is recognised at any VM."""
-    asked = f"{exchange.method} {exchange.target}\0".encode() + exchange.body
+    """Return a digest by which any VM recognises a retry of the call."""
+    serialized_call = (
+        f"{exchange.method} {exchange.target}\0".encode() + exchange.body
+    )
     return poison.digest_request(
-        exchange.account.name, exchange.pool.name, asked
+        exchange.account.name, exchange.pool.name, serialized_call
     )
 
 
-def _keep_back(exchange: base.Exchange) -> errors.Fault:
+def _make_quarantine_fault(exchange: base.Exchange) -> errors.Fault:
     return errors.Fault(
         errors.Code.QUARANTINED,
         errors.Step.SERVICE,
         exchange.pool.name,
-        message="servers died while they ran this call",
+        message="servers crashed while running this call",
     )
 
 
-def _no_server(exchange: base.Exchange) -> errors.Fault:
+def _make_no_server_fault(exchange: base.Exchange) -> errors.Fault:
     return errors.Fault(
         errors.Code.NO_UPSTREAM,
         errors.Step.SERVICE,
         exchange.pool.name,
-        message="no server of the pool takes calls",
+        message="no server of the pool accepts calls",
         retry_after_ms=RETRY_AFTER_MS,
     )
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -1,4 +1,4 @@
-"""Answers for load checks, callers that look for an entry, and stops."""
+"""Filters for health checks, metrics, discovery and graceful shutdown."""
 
 import abc
 import json
@@ -27,33 +27,33 @@
 
 
 class Lifecycle(abc.ABC):
-    """How far a process's start or stop has come."""
+    """The state of a process's startup and shutdown."""
 
     @property
     @abc.abstractmethod
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether new callers may be sent to this VM."""
 
     @property
     @abc.abstractmethod
     def is_rejecting(self) -> bool:
-        """Whether new requests are refused."""
+        """Whether new requests are rejected."""
 
     @property
     @abc.abstractmethod
     def is_draining(self) -> bool:
-        """Whether callers should use another VM for their next request."""
+        """Whether callers should send their next request to another VM."""
 
     @property
     @abc.abstractmethod
     def is_near_shutdown(self) -> bool:
-        """Whether work that takes seconds could not end in time any more."""
+        """Whether work that takes seconds could no longer finish in time."""
 
 
 class HealthEndpoint(base.Filter):
     """Answers ``/healthz`` and ``/readyz``; needs no key.
 
-    :param lifecycle: tells whether new callers should come
+    :param lifecycle: the state of the VM's startup and shutdown
     """
 
     def __init__(self, lifecycle: Lifecycle) -> None:
@@ -62,11 +62,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Answer checks, and let all else go on.
+        """Answer health checks, and forward all other requests.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: a reply, or what the chain answers
+        :returns: a reply, or the chain's answer
         """
         if exchange.path == "/healthz":
             return _reply(200, {"alive": True})
@@ -77,7 +77,7 @@
 
 
 class MetricsEndpoint(base.Filter):
-    """Answers ``/metrics`` with counters and histograms as text.
+    """Answers ``/metrics`` in the Prometheus text format.
 
     :param metrics_: the process's instruments
     """
@@ -88,11 +88,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Answer collectors, and let all else go on.
+        """Answer scrapes, and forward all other requests.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: a reply, or what the chain answers
+        :returns: a reply, or the chain's answer
         """
         if exchange.path != METRICS_PATH:
             return proceed(exchange)
@@ -103,9 +103,9 @@
 
 
 class ShutdownRejection(base.Filter):
-    """Refuses new requests truthfully once callers have had time to go.
+    """Rejects new requests in the last phase of a graceful shutdown.
 
-    :param lifecycle: tells how far a stop has come
+    :param lifecycle: the state of the VM's startup and shutdown
     """
 
     def __init__(self, lifecycle: Lifecycle) -> None:
@@ -114,35 +114,35 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Refuse or go on.
+        """Reject or forward a request.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers, or ``STOPPING``
+        :returns: the chain's answer, or ``STOPPING``
         """
         if not self._lifecycle.is_rejecting:
             return proceed(exchange)
-        # The caller's next request has to go to another VM, and with an
-        # open connection it would come here.
+        # Over an open connection, the caller's next request would come to
+        # this VM again.
         exchange.head.keep = False
         return expression.Error(
             errors.Fault(
                 errors.Code.STOPPING,
                 errors.Step.ADMISSION,
-                message="this VM is stopping; use another entry address",
+                message="this VM is shutting down; use another entry address",
                 retry_after_ms=STOPPING_RETRY_MS,
             )
         )
 
 
 class LateStreamRejection(base.Filter):
-    """Keeps a stopping VM's last seconds for work that ends within them.
+    """Rejects streams that would not finish before a VM shuts down.
 
-    A stream that begins late in a stop would be cut, while another VM could
-    carry it whole.  Every answer of a VM that leaves also closes its
-    connection, so that the next request goes elsewhere.
+    A stream that begins late in a shutdown would be cut off, while another
+    VM could complete it.  A draining VM also closes the connection after
+    each answer, so that the next request goes to another VM.
 
-    :param lifecycle: tells how far a stop has come
+    :param lifecycle: the state of the VM's startup and shutdown
     """
 
     def __init__(self, lifecycle: Lifecycle) -> None:
@@ -151,11 +151,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Refuse streams near the end of a stop, and let all else go on.
+        """Reject streams near the end of a shutdown, and forward all else.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: what the chain answers, or ``STOPPING``
+        :returns: the chain's answer, or ``STOPPING``
         """
         if self._lifecycle.is_draining:
             exchange.head.keep = False
@@ -167,18 +167,18 @@
             errors.Fault(
                 errors.Code.STOPPING,
                 errors.Step.ADMISSION,
-                message="this VM is stopping; use another entry address",
+                message="this VM is shutting down; use another entry address",
                 retry_after_ms=STOPPING_RETRY_MS,
             )
         )
 
 
 class DiscoveryEndpoint(base.Filter):
-    """Answers ``GET /v1/entry`` with the addresses to use; needs no key.
+    """Answers ``GET /v1/entry`` with VM addresses; needs no key.
 
-    :param directory: knows the VMs that take new callers
-    :param zone: the zone of this VM, for callers that name none
-    :param ttl_ms: how long callers may keep the answer
+    :param directory: lists the VMs that accept new callers
+    :param zone: this VM's zone, for callers that do not name theirs
+    :param ttl_ms: how long callers may cache the answer, in ms
     """
 
     def __init__(
@@ -191,11 +191,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Answer a question for addresses, and let all else go on.
+        """Answer discovery requests, and forward all other requests.
 
         :param exchange: the request
         :param proceed: the rest of the chain
-        :returns: a reply, or what the chain answers
+        :returns: a reply, or the chain's answer
         """
         if exchange.path != "/v1/entry" or exchange.method != "GET":
             return proceed(exchange)
