--- a/mulberryway/__init__.py
+++ b/mulberryway/__init__.py
@@ -1,4 +1,4 @@
-"""A router for separate prefill and decode pools."""
+"""An HTTP router for model engines with disaggregated prefill and decode."""
 
 __all__ = ["VERSION"]
 
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one VM's router together, in one place."""
+"""Creates and connects the components of one VM's router process."""
 
 import concurrent.futures
 import random
@@ -45,10 +45,10 @@
 
 
 class Assembly(process.Service):
-    """All controllers and the router of one process.
+    """The controllers, servers and router of one process.
 
     :param settings_: the settings of the process
-    :param clock_: where the time comes from
+    :param clock_: the source of the current time; the system clock by default
     """
 
     def __init__(
@@ -68,10 +68,10 @@
         self.client = peers.PeerClient(
             settings_.peers_secret, self.clock, settings_.peers_timeout_ms
         )
-        own = f"{settings_.vm_address}:{settings_.peers_port}"
+        local_address = f"{settings_.vm_address}:{settings_.peers_port}"
         self.incarnation = membership.choose_incarnation(
             settings_.vm_name,
-            [seed for seed in settings_.peers_seeds if seed != own],
+            [seed for seed in settings_.peers_seeds if seed != local_address],
             self.client,
             self.clock,
         )
@@ -172,7 +172,7 @@
         self.dissemination.datagrams = self.datagrams
 
     def start(self) -> None:
-        """Begin to serve peers, then callers; returns at once."""
+        """Start serving peers, then callers; returns at once."""
         self.peer_server.start()
         self.datagrams.start()
         self.members.start()
@@ -189,19 +189,20 @@
         self.orders.start()
 
     def stop(self, graceful: bool = True) -> None:
-        """Stop serving callers, then everything else.
+        """Stop serving callers, then stop everything else.
 
-        :param graceful: whether running requests may end first
+        :param graceful: whether running requests may finish first
         """
         self.router.stop(graceful)
         self.allowances.stop()
         self.slots.stop()
         if graceful:
-            # Else this VM's parts of all allowances would wait for its
-            # successor, and accounts would be refused within their rate.
+            # Otherwise this VM's fractions of all allowances would be
+            # unavailable until its successor starts, and accounts would be
+            # rejected although they are within their rate.
             self.allowances.return_loans()
             self.slots.release_all()
-        # Together: each waits for a step that may wait for somebody else.
+        # In parallel, because each may wait for its current step to end.
         controllers = (
             self.orders,
             self.reconciling,
@@ -213,8 +214,8 @@
             self.members,
             self.claims,
         )
-        with concurrent.futures.ThreadPoolExecutor() as stops:
-            list(stops.map(lambda one: one.stop(), controllers))
+        with concurrent.futures.ThreadPoolExecutor() as executor:
+            list(executor.map(lambda one: one.stop(), controllers))
         self.datagrams.stop()
         self.peer_server.stop()
 
@@ -229,12 +230,14 @@
         )
 
     def _may_issue_orders(self) -> bool:
-        alive = self.members.list_alive()
-        return self.settings.vm_name in leader_lease.choose_candidates(alive)
+        alive_members = self.members.list_alive()
+        return self.settings.vm_name in leader_lease.choose_candidates(
+            alive_members
+        )
 
     def _make_members(self) -> membership.MembershipController:
         settings_ = self.settings
-        own = member.Member(
+        local_member = member.Member(
             settings_.vm_name,
             settings_.vm_address,
             settings_.peers_port,
@@ -246,7 +249,7 @@
             link_mbps=settings_.vm_link_mbps,
         )
         return membership.MembershipController(
-            own,
+            local_member,
             settings_.peers_seeds,
             self.client,
             self.store,
--- a/mulberryway/clock.py
+++ b/mulberryway/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, and clocks that tests can turn by hand."""
+"""Clocks in whole milliseconds, and deadlines."""
 
 import abc
 import time
@@ -9,79 +9,82 @@
 
 
 class Clock(abc.ABC):
-    """Where every part of the program takes its time from."""
+    """Base class of the clocks from which all code reads the time."""
 
     @abc.abstractmethod
     def now_ms(self) -> int:
-        """Return milliseconds since boot, suspended time included."""
+        """Return milliseconds since boot, including suspended time."""
 
     @abc.abstractmethod
     def wall_ms(self) -> int:
-        """Return milliseconds since 1970, for logs and displays only."""
+        """Return milliseconds since 1970; for logs and displays only."""
 
     @abc.abstractmethod
     def sleep_ms(self, duration_ms: int) -> None:
-        """Wait for a while.
+        """Block for the given duration.
 
-        :param duration_ms: how long, in milliseconds
+        :param duration_ms: the duration in ms
         """
 
 
 class SystemClock(Clock):
-    """The machine's clock.
+    """The operating system's clock.
 
-    It counts the time for which the machine was suspended.  A lease holder
-    on a VM that was paused for a minute would otherwise believe that its
-    lease still runs, and two holders would act at once.
+    It includes the time for which the machine was suspended.  Otherwise a
+    lease holder on a VM that was paused for a minute would still consider
+    its lease valid, and there would be two holders at once.
     """
 
     def now_ms(self) -> int:
-        """Return milliseconds since boot, suspended time included."""
+        """Return milliseconds since boot, including suspended time."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_IN_MS
 
     def wall_ms(self) -> int:
-        """Return milliseconds since 1970, for logs and displays only."""
+        """Return milliseconds since 1970; for logs and displays only."""
         return time.time_ns() // NS_IN_MS
 
     def sleep_ms(self, duration_ms: int) -> None:
-        """Wait for a while.
+        """Block for the given duration.
 
-        :param duration_ms: how long, in milliseconds
+        :param duration_ms: the duration in ms
         """
         time.sleep(max(duration_ms, 0) / 1000)
 
 
 class ManualClock(Clock):
-    """A clock that moves only when a test moves it."""
+    """A clock for tests that advances only on request."""
 
     def __init__(self, now_ms: int = 0) -> None:
         self._now_ms = now_ms
 
     def now_ms(self) -> int:
-        """Return the time that was set, in milliseconds."""
+        """Return the current value of the clock in ms."""
         return self._now_ms
 
     def wall_ms(self) -> int:
-        """Return the time that was set, in milliseconds."""
+        """Return the current value of the clock in ms."""
         return self._now_ms
 
     def sleep_ms(self, duration_ms: int) -> None:
-        """Move the clock on instead of waiting.
+        """Advance the clock instead of waiting.
 
-        :param duration_ms: by how much, in milliseconds
+        :param duration_ms: the duration in ms
         """
         self.advance_ms(max(duration_ms, 0))
 
     def advance_ms(self, duration_ms: int) -> None:
-        """Move the clock on.
+        """Advance the clock.
 
-        :param duration_ms: by how much, in milliseconds
+        :param duration_ms: the duration in ms
         """
         self._now_ms += duration_ms
 
 
 class Deadline:
-    """A point in time after which an act is no longer allowed."""
+    """A point in time after which an operation is no longer allowed.
+
+    :param at_ms: the time in ms, by the clock that later calls use
+    """
 
     __slots__ = ("at_ms",)
 
@@ -89,17 +92,17 @@
         self.at_ms = at_ms
 
     def left_ms(self, now_ms: int) -> int:
-        """Return the milliseconds that are left, never below zero.
+        """Return the remaining time in ms, at least 0.
 
-        :param now_ms: the present, by the clock that set the deadline
-        :returns: milliseconds
+        :param now_ms: the current time in ms, by the clock of the deadline
+        :returns: the remaining time in ms
         """
         return max(self.at_ms - now_ms, 0)
 
     def has_passed(self, now_ms: int) -> bool:
-        """Tell whether the deadline has been reached.
+        """Return whether the deadline has been reached.
 
-        :param now_ms: the present, by the clock that set the deadline
+        :param now_ms: the current time in ms, by the clock of the deadline
         :returns: true from the deadline's own millisecond on
         """
         return now_ms >= self.at_ms
--- a/mulberryway/errors.py
+++ b/mulberryway/errors.py
@@ -1,8 +1,8 @@
-"""Faults as values, and the one tree of exceptions.
+"""Fault values and the exception hierarchy.
 
-A fault is what an operation returns, in ``expression.Error``, when its
-caller has to decide what happens next.  An exception is for what stops a
-program or a whole step: bad settings, a broken invariant.
+Operations return a fault in ``expression.Error`` when their caller has to
+decide how to proceed.  Exceptions are raised for errors that end a program
+or a whole step, such as invalid settings or a broken invariant.
 """
 
 import enum
@@ -23,9 +23,10 @@
 
 
 class ExecutionStatus(enum.Enum):
-    """Whether the request behind a fault was executed by an upstream.
+    """Whether an upstream executed the request behind a fault.
 
-    Only ``NOT_RUN`` lets a non-idempotent request go to another upstream.
+    A non-idempotent request may be sent to another upstream only after
+    ``NOT_RUN``.
     """
 
     NOT_RUN = "not_run"
@@ -34,7 +35,7 @@
 
 
 class Step(enum.Enum):
-    """The hop at which a fault arose; spans bear the same names."""
+    """The step of a request in which a fault arose; spans use these names."""
 
     SETTINGS = "settings"
     TABLES = "tables"
@@ -52,10 +53,10 @@
 
 
 class Code(enum.Enum):
-    """Stable codes that callers and operators may match on.
+    """Stable error codes that callers and operators may match.
 
-    Each value is the code in the JSON answer; docs/operators/errors.md
-    lists them with their HTTP status.
+    Each value is the code in the JSON reply; docs/operators/errors.md lists
+    them with their HTTP status.
     """
 
     BAD_REQUEST = "bad_request"
@@ -90,19 +91,19 @@
 
 
 class Fault:
-    """What went wrong, where, and whether the request was executed.
+    """An error with its step and whether the request was executed.
 
-    :param code: the stable code
-    :param step: the hop at which it arose
-    :param peer: the other end, as ``host:port`` or a name; empty if none
+    :param code: the stable error code
+    :param step: the step in which the fault arose
+    :param peer: the remote end, as ``host:port`` or a name; empty if none
     :param run: whether an upstream executed the request
-    :param message: one sentence for people; never holds a key
-    :param retry_after_ms: when another try makes sense, in milliseconds;
-        none where a repeat cannot help
-    :param has_died: the connection broke in the middle, so that the other
-        end may have died of this very request
-    :param answer: what the upstream itself answered, where a caller may see
-        it: a reply of ``upstreams.base``; none where it answered nothing
+    :param message: one readable sentence; must not contain a key
+    :param retry_after_ms: after how long a retry is useful, in ms; none if
+        a retry cannot succeed
+    :param has_died: whether the connection broke during the request, so that
+        this request may have crashed the remote end
+    :param answer: the upstream's own reply (see ``upstreams.base``) if the
+        caller may see it; none if the upstream sent no reply
     """
 
     __slots__ = (
@@ -136,7 +137,7 @@
         self.retry_after_ms = retry_after_ms
         self.has_died = has_died
         self.answer = answer
-        # What decided, with its age where it has one; for logs only.
+        # Inputs of the decision, with their ages where known; logged only.
         self.inputs: dict[str, int | float | str] = {}
 
     def __repr__(self) -> str:
@@ -147,7 +148,7 @@
 
 
 class MulberrywayError(Exception):
-    """The base of all exceptions that this package raises itself."""
+    """Base class of all exceptions that this package raises."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(f"{fault.step.value} {fault.peer}: {fault.message}")
@@ -155,11 +156,11 @@
 
 
 class SettingsError(MulberrywayError):
-    """A settings file that cannot be used.
+    """An invalid settings file.
 
-    :param file: the file's name
-    :param key: the option at fault, as ``section.option``
-    :param expected: what would have been accepted
+    :param file: the name of the file
+    :param key: the invalid option, as ``section.option``
+    :param expected: a description of valid values
     """
 
     def __init__(self, file: str, key: str, expected: str) -> None:
@@ -173,16 +174,16 @@
 
 
 class TablesError(MulberrywayError):
-    """Tables that are malformed or whose join does not hold."""
+    """Malformed tables, or tables with inconsistent references."""
 
 
 class PlatformError(MulberrywayError):
-    """The platform's object API cannot be used as asked."""
+    """The platform's object API rejected or failed an operation."""
 
 
 class PeerError(MulberrywayError):
-    """Another process of the system cannot be used as asked."""
+    """Another process of the system rejected or failed an operation."""
 
 
 class UpstreamError(MulberrywayError):
-    """An upstream cannot be used as asked."""
+    """An upstream rejected or failed an operation."""
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -1,8 +1,8 @@
-"""Puts the parts of an entry VM together that runs on the operators' platform.
+"""Creates and connects the components of a VM on the operators' platform.
 
-What the project's own assembly keeps for itself (claims, shares of
-allowances, segments, the editor) is not needed there: the store holds the
-configuration whole, and each attempt of a caller has an id of its own.
+Some components of the native assembly (claims, allowance fractions, segments,
+the configuration editor) are not needed there: the store holds the complete
+configuration, and each attempt of a caller has its own id.
 """
 
 import concurrent.futures
@@ -60,31 +60,32 @@
 
 MEMBERSHIP = "Membership"
 MIRRORS = "Mirrors"
-# The longest pause between a stream's pieces that is still good where no route
-# of a pool has a target; at eight of these a caller leaves.
+# The target inter-token gap of pools whose routes have no target; callers
+# disconnect after eight times this long.
 TOKEN_GAP_MS = 300
 US_IN_MS = 1_000
 FAULT_FORMAT = replies.FaultFormat(
     has_fractional_retry_after=True,
     is_retried_by_status=True,
     statuses={
-        # Callers take other refusals of this sort for the end of the matter,
-        # though a request that only ran beside a poisonous one may run later.
+        # Callers treat other rejections of this kind as final, although a
+        # request that only ran next to the one that crashes engines may
+        # succeed later.
         errors.Code.QUARANTINED: 503,
     },
 )
 
 
-class _AllEntries(endpoints.EndpointDirectory):
-    """Tells callers of all VMs that take callers."""
+class _FleetEndpoints(endpoints.EndpointDirectory):
+    """Lists all VMs of the fleet that accept callers."""
 
     def __init__(self, assembly: "HostedAssembly") -> None:
         self._assembly = assembly
 
     def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
-        """Return the addresses of all VMs that take callers.
+        """Return the addresses of all VMs that accept callers.
 
-        :param caller_zone: not looked at: callers choose by chance
+        :param caller_zone: unused; callers choose a VM at random
         """
         return endpoints.list_endpoints(
             self._assembly.members.list_members(),
@@ -93,11 +94,11 @@
 
 
 class HostedAssembly(process.Service):
-    """All controllers and the router of one entry VM.
+    """The controllers, servers and router of one entry VM.
 
     :param settings_: the settings of the process
-    :param clock_: where the time comes from
-    :param file: the settings file, read again when it changes
+    :param clock_: the source of the current time; the system clock by default
+    :param file: the settings file, which is reloaded when it changes
     """
 
     def __init__(
@@ -124,7 +125,7 @@
             platform_tables.TablesReader()
         )
         self.outages = store_reachability.StoreReachability()
-        self.mirror_controllers = self._make_keepers()
+        self.mirror_controllers = self._make_mirror_controllers()
         self.exchange = mirror_exchange.MirrorSyncController(
             self.mirror_controllers, self.client, self.clock, self._list_peers
         )
@@ -159,11 +160,11 @@
         self._wire_router()
         self._wire_peers()
         self.reloading = reloading.SettingsReloadController(
-            file, self._change_settings, self.clock
+            file, self._apply_settings, self.clock
         )
 
     def start(self) -> None:
-        """Begin to serve peers, then callers; returns at once."""
+        """Start serving peers, then callers; returns at once."""
         LOG.info(
             "the entry VM starts",
             extra=logs.make_extra(
@@ -174,8 +175,8 @@
         )
         self.peer_server.start()
         self.datagrams.start()
-        for keeper in self.mirror_controllers.values():
-            keeper.start()
+        for controller in self.mirror_controllers.values():
+            controller.start()
         self.exchange.start()
         self.members.start()
         self.router.start()
@@ -188,9 +189,9 @@
         self.reloading.start()
 
     def stop(self, graceful: bool = True) -> None:
-        """Stop serving callers, then everything else.
+        """Stop serving callers, then stop everything else.
 
-        :param graceful: whether running requests may end first
+        :param graceful: whether running requests may finish first
         """
         LOG.info(
             "the entry VM stops",
@@ -211,8 +212,8 @@
             self.exchange,
             self.members,
         )
-        with concurrent.futures.ThreadPoolExecutor() as stops:
-            list(stops.map(lambda one: one.stop(), controllers))
+        with concurrent.futures.ThreadPoolExecutor() as executor:
+            list(executor.map(lambda one: one.stop(), controllers))
         self.datagrams.stop()
         self.peer_server.stop()
         LOG.info(
@@ -242,7 +243,7 @@
             settings_.peers_period_ms,
         )
 
-    def _make_keepers(self) -> dict[str, mirrors.MirrorController]:
+    def _make_mirror_controllers(self) -> dict[str, mirrors.MirrorController]:
         source = self.source
         source.configuration = mirrors.MirrorController(
             platform_tables.CONFIGURATION_KIND,
@@ -266,8 +267,8 @@
             is_watcher=self._must_watch,
         )
         return {
-            keeper.kind: keeper
-            for keeper in (source.configuration, source.servers)
+            controller.kind: controller
+            for controller in (source.configuration, source.servers)
         }
 
     def _make_scheduler(self) -> scheduler.FairScheduler:
@@ -290,20 +291,23 @@
             self.source,
             self.scheduler,
             self.allowances,
-            _AllEntries(self),
+            _FleetEndpoints(self),
             self.budget.try_withdraw,
             on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             on_ready=lambda: self.members.update_local(is_starting=False),
             api=interface.PlatformInterface(self.budget),
             fault_format=FAULT_FORMAT,
-            # Here a key that was taken away binds the requests that come
-            # after it; a stream that runs is owed to its caller.
+            # On this platform a revoked key only prevents new requests;
+            # running streams are completed.
             closes_revoked_streams=False,
         )
         self.counts.report(self.router.metrics)
         kept_objects.report(
-            [keeper.kept for keeper in self.mirror_controllers.values()],
+            [
+                controller.kept
+                for controller in self.mirror_controllers.values()
+            ],
             self.router.metrics,
         )
         self.dissemination = dissemination.DisseminationController(
@@ -326,8 +330,8 @@
             self.clock,
         )
         self.allowances.broadcast = self.dissemination.publish
-        self.notes.on_usage = self._take_usage
-        self.source.subscribe(self._change_tables)
+        self.notes.on_usage = self._receive_usage
+        self.source.subscribe(self._update_tables)
 
     def _wire_peers(self) -> None:
         settings_ = self.settings
@@ -370,14 +374,14 @@
         )
 
     def _list_peers(self) -> list[str]:
-        """Return where other VMs answer peers; the seeds until one does."""
-        alive = [
+        """Return the peer addresses of live VMs, or the seeds if none."""
+        alive_peers = [
             one.peer
             for one in self.members.list_members()
             if one.health is not member.MemberStatus.DEAD
             and one.name != self.settings.vm_name
         ]
-        return alive or list(_list_seeds(self.settings))
+        return alive_peers or list(_list_seeds(self.settings))
 
     def _must_watch(self) -> bool:
         return self.outages.must_poll(
@@ -402,38 +406,38 @@
         candidates = leader_lease.choose_candidates(self.members.list_alive())
         return self.settings.vm_name in candidates
 
-    def _change_settings(self, changed: settings.Settings) -> None:
+    def _apply_settings(self, changed: settings.Settings) -> None:
         self.members.update_seeds(_list_seeds(changed))
 
     def _read_mirrors(self) -> dict[str, int]:
         return {
-            kind: keeper.revision
-            for kind, keeper in self.mirror_controllers.items()
+            kind: controller.revision
+            for kind, controller in self.mirror_controllers.items()
         }
 
-    def _take_usage(self, told: usage.Usage, address: str) -> None:
-        self.allowances.take(told)
+    def _receive_usage(self, received: usage.Usage, address: str) -> None:
+        self.allowances.take(received)
         self.outages.note_peer(
-            told.vm, told.is_store_reached, self.clock.now_ms()
+            received.vm, received.is_store_reached, self.clock.now_ms()
         )
-        # A VM that has just begun has not looked at the others yet.
+        # A VM that has just started has not contacted the others yet.
         address = address or next(
             (
                 one.peer
                 for one in self.members.list_members()
-                if one.name == told.vm
+                if one.name == received.vm
             ),
             "",
         )
         if address:
-            self.exchange.note_peer(address, told.mirrors)
+            self.exchange.note_peer(address, received.mirrors)
 
-    def _change_tables(self, changed: tables.Tables) -> None:
+    def _update_tables(self, changed: tables.Tables) -> None:
         self.allowances.update_tables(changed)
 
 
 def _list_seeds(settings_: settings.Settings) -> tuple[str, ...]:
-    """Return the seeds' addresses for peers, without this VM's own."""
+    """Return the seeds' peer addresses, without this VM's own."""
     port = settings_.peers_seeds_port
     seeds = [
         f"{seed.rpartition(':')[0]}:{port}" if port else seed
--- a/mulberryway/logs.py
+++ b/mulberryway/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard output, bounded and never waited for."""
+"""Non-blocking logging as JSON lines on standard output."""
 
 import json
 import logging
@@ -13,11 +13,11 @@
 __all__ = ["BoundedHandler", "JsonFormatter", "make_extra", "set_up"]
 
 FIELDS = "fields"
-# A write to a full pipe blocks, and lines cost processor time.  So a thread of
-# its own writes, lines per second are limited, and what does not fit is
-# dropped and counted.
+# Writing to a full pipe blocks, and formatting lines costs CPU time.  So a
+# separate thread writes, the number of lines per second is limited, and lines
+# beyond the limit are dropped and counted.
 MAX_LINES_PER_S = 300
-# Of it ordinary lines get this part, so that warnings still come through.
+# The fraction for records below WARNING, so that warnings still get through.
 BELOW_WARNING_FRACTION = 0.8
 MAX_QUEUED_RECORDS = 2_000
 FLUSH_S = 0.3
@@ -25,9 +25,9 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Writes each record as one JSON object on one line.
+    """Formats each record as one JSON object on one line.
 
-    :param vm: the VM's name, in every line
+    :param vm: the VM's name, added to every line
     """
 
     def __init__(self, vm: str) -> None:
@@ -35,42 +35,42 @@
         self._vm = vm
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return a record as a line.
+        """Format a record.
 
-        :param record: what was logged
-        :returns: the line
+        :param record: the log record
+        :returns: the line without a line break
         """
-        line: dict[str, typing.Any] = {
+        record_fields: dict[str, typing.Any] = {
             "time_ms": int(record.created * 1000),
             "level": record.levelname,
             "vm": self._vm,
             "logger": record.name.removeprefix("mulberryway."),
             "message": record.getMessage(),
         }
-        line.update(getattr(record, FIELDS, {}))
+        record_fields.update(getattr(record, FIELDS, {}))
         if record.exc_info:
-            line["exception"] = self.formatException(record.exc_info)
-        return json.dumps(line, default=str)
+            record_fields["exception"] = self.formatException(record.exc_info)
+        return json.dumps(record_fields, default=str)
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to a thread that writes them, and never waits for it.
+    """Queues records for a writer thread and never blocks.
 
-    :param stream: where lines go
-    :param most_per_s: lines written in one second at most
+    :param stream: the output stream
+    :param max_lines_per_s: the maximum number of lines per second
     """
 
     def __init__(
-        self, stream: typing.TextIO, most_per_s: int = MAX_LINES_PER_S
+        self, stream: typing.TextIO, max_lines_per_s: int = MAX_LINES_PER_S
     ) -> None:
         super().__init__()
         self._stream = stream
-        self._most_per_s = most_per_s
+        self._max_lines_per_s = max_lines_per_s
         self._queue: queue.Queue[logging.LogRecord] = queue.Queue(
             MAX_QUEUED_RECORDS
         )
-        self._second = 0
-        self._in_second = 0
+        self._current_second = 0
+        self._lines_in_second = 0
         self._dropped = 0
         self._is_idle = threading.Event()
         self._is_idle.set()
@@ -81,24 +81,24 @@
 
     @property
     def dropped(self) -> int:
-        """How many lines were dropped and not told of yet."""
+        """The number of dropped lines that were not reported yet."""
         return self._dropped
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record, or drop it; returns at once.
+        """Queue a record or drop it; returns at once.
 
-        :param record: what was logged
+        :param record: the log record
         """
         second = int(record.created)
-        if second != self._second:
-            self._second, self._in_second = second, 0
-        most: float = self._most_per_s
+        if second != self._current_second:
+            self._current_second, self._lines_in_second = second, 0
+        max_lines: float = self._max_lines_per_s
         if record.levelno < logging.WARNING:
-            most *= BELOW_WARNING_FRACTION
-        if self._in_second >= most:
+            max_lines *= BELOW_WARNING_FRACTION
+        if self._lines_in_second >= max_lines:
             self._dropped += 1
             return
-        self._in_second += 1
+        self._lines_in_second += 1
         try:
             self._is_idle.clear()
             self._queue.put_nowait(record)
@@ -106,22 +106,22 @@
             self._dropped += 1
 
     def flush(self) -> None:
-        """Give the writing thread a moment for what is queued."""
+        """Wait briefly for the writer thread to empty the queue."""
         self._is_idle.wait(FLUSH_S)
 
     def _run(self) -> None:
-        told_s = 0.0
+        reported_s = 0.0
         while True:
             record = self._queue.get()
             self._write(self.format(record))
             now_s = time.monotonic()
-            if self._dropped and now_s - told_s >= DROP_REPORT_INTERVAL_S:
-                told_s = now_s
-                self._tell_dropped()
+            if self._dropped and now_s - reported_s >= DROP_REPORT_INTERVAL_S:
+                reported_s = now_s
+                self._report_dropped()
             if self._queue.empty():
                 self._is_idle.set()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         dropped, self._dropped = self._dropped, 0
         record = logging.makeLogRecord(
             {
@@ -139,26 +139,26 @@
             self._stream.write(line + "\n")
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody reads any more; there is nowhere else to say so.
+            # The output is closed, and there is nowhere else to report it.
             self._dropped += 1
 
 
 def make_extra(
     fault: errors.Fault | None = None, **fields: typing.Any
 ) -> dict[str, typing.Any]:
-    """Return the ``extra`` argument that adds fields to a log line.
+    """Return the ``extra`` argument that adds fields to a log record.
 
-    Fields name requests, accounts and peers.  Keys, their digests, prompts
-    and bodies are never among them: logs are read by more people than may
-    act for an account.
+    Fields identify requests, accounts and peers.  They must not contain
+    keys, key digests, prompts or bodies, because more people can read the
+    logs than may act for an account.
 
-    :param fault: whose code, step, peer, run and inputs are added
+    :param fault: a fault whose code, step, peer, run and inputs are added
     :param fields: further fields
-    :returns: what logging methods take as ``extra``
+    :returns: the value for the ``extra`` argument of logging methods
     """
-    line: dict[str, typing.Any] = dict(fields)
+    record_fields: dict[str, typing.Any] = dict(fields)
     if fault is not None:
-        line.update(
+        record_fields.update(
             code=fault.code.value,
             step=fault.step.value,
             peer=fault.peer,
@@ -166,15 +166,15 @@
             reason=fault.message,
             **fault.inputs,
         )
-    return {FIELDS: line}
+    return {FIELDS: record_fields}
 
 
 def set_up(vm: str, level: str, debug: tuple[str, ...] = ()) -> None:
-    """Send all logs to standard output as JSON lines.
+    """Configure logging as JSON lines on standard output.
 
     :param vm: the VM's name
-    :param level: the lowest level that is written
-    :param debug: names of loggers below ``mulberryway`` that write all
+    :param level: the minimum level that is written
+    :param debug: names of loggers below ``mulberryway`` set to DEBUG
     """
     handler = BoundedHandler(sys.stdout)
     handler.setFormatter(JsonFormatter(vm))
--- a/mulberryway/metrics.py
+++ b/mulberryway/metrics.py
@@ -1,4 +1,4 @@
-"""The instruments of a router; docs/operators/metrics.md lists them."""
+"""The metrics of a router; docs/operators/metrics.md lists them."""
 
 import collections.abc
 import importlib
@@ -13,19 +13,19 @@
 
 Labels = dict[str, str | int | float | bool]
 Gauge = collections.abc.Callable[[], int]
-Points = collections.abc.Callable[[], list[tuple[Labels, int]]]
+LabeledValues = collections.abc.Callable[[], list[tuple[Labels, int]]]
 
 
 class Metrics:
-    """All instruments, readable in the process and exported if asked.
+    """All instruments, readable in the process and optionally exported.
 
-    Nothing here is counted for each token: a count costs microseconds, and
-    a stream's tokens are added up at its end.
+    Nothing is counted per token, because a count costs microseconds; a
+    stream's tokens are added at its end.
 
     :param vm: the VM's name
-    :param otlp_url: where metrics are sent; empty for nowhere
-    :param export_ms: how often
-    :param serves_text: whether they can be read as text
+    :param otlp_url: the URL to export metrics to; empty for no export
+    :param export_ms: the export interval in ms
+    :param serves_text: whether the Prometheus text format is available
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         export_ms: int = 10_000,
         serves_text: bool = False,
     ) -> None:
-        self._memory = export.InMemoryMetricReader()
-        readers: list[export.MetricReader] = [self._memory]
+        self._memory_reader = export.InMemoryMetricReader()
+        readers: list[export.MetricReader] = [self._memory_reader]
         if otlp_url:
-            # Loaded only where it is used: it takes a third of the time in
-            # which a process starts, and a restarted VM is waited for.
+            # Imported only when needed: the import takes a third of the
+            # process's startup time and delays a restarted VM.
             exporters = importlib.import_module(
                 "opentelemetry.exporter.otlp.proto.http.metric_exporter"
             )
@@ -103,11 +103,11 @@
         )
 
     def register_gauge(self, name: str, description: str, read: Gauge) -> None:
-        """Report a value that somebody else keeps.
+        """Register a gauge that is read by a callback.
 
         :param name: the instrument's name, without the common prefix
-        :param description: what it tells
-        :param read: returns the value now
+        :param description: the instrument's description
+        :param read: returns the current value
         """
         self._meter.create_observable_gauge(
             f"mulberryway.{name}",
@@ -116,12 +116,12 @@
         )
 
     def register_counter(
-        self, name: str, description: str, read: Points
+        self, name: str, description: str, read: LabeledValues
     ) -> None:
-        """Report totals that somebody else keeps, by labels.
+        """Register a counter whose totals by label are read by a callback.
 
         :param name: the instrument's name, without the common prefix
-        :param description: what it tells
+        :param description: the instrument's description
         :param read: returns pairs of labels and total
         """
         self._meter.create_observable_counter(
@@ -136,12 +136,12 @@
         )
 
     def read(self) -> dict[str, list[dict[str, typing.Any]]]:
-        """Return all values now, for status pages and tests.
+        """Return all current values, for status pages and tests.
 
-        :returns: by instrument's name, its points: attributes and a value,
-            or a count and a sum
+        :returns: the points of each instrument by its name: labels and a
+            value, or labels, a count and a sum
         """
-        data = self._memory.get_metrics_data()
+        data = self._memory_reader.get_metrics_data()
         if data is None:
             return {}
         return {
@@ -152,14 +152,14 @@
         }
 
     def write_text(self) -> bytes:
-        """Return all values as text, in the form that collectors read."""
+        """Return all current values in the Prometheus text format."""
         if self._registry is None:
             return b""
-        text: bytes = self._registry.generate_latest()
-        return text
+        exposition: bytes = self._registry.generate_latest()
+        return exposition
 
     def stop(self) -> None:
-        """Send what is still to be sent."""
+        """Export pending values and shut down."""
         self._provider.shutdown()
 
 
--- a/mulberryway/options.py
+++ b/mulberryway/options.py
@@ -1,4 +1,4 @@
-"""How options of a settings file are checked, and read into attributes."""
+"""Validation and conversion of the options in a settings file."""
 
 import collections.abc
 import ipaddress
@@ -30,13 +30,13 @@
 
 
 class Option:
-    """How one option of the file becomes one attribute.
+    """Describes how one option is checked and stored as an attribute.
 
     :param key: ``section.option`` in the file
     :param attribute: the attribute of :class:`Settings`
-    :param expected: what is accepted, in words for the error
-    :param accepts: tells whether a value is accepted
-    :param convert: makes the attribute's value of the file's
+    :param expected: a description of valid values for error messages
+    :param accepts: returns whether a value is valid
+    :param convert: converts the file's value to the attribute's value
     """
 
     __slots__ = ("key", "attribute", "expected", "accepts", "convert")
@@ -61,7 +61,7 @@
 def make_int_check(
     low: int, high: int
 ) -> collections.abc.Callable[[typing.Any], bool]:
-    """Return a check for whole numbers from one to another."""
+    """Return a check for integers in a range, bounds included."""
 
     def accepts(value: typing.Any) -> bool:
         return type(value) is int and low <= value <= high
@@ -72,27 +72,27 @@
 def make_number_check(
     low: float, high: float
 ) -> collections.abc.Callable[[typing.Any], bool]:
-    """Return a check for numbers, with fractions or without."""
+    """Return a check for integers and floats in a range, bounds included."""
     return lambda value: type(value) in (int, float) and low <= value <= high
 
 
 def is_fraction(value: typing.Any) -> bool:
-    """Tell whether a value is a number from 0 to 1."""
+    """Return whether a value is a number from 0 to 1."""
     return type(value) in (int, float) and 0 <= value <= 1
 
 
 def is_nonempty_string(value: typing.Any) -> bool:
-    """Tell whether a value is a text that is not empty."""
+    """Return whether a value is a non-empty string."""
     return isinstance(value, str) and bool(value)
 
 
 def is_string(value: typing.Any) -> bool:
-    """Tell whether a value is a text."""
+    """Return whether a value is a string."""
     return isinstance(value, str)
 
 
 def is_ip(value: typing.Any) -> bool:
-    """Tell whether a value is an IP number."""
+    """Return whether a value is an IP address."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
@@ -101,12 +101,12 @@
 
 
 def is_text_list(value: typing.Any) -> bool:
-    """Tell whether a value is a list of texts."""
+    """Return whether a value is a list of non-empty strings."""
     return isinstance(value, list) and all(map(is_nonempty_string, value))
 
 
 def is_digest_table(value: typing.Any) -> bool:
-    """Tell whether a value is a table of names and SHA-256 digests."""
+    """Return whether a value is a table of names and SHA-256 digests."""
     return isinstance(value, dict) and all(
         isinstance(digest, str) and DIGEST.fullmatch(digest) is not None
         for digest in value.values()
@@ -114,31 +114,31 @@
 
 
 def is_url(value: typing.Any) -> bool:
-    """Tell whether a value is an HTTP address."""
+    """Return whether a value is an HTTP URL."""
     return isinstance(value, str) and value.startswith(("http://", "https://"))
 
 
 def is_optional_url(value: typing.Any) -> bool:
-    """Tell whether a value is an HTTP address, or empty."""
+    """Return whether a value is an HTTP URL or empty."""
     return value == "" or is_url(value)
 
 
 def make_choice_check(
     *choices: str,
 ) -> collections.abc.Callable[[typing.Any], bool]:
-    """Return a check for some values."""
+    """Return a check for one of the given values."""
     return lambda value: value in choices
 
 
 def make_port(key: str, attribute: str) -> Option:
-    """Return an option that is a port."""
+    """Return an option for a port number."""
     return Option(
         key, attribute, "a port from 1 to 65535", make_int_check(1, MOST_PORT)
     )
 
 
 def is_address(value: typing.Any) -> bool:
-    """Tell whether a value is ``host:port``."""
+    """Return whether a value is an address of the form ``host:port``."""
     if not isinstance(value, str):
         return False
     host, _, port = value.rpartition(":")
@@ -146,7 +146,7 @@
 
 
 def make_address(key: str, attribute: str) -> Option:
-    """Return an option that is ``host:port``, or empty."""
+    """Return an option for a ``host:port`` address that may be empty."""
     return Option(
         key,
         attribute,
@@ -156,7 +156,7 @@
 
 
 def make_number(key: str, attribute: str, low: int, high: int) -> Option:
-    """Return an option that is a whole number."""
+    """Return an option for an integer."""
     return Option(
         key,
         attribute,
@@ -166,7 +166,7 @@
 
 
 def make_seconds(key: str, attribute: str, low: float, high: float) -> Option:
-    """Return an option in seconds, with fractions, for one in ms."""
+    """Return an option in fractional seconds, stored in ms."""
     return Option(
         key,
         attribute,
@@ -177,7 +177,7 @@
 
 
 def make_amount(key: str, attribute: str, high: float) -> Option:
-    """Return an option whose value may have a fraction, rounded down."""
+    """Return an option for a number that is rounded down to an integer."""
     return Option(
         key,
         attribute,
--- a/mulberryway/replies.py
+++ b/mulberryway/replies.py
@@ -1,4 +1,4 @@
-"""Faults as callers see them: HTTP status, headers and JSON body."""
+"""Converts faults to the HTTP replies that callers receive."""
 
 import json
 
@@ -50,8 +50,8 @@
 }
 
 
-# By these a caller knows that its request has not run and never will, and
-# so repeats even a booking.
+# With these statuses a caller knows that its request has not run and never
+# will, so it retries even non-idempotent requests.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 MAY_HAVE_RUN_STATUS = 502
 AMBIGUOUS_STATUSES = frozenset((502, 504))
@@ -59,13 +59,13 @@
 
 
 class FaultFormat:
-    """How faults are told to callers.
+    """Describes how faults are reported to callers.
 
-    :param has_fractional_retry_after: whether callers read fractions of a
-        second in ``Retry-After``; by RFC 9110 they need not
-    :param statuses: statuses that differ from :data:`STATUS`
-    :param is_retried_by_status: whether callers look at nothing but the status
-        before they repeat a request; else the body tells whether it has run
+    :param has_fractional_retry_after: whether callers accept fractional
+        seconds in ``Retry-After``, which RFC 9110 does not require
+    :param statuses: statuses that override :data:`STATUS`
+    :param is_retried_by_status: whether callers decide on a retry by the
+        status alone; otherwise the body says whether the request has run
     """
 
     __slots__ = (
@@ -89,12 +89,13 @@
 
 
 class Reply:
-    """A whole answer for a caller.
+    """A complete reply to a caller.
 
     :param status: the HTTP status
-    :param headers: header pairs; length and connection are added later
-    :param body: the whole body
-    :param close: whether the connection must not be used again
+    :param headers: header pairs; length and connection headers are added
+        later
+    :param body: the complete body
+    :param close: whether to close the connection afterwards
     """
 
     __slots__ = ("status", "headers", "body", "close")
@@ -115,17 +116,17 @@
 def choose_status(
     fault: errors.Fault, style: FaultFormat = NATIVE_FORMAT
 ) -> int:
-    """Return the status that a fault is told by.
+    """Return the HTTP status that reports a fault.
 
-    An upstream may refuse the last of several attempts after an earlier one
-    had begun; told by the refusal's own status, the caller would repeat what
-    may have run.
+    An upstream may reject the last of several attempts after an earlier one
+    had begun.  With the status of the rejection, the caller would retry a
+    request that may have run.
 
-    The other way round, a fault that is known not to have run is told so by
-    the status, where callers go by nothing else.
+    Conversely, if callers go by the status alone, a fault of a request that
+    has not run gets a status that allows a retry.
 
     :param fault: the fault
-    :param style: how faults are told
+    :param style: how faults are reported
     :returns: the HTTP status
     """
     status = style.statuses[fault.code]
@@ -145,7 +146,7 @@
 
 
 def describe_fault(fault: errors.Fault) -> bytes:
-    """Return a fault as the JSON that callers get.
+    """Return the JSON body that describes a fault.
 
     :param fault: the fault
     :returns: the encoded object ``{"error": ...}``
@@ -169,31 +170,31 @@
     close: bool = False,
     style: FaultFormat = NATIVE_FORMAT,
 ) -> Reply:
-    """Return a fault as a whole answer.
+    """Return the complete reply that reports a fault.
 
-    Where an upstream has answered itself, its answer goes on unchanged.
+    If the upstream sent a reply itself, it is forwarded unchanged.
 
     :param fault: the fault
-    :param close: whether the connection must not be used again
-    :param style: how faults are told
-    :returns: the answer
+    :param close: whether to close the connection afterwards
+    :param style: how faults are reported
+    :returns: the reply
     """
     answer = fault.answer
     if answer is not None:
         return Reply(answer.status, answer.headers, answer.body, close)
     headers = [("Content-Type", JSON_TYPE)]
     if fault.retry_after_ms is not None:
-        wait = _write_seconds(
+        seconds = _format_seconds(
             fault.retry_after_ms, style.has_fractional_retry_after
         )
-        headers.append(("Retry-After", wait))
+        headers.append(("Retry-After", seconds))
     if fault.code is errors.Code.UNAUTHENTICATED:
         headers.append(("WWW-Authenticate", "Bearer"))
     status = choose_status(fault, style)
     return Reply(status, headers, describe_fault(fault), close)
 
 
-def _write_seconds(duration_ms: int, has_fractions: bool) -> str:
+def _format_seconds(duration_ms: int, has_fractions: bool) -> str:
     if has_fractions:
         return f"{duration_ms / MS_IN_S:.3f}"
     return str(-(-duration_ms // MS_IN_S))
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -1,4 +1,4 @@
-"""The router of one VM: the object that runs the show."""
+"""The router of one VM, which serves callers' requests."""
 
 import collections.abc
 import gc
@@ -36,61 +36,60 @@
 
 LOG = logging.getLogger(__name__)
 
-# Python lets a thread compute for this long before another one may.  With
-# the default of 5 ms, one worker that reads a long prompt holds the relay's
-# loop up for 5 ms, which is all that a stream's pause may grow by.
+# The interval after which Python switches between computing threads.  With the
+# default of 5 ms, a worker that parses a long prompt blocks the relay's event
+# loop for 5 ms, which is the whole allowed increase of an inter-token gap.
 THREAD_SWITCH_INTERVAL_S = 0.000_5
-# Requests make many short-lived objects and few cycles, and a collection
-# holds up every stream; so collections are made rarer, and what lives as
-# long as the process is left out of them.
+# Requests create many short-lived objects and few reference cycles, and each
+# garbage collection pauses all streams.  So collections are rare, and objects
+# that live as long as the process are excluded.
 GC_THRESHOLDS = (20_000, 20, 50)
-# Entry answers are a little older than their lifetime says when they come
-# over a peer or a slow caller.
-ENTRY_MARGIN_MS = 1_000
-# So long before the end of a stop the last new calls are taken; it is more
-# than a plain call usually takes.
+# Discovery responses that arrive through a peer or over a slow connection are
+# used for a little longer than their TTL.
+ENTRY_TTL_MARGIN_MS = 1_000
+# New calls are accepted until this long before the end of a graceful shutdown;
+# plain calls usually take less.
 ACCEPT_CUTOFF_MS = 1_000
 POLL_MS = 20
 READY_POLL_MS = 100
-# What a stopping VM keeps of its time for what already runs: most streams
-# end within it.
+# New streams are rejected this long before the end of a graceful shutdown;
+# most running streams end within this time.
 STREAM_CUTOFF_MS = 5_000
-# The end of a stop is not reached to the last moment, because what is not
-# over then is killed in the middle of a write.
+# The shutdown ends this long before the grace period, because a process that
+# is still running then is killed in the middle of a write.
 SHUTDOWN_MARGIN_MS = 400
-# Questions from the platform and for addresses are few and quick.
-SIDE_THREADS = 2
-# What was sent to this VM before the refusals began is on its way at most
-# for so long.
-IN_FLIGHT_ARRIVAL_MS = 200
-# A chosen upstream is used without another look at the tables for this part
-# of the time for which one that leaves serves on.
+# Health checks and discovery requests are few and short.
+AUXILIARY_THREADS = 2
+# The maximum time for which requests sent before the VM began to reject may
+# still be on their way.
+MAX_IN_FLIGHT_MS = 200
+# A chosen upstream is used without checking the tables again for the time that
+# draining upstreams still serve, divided by this.
 CHOICE_TTL_DIVISOR = 2
 
 
 class Router(status.Lifecycle):
-    """Serves callers; everything it decides with is handed to it.
+    """Serves callers with the components that it is given.
 
     :param settings_: the settings of the process
-    :param clock_: where the time comes from
-    :param incarnation: which life of this VM's router this is
-    :param source: the tables in force
-    :param scheduler: decides about model requests
-    :param allowances: the accounts' tokens
-    :param entries: knows the VMs that take callers
-    :param try_withdraw_retry: takes one repeat out of a pool's budget for them
-    :param on_drain: called when new callers should no longer come
-    :param directory_: finds upstreams; by HTTP if none is given
-    :param claim_store: grants calls that must run at most once; without
-        one such calls are refused
-    :param has_settled: whether accounts' tokens can be found from here; once
-        true, it is not asked again
-    :param on_ready: called once, when callers may come for the first time
-    :param api: how callers speak; the project's own way if none is
-        given
-    :param fault_format: how faults are told to callers
-    :param closes_revoked_streams: whether a withdrawn key ends running streams
-        too, or only stops new requests
+    :param clock_: the source of the current time
+    :param incarnation: the incarnation of this VM's router
+    :param source: provides the active tables
+    :param scheduler: assigns engines to model requests
+    :param allowances: the token allowances of all client accounts
+    :param entries: lists the VMs that accept callers
+    :param try_withdraw_retry: withdraws a retry from a pool's retry budget
+    :param on_drain: called when new callers should use other VMs
+    :param directory_: finds upstreams; over HTTP by default
+    :param claim_store: claims calls that must run at most once; without
+        one such calls are rejected
+    :param has_settled: returns whether the accounts' tokens are available to
+        this VM; not called again after it has returned true
+    :param on_ready: called once, when the VM becomes ready for callers
+    :param api: the interface for callers; the native one by default
+    :param fault_format: how faults are reported to callers
+    :param closes_revoked_streams: whether a revoked key also ends running
+        streams, or only prevents new requests
     """
 
     def __init__(
@@ -133,23 +132,23 @@
         self._source = source
         self._allowances = allowances
         self._entries = entries
-        self._may_repeat = try_withdraw_retry
-        self._on_withdraw = on_drain
+        self._try_withdraw_retry = try_withdraw_retry
+        self._on_drain = on_drain
         self._claim_store = claim_store
         self._incarnation = incarnation
         self._has_settled = has_settled
         self._was_settled = False
         self._on_ready = on_ready
-        self._interface = api or caller_api.NativeApi()
-        self._cuts_withdrawn = closes_revoked_streams
+        self._api = api or caller_api.NativeApi()
+        self._closes_revoked_streams = closes_revoked_streams
         self._stop_at_ms: int | None = None
-        self._has_begun = False
-        self._is_withdrawn = False
-        self._is_refusing = False
+        self._has_started = False
+        self._is_draining = False
+        self._is_rejecting = False
         self._stop_lock = threading.Lock()
-        context = self._make_context()
+        context = self._make_filter_dependencies()
         self.gateway = gateway.GatewayFactory(
-            chain.Chain(self._interface.make_filters(context)),
+            chain.Chain(self._api.make_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}",
             fault_format,
@@ -157,18 +156,18 @@
         self.server = http_server.HttpServer(
             settings_, self.gateway, self.relay
         )
-        side = gateway.GatewayFactory(
-            chain.Chain(self._interface.make_auxiliary_filters(context)),
+        auxiliary = gateway.GatewayFactory(
+            chain.Chain(self._api.make_auxiliary_filters(context)),
             clock_,
             f"{settings_.vm_name}.{incarnation}.side",
         )
-        self._side_servers = [
+        self._auxiliary_servers = [
             http_server.HttpServer(
                 settings_,
-                side,
+                auxiliary,
                 self.relay,
                 settings.read_port(address),
-                SIDE_THREADS,
+                AUXILIARY_THREADS,
             )
             for address in (
                 settings_.router_ready_address,
@@ -177,40 +176,40 @@
             )
             if address
         ]
-        self._observe()
+        self._register_gauges()
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
-        # A dead VM's parts of allowances are missing for a while; that must
-        # not take all the others out of the answers.
+        """Whether new callers may be sent to this VM."""
+        # After a VM crash its fractions of the allowances are missing for a
+        # while, which must not make all other VMs unready.
         self._was_settled = self._was_settled or self._has_settled()
         return (
-            self._has_begun
+            self._has_started
             and self._was_settled
-            and not self._is_withdrawn
+            and not self._is_draining
             and self._source.read_tables() is not None
         )
 
     @property
     def is_rejecting(self) -> bool:
-        """Whether new requests are refused."""
-        return self._is_refusing
+        """Whether new requests are rejected."""
+        return self._is_rejecting
 
     @property
     def is_draining(self) -> bool:
-        """Whether callers should use another VM for their next request."""
-        return self._is_withdrawn
+        """Whether callers should send their next request to another VM."""
+        return self._is_draining
 
     @property
     def is_near_shutdown(self) -> bool:
-        """Whether work that takes seconds could not end in time any more."""
+        """Whether work that takes seconds could no longer finish in time."""
         end = self._stop_at_ms
         return end is not None and end - self.clock.now_ms() < STREAM_CUTOFF_MS
 
     @property
     def running(self) -> int:
-        """How many requests are in the router, streams included."""
+        """The number of requests in the router, including streams."""
         return self.gateway.running
 
     @property
@@ -219,75 +218,75 @@
         return int(self.server.bind_addr[1])
 
     def start(self) -> None:
-        """Begin to serve; returns at once."""
+        """Start serving; returns at once."""
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        self._source.subscribe(self._change_tables)
+        self._source.subscribe(self._update_tables)
         found = self._source.read_tables()
         if found is not None:
-            self._change_tables(found)
+            self._update_tables(found)
         self.loop.start()
         self.scheduling.start()
         self.cancelling.start()
         self.server.start()
-        for server in self._side_servers:
+        for server in self._auxiliary_servers:
             server.start()
-        self._has_begun = True
+        self._has_started = True
         threading.Thread(
             target=self._await_ready, name="ready", daemon=True
         ).start()
-        LOG.info("the router serves on port %d", self.port)
+        LOG.info("router listening on port %d", self.port)
 
     def _await_ready(self) -> None:
-        began_ms = self.clock.now_ms()
-        told: list[str] | None = None
-        while not self.is_ready and not self._is_refusing:
+        started_ms = self.clock.now_ms()
+        reported: list[str] | None = None
+        while not self.is_ready and not self._is_rejecting:
             missing = self._list_missing()
-            if missing != told:
-                told = missing
-                self._log_readiness(began_ms, missing)
+            if missing != reported:
+                reported = missing
+                self._log_readiness(started_ms, missing)
             self.clock.sleep_ms(READY_POLL_MS)
-        self._log_readiness(began_ms, self._list_missing())
+        self._log_readiness(started_ms, self._list_missing())
         self._on_ready()
 
     def _list_missing(self) -> list[str]:
-        """Return what this VM still waits for before callers may come."""
+        """Return the conditions that this VM still waits for to be ready."""
         return [
-            what
-            for what, is_there in (
+            name
+            for name, is_there in (
                 ("tables", self._source.read_tables() is not None),
                 ("allowances", self._was_settled),
-                ("stopping", not self._is_withdrawn),
+                ("stopping", not self._is_draining),
             )
             if not is_there
         ]
 
-    def _log_readiness(self, began_ms: int, missing: list[str]) -> None:
+    def _log_readiness(self, started_ms: int, missing: list[str]) -> None:
         LOG.info(
             "the VM is not ready" if missing else "the VM is ready",
             extra=logs.make_extra(
-                missing=missing, waited_ms=self.clock.now_ms() - began_ms
+                missing=missing, waited_ms=self.clock.now_ms() - started_ms
             ),
         )
 
     def withdraw(self) -> None:
-        """Tell new callers to go elsewhere; keep serving all who come."""
-        self._is_withdrawn = True
-        self._on_withdraw()
+        """Direct new callers to other VMs, but keep serving requests."""
+        self._is_draining = True
+        self._on_drain()
 
     def stop(self, graceful: bool = True) -> None:
-        """Stop; if gracefully, without cutting any request.
+        """Stop the router; if gracefully, without cutting off any request.
 
-        Callers keep an entry answer for its lifetime, so this VM serves on
-        for that long after it has left the answer.  Then it refuses what is
-        new, truthfully, and ends what runs.
+        Callers cache a discovery response for its TTL, so this VM keeps
+        serving for that long after it was removed from the responses.  Then
+        it rejects new requests and finishes the running ones.
 
-        :param graceful: whether to wait for all of that
+        :param graceful: whether to wait for running requests
         """
         with self._stop_lock:
-            if graceful and self._has_begun:
+            if graceful and self._has_started:
                 settings_ = self.settings
                 now_ms = self.clock.now_ms()
                 end = clock.Deadline(
@@ -299,22 +298,22 @@
                     min(
                         settings_.router_entry_ttl_ms
                         * settings_.router_entry_lives
-                        + ENTRY_MARGIN_MS,
+                        + ENTRY_TTL_MARGIN_MS,
                         max(settings_.router_grace_ms - ACCEPT_CUTOFF_MS, 0),
                     )
                 )
-                self._is_refusing = True
+                self._is_rejecting = True
                 self._drain(end)
-            self._is_refusing = True
+            self._is_rejecting = True
             self._shut_down()
 
     def _drain(self, end: clock.Deadline) -> None:
-        # cheroot's own stop would cut requests that take longer than its
-        # five seconds, so it is called only when nothing runs.
+        # cheroot's stop() cuts off requests that take longer than its limit
+        # of five seconds, so it is called only when no request is running.
         while not end.has_passed(self.clock.now_ms()):
             while self.running and not end.has_passed(self.clock.now_ms()):
                 self.clock.sleep_ms(POLL_MS)
-            self.clock.sleep_ms(IN_FLIGHT_ARRIVAL_MS)
+            self.clock.sleep_ms(MAX_IN_FLIGHT_MS)
             if not self.running:
                 break
         while (
@@ -325,7 +324,7 @@
             self.clock.sleep_ms(POLL_MS)
 
     def _shut_down(self) -> None:
-        for server in (*self._side_servers, self.server):
+        for server in (*self._auxiliary_servers, self.server):
             server.stop()
         self.scheduling.stop()
         self.cancelling.stop()
@@ -334,22 +333,22 @@
         self.tracer.stop()
         self.metrics.stop()
 
-    def _change_tables(self, changed: tables.Tables) -> None:
+    def _update_tables(self, changed: tables.Tables) -> None:
         self.scheduling.update_tables(changed)
         self.directory.update_tables(changed)
-        if not self._cuts_withdrawn:
+        if not self._closes_revoked_streams:
             return
         self.relay.cut(
-            lambda stream: _is_withdrawn(changed, stream),
+            lambda stream: _is_key_revoked(changed, stream),
             errors.Fault(
                 errors.Code.UNAUTHENTICATED,
                 errors.Step.DECODE,
                 run=errors.ExecutionStatus.RAN,
-                message="the key was withdrawn",
+                message="the API key was revoked",
             ),
         )
 
-    def _make_context(self) -> caller_api.FilterDependencies:
+    def _make_filter_dependencies(self) -> caller_api.FilterDependencies:
         settings_ = self.settings
         parts = model_dependencies.ModelDependencies(
             settings_.vm_name,
@@ -364,9 +363,9 @@
             watch.DisconnectMonitor(self.loop),
             self.tracer,
             self.metrics,
-            self._may_repeat,
+            self._try_withdraw_retry,
             settings_.upstreams_drain_ms // CHOICE_TTL_DIVISOR,
-            self._cuts_withdrawn,
+            self._closes_revoked_streams,
         )
         return caller_api.FilterDependencies(
             settings_,
@@ -378,7 +377,7 @@
             parts,
         )
 
-    def _observe(self) -> None:
+    def _register_gauges(self) -> None:
         for name, description, read in (
             ("streams", "streams on their way", lambda: self.relay.count),
             ("running", "requests in the router", lambda: self.running),
@@ -389,6 +388,6 @@
             self.metrics.register_gauge(name, description, read)
 
 
-def _is_withdrawn(changed: tables.Tables, stream: streams.Stream) -> bool:
+def _is_key_revoked(changed: tables.Tables, stream: streams.Stream) -> bool:
     account = changed.find_account(stream.key_digest)
     return account is None or account.name != stream.account
--- a/mulberryway/settings.py
+++ b/mulberryway/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one process, read from a TOML file and checked."""
+"""Reads and validates the settings file of a process."""
 
 import pathlib
 import tomllib
@@ -20,24 +20,24 @@
 
 
 class Settings:
-    """Everything that a process is told, with the defaults in sight.
+    """All settings of a process, with their defaults.
 
-    Durations are milliseconds, sizes are bytes.
+    Durations are in milliseconds, sizes in bytes.
     """
 
     def __init__(self) -> None:
-        # Who this process is.
+        # The identity of this VM.
         self.vm_name: str = ""
         self.vm_address: str = "127.0.0.1"
         self.vm_zone: str = ""
         self.vm_region: str = ""
-        # The rate of its network link; 0 if not known.  VMs with faster
-        # links relay the hints of others.
+        # The bandwidth of its network link; 0 if unknown.  VMs with faster
+        # links relay the gossip messages of others.
         self.vm_link_mbps: int = 0
 
-        # The callers' side.  The backlog takes in a burst of new callers:
-        # with cheroot's default of 5 a hundred callers at once lose two
-        # seconds to repeated SYNs.
+        # The server for callers.  The backlog absorbs bursts of new callers:
+        # with cheroot's default of 5, a hundred simultaneous callers lose two
+        # seconds to retransmitted SYNs.
         self.router_port: int = 8080
         self.router_threads: int = 160
         self.router_backlog: int = 1024
@@ -46,21 +46,21 @@
         self.router_header_bytes: int = 32_768
         self.router_body_bytes: int = 2_097_152
         self.router_body_ms: int = 10_000
-        # Callers keep an entry address for this long; a stopping VM serves
-        # for at least as long after it has left the answer.
+        # Callers cache an entry address for this TTL; a VM that shuts down
+        # serves for at least as long after its removal from the responses.
         self.router_entry_ttl_ms: int = 5_000
-        # So many of these lifetimes callers may keep an address.
+        # The number of TTLs for which callers may use an address.
         self.router_entry_lives: int = 1
         self.router_token_gap_ms: int = 10_000
-        # ``host:port`` of the callers' side where it is told as one, of
-        # where the platform looks whether callers may come, and of where
-        # callers ask which VMs to use; empty where ``vm.address`` and
-        # ``router.port`` serve all of that.
+        # ``host:port`` of the server for callers if it is configured as one
+        # address, of the platform's readiness checks, and of discovery; empty
+        # if ``vm.address`` and ``router.port`` are used for all of them.
         self.router_address: str = ""
         self.router_ready_address: str = ""
         self.router_directory_address: str = ""
-        # A planned stop has this long from the signal on; a request that
-        # is still running shortly before is told so instead of being cut.
+        # The maximum duration of a graceful shutdown, from the signal on; a
+        # request that is still running shortly before its end gets an error
+        # reply instead of being cut off.
         self.router_grace_ms: int = 60_000
 
         # The other VMs.  All processes of a deployment share the secret.
@@ -69,8 +69,8 @@
         self.peers_seeds: tuple[str, ...] = ()
         self.peers_period_ms: int = 1_000
         self.peers_timeout_ms: int = 500
-        # The seeds' peers port, where the list of seeds names another
-        # port of theirs; 0 where it names the right one.
+        # The seeds' port for peers if the list of seeds has another port of
+        # theirs; 0 if the listed ports are correct.
         self.peers_seeds_port: int = 0
 
         # The platform's object API.
@@ -78,26 +78,27 @@
         self.platform_timeout_ms: int = 2_000
         self.platform_silence_ms: int = 3_000
 
-        # Where upstreams tell the platform of themselves: how often they
-        # renew their entries, and how long one that leaves serves on.
+        # For upstreams that register at the platform: how often they renew
+        # their entries, and how long a draining one still serves.
         self.upstreams_heartbeat_ms: int = 1_000
         self.upstreams_drain_ms: int = 2_000
 
-        # What a client account may get beyond its rate and burst in one
-        # window, over all VMs; it covers what VMs have not told yet.
+        # The tokens that a client account may get beyond its rate and burst
+        # in one window, over all VMs; they cover usage that VMs have not
+        # reported to one another yet.
         self.allowances_window_ms: int = 8_000
         self.allowances_over_part: float = 0.0
         self.allowances_over_tokens: int = 0
 
-        # Repeats at other upstreams, over all VMs: in each window at most
-        # the part of the requests and the tokens' number together.
+        # Retries at other upstreams, over all VMs: the maximum in a window is
+        # this fraction of the requests plus the slack.
         self.retries_part: float = 0.1
         self.retries_window_ms: int = 10_000
         self.retries_slack: int = 40
 
-        # The tables.  A confirmation by the platform is enough for
-        # ``fresh_ms``; then a VM goes on only while it reaches most VMs, for
-        # ``outage_ms`` at most.  ``watchers`` VMs of each region watch.
+        # The tables.  They stay valid for ``fresh_ms`` after the platform
+        # confirmed them, and then for up to ``outage_ms`` while the VM reaches
+        # a majority of VMs.  ``watchers`` VMs of each region watch them.
         self.configuration_fresh_ms: int = 15_000
         self.configuration_outage_ms: int = 4 * HOUR_MS
         self.configuration_watchers: int = 3
@@ -106,20 +107,19 @@
         self.admin_port: int = 8082
         self.admin_operators: dict[str, str] = {}
 
-        # What is reported, and where to; empty for no export.
+        # Logs, traces and metrics; an empty URL disables the export.
         self.telemetry_log_level: str = "INFO"
         self.telemetry_debug: tuple[str, ...] = ()
         self.telemetry_otlp_url: str = ""
         self.telemetry_export_ms: int = 10_000
-        # Where metrics are served as text, as ``host:port``; empty for
-        # nowhere.
+        # ``host:port`` of the metrics in text format; empty for none.
         self.telemetry_metrics_address: str = ""
 
-        # What is weighed more when not everybody can be served well; see
+        # The priority when not all requests can be served well; see
         # docs/operators/weighing.md.
         self.policy_weighing: str = "worst_served"
-        # What a prefill engine takes for a prompt's token, until that was
-        # observed; see docs/operators/weighing.md.
+        # The assumed prefill time per prompt token until it was measured; see
+        # docs/operators/weighing.md.
         self.policy_prefill_us: int = 100
 
 
@@ -270,11 +270,11 @@
 
 
 def read_settings(file: str) -> Settings:
-    """Read and check a settings file; change nothing else.
+    """Read and validate a settings file.
 
-    :param file: the file's name
+    :param file: the name of the file
     :returns: the settings
-    :raises SettingsError: with the file, the key and what was expected
+    :raises SettingsError: if the file or one of its options is invalid
     """
     values = _flatten(file, _load(file))
     missing = next((key for key in REQUIRED if key not in values), None)
@@ -292,11 +292,11 @@
 
 
 def read_bytes(file: str) -> bytes:
-    """Return a file's content, to tell whether it has changed.
+    """Return a file's content, by which changes are detected.
 
-    :param file: the file's name
-    :returns: its bytes; none of them where it cannot be read now, as while
-        it is being replaced
+    :param file: the name of the file
+    :returns: the content; empty if the file cannot be read, for example
+        while it is being replaced
     """
     try:
         return pathlib.Path(file).read_bytes()
@@ -330,7 +330,7 @@
 def _flatten(
     file: str, sections: dict[str, typing.Any]
 ) -> dict[str, typing.Any]:
-    loose = next(
+    invalid_section = next(
         (
             name
             for name, section in sections.items()
@@ -338,8 +338,8 @@
         ),
         None,
     )
-    if loose is not None:
-        raise errors.SettingsError(file, loose, "a section, [name]")
+    if invalid_section is not None:
+        raise errors.SettingsError(file, invalid_section, "a section, [name]")
     return {
         f"{name}.{key}": value
         for name, section in sections.items()
--- a/mulberryway/threads.py
+++ b/mulberryway/threads.py
@@ -1,4 +1,4 @@
-"""Processor time by thread, which tells what a VM spends it on."""
+"""CPU time by thread, which shows how a VM spends it."""
 
 import logging
 import pathlib
@@ -13,15 +13,15 @@
 
 TASKS = pathlib.Path("/proc/self/task")
 NS_IN_MS = 1_000_000
-# Workers of one pool are numbered; together they are one entry.
+# Workers of a pool have numbered names and are reported as one entry.
 NUMBER = re.compile(r"[-_ ]*\(?[-_0-9]+\)?$")
 
 
 def read_thread_cpu_ms(tasks: pathlib.Path = TASKS) -> dict[str, int]:
-    """Return the processor time of the threads that live now.
+    """Return the CPU time of all running threads.
 
-    :param tasks: where the kernel tells of this process's threads
-    :returns: milliseconds by thread name; workers of a pool are added up
+    :param tasks: the directory of the process's threads in procfs
+    :returns: CPU time in ms by thread name; a pool's workers are added up
     """
     found: dict[str, int] = {}
     for thread in threading.enumerate():
@@ -30,15 +30,15 @@
             text = (tasks / str(thread.native_id) / "schedstat").read_text()
             spent_ms = int(text.split()[0]) // NS_IN_MS
         except (OSError, ValueError, IndexError) as error:
-            # A thread that has just ended, or a kernel without the figures.
-            LOG.debug("no processor time of thread %s: %r", name, error)
+            # The thread has just ended, or the kernel has no schedstat.
+            LOG.debug("no CPU time of thread %s: %r", name, error)
             continue
         found[name] = found.get(name, 0) + spent_ms
     return found
 
 
 def report(metrics_: metrics.Metrics) -> None:
-    """Let processor time by thread appear among a process's metrics.
+    """Add the CPU time by thread to a process's metrics.
 
     :param metrics_: the process's instruments
     """
--- a/mulberryway/traces.py
+++ b/mulberryway/traces.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, and the trace context in and out of the process."""
+"""Spans for each step, and propagation of the W3C trace context."""
 
 import importlib
 import random
@@ -21,9 +21,9 @@
 
 
 class Span:
-    """One hop's time; used as a context manager or ended by hand.
+    """The span of one step; a context manager, or ended explicitly.
 
-    :param span: the library's span
+    :param span: the OpenTelemetry span
     """
 
     __slots__ = ("_span",)
@@ -33,7 +33,7 @@
 
     @property
     def traceparent(self) -> str:
-        """The W3C header's value that names this span as a parent."""
+        """The W3C ``traceparent`` value that refers to this span."""
         found = self._span.get_span_context()
         return (
             f"{VERSION}-{found.trace_id:032x}-{found.span_id:016x}"
@@ -41,17 +41,17 @@
         )
 
     def note(self, name: str, value: str | int) -> None:
-        """Add an attribute.
+        """Add an attribute to the span.
 
-        :param name: its name
-        :param value: its value; never a key or a body
+        :param name: the attribute's name
+        :param value: the attribute's value; must not be a key or a body
         """
         self._span.set_attribute(name, value)
 
     def fail(self, fault: errors.Fault) -> None:
-        """Mark the hop as failed.
+        """Mark the step as failed.
 
-        :param fault: what went wrong
+        :param fault: the cause of the failure
         """
         self._span.set_attribute("error.type", fault.code.value)
         self._span.set_attribute("peer", fault.peer)
@@ -59,16 +59,16 @@
         self._span.set_status(trace.Status(trace.StatusCode.ERROR))
 
     def begin(self, tracer: "Tracer", step: errors.Step) -> "Span":
-        """Begin a span below this one.
+        """Start a child span.
 
-        :param tracer: makes it
-        :param step: the hop
+        :param tracer: creates the span
+        :param step: the step that the span covers
         :returns: the new span
         """
         return tracer.begin(step, self._span)
 
     def end(self) -> None:
-        """End the hop."""
+        """End the span."""
         self._span.end()
 
     def __enter__(self) -> "Span":
@@ -87,15 +87,15 @@
 
 
 class Tracer:
-    """Begins spans; without an exporter a span is only its two ids.
+    """Creates spans; without an exporter they only carry trace ids.
 
-    A recorded span costs about 37 us, which a hop can bear and a token
-    cannot.  Where nothing is exported even that would be for nobody, but
-    the ids still go on to upstreams, whose own traces then join.
+    Recording a span costs about 37 us, which is acceptable per step but not
+    per token.  Without an export nothing is recorded, but the ids are still
+    sent to upstreams, so that their traces can be joined.
 
     :param vm: the VM's name
-    :param otlp_url: where spans are sent; empty for nowhere
-    :param processor: receives spans instead, in tests
+    :param otlp_url: the URL to export spans to; empty for no export
+    :param processor: receives spans instead of an exporter, in tests
     """
 
     def __init__(
@@ -104,13 +104,13 @@
         otlp_url: str = "",
         processor: sdk.SpanProcessor | None = None,
     ) -> None:
-        # Ids have to differ, not to be secret; the system's own source
-        # would cost a call into the kernel for each.
+        # Ids must be unique but not secret; the system's random source
+        # would cost a system call for each.
         self._random = random.Random(random.SystemRandom().getrandbits(128))
         self._provider: sdk.TracerProvider | None = None
         self._tracer: trace.Tracer | None = None
         if otlp_url:
-            # Loaded only where it is used, like that of metrics.
+            # Imported only when needed, as in ``metrics``.
             exporters = importlib.import_module(
                 "opentelemetry.exporter.otlp.proto.http.trace_exporter"
             )
@@ -126,45 +126,47 @@
                 shutdown_on_exit=False,
             )
             self._provider.add_span_processor(processor)
-            # Calls to peers and to the platform begin their own spans.
+            # Calls to peers and to the platform create their own spans.
             trace.set_tracer_provider(self._provider)
             self._tracer = self._provider.get_tracer("mulberryway")
 
     def begin(self, step: errors.Step, parent: trace.Span) -> Span:
-        """Begin a span.
+        """Start a span.
 
-        :param step: the hop
-        :param parent: the span above it; invalid for a new trace
+        :param step: the step that the span covers
+        :param parent: the parent span; invalid for a new trace
         :returns: the span
         """
         if self._tracer is None:
-            return Span(self._make_light(parent.get_span_context()))
-        above = trace.set_span_in_context(parent, context.Context())
-        return Span(self._tracer.start_span(step.value, above))
+            return Span(self._make_unrecorded_span(parent.get_span_context()))
+        parent_context = trace.set_span_in_context(parent, context.Context())
+        return Span(self._tracer.start_span(step.value, parent_context))
 
     def begin_from(self, step: errors.Step, traceparent: str | None) -> Span:
-        """Begin a span below one of another process.
+        """Start a span whose parent belongs to another process.
 
-        :param step: the hop
-        :param traceparent: the W3C header's value, if any came
+        :param step: the step that the span covers
+        :param traceparent: the W3C header's value, or none
         :returns: the span
         """
         found = _read_traceparent(traceparent or "")
         return self.begin(step, trace.NonRecordingSpan(found))
 
     def stop(self) -> None:
-        """Send what is still to be sent."""
+        """Export pending spans and shut down."""
         if self._provider is not None:
             self._provider.shutdown()
 
-    def _make_light(self, above: trace.SpanContext) -> trace.Span:
-        trace_id = above.trace_id or self._random.getrandbits(128)
+    def _make_unrecorded_span(
+        self, parent_context: trace.SpanContext
+    ) -> trace.Span:
+        trace_id = parent_context.trace_id or self._random.getrandbits(128)
         return trace.NonRecordingSpan(
             trace.SpanContext(
                 trace_id,
                 self._random.getrandbits(64),
                 False,
-                above.trace_flags,
+                parent_context.trace_flags,
             )
         )
 
