--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -121,13 +121,15 @@
 
         :param used: the number of tokens that were used
         """
-        held, self._reservation = self._reservation, None
-        if held is not None:
-            self._allowances.settle(held, used)
+        reservation, self._reservation = self._reservation, None
+        if reservation is not None:
+            self._allowances.settle(reservation, used)
 
     def _is_valid(self) -> bool:
-        held = self._reservation
-        return held is not None and self._allowances.is_usable(held)
+        reservation = self._reservation
+        return reservation is not None and self._allowances.is_usable(
+            reservation
+        )
 
 
 class StageTimings:
--- a/mulberryway/filters/model_dependencies.py
+++ b/mulberryway/filters/model_dependencies.py
@@ -63,7 +63,7 @@
     :param choice_ttl_ms: how long a chosen upstream may be used without
         checking the tables again, in ms; must be shorter than the time for
         which draining upstreams still serve
-    :param cuts_withdrawn: whether a revoked key ends running streams
+    :param closes_revoked_streams: whether a revoked key ends running streams
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
         "metrics",
         "try_withdraw_retry",
         "choice_ttl_ms",
-        "cuts_withdrawn",
+        "closes_revoked_streams",
     )
 
     def __init__(
@@ -100,7 +100,7 @@
         metrics_: metrics.Metrics,
         try_withdraw_retry: collections.abc.Callable[[str], bool],
         choice_ttl_ms: int,
-        cuts_withdrawn: bool,
+        closes_revoked_streams: bool,
     ) -> None:
         self.vm = vm
         self.incarnation = incarnation
@@ -116,13 +116,13 @@
         self.metrics = metrics_
         self.try_withdraw_retry = try_withdraw_retry
         self.choice_ttl_ms = choice_ttl_ms
-        self.cuts_withdrawn = cuts_withdrawn
+        self.closes_revoked_streams = closes_revoked_streams
 
 
 def make_disconnect_fault() -> errors.Fault:
-    """Return the fault of a request whose client disconnected."""
+    """Return the fault of a request whose caller disconnected."""
     return errors.Fault(
         errors.Code.CANCELLED,
         errors.Step.CALLER,
-        message="the client disconnected",
+        message="the caller disconnected",
     )
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -404,7 +404,7 @@
         checked: expression.Result[None, errors.Fault] = expression.Ok(None)
         keeps_stream = (
             self._retry_state.search.has_partial_answer
-            and not self._parts.cuts_withdrawn
+            and not self._parts.closes_revoked_streams
         )
         if not keeps_stream:
             checked = authentication.revalidate_key(
--- a/tests/hosted_fleet.py
+++ b/tests/hosted_fleet.py
@@ -1,4 +1,4 @@
-"""Entry VMs as real processes before stand-ins of the operators' platform."""
+"""Entry VMs as processes, with stand-ins of the operators' platform."""
 
 import http.client
 import pathlib
@@ -11,8 +11,8 @@
 from tests import processes
 
 HOST = "127.0.0.1"
-# Of each VM's log, for a test that fails: more than a test's start leaves.
-LINES = 200
+# Per VM, for failed tests; more than the start of a test logs.
+MAX_LOG_LINES = 200
 SITE = "site.example"
 KEYS = {"k-large": "large", "k-small": "small"}
 LIMITS = {
@@ -25,12 +25,12 @@
 
 
 class Fleet:
-    """A store, engines, services and entry VMs; use as a context manager.
+    """A store, engines, services and entry VMs; a context manager.
 
-    :param vms: how many entry VMs
-    :param rate: tokens a second of the account ``small``
-    :param phases: the engines' phases
-    :param engine_tokens: tokens that an engine's memory holds
+    :param vms: the number of entry VMs
+    :param rate: the rate of the account ``small`` in tokens per second
+    :param phases: the phase of each engine
+    :param engine_tokens: the capacity of an engine's KV cache in tokens
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         return self
 
     def start_vms(self):
-        """Configure and start all VMs, and wait until callers find them."""
+        """Configure and start all VMs; wait until discovery lists them."""
         self.configure()
         for number in range(len(self.vms)):
             self.start_vm(number)
@@ -79,7 +79,7 @@
         self.folder.cleanup()
 
     def start_upstream(self, name, service, phase=""):
-        """Start a server, and let it register itself."""
+        """Start a server and register it."""
         process, port = processes.start_standin(
             self.group,
             "hosted_upstreams",
@@ -90,7 +90,7 @@
         self.register(name)
 
     def register(self, name, state="ready"):
-        """Write a server's entry."""
+        """Write a server's entry to the store."""
         _, port, service, phase = self.upstreams[name]
         entry = {
             "service": service,
@@ -120,7 +120,7 @@
         )
 
     def kill_upstream(self, name):
-        """Kill a server; its entry stays."""
+        """Kill a server without removing its entry."""
         self.upstreams[name][0].kill()
 
     def set_fault(self, upstream, **faults):
@@ -136,7 +136,7 @@
         return processes.call(port, "GET", "/standin/runs").json()["runs"]
 
     def count_seen(self, needle):
-        """Return how many requests at all servers held a text."""
+        """Return the number of requests at all servers that contain a text."""
         query = urllib.parse.urlencode({"needle": needle})
         return sum(
             processes.call(port, "GET", f"/standin/seen?{query}").json()[
@@ -146,7 +146,7 @@
         )
 
     def configure(self, keys=None, more=()):
-        """Write a new version of the configuration."""
+        """Write a new version of the configuration to the store."""
         self.version += 3
         keys = KEYS if keys is None else keys
         engine = {
@@ -192,7 +192,7 @@
         self.put("config", "main", value)
 
     def start_vm(self, number, store_port=None):
-        """Start an entry VM and return it; it may not listen yet."""
+        """Start an entry VM and return it without waiting for it to listen."""
         file = self.write_settings(number, store_port)
         self.vms[number] = processes.Process(
             "mulberryway.commands.entry",
@@ -241,15 +241,17 @@
         return file
 
     def find_log(self, number):
-        """Return the file that holds a VM's log lines."""
+        """Return the path of a VM's log file."""
         return pathlib.Path(self.folder.name) / f"vm{number}.log"
 
     def read_logs(self):
-        """Return the last lines of all VMs' logs, for a test that fails."""
+        """Return the last log lines of all VMs, for failed tests."""
         return "\n".join(
             line
             for number in range(len(self.vms))
-            for line in self.find_log(number).read_text().splitlines()[-LINES:]
+            for line in self.find_log(number)
+            .read_text()
+            .splitlines()[-MAX_LOG_LINES:]
         )
 
     def fronts(self):
@@ -261,13 +263,13 @@
         )
 
     def list_resolved(self, number=0):
-        """Ask a VM which addresses to use."""
+        """Return the entry addresses in a VM's discovery response."""
         path = f"/mulberryway/resolve?name={SITE}&region=lk&zone=kandy-a"
         reply = processes.call(self.ports[number][2], "GET", path)
         return set(reply.json()["addrs"])
 
     def send(self, number, path, attempt, **options):
-        """Send one request to a VM's front and return its reply."""
+        """Send one request to a VM and return its reply."""
         return send(self.ports[number][0], path, attempt, **options)
 
 
@@ -298,7 +300,7 @@
     headers=None,
     deadline_ms=4000,
 ):
-    """Send one request; a cut answer has ``is_cut`` set."""
+    """Send one request; ``is_cut`` is set in the reply if it was cut off."""
     sent = {
         "Host": SITE,
         "Attempt-Id": attempt,
@@ -321,7 +323,7 @@
 
 
 def open_stream(port, path, attempt):
-    """Send a streaming request and return its socket, unread."""
+    """Send a streaming request and return its socket without reading."""
     headers = {
         "Host": SITE,
         "Attempt-Id": attempt,
@@ -338,7 +340,7 @@
 
 
 def list_ids(body):
-    """Return the numbers of a stream's events."""
+    """Return the ids of a stream's events."""
     return [
         int(line.partition(b":")[2])
         for line in body.splitlines()
--- a/tests/request_history.py
+++ b/tests/request_history.py
@@ -1,4 +1,4 @@
-"""Concurrent callers under faults, and what is checked of what they got."""
+"""Concurrent callers under faults, and checks of the replies they got."""
 
 import asyncio
 import collections
@@ -19,9 +19,9 @@
 
 CALLERS = 48
 MAX_TOKENS = 3
-REPEATS = 3
-CALL_S = 20
-PAUSE_S = 0.05
+MAX_ATTEMPTS = 3
+CALL_TIMEOUT_S = 20
+RETRY_DELAY_S = 0.05
 FAULTS = (
     {"cut": True},
     {"silent": ["down"]},
@@ -34,9 +34,9 @@
 
 
 class Record:
-    """One attempt of one caller and what came of it.
+    """One attempt of one caller, and its result.
 
-    ``status`` is 0 when the VM gave no reply at all.
+    ``status`` is 0 if the VM sent no reply.
     """
 
     def __init__(self, number, kind, name):
@@ -61,7 +61,7 @@
 
 
 class FaultyDeployment(deployment.Deployment):
-    """Three entry VMs whose upstreams stand behind the fault proxy."""
+    """Three entry VMs whose upstreams are behind the fault proxy."""
 
     def __init__(self):
         super().__init__(engine_flags=("--token_ms=2",))
@@ -98,10 +98,10 @@
 
 
 class History:
-    """Runs callers and faults, and keeps every attempt.
+    """Runs callers and injects faults, and records every attempt.
 
     :param world: the deployment
-    :param seed: decides what is called and which faults come
+    :param seed: seed of the random calls and faults
     """
 
     def __init__(self, world, seed):
@@ -111,9 +111,9 @@
         self.records = []
 
     async def run(self, count, fault_every):
-        """Make ``count`` requests, a fault after each ``fault_every``."""
+        """Send ``count`` requests, with a fault after each ``fault_every``."""
         numbers = iter(range(count))
-        limit = aiohttp.ClientTimeout(total=CALL_S)
+        limit = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
             timeout=limit, connector=connector
@@ -136,9 +136,9 @@
             await self.request(session, number, kind, key)
 
     async def request(self, session, number, kind, key):
-        """Call until there is a reply, at another VM each time."""
+        """Retry a request until there is a reply, at a random VM each time."""
         port = self.random.choice(self.world.ports)
-        for _ in range(REPEATS):
+        for _ in range(MAX_ATTEMPTS):
             record = Record(number, kind, f"{number}-{key[-6:]}")
             record.key = key if kind == "booking" else ""
             self.records.append(record)
@@ -148,7 +148,7 @@
                 pass
             if record.is_whole or record.status:
                 return
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             port = self.random.choice(self.world.ports)
 
     async def attempt(self, session, port, record):
@@ -183,7 +183,7 @@
             record.code = fault.get("code", "")
 
     async def inject(self):
-        """Cut, silence, kill or pause something, in the background."""
+        """Inject a random fault: cut, stall, kill or pause."""
         choice = self.random.randrange(8)
         loop = asyncio.get_running_loop()
         if choice == 0:
@@ -197,8 +197,8 @@
 
     def restart_router(self):
         number = self.random.randrange(len(self.world.ports))
-        # A restart that kills the router of another one, which has not begun
-        # to listen, would look like a router that cannot start.
+        # Without the lock, two concurrent restarts of a router could kill it
+        # before it listens, which would look like a failed start.
         with self.restarts[number]:
             self.world.routers[number].kill()
             self.world.start_router(number).wait_ready()
@@ -211,11 +211,11 @@
 
 
 class Effects:
-    """What upstreams say that they did.
+    """What upstreams report that they did.
 
     :param bookings: how often each key was booked
-    :param runs: ids of attempts on which an engine began to work
-    :param held: requests for which engines hold memory after the end
+    :param runs: ids of attempts that an engine started
+    :param held: requests for which engines still hold memory at the end
     """
 
     def __init__(self, bookings, runs, held):
@@ -225,7 +225,7 @@
 
 
 def read_effects(world):
-    """Ask the stand-ins, once engines had time to let everything go."""
+    """Read the effects from the stand-ins, after engines freed memory."""
     bookings = processes.call(
         world.service_port, "GET", "/standin/bookings"
     ).json()
@@ -247,7 +247,7 @@
 
 
 def check(records, effects):
-    """Return the broken rules by name, with what was seen."""
+    """Return the names of violated rules, with what was observed."""
     return [
         *(fault for record in records for fault in check_answer(record)),
         *check_bookings(records, effects),
@@ -257,7 +257,7 @@
 
 
 def check_answer(record):
-    """Each whole answer is the caller's own; a cut one begins like it."""
+    """Check that complete answers are correct and cut-off ones a prefix."""
     if record.code == "internal":
         yield "the router failed", record.number
     if record.status >= 400 or not record.status:
@@ -285,13 +285,13 @@
 
 
 def read_stream(body):
-    """Return a stream's text, and whether it ended in good form."""
+    """Return a stream's text, and whether it ended regularly."""
     events = [
         part.removeprefix(b"data: ")
         for part in body.split(b"\n\n")
         if part.startswith(b"data: ")
     ]
-    # A cut may fall within an event; what is not whole counts for nothing.
+    # A stream may be cut off within an event; incomplete events are ignored.
     whole = events if body.endswith(b"\n\n") else events[:-1]
     values = [json.loads(one) for one in whole if one.startswith(b"{")]
     text = "".join(
@@ -319,7 +319,7 @@
 
 
 def check_not_run(records, effects):
-    """No engine worked on a request that was refused as not run."""
+    """Check that no engine started a request reported as not run."""
     begun = {run.rpartition("-")[0] for run in effects.runs}
     for record in records:
         if record.run == NOT_RUN and record.kind in ("stream", "whole"):
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -1,4 +1,4 @@
-"""A router in the test's own process, before real stand-in processes."""
+"""A router in the test's process, for use with stand-in upstreams."""
 
 import http.client
 import json
@@ -29,7 +29,7 @@
 
 
 class StaticTables(tables.TableSource):
-    """Tables that a test sets."""
+    """A table source whose tables are set by the test."""
 
     def __init__(self, current=None):
         self.current = current
@@ -48,7 +48,7 @@
 
 
 class CountingAllowances(allowance.Allowances):
-    """Grants all, and keeps what was reserved and settled."""
+    """Grants every request, and records reservations and settlements."""
 
     def __init__(self):
         self.open = []
@@ -91,7 +91,7 @@
 
 
 def make_tables(engines=(), services=(), accounts=None, revision=1, **route):
-    """Return tables with a model route and two plain ones."""
+    """Return tables with one model route and two plain routes."""
     accounts = accounts or (
         make_account("tea-estate", KEY),
         make_account("surveyors", OTHER_KEY),
@@ -132,7 +132,7 @@
 
 
 class RouterFixture:
-    """One router; use it as a context manager."""
+    """A running router; a context manager."""
 
     def __init__(
         self,
@@ -140,8 +140,8 @@
         settings_=None,
         scheduler=None,
         claims=None,
-        may_repeat=lambda pool: True,
-        cuts_withdrawn=True,
+        try_withdraw_retry=lambda pool: True,
+        closes_revoked_streams=True,
     ):
         self.settings = settings_ or make_settings()
         self.source = StaticTables(current)
@@ -156,10 +156,10 @@
             self.scheduler,
             self.allowances,
             OneEntry(f"127.0.0.1:{self.settings.router_port}"),
-            may_repeat,
+            try_withdraw_retry,
             on_drain=lambda: self.withdrawn.append(True),
             claim_store=claims,
-            closes_revoked_streams=cuts_withdrawn,
+            closes_revoked_streams=closes_revoked_streams,
         )
         self.port = self.settings.router_port
 
@@ -176,7 +176,7 @@
         )
 
     def call(self, method, path, body=None, key=KEY, **headers):
-        """Make one call on a connection of its own."""
+        """Send one call on a new connection."""
         headers = {k.replace("_", "-"): v for k, v in headers.items()}
         if key:
             headers["Authorization"] = f"Bearer {key}"
@@ -189,7 +189,7 @@
         return self.call("POST", "/v1/completions", body, key)
 
     def is_idle(self, cancels=True):
-        """Tell whether nothing is held for any request."""
+        """Return whether no resources are held for any request."""
         return (
             not self.router.running
             and not self.router.relay.count
@@ -204,10 +204,10 @@
 
 
 class OpenStream:
-    """A caller that reads a stream as it comes."""
+    """A caller that reads a stream incrementally."""
 
-    def __init__(self, rig, prompt, max_tokens, key=KEY, model="m"):
-        self.connection = rig.connect()
+    def __init__(self, fixture, prompt, max_tokens, key=KEY, model="m"):
+        self.connection = fixture.connect()
         self.headers = {"Authorization": f"Bearer {key}"}
         self.body = json.dumps(
             {
@@ -227,10 +227,10 @@
         )
 
     def begin(self):
-        """Wait for the reply's head, and come again when told to.
+        """Wait for the reply's headers; retry after a 429.
 
-        A router that has just begun has an empty allowance, and says when
-        to come again; callers do so.
+        A router that has just started has an empty allowance, and sends a
+        retry delay that callers follow.
         """
         self.reply = self.connection.getresponse()
         until = time.monotonic() + TEST_TIMEOUT_S
@@ -265,7 +265,7 @@
 
 
 def join_text(events):
-    """Return the text that a stream's events carry."""
+    """Return the concatenated text of a stream's events."""
     return "".join(
         event["choices"][0]["text"]
         for event in events
@@ -278,7 +278,7 @@
 
 
 def list_held(port):
-    """Return what an engine stand-in holds memory for."""
+    """Return the requests for which a stand-in engine holds memory."""
     return processes.call(port, "GET", "/v1/requests").json()["requests"]
 
 
--- a/tests/test_hosted_path.py
+++ b/tests/test_hosted_path.py
@@ -1,15 +1,15 @@
-"""The whole path on the operators' platform, with real processes."""
+"""Tests of the request path on the operators' platform."""
 
 import unittest
 
 from tests import hosted_fleet
 from tests import processes
 
-ALL = list(range(1, 21))
+ALL_IDS = list(range(1, 21))
 
 
 class HostedPathTest(unittest.TestCase):
-    """One fleet for all: starting it takes longer than the tests."""
+    """All tests share a fleet, because starting one takes longer."""
 
     @classmethod
     def setUpClass(cls):
@@ -17,17 +17,17 @@
         cls.fleet.__enter__()
         cls.addClassCleanup(cls.fleet.__exit__)
 
-    def test_stream_comes_whole_with_the_upstreams_seal(self):
+    def test_stream_is_complete_and_keeps_the_seal(self):
         reply = self.fleet.send(
             0, "/talk/a", "a-1", headers=hosted_fleet.STREAM
         )
         self.assertEqual(reply.status, 200)
-        self.assertEqual(hosted_fleet.list_ids(reply.body), ALL)
+        self.assertEqual(hosted_fleet.list_ids(reply.body), ALL_IDS)
         self.assertTrue(reply.headers["Server-Seal"])
         self.assertEqual(reply.headers["Attempt-Id"], "a-1")
         self.assertFalse(reply.is_cut)
 
-    def test_plain_call_passes_unchanged(self):
+    def test_plain_call_is_forwarded_unchanged(self):
         reply = self.fleet.send(1, "/plain/x?y=1", "a-2", body=b"ab\0c")
         self.assertEqual(reply.status, 200)
         self.assertEqual(reply.body, b"POST /plain/x?y=1 ab\0c")
@@ -37,10 +37,10 @@
         self.assertEqual(refused.status, 401)
         self.assertEqual(self.fleet.send(0, "/none/x", "a-4").status, 404)
 
-    def test_no_key_and_no_false_account_reaches_an_upstream(self):
-        """A caller claims to be another account, names a KV cache of
-        another's request, and asks for a hold.  Were these passed on, it
-        would run at the other's cost, or read the other's prompt.
+    def test_key_and_forged_account_are_not_forwarded(self):
+        """A caller forges another account, the KV cache handle of another
+        request, and a reservation.  If forwarded, the request would be charged
+        to the other account or could read the other's prompt.
         """
         headers = {
             "Tenant": "small-as-claimed",
@@ -55,16 +55,16 @@
         self.assertEqual(self.fleet.count_seen("as-claimed"), 0)
         self.assertGreater(self.fleet.count_seen("Tenant: large"), 0)
 
-    def test_request_hidden_in_a_body_stays_a_body(self):
-        """A caller puts a whole request into the body of another.  Read a
-        second time, it would run without ever having been checked.
+    def test_request_smuggled_in_a_body_is_not_run(self):
+        """A caller embeds a request in the body of another one.  If it was
+        parsed as a request, it would run without authentication.
         """
         hidden = b"POST /book/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
         reply = self.fleet.send(0, "/plain/outer", "a-6", body=hidden)
         self.assertTrue(reply.body.endswith(hidden))
         self.assertEqual(self.fleet.count_seen("POST /book/hidden "), 1)
 
-    def test_deadline_passes_on_no_longer_than_the_callers(self):
+    def test_forwarded_deadline_is_not_longer_than_the_callers(self):
         self.fleet.send(0, "/book/c", "a-7", deadline_ms=1500)
         runs = [
             run
@@ -81,16 +81,16 @@
         self.assertIn(b"mulberryway_requests_total", reply.body)
         self.assertIn(b"mulberryway_request_time", reply.body)
 
-    def test_caller_that_goes_frees_the_engine(self):
-        """A caller closes its connection in the middle of a stream.  An
-        engine that went on would hold memory for nobody.
+    def test_disconnect_frees_the_engine(self):
+        """A caller disconnects during a stream.  An engine that continued
+        would hold memory for no one.
         """
         with hosted_fleet.open_stream(
             self.fleet.ports[0][0], "/talk/g", "a-9"
         ) as connection:
             connection.recv(1)
             self.assertGreater(self._count_running(), 0)
-        # The stream itself would run for another fifth of a second.
+        # The stream itself would run for another 0.2 seconds.
         self.assertTrue(
             processes.wait_until(lambda: self._count_running() == 0, 0.15)
         )
--- a/tests/test_hosted_processes.py
+++ b/tests/test_hosted_processes.py
@@ -1,4 +1,4 @@
-"""Entry VMs through outages, edits, planned stops and rates."""
+"""Tests of entry VMs in outages, edits, shutdowns and rate limits."""
 
 import concurrent.futures
 import signal
@@ -12,9 +12,9 @@
 
 
 class HostedFaultTest(unittest.TestCase):
-    def test_configuration_and_keys_change_under_way(self):
-        """An operator takes a key away and adds a route.  A VM that went on
-        with the old tables would serve whom nobody pays for.
+    def test_changed_configuration_and_keys_apply(self):
+        """An operator revokes a key and adds a route.  A VM with the old
+        tables would still serve the revoked key.
         """
         with hosted_fleet.Fleet() as fleet:
             route = hosted_fleet.make_route(
@@ -30,33 +30,33 @@
                         2,
                     )
                 )
-                refused = fleet.send(number, "/plain/x", "c-2", key="k-small")
-                self.assertEqual(refused.status, 401)
+                rejected = fleet.send(number, "/plain/x", "c-2", key="k-small")
+                self.assertEqual(rejected.status, 401)
 
-    def test_store_away_and_a_server_leaves(self):
-        """The store turns one VM away while a server leaves.  That VM hears
-        of it from the other, or it would go on sending there.
+    def test_vm_without_store_learns_of_a_draining_server(self):
+        """The store rejects one VM while a server drains.  That VM must learn
+        of it from the other VM, or it would keep sending requests there.
         """
         with hosted_fleet.Fleet() as fleet:
             proxy_port = self._start_proxy(fleet)
             fleet.vms[1].kill()
             fleet.start_vm(1, proxy_port).wait_ready()
             processes.wait_until(lambda: fleet.is_ready(fleet.ports[1]))
-            self._cut()
+            self._cut_off_store()
             fleet.register("s0", "draining")
             self.assertTrue(
                 processes.wait_until(
-                    lambda: not self._reaches(fleet, 1, "s0"), 4
+                    lambda: not self._is_request_sent_to(fleet, 1, "s0"), 4
                 )
             )
 
-    def test_no_request_to_a_server_that_left_after_refusals(self):
-        """The store refuses all VMs for a moment, and a server leaves soon
-        after.  Guards against calls to it for longer than it serves on.
+    def test_no_request_to_a_removed_server_after_rejections(self):
+        """The store rejects all VMs for a moment, and a server is removed soon
+        after.  Guards against calls to it for longer than it still serves.
         """
         with hosted_fleet.Fleet() as fleet:
             fleet.set_store_fault("refuse")
-            # The waiting watches end with this, and the next are refused.
+            # This ends the open watches, and the next ones are rejected.
             fleet.register("s1")
             fleet.configure()
             time.sleep(1.2)
@@ -64,12 +64,12 @@
             time.sleep(0.7)
             fleet.drop("servers", "s0")
             time.sleep(2.0)
-            self.assertFalse(self._reaches(fleet, 0, "s0"))
-            self.assertFalse(self._reaches(fleet, 1, "s0"))
+            self.assertFalse(self._is_request_sent_to(fleet, 0, "s0"))
+            self.assertFalse(self._is_request_sent_to(fleet, 1, "s0"))
 
     def test_vm_starts_while_the_store_is_away(self):
-        """A VM is restarted in an outage.  The other VM gives it the tables
-        and it serves, instead of refusing everybody.
+        """A VM restarts during a store outage.  It must get the tables from
+        the other VM and serve, instead of rejecting all requests.
         """
         with hosted_fleet.Fleet() as fleet:
             fleet.set_store_fault("refuse")
@@ -87,9 +87,9 @@
                 fleet.read_logs(),
             )
 
-    def test_history_that_is_gone_is_listed_anew(self):
-        """The store drops its history.  A VM whose watch fails for good
-        would stay with the tables of that moment.
+    def test_compacted_history_is_listed_again(self):
+        """The store compacts its history.  A VM that cannot restart its watch
+        would keep the tables of that moment.
         """
         with hosted_fleet.Fleet(1) as fleet:
             processes.call(fleet.store_port, "POST", "/standin/compact", {})
@@ -103,9 +103,9 @@
                 )
             )
 
-    def test_planned_stop_cuts_nothing(self):
-        """A VM is told to stop while streams run.  It is out of the answers
-        at once, and every stream that had begun ends whole.
+    def test_graceful_shutdown_cuts_off_no_stream(self):
+        """A VM shuts down while streams run.  It must be removed from
+        discovery responses at once, and every running stream must complete.
         """
         with hosted_fleet.Fleet() as fleet:
             with concurrent.futures.ThreadPoolExecutor() as pool:
@@ -131,15 +131,17 @@
                 replies = [one.result() for one in streams]
             self.assertEqual([one.status for one in replies], [200] * 6)
             self.assertFalse(any(one.is_cut for one in replies))
-            left = {f"{hosted_fleet.HOST}:{fleet.ports[1][0]}"}
+            remaining = {f"{hosted_fleet.HOST}:{fleet.ports[1][0]}"}
             self.assertTrue(
-                processes.wait_until(lambda: fleet.list_resolved(1) == left, 3)
+                processes.wait_until(
+                    lambda: fleet.list_resolved(1) == remaining, 3
+                )
             )
             self.assertEqual(fleet.vms[0].popen.wait(6), 0)
 
-    def test_reload_signal_ends_nothing(self):
-        """The platform tells that settings have changed.  Without a handler
-        the signal would end the process.
+    def test_reload_signal_does_not_end_the_process(self):
+        """The platform signals changed settings.  Without a handler the signal
+        would end the process.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.vms[0].send_signal(signal.SIGHUP)
@@ -147,14 +149,14 @@
             self.assertEqual(fleet.send(0, "/plain/x", "r-1").status, 200)
 
     def test_allowance_holds_over_all_vms(self):
-        """An account asks all VMs at once for several times its rate.  Each
-        VM alone would give all of it.
+        """An account sends several times its rate to all VMs at once.  Without
+        coordination, each VM would grant the whole rate.
         """
         with hosted_fleet.Fleet(rate=2_000) as fleet:
-            # VMs that have just begun give little before they know one
-            # another's counts; by now the burst is there.
+            # VMs that have just started grant little until they know the usage
+            # of the others; by now the burst is available.
             time.sleep(1.5)
-            began = time.monotonic()
+            started_s = time.monotonic()
             with concurrent.futures.ThreadPoolExecutor(8) as pool:
                 replies = list(
                     pool.map(
@@ -164,15 +166,15 @@
                         range(160),
                     )
                 )
-            took_s = time.monotonic() - began
+            took_s = time.monotonic() - started_s
             served = sum(one.status == 200 for one in replies)
-            refused = [one for one in replies if one.status == 429]
-            most = (2_000 * took_s + 2_000) * 1.1 + 2_000
-            self.assertLessEqual(served * 200, most)
-            self.assertEqual(served + len(refused), 160)
+            rejected = [one for one in replies if one.status == 429]
+            max_tokens = (2_000 * took_s + 2_000) * 1.1 + 2_000
+            self.assertLessEqual(served * 200, max_tokens)
+            self.assertEqual(served + len(rejected), 160)
             self.assertGreater(served * 200, 2_000)
             self.assertTrue(
-                all(float(one.headers["Retry-After"]) > 0 for one in refused)
+                all(float(one.headers["Retry-After"]) > 0 for one in rejected)
             )
 
     def _start_proxy(self, fleet):
@@ -187,7 +189,7 @@
         self.control = control
         return port
 
-    def _cut(self):
+    def _cut_off_store(self):
         processes.call(
             self.control,
             "POST",
@@ -195,7 +197,7 @@
             {"refuse": True, "stall_down": True},
         )
 
-    def _reaches(self, fleet, number, name):
+    def _is_request_sent_to(self, fleet, number, name):
         before = len(fleet.list_runs(name))
         for turn in range(4):
             fleet.send(number, "/plain/x", f"z-{turn}")
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -1,4 +1,4 @@
-"""Streams whose engines pause while tables change and engines leave."""
+"""Tests of stalled streams while tables change and engines drain."""
 
 import concurrent.futures
 import random
@@ -11,13 +11,13 @@
 SEEDS = 5
 STREAMS = 6
 SETTLE_S = 1
-# Longer than an engine may be silent before another one is sought.
+# Longer than the stall timeout, after which another engine is tried.
 PAUSE_MS = 1_500
 EVENT_MS = 80
-EVENTS = 20
-DECODES = ("e1", "e2")
-SOUGHT = "a silent engine is waited for"
-# Two pauses one after the other must fit.
+EVENT_COUNT = 20
+DECODE_ENGINES = ("e1", "e2")
+WAIT_LOG_MESSAGE = "a silent engine is waited for"
+# Long enough for two consecutive stalls.
 ROUTE_MS = 8_000
 ROUTE = hosted_fleet.make_route(
     "r-long", "/long/", "llm", "streaming", 2, True
@@ -25,26 +25,26 @@
 
 
 class PausedStreamTest(unittest.TestCase):
-    """A prefill and two decode engines; both pause each of their streams."""
+    """A prefill and two decode engines that stall each of their streams."""
 
     def inject_all(self, fleet, seed):
-        """Return the replies to streams of one round of changes."""
-        chance = random.Random(seed)
-        for name in DECODES:
+        """Return the replies to the streams of one round of changes."""
+        rng = random.Random(seed)
+        for name in DECODE_ENGINES:
             fleet.set_fault(
                 name,
                 event_ms=EVENT_MS,
-                pause_at=chance.randint(1, 16),
+                pause_at=rng.randint(1, 16),
                 pause_ms=PAUSE_MS,
             )
-        acts = [
-            (chance.uniform(0, 2.5), self.configure, (fleet,)),
-            (chance.uniform(0, 2.5), self.configure, (fleet,)),
-            (chance.uniform(0.3, 2.5), self.refuse_prompts, (fleet, 1)),
+        actions = [
+            (rng.uniform(0, 2.5), self.configure, (fleet,)),
+            (rng.uniform(0, 2.5), self.configure, (fleet,)),
+            (rng.uniform(0.3, 2.5), self.refuse_prompts, (fleet, 1)),
             (
-                chance.uniform(0.3, 2.5),
+                rng.uniform(0.3, 2.5),
                 fleet.register,
-                (chance.choice(DECODES), "draining"),
+                (rng.choice(DECODE_ENGINES), "draining"),
             ),
         ]
         with concurrent.futures.ThreadPoolExecutor(STREAMS) as pool:
@@ -59,10 +59,10 @@
                 )
                 for number in range(STREAMS)
             ]
-            self.act(acts)
+            self.run_actions(actions)
             replies = [one.result() for one in streams]
         self.refuse_prompts(fleet, 0)
-        for name in DECODES:
+        for name in DECODE_ENGINES:
             fleet.register(name)
         return replies
 
@@ -72,14 +72,14 @@
     def refuse_prompts(self, fleet, how):
         fleet.set_fault("e0", refuse_prompts=how)
 
-    def act(self, acts):
-        began_s = time.monotonic()
-        for at_s, act, arguments in sorted(acts, key=lambda one: one[0]):
-            time.sleep(max(began_s + at_s - time.monotonic(), 0))
-            act(*arguments)
+    def run_actions(self, actions):
+        started_s = time.monotonic()
+        for at_s, action, arguments in sorted(actions, key=lambda one: one[0]):
+            time.sleep(max(started_s + at_s - time.monotonic(), 0))
+            action(*arguments)
 
-    def test_no_stream_is_cut(self):
-        """Guards against answers that we end while their engine is sound."""
+    def test_no_stream_is_cut_off(self):
+        """Guards against streams cut off by the router of a working engine."""
         with hosted_fleet.Fleet(
             phases=("prefill", "decode", "decode")
         ) as fleet:
@@ -92,23 +92,25 @@
                         self.assertFalse(reply.is_cut, reply.body)
                         self.assertEqual(
                             hosted_fleet.list_ids(reply.body),
-                            list(range(1, EVENTS + 1)),
+                            list(range(1, EVENT_COUNT + 1)),
                         )
 
 
 class FullReplacementTest(unittest.TestCase):
-    """An engine pauses a stream; the only other one has no room for it."""
+    """An engine stalls a stream; the only other one has no free capacity."""
 
     def find_decoding(self, fleet):
-        """Return the names of the engine that decodes and of the other."""
+        """Return the names of the decoding engine and of the other one."""
         processes.wait_until(
-            lambda: any(fleet.read_state(one)["running"] for one in DECODES)
+            lambda: any(
+                fleet.read_state(one)["running"] for one in DECODE_ENGINES
+            )
         )
         return sorted(
-            DECODES, key=lambda one: -fleet.read_state(one)["running"]
+            DECODE_ENGINES, key=lambda one: -fleet.read_state(one)["running"]
         )
 
-    def check_kept(self, **faults):
+    def check_stream_kept(self, **faults):
         with (
             hosted_fleet.Fleet(
                 phases=("prefill", "decode", "decode")
@@ -117,7 +119,7 @@
         ):
             fleet.configure(more=[ROUTE])
             time.sleep(SETTLE_S)
-            for name in DECODES:
+            for name in DECODE_ENGINES:
                 fleet.set_fault(
                     name, event_ms=EVENT_MS, pause_at=10, pause_ms=PAUSE_MS
                 )
@@ -132,22 +134,24 @@
             decoding, other = self.find_decoding(fleet)
             fleet.set_fault(other, **faults)
             reply = stream.result()
-            is_sought = processes.wait_until(
-                lambda: SOUGHT in fleet.find_log(0).read_text(), 5
+            is_wait_logged = processes.wait_until(
+                lambda: WAIT_LOG_MESSAGE in fleet.find_log(0).read_text(), 5
             )
             logs = fleet.read_logs()
-        self.assertTrue(is_sought, logs)
+        self.assertTrue(is_wait_logged, logs)
         self.assertEqual(
-            hosted_fleet.list_ids(reply.body), list(range(1, EVENTS + 1)), logs
+            hosted_fleet.list_ids(reply.body),
+            list(range(1, EVENT_COUNT + 1)),
+            logs,
         )
         self.assertFalse(reply.is_cut, logs)
 
-    def test_kept_where_the_other_engine_is_full(self):
-        """Guards against answers cut because a silent engine was left for one
-        that then refused the stream.
+    def test_kept_if_the_other_engine_is_full(self):
+        """Guards against streams cut off because an unresponsive engine was
+        abandoned for one that then rejected the stream.
         """
-        self.check_kept(full=1)
+        self.check_stream_kept(full=1)
 
-    def test_kept_where_the_other_engine_answers_no_reservation(self):
-        """Guards against a silent engine left for one that is silent too."""
-        self.check_kept(mute=1)
+    def test_kept_if_the_other_engine_is_unresponsive(self):
+        """Guards against a failover to an engine that is unresponsive too."""
+        self.check_stream_kept(mute=1)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded in rate, never waited for, and without loss unseen."""
+"""Tests of rate limiting and non-blocking writes of logs."""
 
 import io
 import json
@@ -20,8 +20,8 @@
 
 
 class BoundedHandlerTest(unittest.TestCase):
-    def make(self, stream, most_per_s=1_000):
-        handler = logs.BoundedHandler(stream, most_per_s)
+    def make(self, stream, max_lines_per_s=1_000):
+        handler = logs.BoundedHandler(stream, max_lines_per_s)
         handler.setFormatter(logs.JsonFormatter("vm1"))
         return handler
 
@@ -33,9 +33,9 @@
         line = json.loads(stream.getvalue())
         self.assertEqual((line["vm"], line["message"]), ("vm1", "hello"))
 
-    def test_second_has_a_limit_and_warnings_have_room(self):
-        """A burst brings more lines than a VM may write.  Lines would take
-        the processor time that streams need; warnings still come through.
+    def test_rate_limit_leaves_room_for_warnings(self):
+        """A burst produces more lines than the rate limit.  Writing them all
+        would take CPU time from streams, but warnings must get through.
         """
         stream = io.StringIO()
         handler = self.make(stream, 10)
@@ -50,22 +50,24 @@
         handler.flush()
         self.assertIn('"count": 42', stream.getvalue())
 
-    def test_blocked_reader_holds_nobody_up(self):
-        """Whoever reads standard output has stopped.  A write to the full
-        pipe would hold up whoever logs, and with it every stream.
+    def test_blocked_reader_does_not_block_logging(self):
+        """The reader of standard output has stopped.  A blocking write to the
+        full pipe would stop every thread that logs, and with it all streams.
         """
         reader, writer = os.pipe()
         stream = os.fdopen(writer, "w")
         handler = self.make(stream, 1_000_000)
         filler = "x" * 1_000
-        took = []
+        durations_s = []
         for _ in range(logs.MAX_QUEUED_RECORDS + 500):
-            began = time.monotonic()
+            started_s = time.monotonic()
             handler.emit(make_record(filler))
-            took.append(time.monotonic() - began)
-        self.assertLess(sorted(took)[len(took) * 99 // 100], 0.005)
+            durations_s.append(time.monotonic() - started_s)
+        self.assertLess(
+            sorted(durations_s)[len(durations_s) * 99 // 100], 0.005
+        )
         self.assertGreater(handler.dropped, 0)
-        # A reader that comes back gets what was kept, and ends the thread.
+        # A reader that resumes gets the queued lines, and the thread ends.
         drained = threading.Thread(
             target=lambda: os.read(reader, 1 << 20), daemon=True
         )
--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -1,4 +1,4 @@
-"""Jobs of model requests, as the scheduler gets them."""
+"""Tests of the scheduler jobs of model requests."""
 
 import types
 import unittest
@@ -13,7 +13,7 @@
 
 
 def make_job(now_ms, since_ms):
-    """Return the job of a stream that seeks an engine."""
+    """Return the job of a stream that needs an engine."""
     exchange = types.SimpleNamespace(
         request_id="r",
         account=types.SimpleNamespace(name="a", weight=1),
@@ -43,9 +43,9 @@
 
 
 class LostStreamTest(unittest.TestCase):
-    def test_rest_of_a_stream_is_not_late_when_it_begins_to_wait(self):
-        """Guards against streams that queue behind all that can be on time,
-        and are cut there, because the target counts from their arrival.
+    def test_resumed_stream_is_not_late_when_queued(self):
+        """Guards against resumed streams queued behind all jobs that can be on
+        time, and cut off there, because their target counted from arrival.
         """
         lost_ms = ARRIVED_MS + 5_000
         job = make_job(lost_ms, lost_ms)
@@ -55,7 +55,7 @@
         self.assertFalse(entry.is_late(lost_ms))
         self.assertTrue(entry.is_late(lost_ms + TARGET_MS + 1))
 
-    def test_first_event_is_owed_from_the_arrival_on(self):
-        """Guards against requests that a failed try makes young again."""
+    def test_first_token_target_counts_from_the_arrival(self):
+        """Guards against retries that restart the request's target."""
         job = make_job(ARRIVED_MS + 500, ARRIVED_MS)
         self.assertEqual(job.first_token_target_ms, ARRIVED_MS + TARGET_MS)
--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -1,4 +1,4 @@
-"""Model requests whose engines, connections or callers fail."""
+"""Tests of model requests with failing engines, connections or callers."""
 
 import json
 import signal
@@ -15,7 +15,7 @@
 
 
 def send_raw(port, prompt, max_tokens, buffer_bytes=1 << 20):
-    """Ask for a stream and return the socket, its reply unread."""
+    """Request a stream and return the socket without reading the reply."""
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
     connection.settimeout(router_fixture.TEST_TIMEOUT_S)
@@ -39,16 +39,16 @@
 
 
 class EnginesTest(unittest.TestCase):
-    """One router before engines that are processes of their own."""
+    """Base class: one router with engines in separate processes."""
 
     roles = ("prefill", "decode", "decode")
     flags = ("--token_ms=10",)
-    cuts_withdrawn = True
+    closes_revoked_streams = True
 
     def setUp(self):
-        self.group = processes.Group()
-        self.addCleanup(self.group.stop)
-        # All at once: each takes most of a second to start.
+        self.process_group = processes.Group()
+        self.addCleanup(self.process_group.stop)
+        # In parallel: each takes almost a second to start.
         self.ports = processes.pick_ports(len(self.roles))
         self.processes = {
             port: processes.Process(
@@ -58,17 +58,17 @@
             )
             for port, role in zip(self.ports, self.roles, strict=True)
         }
-        self.group.processes += self.processes.values()
+        self.process_group.processes += self.processes.values()
         for process in self.processes.values():
             process.wait_ready()
-        self.rig = router_fixture.RouterFixture(
+        self.fixture = router_fixture.RouterFixture(
             self.make_tables(),
             self.make_settings(),
-            may_repeat=self.try_withdraw_retry,
-            cuts_withdrawn=self.cuts_withdrawn,
+            try_withdraw_retry=self.try_withdraw_retry,
+            closes_revoked_streams=self.closes_revoked_streams,
         )
-        self.rig.__enter__()
-        self.addCleanup(self.rig.__exit__)
+        self.fixture.__enter__()
+        self.addCleanup(self.fixture.__exit__)
 
     def try_withdraw_retry(self, pool):
         return True
@@ -85,7 +85,7 @@
         )
 
     def find_decoding(self):
-        """Return the port of the engine that decodes, once one does."""
+        """Wait until an engine decodes and return its port."""
 
         def find():
             return [
@@ -100,28 +100,28 @@
 
         return processes.wait_until(find)[0]
 
-    def check_free(self, *without):
-        """Check that no engine holds anything, nor the router."""
+    def check_resources_released(self, *without):
+        """Check that neither the engines nor the router hold resources."""
         ports = [port for port in self.ports if port not in without]
         self.assertTrue(
             processes.wait_until(
                 lambda: not any(map(router_fixture.list_held, ports))
             )
         )
-        # A dead engine confirms no cancel, and holds nothing either.
-        self.assertTrue(self.rig.wait_idle(cancels=not without))
+        # A killed engine confirms no cancellation, and holds nothing either.
+        self.assertTrue(self.fixture.wait_idle(cancels=not without))
         self.assertEqual(
-            len({id(one) for one in self.rig.allowances.settled}),
-            len(self.rig.allowances.settled),
+            len({id(one) for one in self.fixture.allowances.settled}),
+            len(self.fixture.allowances.settled),
         )
 
 
 class FailingEngineTest(EnginesTest):
     def test_resumed_after_a_kill(self):
-        """The engine that decodes dies.  The caller must get the rest from
-        another engine, no token twice and none missing.
+        """The decode engine crashes.  The caller must get the rest from
+        another engine, with no token duplicated or missing.
         """
-        stream = router_fixture.OpenStream(self.rig, "killed", LONG)
+        stream = router_fixture.OpenStream(self.fixture, "killed", LONG)
         first = stream.read_event()
         killed = self.find_decoding()
         self.processes[killed].kill()
@@ -133,13 +133,13 @@
         )
         self.assertEqual(len({event["id"] for event in events[:-1]}), 1)
         stream.close()
-        self.check_free(killed)
+        self.check_resources_released(killed)
 
-    def test_resumed_after_silence(self):
-        """The engine that decodes stops without closing its connections.
-        After the limit on a gap the answer must go on elsewhere.
+    def test_resumed_after_a_stall(self):
+        """The decode engine stalls without closing its connections.  After
+        the token timeout the stream must resume at another engine.
         """
-        stream = router_fixture.OpenStream(self.rig, "paused", LONG)
+        stream = router_fixture.OpenStream(self.fixture, "paused", LONG)
         first = stream.read_event()
         paused = self.find_decoding()
         self.processes[paused].send_signal(19)
@@ -152,13 +152,13 @@
             router_fixture.expect_text("paused", LONG),
         )
         stream.close()
-        self.check_free()
+        self.check_resources_released()
 
     def test_cut_answer_looks_cut(self):
-        """Every engine that could go on dies.  The caller must see an error
-        event, no closing event, and a body without its last chunk.
+        """Every engine that could resume the stream crashes.  The caller must
+        see an error event, no final event, and a body without its last chunk.
         """
-        connection = send_raw(self.rig.port, "cut", LONG)
+        connection = send_raw(self.fixture.port, "cut", LONG)
         data = connection.recv(65_536)
         for port in self.ports[1:]:
             self.processes[port].kill()
@@ -169,24 +169,24 @@
         self.assertNotEqual(json.loads(last)["error"]["run"], "not_run")
         self.assertNotIn(b"[DONE]", data)
         self.assertFalse(data.endswith(b"0\r\n\r\n"))
-        self.check_free(*self.ports[1:])
+        self.check_resources_released(*self.ports[1:])
 
     def test_dead_prefill(self):
-        """The only prefill engine is down: nothing can have run, and the
-        refusal must say so.
+        """The only prefill engine is down.  Nothing can have run, and the
+        rejection must say so.
         """
         self.processes[self.ports[0]].kill()
-        reply = self.rig.complete()
+        reply = self.fixture.complete()
         self.assertEqual(reply.status, 502)
         error = reply.json()["error"]
         self.assertEqual(error["run"], errors.ExecutionStatus.NOT_RUN.value)
         self.assertEqual(error["step"], "prefill")
         self.assertEqual(error["peer"], f"127.0.0.1:{self.ports[0]}")
-        self.check_free(self.ports[0])
+        self.check_resources_released(self.ports[0])
 
 
 class LateRecoveryTest(EnginesTest):
-    """Streams with a target whose engine fails long after they began."""
+    """Streams with targets whose engine fails long after they began."""
 
     def make_tables(self):
         return router_fixture.make_tables(
@@ -197,9 +197,9 @@
             target_gap_ms=100,
         )
 
-    def test_resumed_after_the_time_in_which_streams_have_to_begin(self):
-        """Guards against a limit for first tokens that ends later ones."""
-        stream = router_fixture.OpenStream(self.rig, "late", LONG)
+    def test_resumed_after_the_first_token_deadline(self):
+        """Guards against a first-token deadline applied to resumed streams."""
+        stream = router_fixture.OpenStream(self.fixture, "late", LONG)
         events = [stream.read_event()]
         killed = self.find_decoding()
         began_s = time.monotonic()
@@ -213,21 +213,21 @@
             router_fixture.join_text(events),
             router_fixture.expect_text("late", LONG),
         )
-        self.check_free(killed)
+        self.check_resources_released(killed)
 
 
 class SpentTriesTest(EnginesTest):
-    """Streams that begin only after several engines could not be reached."""
+    """Streams that begin only after several connect failures."""
 
     roles = ("prefill", *["decode"] * 5)
 
-    def test_resumed_although_many_tries_came_before_it_began(self):
-        """Guards against answers cut by a limit on tries that the beginning
-        of the request has used up.
+    def test_resumed_after_many_attempts_before_the_first_token(self):
+        """Guards against streams that cannot be resumed because the attempts
+        before the first token have used up the limit.
         """
         for port in self.ports[1:4]:
             self.processes[port].kill()
-        stream = router_fixture.OpenStream(self.rig, "tried", LONG)
+        stream = router_fixture.OpenStream(self.fixture, "tried", LONG)
         events = [stream.read_event()]
         killed = self.find_decoding()
         self.processes[killed].kill()
@@ -241,7 +241,7 @@
 
 
 class UnusedReplacementTest(EnginesTest):
-    """An engine that pauses, goes on before another has begun, and dies."""
+    """An engine that stalls, continues before it is replaced, and crashes."""
 
     flags = ("--token_ms=10", "--prefill_base_ms=900")
     pause_s = 1.5
@@ -253,11 +253,11 @@
             max_attempts=2,
         )
 
-    def test_resumed_although_a_replacement_was_sought_before(self):
-        """Guards against answers cut because an attempt that was sent to no
-        engine counts among those that the route allows.
+    def test_resumed_after_an_unused_replacement(self):
+        """Guards against streams that cannot be resumed because an attempt
+        that reached no engine counts towards the route's limit.
         """
-        stream = router_fixture.OpenStream(self.rig, "twice", LONG)
+        stream = router_fixture.OpenStream(self.fixture, "twice", LONG)
         events = [stream.read_event()]
         decoding = self.processes[self.find_decoding()]
         decoding.send_signal(signal.SIGSTOP)
@@ -281,14 +281,14 @@
 
 
 class GrantedStreamTest(EnginesTest):
-    """Streams whose engine dies after what they were granted has changed."""
+    """Streams whose key or tokens expire before their engine crashes."""
 
-    cuts_withdrawn = False
+    closes_revoked_streams = False
 
-    def read_killed(self, prompt, change):
-        """Return a stream's events whose engine dies after a change."""
+    def read_after_kill(self, prompt, change):
+        """Return a stream's events; its engine crashes after the change."""
         stream = router_fixture.OpenStream(
-            self.rig, prompt, LONG, router_fixture.OTHER_KEY
+            self.fixture, prompt, LONG, router_fixture.OTHER_KEY
         )
         first = stream.read_event()
         change()
@@ -297,7 +297,7 @@
         stream.close()
         return events
 
-    def check_whole(self, events, prompt):
+    def check_complete(self, events, prompt):
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
             router_fixture.join_text(events),
@@ -308,32 +308,36 @@
         accounts = (
             router_fixture.make_account("tea-estate", router_fixture.KEY),
         )
-        self.rig.source.change(
+        self.fixture.source.change(
             router_fixture.make_tables(
-                self.rig.source.current.pools["lm-pool"].upstreams,
+                self.fixture.source.current.pools["lm-pool"].upstreams,
                 accounts=accounts,
                 timeout_ms=3_000,
             )
         )
 
-    def test_resumed_after_its_key_was_withdrawn(self):
-        """Guards against answers cut for a key that held when they began,
-        where a withdrawn key ends no running stream.
+    def test_resumed_after_its_key_was_revoked(self):
+        """Guards against streams that cannot be resumed after their key was
+        revoked, where a revoked key does not end running streams.
         """
-        self.check_whole(self.read_killed("key", self.revoke_key), "key")
+        self.check_complete(
+            self.read_after_kill("key", self.revoke_key), "key"
+        )
 
-    def lapse(self):
-        self.rig.allowances.has_lapsed = True
+    def expire_tokens(self):
+        self.fixture.allowances.has_lapsed = True
 
-    def test_resumed_after_its_tokens_lapsed(self):
-        """Guards against answers cut for tokens that were taken when they
-        began.
+    def test_resumed_after_its_tokens_expired(self):
+        """Guards against streams that cannot be resumed because the tokens
+        reserved for them have expired.
         """
-        self.check_whole(self.read_killed("tokens", self.lapse), "tokens")
+        self.check_complete(
+            self.read_after_kill("tokens", self.expire_tokens), "tokens"
+        )
 
 
 class LeavingEngineTest(EnginesTest):
-    """A decode engine that leaves while a long prompt is being read."""
+    """A decode engine that is removed during a long prefill."""
 
     flags = ("--token_ms=10", "--prefill_base_ms=900")
 
@@ -348,25 +352,25 @@
             timeout_ms=8_000,
         )
 
-    def leave(self, port):
-        """Take an engine out of the tables."""
+    def remove_engine(self, port):
+        """Remove an engine from the tables."""
         engines = [
             router_fixture.make_upstream(role, one)
             for role, one in zip(self.roles, self.ports, strict=True)
             if one != port
         ]
-        self.rig.source.change(
+        self.fixture.source.change(
             router_fixture.make_tables(engines, timeout_ms=8_000)
         )
 
-    def test_no_stream_is_sent_to_an_engine_that_has_left(self):
-        """Guards against a decode by a choice that is older than the time for
-        which a leaving engine serves on.
+    def test_no_stream_is_sent_to_a_removed_engine(self):
+        """Guards against a decode at an engine that was chosen longer ago than
+        a draining engine still serves.
         """
-        stream = router_fixture.OpenStream(self.rig, "leaves", 40)
+        stream = router_fixture.OpenStream(self.fixture, "leaves", 40)
         processes.wait_until(lambda: router_fixture.list_held(self.ports[0]))
         chosen = self.ports[1]
-        self.leave(chosen)
+        self.remove_engine(chosen)
         events = stream.read_all()
         stream.close()
         self.assertEqual(events[-1], "[DONE]")
@@ -375,22 +379,22 @@
 
 
 class PausedEngineTest(EnginesTest):
-    """An engine that pauses for longer than the limit, and then goes on."""
+    """An engine that stalls for longer than the timeout, then continues."""
 
     pause_s = 2.5
     is_budget_spent = False
 
     def setUp(self):
         super().setUp()
-        self.repeats = []
+        self.withdrawn_retries = []
 
     def try_withdraw_retry(self, pool):
-        self.repeats.append(pool)
+        self.withdrawn_retries.append(pool)
         return not self.is_budget_spent
 
-    def read_paused(self, prompt, *killed):
-        """Return a stream's events whose engine pauses after the first."""
-        stream = router_fixture.OpenStream(self.rig, prompt, LONG)
+    def read_with_pause(self, prompt, *killed):
+        """Return the events of a stream that stalls after the first event."""
+        stream = router_fixture.OpenStream(self.fixture, prompt, LONG)
         first = stream.read_event()
         paused = self.find_decoding()
         for port in killed:
@@ -408,111 +412,117 @@
             timer.join()
             stream.close()
 
-    def check_whole(self, events, prompt):
+    def check_complete(self, events, prompt):
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
             router_fixture.join_text(events),
             router_fixture.expect_text(prompt, LONG),
         )
 
-    def test_kept_where_no_repeat_is_left(self):
-        """Guards against answers cut because the retry budget is spent."""
+    def test_kept_if_the_retry_budget_is_spent(self):
+        """Guards against streams cut off because the retry budget is spent."""
         self.is_budget_spent = True
-        events = self.read_paused("no budget")
-        self.check_whole(events, "no budget")
-        self.assertTrue(self.repeats, "the engine was never silent enough")
-        self.check_free()
-
-    def test_kept_where_the_prompt_cannot_be_read_again(self):
-        """Guards against answers cut because the next attempt failed."""
-        events = self.read_paused("unread", self.ports[0])
-        self.check_whole(events, "unread")
-        self.assertTrue(self.repeats, "no other engine was sought")
-        self.check_free(self.ports[0])
+        events = self.read_with_pause("no budget")
+        self.check_complete(events, "no budget")
+        self.assertTrue(self.withdrawn_retries, "the stall was never detected")
+        self.check_resources_released()
+
+    def test_kept_if_no_prefill_is_possible(self):
+        """Guards against streams cut off because the next attempt failed."""
+        events = self.read_with_pause("unread", self.ports[0])
+        self.check_complete(events, "unread")
+        self.assertTrue(
+            self.withdrawn_retries, "no other engine was requested"
+        )
+        self.check_resources_released(self.ports[0])
 
 
 class GoingCallerTest(EnginesTest):
-    """Callers go; engine memory must be free soon after."""
+    """Callers disconnect; engines must then free their memory."""
 
     roles = ("prefill", "decode")
 
     def test_between_tokens(self):
-        """A caller closes its connection in mid-answer.  The engine would
-        generate to the end for nobody.
+        """A caller disconnects during a stream.  Without a cancellation the
+        engine would generate the whole answer.
         """
-        stream = router_fixture.OpenStream(self.rig, "gone", 5_000)
+        stream = router_fixture.OpenStream(self.fixture, "gone", 5_000)
         stream.read_event()
         stream.reply.close()
         stream.close()
-        self.check_free()
+        self.check_resources_released()
 
     def test_in_prefill(self):
-        """A caller goes while a long prompt is computed."""
+        """A caller disconnects during a long prefill."""
         prompt = "x" * 100_000
-        stream = router_fixture.OpenStream(self.rig, prompt, 50)
+        stream = router_fixture.OpenStream(self.fixture, prompt, 50)
         self.assertTrue(
             processes.wait_until(
                 lambda: router_fixture.list_held(self.ports[0])
             )
         )
         stream.close()
-        self.check_free()
+        self.check_resources_released()
         runs = router_fixture.list_runs(self.ports[0])
         self.assertEqual(runs[-1]["outcome"], "cancelled")
 
     def test_while_queued(self):
-        """All decode slots are taken, and a caller who waits for one goes.
-        Its request must never reach an engine.
+        """All decode slots are taken, and a queued caller disconnects.  Its
+        request must not reach an engine.
         """
-        self.rig.source.change(self.make_tables())
-        pool = self.rig.source.current.pools["lm-pool"]
+        self.fixture.source.change(self.make_tables())
+        pool = self.fixture.source.current.pools["lm-pool"]
         pool.slots = 1
-        self.rig.router.scheduling.update_tables(self.rig.source.current)
-        first = router_fixture.OpenStream(self.rig, "first", 200)
+        self.fixture.router.scheduling.update_tables(
+            self.fixture.source.current
+        )
+        first = router_fixture.OpenStream(self.fixture, "first", 200)
         first.read_event()
-        second = router_fixture.OpenStream(self.rig, "second", 5)
+        second = router_fixture.OpenStream(self.fixture, "second", 5)
         self.assertTrue(
             processes.wait_until(
-                lambda: self.rig.router.scheduling.waiting == 1
+                lambda: self.fixture.router.scheduling.waiting == 1
             )
         )
         second.close()
         self.assertTrue(
             processes.wait_until(
-                lambda: not self.rig.router.scheduling.waiting
+                lambda: not self.fixture.router.scheduling.waiting
             )
         )
         first.read_all()
         first.close()
-        self.check_free()
+        self.check_resources_released()
         self.assertEqual(len(router_fixture.list_runs(self.ports[0])), 1)
 
-    def test_key_withdrawn_while_queued(self):
-        """A key is withdrawn while its request waits for a slot.  When the
-        slot comes the request must not run.
+    def test_key_revoked_while_queued(self):
+        """A key is revoked while its request is queued.  The request must not
+        run when a slot is free.
         """
-        pool = self.rig.source.current.pools["lm-pool"]
+        pool = self.fixture.source.current.pools["lm-pool"]
         pool.slots = 1
-        self.rig.router.scheduling.update_tables(self.rig.source.current)
-        first = router_fixture.OpenStream(self.rig, "first", 200)
+        self.fixture.router.scheduling.update_tables(
+            self.fixture.source.current
+        )
+        first = router_fixture.OpenStream(self.fixture, "first", 200)
         first.read_event()
         second = router_fixture.OpenStream(
-            self.rig, "second", 5, router_fixture.OTHER_KEY
+            self.fixture, "second", 5, router_fixture.OTHER_KEY
         )
         self.assertTrue(
             processes.wait_until(
-                lambda: self.rig.router.scheduling.waiting == 1
+                lambda: self.fixture.router.scheduling.waiting == 1
             )
         )
         accounts = (
             router_fixture.make_account("tea-estate", router_fixture.KEY),
         )
         changed = router_fixture.make_tables(
-            self.rig.source.current.pools["lm-pool"].upstreams,
+            self.fixture.source.current.pools["lm-pool"].upstreams,
             accounts=accounts,
         )
         changed.pools["lm-pool"].slots = 1
-        self.rig.source.change(changed)
+        self.fixture.source.change(changed)
         reply = second.connection.getresponse()
         self.assertEqual(reply.status, 401)
         self.assertEqual(json.loads(reply.read())["error"]["run"], "not_run")
@@ -521,13 +531,13 @@
 
     def test_slow_caller(self):
         """A caller reads slowly.  It must still get every token, and the
-        router must not keep the whole answer in its memory for it.
+        router must not buffer the whole answer in memory.
         """
-        connection = send_raw(self.rig.port, "slow", 300, 4_096)
+        connection = send_raw(self.fixture.port, "slow", 300, 4_096)
         router_fixture.pause(0.5)
         data = b""
         while b"[DONE]" not in data:
             data += connection.recv(256)
         connection.close()
         self.assertEqual(data.count(b'"text"'), 300)
-        self.check_free()
+        self.check_resources_released()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""The budget for repeats, shared by VMs that see one another or not."""
+"""Tests of the retry budget that is shared by all VMs."""
 
 import unittest
 
@@ -18,23 +18,23 @@
             lambda: self.vms,
         )
 
-    def spend_all(self, budget):
+    def withdraw_all(self, budget):
         count = 0
         while budget.try_withdraw("app"):
             count += 1
         return count
 
-    def test_a_vm_that_has_just_started_takes_its_share_only(self):
-        """Guards against a restarted VM that knows nobody when it gets its
-        first tables, and goes on with the share of a lone one.
+    def test_restarted_vm_uses_only_its_fraction(self):
+        """Guards against a restarted VM that knows no other VM when it loads
+        its first tables, and keeps using the whole budget.
         """
         budget = self.make(1)
         self.vms = 7
-        self.assertLessEqual(self.spend_all(budget), SLACK // 7)
+        self.assertLessEqual(self.withdraw_all(budget), SLACK // 7)
 
-    def test_shares_of_vms_that_are_all_cut_off_stay_within_the_slack(self):
-        """Guards against VMs that hear nobody and each take the whole slack:
-        those that fell silent still count.
+    def test_partitioned_vms_together_stay_within_the_slack(self):
+        """Guards against partitioned VMs that each use the whole slack:
+        unresponsive VMs must still be counted.
         """
-        spent = sum(self.spend_all(self.make(7)) for _ in range(7))
+        spent = sum(self.withdraw_all(self.make(7)) for _ in range(7))
         self.assertLessEqual(spent, SLACK)
--- a/tests/test_replies.py
+++ b/tests/test_replies.py
@@ -1,4 +1,4 @@
-"""Statuses as promises: what a caller may repeat after them."""
+"""Tests of the HTTP statuses that tell callers what they may retry."""
 
 import unittest
 
@@ -12,16 +12,16 @@
 
 
 class ReplyTest(unittest.TestCase):
-    def test_refusal_after_a_run_is_no_promise(self):
-        """The last of several attempts was refused, and an earlier one may
-        have run.  A caller who is told 503 repeats a booking.
+    def test_rejection_after_a_run_allows_no_retry(self):
+        """The last of several attempts was rejected, but an earlier one may
+        have run.  With status 503 a caller would repeat a booking.
         """
         for code in errors.Code:
             fault = make(code, errors.ExecutionStatus.MAY_HAVE_RUN)
             status = replies.choose_status(fault)
             self.assertNotIn(status, (408, 421, 429, 503), code)
 
-    def test_failure_that_has_not_run_says_so(self):
+    def test_status_of_a_fault_that_has_not_run(self):
         for code in (
             errors.Code.UPSTREAM_UNREACHABLE,
             errors.Code.DEADLINE_EXCEEDED,
@@ -31,19 +31,21 @@
             self.assertEqual(replies.choose_status(fault, style), 503)
             self.assertNotEqual(replies.choose_status(fault), 503)
 
-    def test_wait_is_told_as_finely_as_callers_read_it(self):
+    def test_retry_after_precision(self):
         fault = make(
             errors.Code.OVERLOADED,
             errors.ExecutionStatus.NOT_RUN,
             retry_after_ms=250,
         )
-        own = dict(replies.make_fault_reply(fault).headers)
-        fine = replies.FaultFormat(has_fractional_retry_after=True)
-        told = dict(replies.make_fault_reply(fault, style=fine).headers)
-        self.assertEqual(own["Retry-After"], "1")
-        self.assertEqual(told["Retry-After"], "0.250")
+        native = dict(replies.make_fault_reply(fault).headers)
+        fractional = replies.FaultFormat(has_fractional_retry_after=True)
+        fractional_headers = dict(
+            replies.make_fault_reply(fault, style=fractional).headers
+        )
+        self.assertEqual(native["Retry-After"], "1")
+        self.assertEqual(fractional_headers["Retry-After"], "0.250")
 
-    def test_upstreams_own_answer_goes_on(self):
+    def test_upstream_reply_is_forwarded(self):
         answer = upstreams.ServiceReply(500, [("Server-Seal", "s")], b"x")
         fault = make(
             errors.Code.UPSTREAM_FAILED,
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -1,4 +1,4 @@
-"""What callers are owed, over 20,000 concurrent requests under faults."""
+"""Tests of 20,000 concurrent requests under faults, and of the checker."""
 
 import asyncio
 import copy
@@ -15,11 +15,10 @@
 
 class RequestHistoryTest(unittest.TestCase):
     def test_every_caller_gets_its_own(self):
-        """Connections to upstreams are cut and fall silent, routers are
-        killed and paused, while callers stream, read and book, and repeat
-        what they got no reply to.  A broken promise would show as another
-        caller's answer, a second booking, an untrue "not run", or engine
-        memory that nobody gives back.
+        """Connections to upstreams are cut or stall and routers are killed or
+        paused, while callers stream, read and book, and retry calls without a
+        reply.  Guards against another caller's answer, a second booking, a
+        false "not run", and engine memory that is not freed.
         """
         with history.FaultyDeployment() as world:
             run = history.History(world, SEED)
@@ -27,7 +26,7 @@
             effects = history.read_effects(world)
         found = history.check(run.records, effects)
         self.assertEqual([], found[:10])
-        # The run must have brought about what it is for.
+        # The run must have produced both successful and failed requests.
         numbers = {record.number for record in run.records}
         self.assertEqual(len(numbers), REQUESTS)
         whole = sum(one.is_whole and one.status < 400 for one in run.records)
@@ -65,7 +64,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """The checker finds each rule broken."""
+    """The checker detects a violation of each rule."""
 
     def check(self, records, bookings=None, runs=(), held=()):
         effects = history.Effects(bookings or {}, runs, held)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The whole path through a router, before stand-in processes."""
+"""Tests of the whole request path with stand-in upstreams."""
 
 import concurrent.futures
 import json
@@ -9,7 +9,7 @@
 
 
 class PathTest(unittest.TestCase):
-    """One router before two prefill and two decode engines."""
+    """One router with two prefill and two decode engines."""
 
     @classmethod
     def setUpClass(cls):
@@ -28,15 +28,15 @@
             map(router_fixture.make_upstream, roles, cls.ports),
             [router_fixture.make_upstream("service", cls.service_port)],
         )
-        cls.rig = router_fixture.RouterFixture(cls.tables).__enter__()
+        cls.fixture = router_fixture.RouterFixture(cls.tables).__enter__()
 
     @classmethod
     def tearDownClass(cls):
-        cls.rig.__exit__()
+        cls.fixture.__exit__()
         cls.group.stop()
 
     def test_stream(self):
-        stream = router_fixture.OpenStream(self.rig, "why", 20)
+        stream = router_fixture.OpenStream(self.fixture, "why", 20)
         events = stream.read_all()
         self.assertEqual(events[-1], "[DONE]")
         self.assertEqual(
@@ -46,8 +46,8 @@
         self.assertEqual(stream.reply.read(), b"\n")
         stream.close()
 
-    def test_connection_serves_again_after_a_stream(self):
-        stream = router_fixture.OpenStream(self.rig, "one", 5)
+    def test_connection_is_reused_after_a_stream(self):
+        stream = router_fixture.OpenStream(self.fixture, "one", 5)
         stream.read_all()
         stream.reply.read()
         stream.connection.request("GET", "/healthz")
@@ -55,7 +55,7 @@
         stream.close()
 
     def test_whole_completion(self):
-        reply = self.rig.complete("whole", max_tokens=6)
+        reply = self.fixture.complete("whole", max_tokens=6)
         self.assertEqual(reply.status, 200)
         choice = reply.json()["choices"][0]
         self.assertEqual(
@@ -64,10 +64,10 @@
         self.assertEqual(choice["finish_reason"], "length")
         self.assertEqual(reply.json()["usage"]["completion_tokens"], 6)
 
-    def test_fifty_at_once(self):
+    def test_fifty_concurrent_streams(self):
         def read(number):
             prompt = f"log {number}"
-            stream = router_fixture.OpenStream(self.rig, prompt, 10)
+            stream = router_fixture.OpenStream(self.fixture, prompt, 10)
             events = stream.read_all()
             stream.close()
             return router_fixture.join_text(
@@ -76,10 +76,10 @@
 
         with concurrent.futures.ThreadPoolExecutor(50) as callers:
             self.assertTrue(all(callers.map(read, range(50))))
-        self.assertTrue(self.rig.wait_idle())
+        self.assertTrue(self.fixture.wait_idle())
 
     def test_plain_call(self):
-        reply = self.rig.call(
+        reply = self.fixture.call(
             "PUT", "/member/7?x=1&api_key=abc", b"hello", X_Thing="t"
         )
         self.assertEqual(reply.status, 200)
@@ -89,12 +89,12 @@
         )
 
     def test_no_key_reaches_an_upstream(self):
-        """A caller puts its key wherever some API once wanted it.  An
-        upstream that logs what it gets would then hold a key with which
-        anybody may spend the account's allowance.
+        """A caller sends its key in unusual places.  An upstream that logs its
+        requests would then store a key with which anybody could spend the
+        account's allowance.
         """
         key = router_fixture.KEY
-        self.rig.call(
+        self.fixture.call(
             "POST",
             f"/member/x?a=1&note={key}&key={key}",
             json.dumps({"auth": key, "deep": [{"k": key}], "t": f"a {key}"}),
@@ -103,17 +103,17 @@
             X_Odd=f"v {key}",
             Content_Type="application/json",
         )
-        self.rig.call(
+        self.fixture.call(
             "POST",
             "/member/form",
             f"a=1&b={key}".encode(),
             Content_Type="application/x-www-form-urlencoded",
         )
-        self.rig.complete(f"my key is {key}", user=key, api_key=key)
+        self.fixture.complete(f"my key is {key}", user=key, api_key=key)
         for port in (*self.ports, self.service_port):
             seen = processes.call(port, "GET", f"/standin/seen?needle={key}")
             self.assertEqual(seen.json()["count"], 0)
-        raw = self.rig.call(
+        raw = self.fixture.call(
             "POST",
             "/member/raw",
             f"raw {key}".encode(),
@@ -121,15 +121,15 @@
         )
         self.assertEqual(raw.status, 400)
 
-    def test_settled_once(self):
-        before = len(self.rig.allowances.settled)
-        self.rig.complete("four" * 10, max_tokens=7)
-        self.assertTrue(self.rig.wait_idle())
+    def test_tokens_are_settled_once(self):
+        before = len(self.fixture.allowances.settled)
+        self.fixture.complete("four" * 10, max_tokens=7)
+        self.assertTrue(self.fixture.wait_idle())
         self.assertEqual(
-            self.rig.allowances.settled[before:], [("tea-estate", 17, 17)]
+            self.fixture.allowances.settled[before:], [("tea-estate", 17, 17)]
         )
 
-    def test_refusals(self):
+    def test_rejections(self):
         for status, code, call in (
             (401, "unauthenticated", {"key": "nobody"}),
             (401, "unauthenticated", {"key": ""}),
@@ -138,18 +138,20 @@
             (400, "bad_request", {"prompt": 5}),
         ):
             with self.subTest(code=code, call=call):
-                reply = self.rig.complete(**call)
+                reply = self.fixture.complete(**call)
                 self.assertEqual(reply.status, status)
                 error = reply.json()["error"]
                 self.assertEqual(error["code"], code)
                 self.assertEqual(error["run"], "not_run")
-        reply = self.rig.call("GET", "/nowhere")
+        reply = self.fixture.call("GET", "/nowhere")
         self.assertEqual(reply.status, 404)
-        reply = self.rig.call("POST", "/bookings", b"{}")
+        reply = self.fixture.call("POST", "/bookings", b"{}")
         self.assertEqual(reply.json()["error"]["code"], "request_id_required")
 
-    def test_open_answers(self):
-        self.assertEqual(self.rig.call("GET", "/readyz", key="").status, 200)
-        reply = self.rig.call("GET", "/v1/entry", key="").json()
+    def test_endpoints_without_a_key(self):
+        self.assertEqual(
+            self.fixture.call("GET", "/readyz", key="").status, 200
+        )
+        reply = self.fixture.call("GET", "/v1/entry", key="").json()
         self.assertEqual(len(reply["addresses"]), 1)
         self.assertEqual(reply["ttl_ms"], 100)
--- a/tests/test_service_forward.py
+++ b/tests/test_service_forward.py
@@ -1,4 +1,4 @@
-"""Calls to plain services whose servers change under way; no network."""
+"""Tests of plain service calls during changes of the tables."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 POOL = "member-api"
 
 
-class SilentServers(directory.UpstreamDirectory):
-    """Servers of which the first answers too late, and the others at once.
+class UnresponsiveFirstServer(directory.UpstreamDirectory):
+    """Servers of which the first one times out and the others answer.
 
-    :param clock_: the clock that a wait moves on
-    :param on_wait: called while the first one is waited for
+    :param clock_: the clock, advanced by each timeout
+    :param on_wait: called during the wait for the first server
     """
 
     def __init__(self, clock_, on_wait):
@@ -30,10 +30,10 @@
         self.called = []
 
     def find_engine(self, pool, upstream):
-        raise AssertionError("no model request is sent")
+        raise AssertionError("unexpected model request")
 
     def update_tables(self, changed):
-        raise AssertionError("the router's own task")
+        raise AssertionError("only the router updates the tables")
 
     def find_service(self, pool, upstream):
         self.called.append(upstream.name)
@@ -53,11 +53,11 @@
         )
 
 
-class RepeatTest(unittest.TestCase):
+class RetryTest(unittest.TestCase):
     def setUp(self):
         self.clock = clock.ManualClock()
         self.source = router_fixture.StaticTables(self.make_tables("s1", "s2"))
-        self.servers = SilentServers(self.clock, self.change)
+        self.servers = UnresponsiveFirstServer(self.clock, self.change)
         self.forward = service_forward.ServiceForward(
             self.servers,
             server_selection.ServerSelector("kandy-a"),
@@ -65,7 +65,7 @@
             self.clock,
             self.source,
         )
-        self.next = ("s1", "s3")
+        self.next_servers = ("s1", "s3")
 
     def make_tables(self, *names):
         services = [
@@ -74,7 +74,7 @@
         return router_fixture.make_tables((), services)
 
     def change(self):
-        self.source.change(self.make_tables(*self.next))
+        self.source.change(self.make_tables(*self.next_servers))
 
     def send(self):
         exchange = base.Exchange(
@@ -87,16 +87,16 @@
         exchange.deadline.at_ms = 6_000
         return self.forward.handle(exchange, lambda one: None)
 
-    def test_repeat_goes_to_no_server_that_has_left_meanwhile(self):
-        """Guards against a repeat that is sent by the tables of the call's
-        arrival, seconds after one of their servers has left.
+    def test_retry_avoids_a_removed_server(self):
+        """Guards against a retry by the tables of the call's arrival, seconds
+        after one of their servers was removed.
         """
         self.assertTrue(self.send().is_ok())
         self.assertEqual(self.servers.called, ["s1", "s3"])
 
-    def test_repeat_goes_on_where_the_pool_has_gone(self):
-        """An operator removes the pool under way; the call came under the
-        tables before and ends by them.
+    def test_retry_after_the_pool_was_removed(self):
+        """An operator removes the pool during a call, which must still finish
+        with the pool's servers from its arrival.
         """
         empty = router_fixture.make_tables()
         empty.pools.pop(POOL)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is accepted, and how a bad file is reported."""
+"""Tests of the validation of settings files and its error reports."""
 
 import pathlib
 import tempfile
@@ -55,9 +55,9 @@
         for option in settings.OPTIONS:
             self.assertTrue(hasattr(defaults, option.attribute), option.key)
 
-    def test_operators_figures_may_have_fractions(self):
-        """Operators give 221.5 repeats and 8.5 seconds.  A VM that took
-        whole numbers only would not start at all.
+    def test_numbers_may_have_fractions(self):
+        """Operators configure 221.5 retries and 8.5 seconds.  If only integers
+        were accepted, the VM would not start.
         """
         text = GOOD + (
             "[retries]\nslack = 221.5\nwindow_s = 10\n[router]\n"
--- a/tests/test_upstream_faults.py
+++ b/tests/test_upstream_faults.py
@@ -1,4 +1,4 @@
-"""Upstreams behind a proxy that loses, holds and refuses."""
+"""Tests of upstreams behind a proxy that drops, stalls and refuses."""
 
 import http.server
 import threading
@@ -16,7 +16,7 @@
 
 
 class ProxiedServiceTest(unittest.TestCase):
-    """Two plain services, the first of them behind a proxy."""
+    """Two plain services, the first of which is behind a proxy."""
 
     def setUp(self):
         self.group = processes.Group()
@@ -32,22 +32,22 @@
             ports=[control, front],
         )
         self.control = control
-        # By its name the proxied one is chosen first.
+        # The proxied server is chosen first because of its name.
         servers = [
             router_fixture.make_upstream("service", front, "a"),
             router_fixture.make_upstream("service", self.services[1], "b"),
         ]
-        self.rig = router_fixture.RouterFixture(
+        self.fixture = router_fixture.RouterFixture(
             router_fixture.make_tables((), servers, timeout_ms=1_500),
             claims=claims.ClaimStore(
                 fakes.MemoryStore(), clock.SystemClock(), "a1", 7
             ),
         )
-        self.rig.__enter__()
-        self.addCleanup(self.rig.__exit__)
+        self.fixture.__enter__()
+        self.addCleanup(self.fixture.__exit__)
         self.numbers = iter(range(100))
 
-    def switch(self, **faults):
+    def set_faults(self, **faults):
         processes.call(self.control, "POST", "/standin/pairs/s", faults)
 
     def make_key(self):
@@ -55,7 +55,9 @@
         return claim_records.make_uuid7(now_ms, next(self.numbers))
 
     def book(self, key, body=b'{"pen": 4}'):
-        return self.rig.call("POST", "/bookings", body, Idempotency_Key=key)
+        return self.fixture.call(
+            "POST", "/bookings", body, Idempotency_Key=key
+        )
 
     def count_bookings(self):
         return sum(
@@ -63,11 +65,11 @@
         )
 
     def test_reply_lost_after_the_effect(self):
-        """A booking takes effect and its reply is lost.  The caller must
-        not be told that it did not run, and its repeat must not book again.
+        """A booking succeeds and its reply is lost.  The caller must not be
+        told that it did not run, and a retry must not book again.
         """
         key = self.make_key()
-        self.switch(drop_replies=1)
+        self.set_faults(drop_replies=1)
         first = self.book(key)
         self.assertEqual(first.json()["error"]["run"], "may_have_run")
         again = self.book(key)
@@ -75,7 +77,7 @@
         self.assertEqual(again.json()["error"]["run"], "may_have_run")
         self.assertEqual(self.count_bookings(), 1)
 
-    def test_repeat_gets_the_recorded_reply(self):
+    def test_retry_gets_the_cached_reply(self):
         key = self.make_key()
         first = self.book(key)
         self.assertEqual(first.status, 201)
@@ -85,46 +87,46 @@
         self.assertEqual(self.book(key, b"other").status, 422)
         self.assertEqual(self.count_bookings(), 1)
 
-    def test_refused_connection_moves_a_booking(self):
-        """A server is down: nothing has run there, so that even a booking
-        may go to the next server.
+    def test_booking_fails_over_after_a_refused_connection(self):
+        """A server is down.  Nothing has run there, so even a booking may be
+        sent to the next server.
         """
         (unused,) = processes.pick_ports(1)
         servers = [
             router_fixture.make_upstream("service", port, name)
             for port, name in ((unused, "a"), (self.services[1], "b"))
         ]
-        self.rig.source.change(router_fixture.make_tables((), servers))
+        self.fixture.source.change(router_fixture.make_tables((), servers))
         self.assertEqual(self.book(self.make_key()).status, 201)
         self.assertEqual(self.count_bookings(), 1)
 
-    def test_lost_reply_moves_a_read(self):
-        """The reply to a read is lost.  A read may run again elsewhere, and
-        the caller notices nothing.
+    def test_read_is_retried_after_a_lost_reply(self):
+        """The reply to a read is lost.  The read must be retried at another
+        server without an error for the caller.
         """
-        self.switch(drop_replies=1)
-        reply = self.rig.call("GET", "/member/1")
+        self.set_faults(drop_replies=1)
+        reply = self.fixture.call("GET", "/member/1")
         self.assertEqual(reply.json()["target"], "/member/1")
 
-    def test_silent_connections_are_not_used_again(self):
-        """Something between router and service loses track of the kept
-        connections.  One call finds out; later ones must not wait for it.
+    def test_stalled_connections_are_not_reused(self):
+        """A middlebox between router and service drops the state of idle
+        connections.  One call may time out, but later calls must not.
         """
         for _ in range(3):
-            self.rig.call("GET", "/member/warm")
-        self.switch(stall_down=True)
+            self.fixture.call("GET", "/member/warm")
+        self.set_faults(stall_down=True)
         late = self.book(self.make_key())
         self.assertEqual(late.json()["error"]["code"], "upstream_timeout")
         self.assertEqual(late.json()["error"]["run"], "may_have_run")
-        self.switch(stall_down=False)
+        self.set_faults(stall_down=False)
         for number in range(6):
             path = f"/member/after-{number}"
-            reply = self.rig.call("GET", path)
+            reply = self.fixture.call("GET", path)
             self.assertEqual(reply.json()["target"], path)
 
 
-class CrossedHandler(http.server.BaseHTTPRequestHandler):
-    """Answers each call with the answer to another one."""
+class MismatchedHandler(http.server.BaseHTTPRequestHandler):
+    """Answers each call with the reply to another call."""
 
     protocol_version = "HTTP/1.1"
 
@@ -140,13 +142,13 @@
         pass
 
 
-class CrossedAnswerTest(unittest.TestCase):
-    def test_is_given_to_nobody(self):
-        """A reply that was left on a connection, or was crossed on the way,
-        comes to the wrong call.  Its caller would read another's booking.
+class MismatchedReplyTest(unittest.TestCase):
+    def test_mismatched_reply_is_discarded(self):
+        """A reply left on a connection, or mixed up on the way, arrives for
+        the wrong call.  Its caller would read another caller's booking.
         """
         server = http.server.ThreadingHTTPServer(
-            ("127.0.0.1", 0), CrossedHandler
+            ("127.0.0.1", 0), MismatchedHandler
         )
         server.daemon_threads = True
         server.connections = set()
@@ -166,9 +168,9 @@
 
 
 class ProxiedEnginesTest(unittest.TestCase):
-    def test_silent_prefill_moves_on(self):
-        """Connections to one prefill engine hold and never answer.  The
-        request must get its answer by way of the other engine in time.
+    def test_unresponsive_prefill_fails_over(self):
+        """Connections to one prefill engine stall.  The request must be served
+        through the other prefill engine in time.
         """
         with processes.Group() as group:
             roles = ["prefill", "prefill", "decode"]
@@ -187,8 +189,8 @@
                 map(router_fixture.make_upstream, roles, [front, *ports[1:]]),
                 timeout_ms=2_000,
             )
-            with router_fixture.RouterFixture(current) as rig:
-                reply = rig.complete("silent", max_tokens=5)
+            with router_fixture.RouterFixture(current) as fixture:
+                reply = fixture.complete("silent", max_tokens=5)
                 self.assertEqual(reply.status, 200)
                 self.assertEqual(
                     reply.json()["choices"][0]["text"],
