--- a/tests/test_model_job.py
+++ b/tests/test_model_job.py
@@ -37,9 +37,9 @@
             target_gap_ms=300,
         ),
     )
-    maker = model_job.JobBuilder(exchange, clock.ManualClock(now_ms))
+    builder = model_job.JobBuilder(exchange, clock.ManualClock(now_ms))
     limit = clock.Deadline(now_ms + 10_000)
-    return maker.make(0, frozenset(), limit, since_ms)
+    return builder.make(0, frozenset(), limit, since_ms)
 
 
 class LostStreamTest(unittest.TestCase):
