--- a/mulberryway/objects/__init__.py
+++ b/mulberryway/objects/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API, behind one abstract base class."""
+"""Access to the platform's object API through abstract base classes."""
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -1,4 +1,4 @@
-"""The platform's object API as the rest of the program sees it."""
+"""Abstract interface of the platform's object API."""
 
 import abc
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class StoredObject:
-    """One object as the platform answered it.
+    """One object as the platform returned it.
 
     :param kind: the plural kind, such as ``segments``
     :param name: the name, unique within its kind
@@ -42,7 +42,7 @@
 
 
 class EventType(enum.Enum):
-    """What a watch reports."""
+    """Types of the events of a watch."""
 
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
@@ -51,7 +51,7 @@
 
 
 class WatchEvent:
-    """One line of a watch; a bookmark carries only the version."""
+    """One event of a watch; a bookmark carries only the version."""
 
     __slots__ = ("type", "object")
 
@@ -61,12 +61,12 @@
 
 
 class ListedVm:
-    """A VM as the platform's lagging list shows it.
+    """A VM in the platform's list, which lags behind the actual state.
 
     :param name: the VM's name
-    :param address: its IP number
+    :param address: its IP address
     :param zone: its availability zone
-    :param leaving: whether the platform is about to take it away
+    :param leaving: whether the platform is about to remove it
     """
 
     __slots__ = ("name", "address", "zone", "leaving")
@@ -81,10 +81,10 @@
 
 
 class Listing:
-    """All objects of a kind at one moment.
+    """All objects of a kind at one revision.
 
     :param objects: the objects
-    :param revision: the store's revision then; watches go on from it
+    :param revision: the store's revision, from which a watch can continue
     """
 
     __slots__ = ("objects", "revision")
@@ -95,10 +95,10 @@
 
 
 class ChangeBatch:
-    """What has changed in a kind since a revision.
+    """The changes of a kind since a revision.
 
     :param events: the changes in order
-    :param revision: the store's revision up to which they reach
+    :param revision: the store's revision after the last change
     """
 
     __slots__ = ("events", "revision")
@@ -109,20 +109,20 @@
 
 
 class RevisionedStore(abc.ABC):
-    """A store whose one counter orders the changes of all its objects.
+    """A store with one revision counter for the changes of all objects.
 
-    Faults: ``PLATFORM_UNAVAILABLE``, and ``HISTORY_GONE`` where changes
-    since a revision are known no longer.
+    Faults: ``PLATFORM_UNAVAILABLE``, and ``HISTORY_GONE`` if the store no
+    longer has the changes since a revision.
     """
 
     @abc.abstractmethod
     def read_listing(
         self, kind: str, purpose: str
     ) -> expression.Result[Listing, errors.Fault]:
-        """Return all objects of a kind, and from where to watch.
+        """Return all objects of a kind, and the revision to watch from.
 
         :param kind: the plural kind
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: the listing, or a fault
         """
 
@@ -133,9 +133,9 @@
         """Wait for changes of a kind after a revision.
 
         :param kind: the plural kind
-        :param revision: the revision up to which all is known
-        :param wait_ms: the longest wait for a change
-        :param purpose: what the call is counted under
+        :param revision: the revision up to which all changes are known
+        :param wait_ms: the longest wait for a change, in milliseconds
+        :param purpose: the purpose under which the call is counted
         :returns: the changes, possibly none; or a fault
         """
 
@@ -143,11 +143,11 @@
 class ObjectStore(abc.ABC):
     """Versioned objects with conditional updates and watches.
 
-    Each call counts against the platform's rates, a waiting watch as one,
-    so every method takes the purpose under which metrics count it.
+    The platform limits the rate of calls, and an open watch counts as one
+    call, so every method takes the purpose under which metrics count it.
 
-    Faults: ``PLATFORM_UNAVAILABLE`` (``MAY_HAVE_RUN`` when the write may
-    have taken effect), ``CONFLICT``, ``NOT_FOUND``.
+    Faults: ``PLATFORM_UNAVAILABLE`` (``MAY_HAVE_RUN`` if the write may have
+    taken effect), ``CONFLICT``, ``NOT_FOUND``.
     """
 
     @abc.abstractmethod
@@ -158,7 +158,7 @@
 
         :param kind: the plural kind
         :param name: the object's name
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: the object, or a fault
         """
 
@@ -169,7 +169,7 @@
         """Return all objects of a kind.
 
         :param kind: the plural kind
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: the objects, or a fault
         """
 
@@ -182,7 +182,7 @@
         :param kind: the plural kind
         :param name: the object's name
         :param value: its JSON value
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: the object as stored, or a fault; ``CONFLICT`` if it exists
         """
 
@@ -200,9 +200,10 @@
         :param kind: the plural kind
         :param name: the object's name
         :param value: its new JSON value
-        :param version: the version that the change was made from
-        :param purpose: what the call is counted under
-        :returns: the object as stored, or a fault; ``CONFLICT`` if it moved
+        :param version: the version on which the change is based
+        :param purpose: the purpose under which the call is counted
+        :returns: the object as stored, or a fault; ``CONFLICT`` if the version
+            has changed
         """
 
     @abc.abstractmethod
@@ -213,8 +214,8 @@
 
         :param kind: the plural kind
         :param name: the object's name
-        :param version: the version that the decision was made from
-        :param purpose: what the call is counted under
+        :param version: the version on which the decision is based
+        :param purpose: the purpose under which the call is counted
         :returns: nothing, or a fault
         """
 
@@ -222,16 +223,16 @@
     def watch(
         self, kind: str, from_version: int, idle_timeout_ms: int, purpose: str
     ) -> collections.abc.Iterator[expression.Result[WatchEvent, errors.Fault]]:
-        """Yield changes of a kind until the watch ends or falls silent.
+        """Yield changes of a kind until the watch ends or times out.
 
-        The platform sends bookmarks while nothing changes; a watch without
-        any line for ``silence_ms`` has lost its connection unnoticed and
-        ends with a fault, so that its user opens a new one.
+        The platform sends bookmarks while nothing changes. A watch without any
+        line for ``idle_timeout_ms`` is half-open and ends with a fault, after
+        which the caller has to open a new one.
 
         :param kind: the plural kind
-        :param from_version: report what came after this version
+        :param from_version: the version after which changes are reported
         :param idle_timeout_ms: the longest wait for a line, in milliseconds
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: events; a fault is the last item
         """
 
@@ -239,8 +240,8 @@
     def list_vms(
         self, purpose: str
     ) -> expression.Result[list[ListedVm], errors.Fault]:
-        """Return the platform's lagging list of live and leaving VMs.
+        """Return the platform's list of live and leaving VMs, which may lag.
 
-        :param purpose: what the call is counted under
+        :param purpose: the purpose under which the call is counted
         :returns: the list, or a fault
         """
--- a/mulberryway/objects/call_metrics.py
+++ b/mulberryway/objects/call_metrics.py
@@ -1,4 +1,4 @@
-"""Counts of calls to the platform, by purpose, for metrics and tests."""
+"""Counters of calls to the platform, by purpose and outcome."""
 
 import abc
 import threading
@@ -9,19 +9,19 @@
 
 
 class CallCounter(abc.ABC):
-    """Is told of every call to the platform.
+    """Counts the calls to the platform.
 
-    The platform's rates grow more slowly than the fleet, so whoever sees
-    them run out has to find the purpose that takes them.
+    The platform's rate limits grow more slowly than the fleet. When they are
+    exhausted, the counts by purpose show which calls consume them.
     """
 
     @abc.abstractmethod
     def count_call(
         self, purpose: str, outcome: str, sent: int, received: int
     ) -> None:
-        """Note one call when it has ended; a watch counts when it opens.
+        """Count a completed call; a watch is counted when it opens.
 
-        :param purpose: what the call was made for
+        :param purpose: the purpose of the call
         :param outcome: ``ok`` or the fault's code
         :param sent: bytes of the request's body
         :param received: bytes of the reply's body
@@ -29,7 +29,7 @@
 
 
 class CallStats:
-    """How often one purpose ended in one way.
+    """Totals of the calls with one purpose and one outcome.
 
     :param calls: the number of calls
     :param sent: bytes of request bodies
@@ -47,7 +47,7 @@
 
 
 class InMemoryCallCounter(CallCounter):
-    """Keeps the counts in memory."""
+    """Stores the counts in memory."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -56,9 +56,9 @@
     def count_call(
         self, purpose: str, outcome: str, sent: int, received: int
     ) -> None:
-        """Note one call.
+        """Count a call; see the base class.
 
-        :param purpose: what the call was made for
+        :param purpose: the purpose of the call
         :param outcome: ``ok`` or the fault's code
         :param sent: bytes of the request's body
         :param received: bytes of the reply's body
@@ -70,7 +70,7 @@
             count.received += received
 
     def get_counts(self) -> dict[tuple[str, str], CallStats]:
-        """Return the counts so far.
+        """Return the current counts.
 
         :returns: a copy, by purpose and outcome
         """
@@ -81,7 +81,7 @@
             }
 
     def report(self, metrics_: metrics.Metrics) -> None:
-        """Let the counts appear among a process's metrics.
+        """Register the counts with a process's metrics.
 
         :param metrics_: the process's instruments
         """
--- a/mulberryway/objects/codec.py
+++ b/mulberryway/objects/codec.py
@@ -1,4 +1,4 @@
-"""The platform's JSON, read into objects."""
+"""Encodes and decodes the platform's JSON."""
 
 import json
 import typing
@@ -15,20 +15,20 @@
 
 
 def encode_body(body: dict[str, typing.Any]) -> bytes:
-    """Return a body as it is sent.
+    """Return a request body as JSON bytes.
 
-    :param body: plain values
+    :param body: JSON-compatible values
     """
     return json.dumps(body, separators=(",", ":")).encode()
 
 
 def decode_object(kind: str, body: typing.Any) -> base.StoredObject:
-    """Read one object.
+    """Decode an object.
 
     :param kind: the plural kind
-    :param body: plain values
-    :raises ValueError: if it is malformed; ``KeyError`` and ``TypeError``
-        as well
+    :param body: JSON-compatible values
+    :raises ValueError: if it is malformed; ``KeyError`` and ``TypeError`` as
+        well
     """
     metadata = body["metadata"]
     return base.StoredObject(
@@ -40,16 +40,16 @@
 
 
 def decode_list(kind: str, body: typing.Any) -> list[base.StoredObject]:
-    """Read a list of objects.
+    """Decode a list of objects.
 
     :param kind: the plural kind
-    :param body: plain values
+    :param body: JSON-compatible values
     """
     return [decode_object(kind, item) for item in body["items"]]
 
 
 def decode_event(kind: str, line: bytes) -> base.WatchEvent:
-    """Read one line of a watch.
+    """Decode one line of a watch.
 
     :param kind: the plural kind
     :param line: JSON
@@ -61,9 +61,9 @@
 
 
 def decode_vms(body: typing.Any) -> list[base.ListedVm]:
-    """Read the list of VMs.
+    """Decode the list of VMs.
 
-    :param body: plain values
+    :param body: JSON-compatible values
     """
     return [
         base.ListedVm(
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP."""
+"""HTTP client of the platform's object API."""
 
 import collections.abc
 import json
@@ -20,12 +20,12 @@
 ROOT = "/apis/mulberryway.dev/v1"
 NODES = "/api/v1/nodes"
 READ_BYTES = 65_536
-# All segments of 2,200 accounts take about a megabyte; a reply far beyond
-# that is a mistake that must not take the VM's memory.
-MOST_REPLY_BYTES = 32 << 20
-MOST_LINE_BYTES = 2 << 20
+# All segments of 2,200 accounts take about a megabyte. A much larger reply is
+# an error and must not exhaust the VM's memory.
+MAX_REPLY_BYTES = 32 << 20
+MAX_LINE_BYTES = 2 << 20
 WATCH_CONNECTIONS = 8
-MOST_RETRY_AFTER_S = 60
+MAX_RETRY_AFTER_S = 60
 
 CODES = {
     404: errors.Code.NOT_FOUND,
@@ -35,8 +35,8 @@
 }
 TOO_MANY_REQUESTS = 429
 SERVER_ERRORS = 500
-# The platform answered before it did anything: the write has no effect.
-NOT_SENT = (
+# No request was sent on these errors, so a write has no effect.
+CONNECT_ERRORS = (
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.NameResolutionError,
@@ -48,12 +48,12 @@
 
 
 class HttpObjectStore(base.ObjectStore):
-    """Speaks the platform's API through one pool of connections.
+    """Accesses the platform's API through a connection pool.
 
     :param url: the platform's address, as ``http://host:port``
-    :param timeout_ms: the longest wait for a whole reply
-    :param clock_: where the time comes from
-    :param counter: is told of every call
+    :param timeout_ms: the longest wait for a whole reply, in milliseconds
+    :param clock_: the clock
+    :param counter: counts every call
     """
 
     def __init__(
@@ -74,9 +74,9 @@
         self, kind: str, name: str, purpose: str
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         """Return one object; see the base class."""
-        reply = self._exchange("GET", _path(kind, name), None, purpose)
+        reply = self._exchange("GET", _make_path(kind, name), None, purpose)
         return reply.bind(
-            lambda body: self._read(
+            lambda body: self._decode(
                 "GET", lambda: codec.decode_object(kind, body)
             )
         )
@@ -85,9 +85,9 @@
         self, kind: str, purpose: str
     ) -> expression.Result[list[base.StoredObject], errors.Fault]:
         """Return all objects of a kind; see the base class."""
-        reply = self._exchange("GET", _path(kind), None, purpose)
+        reply = self._exchange("GET", _make_path(kind), None, purpose)
         return reply.bind(
-            lambda body: self._read(
+            lambda body: self._decode(
                 "GET", lambda: codec.decode_list(kind, body)
             )
         )
@@ -97,9 +97,9 @@
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         """Create an object; see the base class."""
         body = {"metadata": {"name": name}, "value": value}
-        reply = self._exchange("POST", _path(kind), body, purpose)
+        reply = self._exchange("POST", _make_path(kind), body, purpose)
         return reply.bind(
-            lambda body: self._read(
+            lambda body: self._decode(
                 "POST", lambda: codec.decode_object(kind, body)
             )
         )
@@ -115,9 +115,9 @@
         """Replace an object of a known version; see the base class."""
         metadata = {"name": name, "resourceVersion": str(version)}
         body = {"metadata": metadata, "value": value}
-        reply = self._exchange("PUT", _path(kind, name), body, purpose)
+        reply = self._exchange("PUT", _make_path(kind, name), body, purpose)
         return reply.bind(
-            lambda body: self._read(
+            lambda body: self._decode(
                 "PUT", lambda: codec.decode_object(kind, body)
             )
         )
@@ -126,7 +126,7 @@
         self, kind: str, name: str, version: int, purpose: str
     ) -> expression.Result[None, errors.Fault]:
         """Delete an object of a known version; see the base class."""
-        target = f"{_path(kind, name)}?resourceVersion={version}"
+        target = f"{_make_path(kind, name)}?resourceVersion={version}"
         reply = self._exchange("DELETE", target, None, purpose)
         return reply.map(lambda body: None)
 
@@ -144,7 +144,11 @@
             }
         )
         opened = self._send(
-            "GET", f"{_path(kind)}?{query}", None, idle_timeout_ms, purpose
+            "GET",
+            f"{_make_path(kind)}?{query}",
+            None,
+            idle_timeout_ms,
+            purpose,
         )
         if opened.is_error():
             yield expression.Error(opened.error)
@@ -154,7 +158,7 @@
         try:
             for line in self._read_lines(response, idle_timeout_ms):
                 event = line.bind(
-                    lambda text: self._read(
+                    lambda text: self._decode(
                         "GET", lambda: codec.decode_event(kind, text)
                     )
                 )
@@ -162,8 +166,8 @@
                 if event.is_error():
                     return
         finally:
-            # A watch that was left in the middle must not be reused: the
-            # next reply on it would be an event that nobody asked for.
+            # A watch closed before its end must not be reused: the next reply
+            # on its connection would be an event of the watch.
             response.close()
 
     def list_vms(
@@ -172,7 +176,7 @@
         """Return the platform's list of VMs; see the base class."""
         reply = self._exchange("GET", NODES, None, purpose)
         return reply.bind(
-            lambda body: self._read("GET", lambda: codec.decode_vms(body))
+            lambda body: self._decode("GET", lambda: codec.decode_vms(body))
         )
 
     def _exchange(
@@ -191,9 +195,9 @@
                 lambda response: self._read_body(verb, response, deadline)
             )
             if opened.is_ok():
-                self._count(purpose, data, reply)
+                self._count_reply(purpose, data, reply)
             return reply.bind(
-                lambda raw: self._read(
+                lambda raw: self._decode(
                     verb, lambda: json.loads(raw) if raw else None
                 )
             )
@@ -206,24 +210,24 @@
         timeout_ms: int,
         purpose: str,
     ) -> expression.Result[urllib3.BaseHTTPResponse, errors.Fault]:
-        wait_s = timeout_ms / 1000
+        timeout_s = timeout_ms / 1000
         try:
             response = self._pool.request(
                 verb,
                 self._url + target,
                 body=data,
                 headers={"Content-Type": "application/json"},
-                timeout=urllib3.Timeout(connect=wait_s, read=wait_s),
+                timeout=urllib3.Timeout(connect=timeout_s, read=timeout_s),
                 retries=False,
                 redirect=False,
                 preload_content=False,
             )
         except urllib3.exceptions.HTTPError as error:
-            result = expression.Error(self._fault_of(verb, error))
+            result = expression.Error(self._make_transport_fault(verb, error))
         else:
             if response.status < 300:
                 return expression.Ok(response)
-            result = expression.Error(self._refusal_of(verb, response))
+            result = expression.Error(self._make_status_fault(verb, response))
             response.close()
         sent = 0 if data is None else len(data)
         self._counter.count_call(purpose, result.error.code.value, sent, 0)
@@ -241,21 +245,25 @@
             while part := response.read1(READ_BYTES):
                 parts.append(part)
                 size += len(part)
-                # A reply that trickles would pass every socket timeout.
+                # A reply that arrives slowly never exceeds the socket timeout.
                 if deadline.has_passed(self._clock.now_ms()):
                     response.close()
-                    return self._error(verb, "the reply took too long")
-                if size > MOST_REPLY_BYTES:
+                    return self._make_error(
+                        verb, "the reply exceeded its deadline"
+                    )
+                if size > MAX_REPLY_BYTES:
                     response.close()
-                    return self._error(verb, "the reply is too large")
+                    return self._make_error(
+                        verb, "the reply exceeds the size limit"
+                    )
         except urllib3.exceptions.HTTPError as error:
             response.close()
-            return expression.Error(self._fault_of(verb, error))
+            return expression.Error(self._make_transport_fault(verb, error))
         response.release_conn()
         return expression.Ok(b"".join(parts))
 
     def _read_lines(
-        self, response: urllib3.BaseHTTPResponse, silence_ms: int
+        self, response: urllib3.BaseHTTPResponse, idle_timeout_ms: int
     ) -> collections.abc.Iterator[expression.Result[bytes, errors.Fault]]:
         buffered = b""
         last_ms = self._clock.now_ms()
@@ -263,27 +271,29 @@
             try:
                 part = response.read1(READ_BYTES)
             except urllib3.exceptions.HTTPError as error:
-                yield expression.Error(self._fault_of("GET", error))
+                yield expression.Error(
+                    self._make_transport_fault("GET", error)
+                )
                 return
             *lines, buffered = (buffered + part).split(b"\n")
             if lines:
                 last_ms = self._clock.now_ms()
             yield from map(expression.Ok, filter(None, lines))
-            silent = self._clock.now_ms() - last_ms > silence_ms
-            if not part or silent or len(buffered) > MOST_LINE_BYTES:
-                yield self._error("GET", "the watch ended")
+            has_timed_out = self._clock.now_ms() - last_ms > idle_timeout_ms
+            if not part or has_timed_out or len(buffered) > MAX_LINE_BYTES:
+                yield self._make_error("GET", "the watch ended or timed out")
                 return
 
-    def _read(
-        self, verb: str, read: collections.abc.Callable[[], T]
+    def _decode(
+        self, verb: str, decode: collections.abc.Callable[[], T]
     ) -> expression.Result[T, errors.Fault]:
-        """Turn a malformed answer into a fault."""
+        """Decode a response, or return a fault if it is malformed."""
         try:
-            return expression.Ok(read())
+            return expression.Ok(decode())
         except (ValueError, KeyError, TypeError, AttributeError):
-            return self._error(verb, "the answer is malformed")
+            return self._make_error(verb, "the response is malformed")
 
-    def _count(
+    def _count_reply(
         self,
         purpose: str,
         data: bytes | None,
@@ -296,21 +306,21 @@
             code = reply.error.code.value
             self._counter.count_call(purpose, code, sent, 0)
 
-    def _fault_of(
+    def _make_transport_fault(
         self, verb: str, error: urllib3.exceptions.HTTPError
     ) -> errors.Fault:
-        """Sort a transport error into not run and may have run.
+        """Return the fault of a transport error: not run or may have run.
 
-        A reply can be lost after the write took effect; who repeated such
-        a write blindly, or told the operator that it failed, would be
-        wrong.  The connections of the same age may have gone silent too,
-        so all idle ones are dropped.
+        A reply can be lost after the write took effect, in which case the
+        write must not be retried blindly or reported as failed. Other
+        connections of the same age may be unresponsive too, so all idle
+        connections are dropped.
         """
         self._pool.clear()
-        sent = not isinstance(error, NOT_SENT)
-        return self._fault(verb, sent, type(error).__name__)
+        sent = not isinstance(error, CONNECT_ERRORS)
+        return self._make_fault(verb, sent, type(error).__name__)
 
-    def _refusal_of(
+    def _make_status_fault(
         self, verb: str, response: urllib3.BaseHTTPResponse
     ) -> errors.Fault:
         status = response.status
@@ -319,21 +329,23 @@
                 CODES[status],
                 errors.Step.PLATFORM,
                 self._peer,
-                message=f"the platform answered {status}",
+                message=f"the platform returned status {status}",
             )
-        fault = self._fault(
-            verb, status >= SERVER_ERRORS, f"the platform answered {status}"
+        fault = self._make_fault(
+            verb,
+            status >= SERVER_ERRORS,
+            f"the platform returned status {status}",
         )
         if status == TOO_MANY_REQUESTS:
             fault.retry_after_ms = _read_retry_after(response)
         return fault
 
-    def _error(
+    def _make_error(
         self, verb: str, message: str
     ) -> expression.Result[typing.Any, errors.Fault]:
-        return expression.Error(self._fault(verb, True, message))
+        return expression.Error(self._make_fault(verb, True, message))
 
-    def _fault(self, verb: str, sent: bool, message: str) -> errors.Fault:
+    def _make_fault(self, verb: str, sent: bool, message: str) -> errors.Fault:
         may_have_run = sent and verb != "GET"
         return errors.Fault(
             errors.Code.PLATFORM_UNAVAILABLE,
@@ -346,7 +358,7 @@
         )
 
 
-def _path(kind: str, name: str = "") -> str:
+def _make_path(kind: str, name: str = "") -> str:
     parts = [ROOT, kind, urllib.parse.quote(name, safe="")]
     return "/".join(filter(None, parts))
 
@@ -354,4 +366,4 @@
 def _read_retry_after(response: urllib3.BaseHTTPResponse) -> int:
     text = response.headers.get("Retry-After", "1")
     seconds = int(text) if text.isdecimal() else 1
-    return min(seconds, MOST_RETRY_AFTER_S) * 1000
+    return min(seconds, MAX_RETRY_AFTER_S) * 1000
--- a/mulberryway/objects/roots.py
+++ b/mulberryway/objects/roots.py
@@ -1,4 +1,4 @@
-"""Reads the accepted state of the tables from the platform."""
+"""Reads and writes the root of the tables on the platform."""
 
 import json
 import threading
@@ -21,9 +21,9 @@
 
 
 class VersionedRoot:
-    """A root and the platform's version of it.
+    """A root and its version on the platform.
 
-    :param version: the platform's version; 0 if there is none yet
+    :param version: the platform's version; 0 if no root is stored yet
     :param root: the root
     """
 
@@ -35,7 +35,7 @@
 
 
 class RootStore:
-    """The platform's root and what it names.
+    """Access to the platform's root and the segments it names.
 
     :param store: the platform
     :param segments_: the platform's segments
@@ -53,54 +53,54 @@
         self._history: segments.Segment | None = None
 
     def read_root(self) -> expression.Result[VersionedRoot, errors.Fault]:
-        """Return the platform's root, or the empty one before the first."""
-        found = self._store.read(KIND, NAME, PURPOSE)
-        if found.is_ok():
-            return _decode_root(found.ok)
-        if found.error.code is errors.Code.NOT_FOUND:
+        """Return the platform's root, or the empty root if none is stored."""
+        result = self._store.read(KIND, NAME, PURPOSE)
+        if result.is_ok():
+            return _decode_root(result.ok)
+        if result.error.code is errors.Code.NOT_FOUND:
             return expression.Ok(VersionedRoot(0, roots.Root.make_empty()))
-        return expression.Error(found.error)
+        return expression.Error(result.error)
 
     def write_root(
-        self, held: VersionedRoot, root: roots.Root
+        self, current: VersionedRoot, root: roots.Root
     ) -> expression.Result[base.StoredObject, errors.Fault]:
-        """Put a root in the place of exactly the one that is held.
+        """Replace the root, which must still have the expected version.
 
-        :param held: what the new root was made from
+        :param current: the root on which the new one is based
         :param root: the new root
         :returns: the object as stored, or a fault
         """
         value = root.encode()
-        if held.version == 0:
+        if current.version == 0:
             return self._store.create(KIND, NAME, value, PURPOSE)
-        return self._store.update(KIND, NAME, value, held.version, PURPOSE)
+        return self._store.update(KIND, NAME, value, current.version, PURPOSE)
 
     def read_tables(
         self, root: roots.Root
     ) -> expression.Result[tables.Tables, errors.Fault]:
-        """Return the tables of a root; reads only what is not kept yet.
+        """Return a root's tables, reading only segments that are not cached.
 
         :param root: the root
         """
         with self._lock:
-            return self._fill(root).map(lambda cache: cache.join(root))
+            return self._load_missing(root).map(lambda cache: cache.join(root))
 
     def read_segments(
         self, root: roots.Root
     ) -> expression.Result[list[segments.Segment], errors.Fault]:
-        """Return all segments with rows of a root.
+        """Return all segments of a root that contain rows.
 
         :param root: the root
         """
         with self._lock:
-            return self._fill(root).map(
+            return self._load_missing(root).map(
                 lambda cache: [
                     segments.Segment(digest, cache.find(digest))
                     for digest in sorted(root.list_row_segments())
                 ]
             )
 
-    def _fill(
+    def _load_missing(
         self, root: roots.Root
     ) -> expression.Result[segments.SegmentCache, errors.Fault]:
         for digest in self._cache.list_missing(root):
@@ -116,13 +116,13 @@
     ) -> expression.Result[list[dict[str, typing.Any]], errors.Fault]:
         """Return past edits, the newest last.
 
-        :param root: the root whose history is wanted
+        :param root: the root with the history to be read
         """
         if root.history == roots.EMPTY_DIGEST:
             return expression.Ok([])
-        kept = self._history
-        if kept is not None and kept.digest == root.history:
-            return expression.Ok(_read_entries(kept.content))
+        cached = self._history
+        if cached is not None and cached.digest == root.history:
+            return expression.Ok(_decode_entries(cached.content))
         content = self._segments.read(root.history)
         return content.map(
             lambda text: self.cache_history(
@@ -133,16 +133,16 @@
     def cache_history(
         self, segment: segments.Segment
     ) -> list[dict[str, typing.Any]]:
-        """Remember a history, so that the next edit need not read it.
+        """Cache a history, which the next edit then need not read.
 
         :param segment: the segment that was read or written
         :returns: its entries
         """
         self._history = segment
-        return _read_entries(segment.content)
+        return _decode_entries(segment.content)
 
 
-def _read_entries(content: bytes) -> list[dict[str, typing.Any]]:
+def _decode_entries(content: bytes) -> list[dict[str, typing.Any]]:
     return json.loads(content)["history"]
 
 
--- a/mulberryway/objects/segments.py
+++ b/mulberryway/objects/segments.py
@@ -1,12 +1,12 @@
-"""Writes segments to the platform, and collects those nobody needs.
-
-A segment is stored with its ``base``: the revision of the root that the
-edit which needs it was made from.  Such an edit takes effect only while
-the root still has that revision, so a segment with a base below the root's
-revision, that the root does not name, can no longer become needed; and a
-newer edit that needs the same content raises the base first, which changes
-the object's version and defeats a delete that was decided before.  No
-clock takes part, so a paused collector does no harm.
+"""Writes segments to the platform and deletes unreferenced ones.
+
+A segment is stored with its ``base``: the revision of the root on which the
+edit that needs it was based. Such an edit takes effect only while the root
+still has that revision. A segment whose base is below the root's revision, and
+that the root does not name, is therefore garbage. A newer edit that needs the
+same content raises the base first, which changes the object's version, so a
+delete decided before fails. No clock is involved, so a garbage collector that
+is paused cannot delete a segment in use.
 """
 
 import json
@@ -32,7 +32,7 @@
 
 
 class SegmentStore:
-    """The platform's segments.
+    """Access to the platform's segments.
 
     :param store: the platform
     """
@@ -41,31 +41,31 @@
         self._store = store
 
     def read(self, digest: str) -> expression.Result[bytes, errors.Fault]:
-        """Return a segment's content.
+        """Return a segment's content, verified against its digest.
 
         :param digest: the segment's digest
-        :returns: the content, or a fault; the digest has been checked
+        :returns: the content, or a fault
         """
         return self._store.read(KIND, digest, READ).bind(_check_content)
 
     def write(
         self, segment: segments.Segment, revision: int
     ) -> expression.Result[None, errors.Fault]:
-        """Make sure that a segment is there and will not be collected.
+        """Store a segment and protect it from garbage collection.
 
         :param segment: the segment
-        :param revision: the revision of the root that the edit is made from
-        :returns: nothing, or a fault; then the edit must not go on
+        :param revision: the revision of the root on which the edit is based
+        :returns: nothing, or a fault, after which the edit must not continue
         """
         value = {"rows": json.loads(segment.content), "base": revision}
         result: expression.Result[base.StoredObject, errors.Fault]
         for _ in range(MAX_WRITE_ATTEMPTS):
             result = self._store.create(KIND, segment.digest, value, WRITE)
-            if result.is_error() and _is(result, errors.Code.CONFLICT):
+            if result.is_error() and _has_code(result, errors.Code.CONFLICT):
                 result = self._raise_base(segment.digest, value, revision)
             if result.is_ok():
                 return expression.Ok(None)
-            if _is(result, errors.Code.BODY_TOO_LARGE):
+            if _has_code(result, errors.Code.BODY_TOO_LARGE):
                 break
         return expression.Error(result.error)
 
@@ -74,32 +74,38 @@
     ) -> expression.Result[int, errors.Fault]:
         """Delete segments that no root can name any more.
 
-        :param root: an accepted root; an old one only deletes less
-        :param retired: digests that recent edits replaced, to be kept
-        :returns: how many were deleted, or a fault
+        :param root: an accepted root; an older one only deletes less
+        :param retired: digests of segments that recent edits replaced and that
+            are retained
+        :returns: the number of deleted segments, or a fault
         """
         listed = self._store.read_all(KIND, COLLECT)
         if listed.is_error():
             return expression.Error(listed.error)
-        kept = root.list_segments() | retired
+        referenced = root.list_segments() | retired
         deleted = [
             self._store.delete(KIND, stored.name, stored.version, COLLECT)
             for stored in listed.ok
-            if self._is_garbage(stored, root, kept)
+            if self._is_garbage(stored, root, referenced)
         ]
         count = sum(result.is_ok() for result in deleted)
-        LOG.info("collected %d of %d segments", count, len(listed.ok))
+        LOG.info(
+            "deleted %d unreferenced segments of %d", count, len(listed.ok)
+        )
         return expression.Ok(count)
 
     def _is_garbage(
-        self, stored: base.StoredObject, root: roots.Root, kept: set[str]
+        self, stored: base.StoredObject, root: roots.Root, referenced: set[str]
     ) -> bool:
-        return stored.name not in kept and stored.value["base"] < root.revision
+        return (
+            stored.name not in referenced
+            and stored.value["base"] < root.revision
+        )
 
     def _raise_base(
         self, digest: str, value: dict[str, object], revision: int
     ) -> expression.Result[base.StoredObject, errors.Fault]:
-        """Protect a segment that exists already from a collector."""
+        """Protect an existing segment from garbage collection."""
         found = self._store.read(KIND, digest, WRITE)
         if found.is_error() or found.ok.value["base"] >= revision:
             return found
@@ -116,13 +122,13 @@
                 errors.Code.INTERNAL,
                 errors.Step.PLATFORM,
                 f"{KIND}/{stored.name}",
-                message="the segment is not what its digest says",
+                message="the segment does not match its digest",
             )
         )
     return expression.Ok(content)
 
 
-def _is(
+def _has_code(
     result: expression.Result[object, errors.Fault], code: errors.Code
 ) -> bool:
     return result.error.code is code
--- a/mulberryway/tables/__init__.py
+++ b/mulberryway/tables/__init__.py
@@ -1,4 +1,4 @@
-"""The tables of routes, pools and client accounts, and their join."""
+"""Tables of routes, pools and client accounts, and their validation."""
 
 from mulberryway.tables import model
 from mulberryway.tables import source
--- a/mulberryway/tables/changes.py
+++ b/mulberryway/tables/changes.py
@@ -1,4 +1,4 @@
-"""The parts of an edit: rows put and deleted, keys given and withdrawn."""
+"""Changes of an edit: put, delete or replace rows, add or revoke keys."""
 
 import abc
 import typing
@@ -24,17 +24,17 @@
     "refuse",
 ]
 
-# As a precondition: the row must not exist yet.
+# As a precondition: the row must not exist.
 ABSENT = "absent"
-# Stands for a pool's credential wherever tables are shown; in a row that is
-# put it means the credential that the pool has.
+# Replaces a pool's credential wherever tables are shown. In a row that is put,
+# it leaves the stored credential unchanged.
 REDACTED_CREDENTIAL = "(kept)"
 
 
 def digest_row(row: dict[str, typing.Any] | None) -> str:
-    """Return the digest that preconditions on a row name.
+    """Return the digest of a row that preconditions compare.
 
-    :param row: plain values, or none for a row that does not exist
+    :param row: encoded values; none for a row that does not exist
     :returns: the digest, or ``ABSENT``
     """
     if row is None:
@@ -43,9 +43,12 @@
 
 
 def hide_credentials(rows: parse.EncodedTables) -> parse.EncodedTables:
-    """Return rows as they may be shown and put back again.
+    """Return rows with their credentials redacted.
 
-    :param rows: plain rows by table and name
+    The result can be shown, and put back without losing a credential.
+
+    :param rows: encoded rows by table and name
+    :returns: a copy in which the pools' credentials are redacted
     """
     pools = {
         name: {**row, "credential": REDACTED_CREDENTIAL}
@@ -68,20 +71,20 @@
 
 
 class Change(abc.ABC):
-    """One part of an edit."""
+    """Base class of the changes that make up an edit."""
 
     @abc.abstractmethod
     def describe(self) -> str:
-        """Return what it does, for the history; never holds a key."""
+        """Return a description for the history; it never contains a key."""
 
     @abc.abstractmethod
     def apply(
         self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
-        """Make the change.
+        """Apply the change.
 
-        :param rows: plain rows by table and name; changed in place
-        :returns: nothing, or a fault if the terms do not hold
+        :param rows: encoded rows by table and name; changed in place
+        :returns: nothing, or a fault if a precondition failed
         """
 
 
@@ -90,8 +93,8 @@
 
     :param table: the table's name
     :param name: the row's name
-    :param values: the row's plain values
-    :param expected: the digest of the row that it replaces; none for any
+    :param values: the row's encoded values
+    :param expected: the digest of the row to be replaced; none for any
     """
 
     __slots__ = ("table", "name", "values", "expected")
@@ -109,18 +112,18 @@
         self.expected = expected
 
     def describe(self) -> str:
-        """Return what it does."""
+        """Return a description; see the base class."""
         return f"put {self.table}.{self.name}"
 
     def apply(
         self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Add or replace the row; see the base class."""
-        checked = _check_row(rows, self.table, self.name, self.expected)
-        if checked.is_ok():
+        precondition = _check_row(rows, self.table, self.name, self.expected)
+        if precondition.is_ok():
             old = rows[self.table].get(self.name)
             rows[self.table][self.name] = _keep_credential(self.values, old)
-        return checked
+        return precondition
 
 
 class DeleteRow(Change):
@@ -128,7 +131,7 @@
 
     :param table: the table's name
     :param name: the row's name
-    :param expected: the digest of the row as it must be; none for any
+    :param expected: the digest that the row must have; none for any
     """
 
     __slots__ = ("table", "name", "expected")
@@ -141,29 +144,29 @@
         self.expected = expected
 
     def describe(self) -> str:
-        """Return what it does."""
+        """Return a description; see the base class."""
         return f"delete {self.table}.{self.name}"
 
     def apply(
         self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
         """Delete the row; see the base class."""
-        checked = _check_row(rows, self.table, self.name, self.expected)
-        if checked.is_error():
-            return checked
+        precondition = _check_row(rows, self.table, self.name, self.expected)
+        if precondition.is_error():
+            return precondition
         if rows[self.table].pop(self.name, None) is None:
             return refuse(
                 errors.Code.NOT_FOUND,
                 f"{self.table}.{self.name}",
                 "there is no such row",
             )
-        return checked
+        return precondition
 
 
 class ReplaceAll(Change):
-    """Replaces all rows of all tables, as a whole text of tables does.
+    """Replaces all rows of all tables.
 
-    :param rows: plain rows by table and name
+    :param rows: encoded rows by table and name
     """
 
     __slots__ = ("rows",)
@@ -172,7 +175,7 @@
         self.rows = rows
 
     def describe(self) -> str:
-        """Return what it does."""
+        """Return a description; see the base class."""
         return "replace all tables"
 
     def apply(
@@ -201,26 +204,26 @@
         self.digest = digest
 
     def describe(self) -> str:
-        """Return what it does; eight digits of a digest tell keys apart."""
+        """Return a description with the first eight digits of the digest."""
         return f"give key {self.digest[:8]} to accounts.{self.account}"
 
     def apply(
         self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
-        """Add the digest; see the base class."""
+        """Add the key's digest; see the base class."""
         row = rows["accounts"].get(self.account)
         if row is None:
-            return _refuse_account(self.account)
+            return _reject_account(self.account)
         digests = sorted({*row["key_digests"], self.digest})
         rows["accounts"][self.account] = {**row, "key_digests": digests}
         return expression.Ok(None)
 
 
 class RevokeKey(Change):
-    """Takes a key from a client account.
+    """Revokes a key of a client account.
 
     :param account: the client account's name
-    :param prefix: the first digits of the key's digest, eight at least
+    :param prefix: the first digits of the key's digest, at least eight
     """
 
     __slots__ = ("account", "prefix")
@@ -230,29 +233,31 @@
         self.prefix = prefix
 
     def describe(self) -> str:
-        """Return what it does."""
+        """Return a description; see the base class."""
         return f"withdraw key {self.prefix[:8]} of accounts.{self.account}"
 
     def apply(
         self, rows: parse.EncodedTables
     ) -> expression.Result[None, errors.Fault]:
-        """Take the digest out; see the base class."""
+        """Remove the key's digest; see the base class."""
         row = rows["accounts"].get(self.account)
         if row is None:
-            return _refuse_account(self.account)
-        found = [
+            return _reject_account(self.account)
+        matching = [
             digest
             for digest in row["key_digests"]
             if digest.startswith(self.prefix)
         ]
-        if len(found) != 1:
+        if len(matching) != 1:
             return refuse(
                 errors.Code.NOT_FOUND,
                 f"accounts.{self.account}",
-                f"{len(found)} keys begin with {self.prefix[:8]}",
+                f"{len(matching)} keys begin with {self.prefix[:8]}",
             )
-        left = [digest for digest in row["key_digests"] if digest != found[0]]
-        rows["accounts"][self.account] = {**row, "key_digests": left}
+        remaining = [
+            digest for digest in row["key_digests"] if digest != matching[0]
+        ]
+        rows["accounts"][self.account] = {**row, "key_digests": remaining}
         return expression.Ok(None)
 
 
@@ -274,7 +279,7 @@
     return expression.Ok(None)
 
 
-def _refuse_account(
+def _reject_account(
     account: str,
 ) -> expression.Result[typing.Any, errors.Fault]:
     return refuse(
@@ -285,11 +290,12 @@
 def refuse(
     code: errors.Code, place: str, message: str
 ) -> expression.Result[typing.Any, errors.Fault]:
-    """Return a refusal that names its place in the tables.
+    """Return a rejection that names its place in the tables.
 
     :param code: the fault's code
     :param place: table and row
-    :param message: why
+    :param message: the reason
+    :returns: the fault, as an error
     """
     return expression.Error(
         errors.Fault(
--- a/mulberryway/tables/columns.py
+++ b/mulberryway/tables/columns.py
@@ -1,4 +1,4 @@
-"""The columns of each table: what is accepted, and its plain form."""
+"""Columns of each table: accepted values, decoding and encoding."""
 
 import collections.abc
 import enum
@@ -23,22 +23,22 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 ADDRESS = re.compile(r"[^\s/:]+:[0-9]{1,5}|\[[0-9a-fA-F:]+\]:[0-9]{1,5}")
 DIGEST = re.compile(r"[0-9a-f]{64}")
-MOST_COUNT = 1 << 53
-MOST_PORT = 65_535
-MOST_TIMEOUT_MS = 3_600_000
+MAX_COUNT = 1 << 53
+MAX_PORT = 65_535
+MAX_TIMEOUT_MS = 3_600_000
 EXPECTED_NAME = "a name of letters, digits, '.', '_' and '-', at most 63"
 
 
 def make_error(
     table: str, row: str, key: str, expected: str
 ) -> errors.TablesError:
-    """Return the error for one value that cannot be accepted.
+    """Return the error for an invalid value.
 
     :param table: the table's name
     :param row: the row's name; empty for the table itself
     :param key: the column; empty for the row itself
-    :param expected: what would have been accepted, in words
-    :returns: an error that names all of them
+    :param expected: a description of the values that are accepted
+    :returns: an error that names the place and the accepted values
     """
     place = ".".join(part for part in (table, row, key) if part)
     return errors.TablesError(
@@ -52,9 +52,9 @@
 
 
 def is_name(value: typing.Any) -> bool:
-    """Tell whether a value can name a row.
+    """Return whether a value is a valid row name.
 
-    :param value: anything
+    :param value: the value, of any type
     """
     return isinstance(value, str) and NAME.fullmatch(value) is not None
 
@@ -62,12 +62,12 @@
 class Column:
     """One column of a table.
 
-    :param key: its name in the text and in the row's class
-    :param expected: what is accepted, in words for the error
-    :param accepts: tells whether a plain value is accepted
-    :param decode: makes the row's value from the plain one
-    :param encode: makes the plain value from the row's
-    :param required: whether a row may leave it out
+    :param key: its key in the text and its attribute in the row's class
+    :param expected: a description of the accepted values, for errors
+    :param accepts: returns whether an encoded value is accepted
+    :param decode: converts an encoded value to the row's value
+    :param encode: converts the row's value to an encoded value
+    :param required: whether every row must have it
     """
 
     __slots__ = ("key", "expected", "accepts", "decode", "encode", "required")
@@ -94,10 +94,10 @@
 
 
 class RowSchema:
-    """How rows of one class are read and written.
+    """Decodes and encodes the rows of one class.
 
     :param make: the row's class
-    :param columns: its columns without the name
+    :param columns: its columns, without the name
     """
 
     __slots__ = ("make", "columns", "_by_key")
@@ -112,13 +112,13 @@
         self._by_key = {column.key: column for column in columns}
 
     def decode(self, table: str, name: str, values: typing.Any) -> typing.Any:
-        """Make a row from plain values.
+        """Return the row of encoded values.
 
         :param table: the table's name, for errors
         :param name: the row's name
-        :param values: plain values by column
+        :param values: encoded values by column
         :returns: the row
-        :raises TablesError: with table, row, key and what was expected
+        :raises TablesError: with table, row, key and the accepted values
         """
         if not is_name(name):
             raise make_error(table, str(name), "", EXPECTED_NAME)
@@ -132,10 +132,10 @@
         return self.make(name=name, **decoded)
 
     def encode(self, row: typing.Any) -> dict[str, typing.Any]:
-        """Return a row's plain values without its name.
+        """Return a row's encoded values without its name.
 
         :param row: an instance of the row's class
-        :returns: plain values by column
+        :returns: encoded values by column
         """
         return {
             column.key: column.encode(getattr(row, column.key))
@@ -172,7 +172,7 @@
 
 
 def _is_text(value: typing.Any) -> bool:
-    # A credential with a line end would add a header to each request.
+    # A line break in a credential would inject a header into each request.
     return isinstance(value, str) and value.isprintable()
 
 
@@ -184,11 +184,11 @@
     return (
         isinstance(value, str)
         and ADDRESS.fullmatch(value) is not None
-        and 1 <= int(value.rpartition(":")[2]) <= MOST_PORT
+        and 1 <= int(value.rpartition(":")[2]) <= MAX_PORT
     )
 
 
-def _is_set_of(
+def _is_unique_list(
     accepts: collections.abc.Callable[[typing.Any], bool], value: typing.Any
 ) -> bool:
     return (
@@ -202,7 +202,9 @@
     return isinstance(value, str) and DIGEST.fullmatch(value) is not None
 
 
-def _number(key: str, low: int, high: int, required: bool = False) -> Column:
+def _make_int_column(
+    key: str, low: int, high: int, required: bool = False
+) -> Column:
     return Column(
         key,
         f"a whole number from {low} to {high}",
@@ -211,21 +213,21 @@
     )
 
 
-def _flag(key: str) -> Column:
+def _make_bool_column(key: str) -> Column:
     return Column(key, "true or false", _is_bool)
 
 
-def _names(key: str) -> Column:
+def _make_names_column(key: str) -> Column:
     return Column(
         key,
         "a list of different names",
-        functools.partial(_is_set_of, is_name),
+        functools.partial(_is_unique_list, is_name),
         decode=tuple,
         encode=list,
     )
 
 
-def _choice(key: str, choices: type[enum.Enum]) -> Column:
+def _make_enum_column(key: str, choices: type[enum.Enum]) -> Column:
     values = [choice.value for choice in choices]
     return Column(
         key,
@@ -242,9 +244,9 @@
     (
         Column("address", "host:port", _is_address, required=True),
         Column("zone", EXPECTED_NAME, is_name, required=True),
-        _choice("role", model.UpstreamRole),
-        _flag("leaving"),
-        _flag("checks_fencing"),
+        _make_enum_column("role", model.UpstreamRole),
+        _make_bool_column("leaving"),
+        _make_bool_column("checks_fencing"),
     ),
 )
 
@@ -266,13 +268,13 @@
 POOL = RowSchema(
     model.Pool,
     (
-        _choice("kind", model.PoolKind),
-        _names("models"),
+        _make_enum_column("kind", model.PoolKind),
+        _make_names_column("models"),
         Column("credential", "a text of printable characters", _is_text),
-        _number("slots", 1, 10_000),
-        _number("block_tokens", 1, 1 << 20),
-        _number("link_bytes_per_s", 1, MOST_COUNT),
-        _number("kv_bytes_per_token", 1, MOST_COUNT),
+        _make_int_column("slots", 1, 10_000),
+        _make_int_column("block_tokens", 1, 1 << 20),
+        _make_int_column("link_bytes_per_s", 1, MAX_COUNT),
+        _make_int_column("kv_bytes_per_token", 1, MAX_COUNT),
         Column(
             "upstreams",
             "upstreams, [pools.NAME.upstreams.NAME]",
@@ -289,10 +291,10 @@
     (
         Column("path_prefix", "a path from /", _is_path, required=True),
         Column("pool", EXPECTED_NAME, is_name, required=True),
-        _names("models"),
-        _flag("idempotent"),
-        _number("timeout_ms", 1, MOST_TIMEOUT_MS),
-        _names("accounts"),
+        _make_names_column("models"),
+        _make_bool_column("idempotent"),
+        _make_int_column("timeout_ms", 1, MAX_TIMEOUT_MS),
+        _make_names_column("accounts"),
     ),
 )
 
@@ -302,13 +304,13 @@
         Column(
             "key_digests",
             "a list of different SHA-256 digests, 64 hexadecimal digits each",
-            functools.partial(_is_set_of, _is_digest),
+            functools.partial(_is_unique_list, _is_digest),
             decode=tuple,
             encode=list,
             required=True,
         ),
-        _number("rate", 1, MOST_COUNT, required=True),
-        _number("burst", 1, MOST_COUNT, required=True),
-        _number("weight", 1, 1_000),
+        _make_int_column("rate", 1, MAX_COUNT, required=True),
+        _make_int_column("burst", 1, MAX_COUNT, required=True),
+        _make_int_column("weight", 1, 1_000),
     ),
 )
--- a/mulberryway/tables/edits.py
+++ b/mulberryway/tables/edits.py
@@ -1,4 +1,4 @@
-"""Edits of the tables: what an operator wants changed at once."""
+"""Edits of the tables: an operator's changes, applied together."""
 
 import typing
 
@@ -13,17 +13,18 @@
 __all__ = ["Edit", "diff_tables"]
 
 MAX_SUMMARY_CHARS = 300
-# An edit without changes brings an old platform forward.
+# An edit without changes writes the active tables back to a platform whose
+# stored tables are older.
 RESTORE_SUMMARY = "restore what is in force"
 
 
 class Edit:
-    """What one operator wants changed at once.
+    """Changes that are accepted or rejected together.
 
-    :param edit_id: unique; the same edit sent again has the same id
-    :param operator: who wants it
-    :param changes: its parts, in order
-    :param revision: the revision that it must be made from; none for any
+    :param edit_id: unique; a resent edit has the same id
+    :param operator: the operator who decoded the edit
+    :param changes: the changes, in order
+    :param revision: the revision that the tables must have; none for any
     """
 
     __slots__ = ("edit_id", "operator", "changes", "revision")
@@ -41,16 +42,16 @@
         self.revision = revision
 
     def describe(self) -> str:
-        """Return what it does, for the history and the log."""
+        """Return a description for the history and the log."""
         text = "; ".join(change.describe() for change in self.changes)
         return (text or RESTORE_SUMMARY)[:MAX_SUMMARY_CHARS]
 
     def apply(
         self, tables: model.Tables
     ) -> expression.Result[model.Tables, errors.Fault]:
-        """Return the tables that the edit makes, checked with their join.
+        """Apply the edit and validate the resulting tables.
 
-        :param tables: the tables that it is made from
+        :param tables: the tables that the edit is applied to
         :returns: the next revision's tables, or a fault with the reason
         """
         if self.revision is not None and self.revision != tables.revision:
@@ -65,14 +66,14 @@
             changed = change.apply(rows)
             if changed.is_error():
                 return changed
-        made = parse.decode_tables(rows, tables.revision + 1)
-        return made.bind(
+        decoded = parse.decode_tables(rows, tables.revision + 1)
+        return decoded.bind(
             lambda new: validate.validate_tables(new).map(lambda _: new)
         )
 
 
 def diff_tables(old: model.Tables, new: model.Tables) -> list[str]:
-    """Return what differs, one line for each value.
+    """Return the differences, one line for each value.
 
     :param old: the tables before
     :param new: the tables after
--- a/mulberryway/tables/freshness.py
+++ b/mulberryway/tables/freshness.py
@@ -1,4 +1,4 @@
-"""How long tables may be used that nobody can confirm; a promise."""
+"""Rules for how long tables may be used without a confirmation."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class Freshness(enum.Enum):
-    """What may be done with the tables that a VM holds."""
+    """Whether a VM may use the tables that it stores."""
 
     CONFIRMED = "confirmed"
     OUTAGE = "outage"
@@ -19,13 +19,13 @@
 
 
 class Confirmation:
-    """When the platform was last known to hold no newer root.
+    """The time at which the platform last confirmed the root as the newest.
 
-    It travels from VM to VM with its age, which starts at the platform's
-    answer and never anew: VMs of a cut-off zone that confirm one another
-    all see the same age grow.
+    VMs pass it on with its age, which is counted from the platform's response
+    and never restarts. In a partitioned zone, where VMs confirm one another,
+    the same age therefore grows on all of them.
 
-    :param at_ms: by the holder's own clock
+    :param at_ms: the time by the local clock, in milliseconds
     :param fleet_size: how many VMs were alive then
     """
 
@@ -37,11 +37,12 @@
 
 
 def count_quorum_peers(fleet_size: int) -> int:
-    """Return how many other VMs make most of a fleet with this one.
+    """Return how many other VMs form a majority together with this one.
 
-    Exactly half is not most: both halves of a cut would go on.
+    Exactly half is no majority: both halves of a network partition would
+    continue.
 
-    :param fleet_size: how many VMs there are
+    :param fleet_size: the number of VMs
     """
     return fleet_size // 2
 
@@ -55,24 +56,26 @@
 ) -> Freshness:
     """Decide whether unconfirmed tables may still be used.
 
-    Made for two loads that look alike from one VM: the platform is down
-    for all, so that no edit can be accepted and all VMs must go on; or
-    this VM's side is cut off, while elsewhere an operator withdraws a key.
-    Whoever has just heard from most of the VMs, as many as there were at
-    the last confirmation, that they know no newer root would have heard of
-    an edit from one of them, so it goes on for ``outage_ms``.  Whoever
-    hears from fewer stops after ``fresh_ms``: serving a withdrawn key
-    breaks a promise, a refusal that says "not run" does not.
-
-    That other VMs are believed alive is not enough: after a cut has healed
-    the first to answer may be one that was cut off as well.
-
-    :param confirmation: the last one
-    :param quorum_at_ms: since when most VMs have answered; none if they
-        have not
-    :param now_ms: the present
-    :param fresh_ms: how long a confirmation, or an answer, is enough
-    :param outage_ms: the longest use in an outage of the platform
+    One VM cannot tell two situations apart. Either the platform is down for
+    all VMs, so no edit can be accepted and all of them must continue, or this
+    VM is partitioned while an operator elsewhere revokes a key. If a majority
+    of the VMs, counted by the fleet's size at the last confirmation, has just
+    answered that it knows no newer root, this VM would have received an edit
+    from one of them, and continues for ``outage_ms``. With fewer answers it
+    stops after ``fresh_ms``: accepting a revoked key violates an invariant,
+    whereas a rejection marked "not run" does not.
+
+    Membership alone is not enough: after a partition is restored, the first VM
+    to answer may have been partitioned as well.
+
+    :param confirmation: the last confirmation
+    :param quorum_at_ms: since when a majority of the VMs has answered, in
+        milliseconds; none if it has not
+    :param now_ms: the current time in milliseconds
+    :param fresh_ms: for how many milliseconds a confirmation or an answer is
+        valid
+    :param outage_ms: the longest use during an outage of the platform, in
+        milliseconds
     :returns: the decision
     """
     age_ms = now_ms - confirmation.at_ms
--- a/mulberryway/tables/model.py
+++ b/mulberryway/tables/model.py
@@ -19,30 +19,30 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the digest under which a caller's key is kept.
+    """Return the digest under which a caller's key is stored.
 
-    Keys are long random strings, so a plain digest cannot be searched for
-    and no salt is needed; the key itself is stored nowhere.
+    Keys are long random strings, so an unsalted digest cannot be reversed by a
+    search. The key itself is not stored.
 
-    :param key: the key as the caller presents it
+    :param key: the key that the caller sent
     :returns: 64 hexadecimal digits
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-# To how many upstreams one request may go where its route does not say.
+# Attempts of one request, on different upstreams, if its route sets no limit.
 DEFAULT_MAX_ATTEMPTS = 4
 
 
 class PoolKind(enum.Enum):
-    """What stands behind a pool's addresses."""
+    """The kind of servers in a pool."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class UpstreamRole(enum.Enum):
-    """What work an upstream takes; plain services have role ``SERVICE``."""
+    """The work that an upstream accepts; ``SERVICE`` is an HTTP service."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -56,9 +56,10 @@
     :param name: unique in the pool
     :param address: ``host:port``
     :param zone: its availability zone
-    :param role: what work it takes
-    :param leaving: it finishes what it has and gets nothing new
-    :param checks_fencing: it refuses orders with an old fencing number
+    :param role: the work that it accepts
+    :param leaving: whether it is draining: it completes its requests and gets
+        no new ones
+    :param checks_fencing: whether it rejects orders with an old fencing number
     """
 
     __slots__ = (
@@ -91,26 +92,28 @@
     """A row of the table of pools.
 
     :param name: unique; routes refer to it
-    :param kind: model engines or a plain service
+    :param kind: model engines or an ordinary HTTP service
     :param upstreams: its servers
     :param models: names of the models that it serves
-    :param credential: what the upstreams want to see instead of the
-        caller's key, sent as a bearer token; empty for none
-    :param slots: how many requests one decode engine holds
+    :param credential: the bearer token sent to the upstreams instead of the
+        caller's key; empty for none
+    :param slots: how many requests one decode engine runs at once
     :param block_tokens: tokens in one KV cache block
-    :param link_bytes_per_s: rate of the link that KV caches cross
-    :param kv_bytes_per_token: KV cache made for one prompt token
-    :param kv_capacity_tokens: tokens that one engine's memory holds; 0 where
-        only its reports tell
-    :param max_connections: what one upstream accepts from all VMs
-        together; 0 where nothing is known
-    :param role_switch_ms: how long an engine that changes its role is away
-    :param self_reading: whether its decode engines can read prompts
-        themselves, more slowly than prefill engines do
-    :param pause_ms: the longest pause between a stream's events that is on
-        time on every route to it; 0 where no route has a target
-    :param hold_ms: the longest time for which its decode engines reserve a
-        slot and memory; 0 where they do not
+    :param link_bytes_per_s: bandwidth of the link that transfers KV caches, in
+        bytes per second
+    :param kv_bytes_per_token: bytes of KV cache for one prompt token
+    :param kv_capacity_tokens: tokens that fit into one engine's memory; 0 if
+        it is known only from the engines' load reports
+    :param max_connections: connections that one upstream accepts from all VMs
+        together; 0 if unknown
+    :param role_switch_ms: how long an engine is unavailable while it changes
+        its role, in milliseconds
+    :param self_reading: whether its decode engines support chunked prefill,
+        which is slower than a prefill engine
+    :param pause_ms: the longest inter-token gap, in milliseconds, that meets
+        the targets of all its routes; 0 if no route has a target
+    :param hold_ms: the longest time, in milliseconds, for which its decode
+        engines reserve a slot and memory; 0 if they do not
     """
 
     __slots__ = (
@@ -167,10 +170,10 @@
 
 
 class WeightedPool:
-    """One of the pools among which a route's requests are divided.
+    """One of the pools among which a route's requests are split.
 
     :param pool: the pool's name
-    :param weight: its part of the requests, against the other weights
+    :param weight: its weight, relative to the other pools
     """
 
     __slots__ = ("pool", "weight")
@@ -186,26 +189,26 @@
     :param name: unique
     :param path_prefix: the longest prefix that matches a path wins
     :param pool: the name of the pool that serves it
-    :param models: the models that callers may name here; empty for all
-        that the pool serves
-    :param idempotent: whether a call may be repeated elsewhere; where it
-        may not, a caller has to send a request id
-    :param timeout_ms: the longest that a caller waits for a plain answer
-        or for the first token
+    :param models: the models that callers may request; empty for all that the
+        pool serves
+    :param idempotent: whether a call may be retried on another upstream; if
+        not, callers must send a request id
+    :param timeout_ms: the longest wait for a non-streaming response or for the
+        first token, in milliseconds
     :param accounts: client accounts that may use it; empty for all
     :param host: the host name that it serves; empty for any
-    :param shares: the pools among which its requests are divided; empty
-        where all go to ``pool``
-    :param retries_safe_methods: whether a method that is safe by HTTP makes a
-        call idempotent, whatever ``idempotent`` says
-    :param is_public: whether it is open to callers without a key
-    :param is_streaming: whether answers are streams of events
+    :param shares: the pools among which its requests are split; empty if all
+        go to ``pool``
+    :param retries_safe_methods: whether a call with a safe HTTP method counts
+        as idempotent, whatever ``idempotent`` is
+    :param is_public: whether callers need no key
+    :param is_streaming: whether responses are event streams
     :param max_attempts: to how many upstreams one request may be sent
-    :param target_ms: the answer, or a stream's first event, is on time
-        within it; 0 where only ``timeout_ms`` counts
-    :param target_gap_ms: the longest pause between a stream's events that
-        is still on time; 0 for no target
-    :param priority: where not all can be served, lower ranks go first
+    :param target_ms: the target latency of the response, or of a stream's
+        first event, in milliseconds; 0 if only ``timeout_ms`` applies
+    :param target_gap_ms: the target of the longest inter-token gap, in
+        milliseconds; 0 for none
+    :param priority: the rank under overload; lower ranks go first
     """
 
     __slots__ = (
@@ -265,15 +268,15 @@
 
 
 class ClientAccount:
-    """A client account: its keys and its allowance.
+    """A client account: its keys and its rate limit.
 
     :param name: unique
     :param key_digests: see :func:`digest_key`
-    :param rate: tokens a second, counted over all VMs together
+    :param rate: tokens per second, over all VMs together
     :param burst: tokens that may be used at once after a pause
-    :param weight: its part of what is there when not all can be served
-    :param plain_tokens: what a call is charged that names no tokens
-    :param priority: goes before the route's rank; none where that holds
+    :param weight: its weight when not all requests can be served
+    :param plain_tokens: tokens charged for a call that specifies none
+    :param priority: overrides the route's priority; none to use the route's
     """
 
     __slots__ = (
@@ -305,12 +308,12 @@
         self.priority = priority
 
 
-# For callers of public routes: no key, and nothing is charged.
+# The account of callers without a key on public routes; nothing is charged.
 ANONYMOUS_ACCOUNT = ClientAccount("", (), 0, 0)
 
 
 class Tables:
-    """One accepted state of all tables; never changed once made.
+    """One accepted, immutable state of all tables.
 
     :param revision: grows with each accepted edit
     :param routes: rows of the table of routes
@@ -350,11 +353,11 @@
     def find_route(self, path: str, host: str = "") -> Route | None:
         """Return the route with the longest prefix of a path.
 
-        A prefix matches whole segments only: ``/v1`` serves ``/v1/x`` but
+        A prefix matches whole path segments only: ``/v1`` serves ``/v1/x`` but
         not ``/v1x``.
 
         :param path: the path without its query
-        :param host: the host that the caller named, without a port
+        :param host: the requested host name, without a port
         :returns: the route, or none
         """
         hosts = (host, "") if host else ("",)
@@ -369,7 +372,7 @@
         )
 
     def find_account(self, key_digest: str) -> ClientAccount | None:
-        """Return the client account to which a key belongs.
+        """Return the client account that owns a key.
 
         :param key_digest: see :func:`digest_key`
         :returns: the account, or none
@@ -378,10 +381,10 @@
 
 
 def _list_prefixes(path: str) -> collections.abc.Iterator[str]:
-    """Return the prefixes that match a path, the longest first.
+    """Yield the prefixes that match a path, the longest first.
 
-    A path has only as many prefixes as segments, however many routes there
-    are.
+    The number of prefixes depends on the path's segments, not on the number of
+    routes.
     """
     yield path
     end = len(path)
--- a/mulberryway/tables/parse.py
+++ b/mulberryway/tables/parse.py
@@ -1,4 +1,4 @@
-"""Tables as TOML text, and as plain values by table and row."""
+"""Reads and writes tables as TOML text and as encoded values."""
 
 import tomllib
 import typing
@@ -31,11 +31,11 @@
 def parse_tables(
     text: str, revision: int = 0
 ) -> expression.Result[model.Tables, errors.Fault]:
-    """Read tables from TOML text; their join is not looked at.
+    """Read tables from TOML text, without cross-row validation.
 
     :param text: sections ``routes.NAME``, ``pools.NAME``,
         ``pools.NAME.upstreams.NAME`` and ``accounts.NAME``
-    :param revision: the revision to give them
+    :param revision: the revision of the new tables
     :returns: the tables, or ``INVALID_TABLES`` with table, row and key
     """
     try:
@@ -50,20 +50,20 @@
 def decode_tables(
     values: dict[str, typing.Any], revision: int
 ) -> expression.Result[model.Tables, errors.Fault]:
-    """Make tables from plain values; their join is not looked at.
+    """Return the tables of encoded values, without cross-row validation.
 
-    :param values: rows as plain values, by table and name
-    :param revision: the revision to give them
+    :param values: encoded rows by table and name
+    :param revision: the revision of the new tables
     :returns: the tables, or ``INVALID_TABLES`` with table, row and key
     """
     try:
         _check_tables(values)
         rows = {
             table: tuple(
-                row_type.decode(table, name, row)
+                schema.decode(table, name, row)
                 for name, row in values.get(table, {}).items()
             )
-            for table, row_type in ROW_SCHEMAS.items()
+            for table, schema in ROW_SCHEMAS.items()
         }
     except errors.TablesError as error:
         return expression.Error(error.fault)
@@ -71,10 +71,10 @@
 
 
 def encode_tables(tables: model.Tables) -> EncodedTables:
-    """Return all rows as plain values, sorted by name.
+    """Return all rows as encoded values, sorted by name.
 
     :param tables: the tables
-    :returns: plain values by table and row
+    :returns: encoded values by table and row
     """
     rows_by_table = {
         "routes": tables.routes,
@@ -91,19 +91,19 @@
 
 
 def format_rows(rows: EncodedTables) -> str:
-    """Return plain rows as TOML text that ``parse_rows`` reads back.
+    """Return encoded rows as TOML text that ``parse_rows`` can read.
 
-    :param rows: plain rows by table and name
+    :param rows: encoded rows by table and name
     :returns: the text
     """
     return tomli_w.dumps(rows)
 
 
 def parse_rows(text: str) -> expression.Result[EncodedTables, errors.Fault]:
-    """Read plain rows from TOML text and check each; not their join.
+    """Read encoded rows from TOML text, without cross-row validation.
 
     :param text: see :func:`parse_tables`
-    :returns: rows as they stand in the text, or ``INVALID_TABLES``
+    :returns: the rows as in the text, or ``INVALID_TABLES``
     """
     return parse_tables(text).map(lambda _: tomllib.loads(text))
 
--- a/mulberryway/tables/root.py
+++ b/mulberryway/tables/root.py
@@ -1,4 +1,4 @@
-"""The root: the one object that names every segment of the tables."""
+"""The root object: the manifest of the digests of all segments."""
 
 import hashlib
 import itertools
@@ -17,23 +17,23 @@
     "encode_content",
 ]
 
-# 128 bits of SHA-256: two segments of one digest will not be met, and the
-# root, which every VM receives with every edit, stays near four kilobytes.
+# 128 bits of SHA-256 make a collision of two segments negligible, and keep the
+# root, which every VM receives with every edit, near 4 KB.
 DIGEST_HEX_LENGTH = 32
-# An edit moves the root and one shard.  With 2,200 client accounts a shard
-# of accounts holds about 35; more shards would make the root the larger
-# part, fewer would make it the smaller one.
+# An edit transfers the root and one shard. With 2,200 client accounts a shard
+# of accounts holds about 35. With more shards the root would dominate the size
+# of a transfer, with fewer the shard.
 SHARD_COUNTS = {"routes": 4, "pools": 16, "accounts": 64}
-# The root keeps the ids of the last edits, so that a lost reply can be
-# settled with one read.
+# The root lists the ids of the last edits, so after a lost reply one read
+# shows whether an edit was accepted.
 MAX_EDIT_RECORDS = 16
 EMPTY_DIGEST = ""
 
 
 def encode_content(value: typing.Any) -> bytes:
-    """Return the one JSON text of a plain value.
+    """Return the canonical JSON text of a value.
 
-    :param value: plain values
+    :param value: encoded values
     :returns: bytes that are equal for equal values
     """
     return json.dumps(
@@ -42,7 +42,7 @@
 
 
 def digest_content(content: bytes) -> str:
-    """Return the name of a content.
+    """Return the digest that identifies a content.
 
     :param content: the bytes
     :returns: hexadecimal digits
@@ -51,10 +51,10 @@
 
 
 class EditRecord:
-    """Says that an edit was accepted, and as which revision.
+    """Record of an accepted edit.
 
-    :param revision: the revision that it made
-    :param edit_id: the edit's own id
+    :param revision: the revision that the edit created
+    :param edit_id: the edit's id
     """
 
     __slots__ = ("revision", "edit_id")
@@ -65,12 +65,12 @@
 
 
 class Root:
-    """One accepted state of the tables, by the digests of its segments.
+    """One accepted state of the tables: the digests of its segments.
 
     :param revision: grows by one with each accepted edit
     :param shards: digests by table; ``EMPTY_DIGEST`` for a shard without rows
     :param history: the digest of the segment with past edits
-    :param marks: the last edits, the newest last
+    :param marks: records of the last edits, the newest last
     """
 
     __slots__ = ("revision", "shards", "history", "marks")
@@ -88,22 +88,24 @@
         self.marks = marks
 
     def encode(self) -> dict[str, typing.Any]:
-        """Return the root's plain values."""
+        """Return the root's encoded values."""
         return {
             "revision": self.revision,
             "shards": {
                 table: list(names) for table, names in self.shards.items()
             },
             "history": self.history,
-            "marks": [[mark.revision, mark.edit_id] for mark in self.marks],
+            "marks": [
+                [record.revision, record.edit_id] for record in self.marks
+            ],
         }
 
     def digest(self) -> str:
-        """Return the digest over everything that the root says."""
+        """Return the digest of the root's encoded values."""
         return digest_content(encode_content(self.encode()))
 
     def list_row_segments(self) -> set[str]:
-        """Return the digests of all segments that hold rows."""
+        """Return the digests of all segments that contain rows."""
         names = itertools.chain.from_iterable(self.shards.values())
         return set(names) - {EMPTY_DIGEST}
 
@@ -112,28 +114,30 @@
         return (self.list_row_segments() | {self.history}) - {EMPTY_DIGEST}
 
     def find_edit(self, edit_id: str) -> EditRecord | None:
-        """Return the mark of an edit, if it is one of the last.
+        """Return the record of an edit, or none if it is not among the last.
 
-        :param edit_id: the edit's own id
+        :param edit_id: the edit's id
         """
         return next(
-            (mark for mark in self.marks if mark.edit_id == edit_id), None
+            (record for record in self.marks if record.edit_id == edit_id),
+            None,
         )
 
     def append_edit(self, edit_id: str) -> tuple[EditRecord, ...]:
-        """Return the marks of the root that an edit makes from this one.
+        """Return the records of the root that follows this one.
 
-        :param edit_id: the edit's own id
+        :param edit_id: the id of the edit that creates it
+        :returns: the last records, the newest last
         """
-        mark = EditRecord(self.revision + 1, edit_id)
-        return (*self.marks, mark)[-MAX_EDIT_RECORDS:]
+        record = EditRecord(self.revision + 1, edit_id)
+        return (*self.marks, record)[-MAX_EDIT_RECORDS:]
 
     @classmethod
     def decode(cls, value: typing.Any) -> "Root":
-        """Make a root from its plain values.
+        """Return the root of encoded values.
 
-        :param value: what ``encode`` returned
-        :raises TablesError: if it is not a root that this version knows
+        :param value: the result of ``encode``
+        :raises TablesError: if it is no root that this version can read
         """
         try:
             shards = {
@@ -162,7 +166,7 @@
 
     @classmethod
     def make_empty(cls) -> "Root":
-        """Return the root before the first edit, of revision 0."""
+        """Return the root of revision 0, before the first edit."""
         shards = {
             table: (EMPTY_DIGEST,) * count
             for table, count in SHARD_COUNTS.items()
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -1,4 +1,4 @@
-"""Tables cut into immutable segments, and put together again."""
+"""Splits tables into immutable segments and assembles them."""
 
 import collections.abc
 import hashlib
@@ -19,12 +19,12 @@
     "split_tables",
 ]
 
-# The platform holds values up to a megabyte, its own envelope included.
+# The platform stores values of up to a megabyte, including its own envelope.
 MAX_SEGMENT_BYTES = 1_000_000
 
 
 class Segment:
-    """Some rows under the digest of their content.
+    """Some rows, identified by the digest of their content.
 
     :param digest: see :func:`roots.digest_content`
     :param content: canonical JSON
@@ -38,16 +38,16 @@
 
 
 def make_segment(value: typing.Any) -> Segment:
-    """Return the segment of a plain value.
+    """Return the segment of encoded values.
 
-    :param value: plain values
+    :param value: encoded values
     """
     content = roots.encode_content(value)
     return Segment(roots.digest_content(content), content)
 
 
 class SplitTables:
-    """What an accepted state consists of.
+    """The shards and segments of one state of the tables.
 
     :param shards: digests by table, for the root
     :param segments: the segments by digest
@@ -65,10 +65,10 @@
 
 
 def split_tables(tables: model.Tables) -> SplitTables:
-    """Cut tables into segments.
+    """Split tables into segments.
 
-    A row's place depends on its name alone, so that an edit of one row
-    changes one segment, whatever else the tables hold.
+    A row's shard depends on its name alone, so an edit of one row changes one
+    segment, whatever the other rows are.
 
     :param tables: the tables
     :returns: digests for the root, and the segments
@@ -87,12 +87,14 @@
     segments: dict[str, Segment],
 ) -> tuple[str, ...]:
     count = roots.SHARD_COUNTS[table]
-    parts: list[dict[str, typing.Any]] = [{} for _ in range(count)]
+    row_groups: list[dict[str, typing.Any]] = [{} for _ in range(count)]
     for name, row in rows.items():
-        parts[_choose_shard(name, count)][name] = row
+        row_groups[_choose_shard(name, count)][name] = row
     return tuple(
-        _add_segment(table, part, segments) if part else roots.EMPTY_DIGEST
-        for part in parts
+        _add_segment(table, row_group, segments)
+        if row_group
+        else roots.EMPTY_DIGEST
+        for row_group in row_groups
     )
 
 
@@ -103,18 +105,18 @@
 
 def _add_segment(
     table: str,
-    part: dict[str, typing.Any],
+    row_group: dict[str, typing.Any],
     segments: dict[str, Segment],
 ) -> str:
-    segment = make_segment({table: part})
+    segment = make_segment({table: row_group})
     segments[segment.digest] = segment
     return segment.digest
 
 
 class SegmentCache:
-    """Segments that were checked and read, by digest.
+    """Caches verified and decoded segments by digest.
 
-    An edit changes one segment; only that one is decoded again.
+    An edit changes one segment, so only that one is decoded again.
     """
 
     __slots__ = ("_contents", "_rows")
@@ -124,13 +126,13 @@
         self._rows: dict[str, model.Tables] = {}
 
     def add(self, digest: str, content: bytes) -> bool:
-        """Keep a segment if it is what its digest says.
+        """Add a segment if its content matches its digest.
 
-        A segment may come from a stale peer or a damaged reply; its digest
-        alone decides, so it does not matter who sent it.
+        A segment may come from a stale peer or a damaged reply. Only the
+        digest decides, so the sender need not be trusted.
 
-        :param digest: the name under which it was asked for
-        :param content: what came
+        :param digest: the digest that was requested
+        :param content: the received content
         :returns: false if the content has another digest
         :raises TablesError: if the rows are malformed
         """
@@ -145,52 +147,54 @@
         return True
 
     def find(self, digest: str) -> bytes | None:
-        """Return a segment's content, or none.
+        """Return a segment's content, or none if it is not cached.
 
         :param digest: the segment's digest
         """
         return self._contents.get(digest)
 
     def list_missing(self, root: roots.Root) -> list[str]:
-        """Return the digests that a root needs and that are not here.
+        """Return the digests that a root needs and that are not cached.
 
         :param root: the root
         """
         return sorted(root.list_row_segments() - self._rows.keys())
 
     def join(self, root: roots.Root) -> model.Tables:
-        """Put the tables of a root together; none may be missing.
+        """Assemble the tables of a root; all its segments must be cached.
 
         :param root: the root
         :returns: the tables with the root's revision
         """
-        parts = [
+        row_groups = [
             self._rows[digest] for digest in sorted(root.list_row_segments())
         ]
         return model.Tables(
             root.revision,
-            _chain(part.routes for part in parts),
-            _chain(part.pools for part in parts),
-            _chain(part.accounts for part in parts),
+            _merge_rows(row_group.routes for row_group in row_groups),
+            _merge_rows(row_group.pools for row_group in row_groups),
+            _merge_rows(row_group.accounts for row_group in row_groups),
         )
 
     def retain(self, digests: collections.abc.Collection[str]) -> None:
-        """Forget all other segments.
+        """Remove all other segments from the cache.
 
-        :param digests: the digests to keep
+        :param digests: the digests of the segments to retain
         """
-        kept = set(digests)
+        retained = set(digests)
         self._rows = {
-            key: rows for key, rows in self._rows.items() if key in kept
+            key: rows for key, rows in self._rows.items() if key in retained
         }
         self._contents = {
-            key: text for key, text in self._contents.items() if key in kept
+            key: text
+            for key, text in self._contents.items()
+            if key in retained
         }
 
 
-def _chain(
-    parts: collections.abc.Iterable[dict[str, typing.Any]],
+def _merge_rows(
+    row_groups: collections.abc.Iterable[dict[str, typing.Any]],
 ) -> tuple[typing.Any, ...]:
     return tuple(
-        itertools.chain.from_iterable(rows.values() for rows in parts)
+        itertools.chain.from_iterable(rows.values() for rows in row_groups)
     )
--- a/mulberryway/tables/source.py
+++ b/mulberryway/tables/source.py
@@ -1,4 +1,4 @@
-"""Where the rest of the program reads the tables that are in force."""
+"""Interface through which other modules read the active tables."""
 
 import abc
 import collections.abc
@@ -9,21 +9,23 @@
 
 
 class TableSource(abc.ABC):
-    """Holds the newest accepted tables."""
+    """Provides the newest accepted tables."""
 
     @abc.abstractmethod
     def read_tables(self) -> model.Tables | None:
-        """Return the tables in force, or none before the first are known.
+        """Return the active tables, or none before the first are known.
 
-        A process without tables refuses requests and says so; it does not
-        guess.
+        Without tables a process rejects requests and gives that reason; it
+        does not fall back to defaults.
         """
 
     @abc.abstractmethod
     def subscribe(
         self, on_change: collections.abc.Callable[[model.Tables], None]
     ) -> None:
-        """Call a function after each change, on the changing thread.
+        """Register a function to be called after each change.
 
-        :param on_change: gets the new tables; must return quickly
+        It is called on the thread that makes the change.
+
+        :param on_change: receives the new tables; must return quickly
         """
--- a/mulberryway/tables/validate.py
+++ b/mulberryway/tables/validate.py
@@ -1,4 +1,4 @@
-"""The join of the tables: what has to hold between rows."""
+"""Cross-row validation of the tables."""
 
 import collections.abc
 import itertools
@@ -17,10 +17,10 @@
 def validate_tables(
     tables: model.Tables,
 ) -> expression.Result[None, errors.Fault]:
-    """Check what single rows cannot show.
+    """Check the constraints between rows.
 
     :param tables: the tables
-    :returns: nothing, or ``INVALID_TABLES`` for the first row at fault
+    :returns: nothing, or ``INVALID_TABLES`` for the first invalid row
     """
     problem = next(
         itertools.chain(
@@ -74,7 +74,7 @@
 
 
 def _check_prefixes(tables: model.Tables) -> Problems:
-    """Two routes with one prefix would answer as the sorting happens."""
+    """Reject equal prefixes, for which the rows' order would decide."""
     owners: dict[str, str] = {}
     for route in tables.routes.values():
         prefix = route.path_prefix.rstrip("/")
@@ -136,7 +136,7 @@
 
 
 def _check_addresses(pool: model.Pool) -> Problems:
-    """One server listed twice would get twice its part of the work."""
+    """Reject a server listed twice, which would get twice the load."""
     seen: dict[str, str] = {}
     for upstream in pool.upstreams:
         owner = seen.setdefault(upstream.address, upstream.name)
@@ -150,7 +150,7 @@
 
 
 def _check_keys(tables: model.Tables) -> Problems:
-    """A key of two accounts would run requests for the wrong one."""
+    """Reject a key of two accounts, which would charge the wrong one."""
     owners: dict[str, str] = {}
     for account in tables.accounts.values():
         for digest in account.key_digests:
