--- a/mulberryway/peers/__init__.py
+++ b/mulberryway/peers/__init__.py
@@ -1,4 +1,4 @@
-"""How the processes of the system talk to one another."""
+"""Authenticated calls and datagrams between the system's processes."""
 
 from mulberryway.peers import client
 from mulberryway.peers import server
--- a/mulberryway/peers/channel.py
+++ b/mulberryway/peers/channel.py
@@ -1,10 +1,10 @@
-"""Frames between two peers that prove that they know the fleet's secret.
+"""Connections between two peers that authenticate with the fleet's secret.
 
-The server sends a random nonce, the client answers with its own nonce and a
-proof, and the server proves itself in turn.  From then on each frame carries
-an HMAC-SHA256 over direction, counter and payload under a key made from the
-secret and both nonces: a frame that is forged, replayed, reflected, or moved
-to another connection does not verify.  Nothing is encrypted.
+The server sends a random nonce, the client responds with its own nonce and an
+authentication tag, and the server sends its own tag. From then on each frame
+carries an HMAC-SHA256 over direction, counter and payload, with a key derived
+from the secret and both nonces. A frame that is forged, replayed, reflected,
+or moved to another connection fails verification. Nothing is encrypted.
 """
 
 import enum
@@ -33,8 +33,8 @@
 LENGTH = struct.Struct(">I")
 COUNTER = struct.Struct(">Q")
 OVERHEAD_BYTES = LENGTH.size + MAC_BYTES
-# The largest message carries one of the platform's values of a megabyte.
-MOST_FRAME_BYTES = 2 << 20
+# The largest message carries one value of the platform, of up to a megabyte.
+MAX_FRAME_BYTES = 2 << 20
 CONTEXT = b"mulberryway peers 1"
 
 
@@ -44,9 +44,9 @@
 
 
 class ChannelError(Exception):
-    """The other end has gone, is silent, or does not know the secret.
+    """The peer closed the connection, timed out, or failed authentication.
 
-    :param message: one sentence
+    :param message: the error message
     :param was_sent: whether any byte of a request may have arrived
     """
 
@@ -60,8 +60,8 @@
 
     :param connection: the connected socket
     :param key: the connection's key
-    :param is_server: which end this is
-    :param clock_: where the time comes from
+    :param is_server: whether this is the server's end
+    :param clock_: the clock
     """
 
     def __init__(
@@ -76,26 +76,28 @@
         self.used_ms = self.opened_ms
         self._key = key
         self._clock = clock_
-        self._sent = 0
-        self._received = 0
-        ways = (_Direction.TO_CLIENT, _Direction.TO_SERVER)
-        self._out, self._in = ways if is_server else reversed(ways)
+        self._sent_frames = 0
+        self._received_frames = 0
+        directions = (_Direction.TO_CLIENT, _Direction.TO_SERVER)
+        self._send_direction, self._receive_direction = (
+            directions if is_server else reversed(directions)
+        )
 
     def send(self, payload: bytes, deadline: clock.Deadline) -> int:
         """Send one frame.
 
         :param payload: its content
         :param deadline: when to give up
-        :returns: bytes that were sent
-        :raises ChannelError: if the other end does not take it in time
+        :returns: the number of bytes sent
+        :raises ChannelError: if it cannot be sent before the deadline
         """
-        if len(payload) > MOST_FRAME_BYTES:
-            raise ChannelError("the message is too large")
-        mac = self._sign(self._out, self._sent, payload)
-        self._sent += 1
+        if len(payload) > MAX_FRAME_BYTES:
+            raise ChannelError("the message exceeds the size limit")
+        mac = self._sign(self._send_direction, self._sent_frames, payload)
+        self._sent_frames += 1
         frame = LENGTH.pack(len(payload)) + payload + mac
         try:
-            self._limit(deadline)
+            self._set_timeout(deadline)
             self.connection.sendall(frame)
         except OSError as error:
             raise ChannelError(f"cannot send: {error}", True) from error
@@ -107,25 +109,27 @@
 
         :param deadline: when to give up
         :returns: its content
-        :raises ChannelError: if it is late, cut, or does not verify
+        :raises ChannelError: if it is late or truncated, or fails verification
         """
         (length,) = LENGTH.unpack(self._read(LENGTH.size, deadline))
-        if length > MOST_FRAME_BYTES:
-            raise ChannelError("the frame is too large", True)
+        if length > MAX_FRAME_BYTES:
+            raise ChannelError("the frame exceeds the size limit", True)
         frame = self._read(length + MAC_BYTES, deadline)
         payload, mac = frame[:length], frame[length:]
-        expected = self._sign(self._in, self._received, payload)
+        expected = self._sign(
+            self._receive_direction, self._received_frames, payload
+        )
         if not hmac.compare_digest(mac, expected):
-            raise ChannelError("the frame does not verify", True)
-        self._received += 1
+            raise ChannelError("the frame failed verification", True)
+        self._received_frames += 1
         self.used_ms = self._clock.now_ms()
         return payload
 
     def is_reusable(self) -> bool:
-        """Tell whether nothing has arrived, not even the other end's close.
+        """Return whether the connection is open and nothing has arrived.
 
-        A pooled connection that became readable was closed, or holds an
-        answer that nobody waits for; reusing it would cross answers.
+        A pooled connection that became readable was closed, or holds a late
+        response, which the next call would take for its own.
         """
         try:
             self.connection.setblocking(False)
@@ -149,8 +153,8 @@
     def _read(self, count: int, deadline: clock.Deadline) -> bytes:
         return _read_exactly(self.connection, count, deadline, self._clock)
 
-    def _limit(self, deadline: clock.Deadline) -> None:
-        _limit(self.connection, deadline, self._clock)
+    def _set_timeout(self, deadline: clock.Deadline) -> None:
+        _set_timeout(self.connection, deadline, self._clock)
 
 
 def make_nonce() -> bytes:
@@ -164,14 +168,14 @@
     deadline: clock.Deadline,
     clock_: clock.Clock,
 ) -> Channel:
-    """Connect to a peer; both ends prove themselves.
+    """Connect to a peer with mutual authentication.
 
     :param address: host and port
     :param secret: the fleet's secret
     :param deadline: when to give up
-    :param clock_: where the time comes from
+    :param clock_: the clock
     :returns: the channel
-    :raises ChannelError: if the peer is unreachable or a stranger
+    :raises ChannelError: if the peer is unreachable or fails authentication
     """
     try:
         left_ms = deadline.left_ms(clock_.now_ms())
@@ -179,17 +183,17 @@
     except OSError as error:
         raise ChannelError(f"cannot connect: {error}") from error
     try:
-        return _introduce(connection, secret, deadline, clock_)
+        return _authenticate(connection, secret, deadline, clock_)
     except OSError as error:
         connection.close()
         raise ChannelError(f"cannot connect: {error}") from error
     except ChannelError as error:
         connection.close()
-        # No request was sent yet, whatever happened to the handshake.
+        # The handshake failed before any request was sent.
         raise ChannelError(str(error)) from error
 
 
-def _introduce(
+def _authenticate(
     connection: socket.socket,
     secret: str,
     deadline: clock.Deadline,
@@ -198,11 +202,11 @@
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     server_nonce = _read_exactly(connection, NONCE_BYTES, deadline, clock_)
     client_nonce = make_nonce()
-    key = _derive(secret, server_nonce, client_nonce)
+    key = _derive_key(secret, server_nonce, client_nonce)
     connection.sendall(client_nonce + _mac(key, b"client"))
-    proof = _read_exactly(connection, MAC_BYTES, deadline, clock_)
-    if not hmac.compare_digest(proof, _mac(key, b"server")):
-        raise ChannelError("the peer does not know the fleet's secret")
+    tag = _read_exactly(connection, MAC_BYTES, deadline, clock_)
+    if not hmac.compare_digest(tag, _mac(key, b"server")):
+        raise ChannelError("the peer failed authentication")
     return Channel(connection, key, False, clock_)
 
 
@@ -210,31 +214,33 @@
     connection: socket.socket,
     secret: str,
     server_nonce: bytes,
-    hello: bytes,
+    handshake: bytes,
     clock_: clock.Clock,
 ) -> Channel:
-    """Verify a client's proof and send the server's own.
+    """Verify a client's authentication tag and send the server's own.
 
     :param connection: the accepted socket
     :param secret: the fleet's secret
     :param server_nonce: the nonce that was sent on this connection
-    :param hello: the client's nonce and proof
-    :param clock_: where the time comes from
+    :param handshake: the client's nonce and authentication tag
+    :param clock_: the clock
     :returns: the channel
-    :raises ChannelError: if the client does not know the secret
+    :raises ChannelError: if the client fails authentication
     """
-    client_nonce, proof = hello[:NONCE_BYTES], hello[NONCE_BYTES:]
-    key = _derive(secret, server_nonce, client_nonce)
-    if not hmac.compare_digest(proof, _mac(key, b"client")):
-        raise ChannelError("the client does not know the fleet's secret")
+    client_nonce, tag = handshake[:NONCE_BYTES], handshake[NONCE_BYTES:]
+    key = _derive_key(secret, server_nonce, client_nonce)
+    if not hmac.compare_digest(tag, _mac(key, b"client")):
+        raise ChannelError("the client failed authentication")
     try:
         connection.sendall(_mac(key, b"server"))
     except OSError as error:
-        raise ChannelError(f"cannot answer: {error}") from error
+        raise ChannelError(f"cannot send the handshake: {error}") from error
     return Channel(connection, key, True, clock_)
 
 
-def _derive(secret: str, server_nonce: bytes, client_nonce: bytes) -> bytes:
+def _derive_key(
+    secret: str, server_nonce: bytes, client_nonce: bytes
+) -> bytes:
     message = CONTEXT + server_nonce + client_nonce
     return hmac.digest(secret.encode(), message, hashlib.sha256)
 
@@ -243,7 +249,7 @@
     return hmac.digest(key, message, hashlib.sha256)[:MAC_BYTES]
 
 
-def _limit(
+def _set_timeout(
     connection: socket.socket, deadline: clock.Deadline, clock_: clock.Clock
 ) -> None:
     left_ms = deadline.left_ms(clock_.now_ms())
@@ -261,12 +267,12 @@
     parts: list[bytes] = []
     while count > 0:
         try:
-            _limit(connection, deadline, clock_)
+            _set_timeout(connection, deadline, clock_)
             part = connection.recv(min(count, 1 << 16))
         except OSError as error:
-            raise ChannelError(f"no answer: {error}", True) from error
+            raise ChannelError(f"cannot receive: {error}", True) from error
         if not part:
-            raise ChannelError("the other end has closed", True)
+            raise ChannelError("the peer closed the connection", True)
         parts.append(part)
         count -= len(part)
     return b"".join(parts)
--- a/mulberryway/peers/client.py
+++ b/mulberryway/peers/client.py
@@ -15,13 +15,13 @@
 
 __all__ = ["PeerClient"]
 
-# A pool keeps what a busy pair of VMs needs; with 410 VMs of which a few are
-# called again and again, more would only hold sockets.
-MOST_IDLE_PER_PEER = 4
-MOST_IDLE = 128
-MOST_CALLS_PER_PEER = 16
-# Shorter than the server's own limit, so that a connection is not reused in
-# the moment in which the server gives it up.
+# Enough idle connections for a busy pair of VMs. With 410 VMs, of which a few
+# are called repeatedly, more would only occupy sockets.
+MAX_IDLE_PER_PEER = 4
+MAX_IDLE = 128
+MAX_CALLS_PER_PEER = 16
+# Shorter than the server's idle timeout, so that a connection is not reused at
+# the moment at which the server closes it.
 IDLE_TIMEOUT_MS = 15_000
 
 
@@ -29,8 +29,9 @@
     """Calls methods of other VMs' services.
 
     :param secret: the fleet's secret
-    :param clock_: where the time comes from
-    :param timeout_ms: the longest wait for an answer, connecting included
+    :param clock_: the clock
+    :param timeout_ms: the longest wait for a response, including connecting,
+        in milliseconds
     """
 
     def __init__(
@@ -60,51 +61,55 @@
         :param client_class: the generated ``Client`` of the service
         :param method: the method's name
         :param arguments: its arguments
-        :param timeout_ms: the longest wait, instead of the usual one
-        :param is_idempotent: whether the call may be repeated over a new
-            connection when a pooled one turns out to be silent
-        :returns: the answer, or ``PEER_UNREACHABLE`` or ``PEER_REFUSED``
+        :param timeout_ms: overrides the client's timeout, in milliseconds
+        :param is_idempotent: whether the call may be retried over a new
+            connection if a pooled one is unresponsive
+        :returns: the response, or ``PEER_UNREACHABLE`` or ``PEER_REFUSED``
         """
         limit_ms = self._timeout_ms if timeout_ms is None else timeout_ms
         deadline = clock.Deadline(self._clock.now_ms() + limit_ms)
-        if not self._begin(peer):
-            return _fail(peer, "too many calls to this peer")
+        if not self._begin_call(peer):
+            return _fail(peer, "too many concurrent calls to this peer")
         try:
             call = _Call(peer, client_class, method, arguments)
-            return self._try(call, deadline, is_idempotent)
+            return self._call_with_retry(call, deadline, is_idempotent)
         finally:
-            self._end(peer)
+            self._end_call(peer)
 
     def close(self) -> None:
-        """Close all idle connections; later calls open and close their own."""
+        """Close all idle connections; later calls do not pool theirs."""
         with self._lock:
             self._is_closed = True
-            idle = [one for pool in self._idle.values() for one in pool]
+            idle = [
+                idle_channel
+                for pool in self._idle.values()
+                for idle_channel in pool
+            ]
             self._idle.clear()
-        for one in idle:
-            one.close()
+        for idle_channel in idle:
+            idle_channel.close()
 
-    def _try(
+    def _call_with_retry(
         self, call: "_Call", deadline: clock.Deadline, is_idempotent: bool
     ) -> expression.Result[typing.Any, errors.Fault]:
-        pooled = self._take_idle(call.peer)
-        if pooled is not None:
+        pooled_channel = self._acquire_idle(call.peer)
+        if pooled_channel is not None:
             limit = deadline
             if is_idempotent:
-                # A pooled connection may have gone silent for good, and a
-                # new one works: half of the time is kept for it.
+                # A pooled connection may be half-open while a new one would
+                # work, so half of the time is reserved for a retry.
                 now_ms = self._clock.now_ms()
                 limit = clock.Deadline(now_ms + deadline.left_ms(now_ms) // 2)
-            result = self._run(call, pooled, limit)
-            if result.is_ok() or not is_idempotent or call.is_refused:
+            result = self._run(call, pooled_channel, limit)
+            if result.is_ok() or not is_idempotent or call.is_rejected:
                 return result
         try:
-            fresh = channel.connect(
+            new_channel = channel.connect(
                 call.parse_address(), self._secret, deadline, self._clock
             )
         except channel.ChannelError as error:
             return _fail(call.peer, str(error))
-        return self._run(call, fresh, deadline)
+        return self._run(call, new_channel, deadline)
 
     def _run(
         self,
@@ -113,86 +118,88 @@
         deadline: clock.Deadline,
     ) -> expression.Result[typing.Any, errors.Fault]:
         try:
-            answer = call.run(connection, deadline, self.traffic)
+            response = call.run(connection, deadline, self.traffic)
         except channel.ChannelError as error:
             connection.close()
-            # Something between the two ends may have lost track of all
-            # connections of this age; none of them is used again.
+            # A device on the network may have dropped its state of all
+            # connections of this age, so none of them is reused.
             self._drop_idle(call.peer)
             return _fail(call.peer, str(error), error.was_sent)
         except Thrift.TApplicationException as error:
-            call.is_refused = True
-            self._give_back(call.peer, connection)
-            return _refuse(call.peer, str(error))
+            call.is_rejected = True
+            self._release(call.peer, connection)
+            return _reject(call.peer, str(error))
         except (Thrift.TException, EOFError) as error:
-            call.is_refused = True
+            call.is_rejected = True
             connection.close()
-            return _refuse(call.peer, f"unreadable answer: {error}")
+            return _reject(call.peer, f"malformed response: {error}")
         except BaseException:
-            # A bad argument, for example; what was sent is not known.
+            # For example an invalid argument; how much was sent is unknown.
             connection.close()
             raise
-        self._give_back(call.peer, connection)
-        return expression.Ok(answer)
+        self._release(call.peer, connection)
+        return expression.Ok(response)
 
-    def _begin(self, peer: str) -> bool:
+    def _begin_call(self, peer: str) -> bool:
         with self._lock:
-            if self._running[peer] >= MOST_CALLS_PER_PEER:
+            if self._running[peer] >= MAX_CALLS_PER_PEER:
                 return False
             self._running[peer] += 1
             return True
 
-    def _end(self, peer: str) -> None:
+    def _end_call(self, peer: str) -> None:
         with self._lock:
             self._running[peer] -= 1
             if self._running[peer] <= 0:
                 del self._running[peer]
 
-    def _take_idle(self, peer: str) -> channel.Channel | None:
+    def _acquire_idle(self, peer: str) -> channel.Channel | None:
         while True:
             with self._lock:
                 pool = self._idle.get(peer)
                 if not pool:
                     self._idle.pop(peer, None)
                     return None
-                one = pool.pop()
-            if self._is_fresh(one) and one.is_reusable():
-                return one
-            one.close()
+                idle_channel = pool.pop()
+            if self._is_recent(idle_channel) and idle_channel.is_reusable():
+                return idle_channel
+            idle_channel.close()
 
-    def _is_fresh(self, one: channel.Channel) -> bool:
-        return self._clock.now_ms() - one.used_ms < IDLE_TIMEOUT_MS
+    def _is_recent(self, idle_channel: channel.Channel) -> bool:
+        return self._clock.now_ms() - idle_channel.used_ms < IDLE_TIMEOUT_MS
 
-    def _give_back(self, peer: str, one: channel.Channel) -> None:
+    def _release(self, peer: str, idle_channel: channel.Channel) -> None:
         with self._lock:
-            surplus = self._store(peer, one)
+            surplus = self._add_idle(peer, idle_channel)
         for old in surplus:
             old.close()
 
-    def _store(self, peer: str, one: channel.Channel) -> list[channel.Channel]:
-        """Keep a connection; return those that must go for it."""
+    def _add_idle(
+        self, peer: str, idle_channel: channel.Channel
+    ) -> list[channel.Channel]:
+        """Pool a connection and return the connections to be closed."""
         if self._is_closed:
-            return [one]
-        # Reinserting keeps the peers in the order of their last use.
+            return [idle_channel]
+        # Reinserting orders the peers by their last use.
         pool = self._idle.pop(peer, [])
-        pool.append(one)
+        pool.append(idle_channel)
         self._idle[peer] = pool
-        surplus = [pool.pop(0)] if len(pool) > MOST_IDLE_PER_PEER else []
-        if sum(map(len, self._idle.values())) > MOST_IDLE:
+        surplus = [pool.pop(0)] if len(pool) > MAX_IDLE_PER_PEER else []
+        if sum(map(len, self._idle.values())) > MAX_IDLE:
             surplus += self._idle.pop(next(iter(self._idle)))
         return surplus
 
     def _drop_idle(self, peer: str) -> None:
         with self._lock:
             pool = self._idle.pop(peer, [])
-        for one in pool:
-            one.close()
+        for idle_channel in pool:
+            idle_channel.close()
 
 
 class _Call:
-    """One call, and how its bytes are counted."""
+    """One call of a method, with its outcome."""
 
-    __slots__ = ("peer", "client_class", "method", "arguments", "is_refused")
+    __slots__ = ("peer", "client_class", "method", "arguments", "is_rejected")
 
     def __init__(
         self,
@@ -205,10 +212,10 @@
         self.client_class = client_class
         self.method = method
         self.arguments = arguments
-        self.is_refused = False
+        self.is_rejected = False
 
     def parse_address(self) -> tuple[str, int]:
-        """Return host and port."""
+        """Return the peer's host and port."""
         host, _, port = self.peer.rpartition(":")
         return host, int(port)
 
@@ -218,7 +225,12 @@
         deadline: clock.Deadline,
         counts: traffic.Traffic,
     ) -> typing.Any:
-        """Exchange request and answer on one connection."""
+        """Send the request and return the response, counting the traffic.
+
+        :param connection: the connection to use
+        :param deadline: when to give up
+        :param counts: counts messages and bytes
+        """
         service = protocol.get_service_name(self.client_class)
         kind = service + protocol.SEPARATOR + self.method
 
@@ -251,7 +263,7 @@
     )
 
 
-def _refuse(
+def _reject(
     peer: str, message: str
 ) -> expression.Result[typing.Any, errors.Fault]:
     return expression.Error(
--- a/mulberryway/peers/codec.py
+++ b/mulberryway/peers/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes single Thrift structs, without a call around them."""
+"""Encodes and decodes single Thrift structs outside of calls."""
 
 import threading
 import typing
@@ -15,13 +15,13 @@
 
 
 class _Local(threading.local):
-    """A protocol of each thread's own: making one takes as long as reading."""
+    """A protocol per thread; creating one takes as long as decoding."""
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Begin with a new protocol."""
+        """Replace the protocol by a new one."""
         self.protocol = FACTORY.getProtocol(TTransport.TMemoryBuffer())
 
 
@@ -29,10 +29,10 @@
 
 
 def read(message: Struct, payload: bytes) -> Struct:
-    """Fill a message from its bytes.
+    """Decode a message.
 
-    :param message: an empty generated struct
-    :param payload: what ``write`` returned
+    :param message: an empty generated struct, which is filled
+    :param payload: the result of ``write``
     :returns: the message
     """
     protocol = LOCAL.protocol
@@ -40,14 +40,15 @@
     try:
         message.read(protocol)  # type: ignore[attr-defined]
     except Exception:
-        # It may have stopped in the middle of a struct.
+        # Decoding may have stopped inside a struct and left the protocol in an
+        # invalid state.
         LOCAL.reset()
         raise
     return message
 
 
 def write(message: typing.Any) -> bytes:
-    """Return a message's bytes.
+    """Return a message's encoded bytes.
 
     :param message: a generated struct
     """
--- a/mulberryway/peers/datagrams.py
+++ b/mulberryway/peers/datagrams.py
@@ -1,10 +1,12 @@
-"""Hints in single datagrams, signed with the fleet's secret.
-
-A hint may be lost, late or doubled, so it needs neither connection nor
-answer; a call for each would take several times the processor time.  Each
-datagram carries an HMAC-SHA256 over the receiver's address and the payload,
-so that strangers can neither forge hints nor pass one VM's on to another.
-Whoever records one may send it again: notes carry numbers for that.
+"""Gossip messages in single datagrams, signed with the fleet's secret.
+
+A gossip message may be lost, late or duplicated, so it needs neither a
+connection nor a response; a call for each would take several times the
+processor time. Each datagram carries an HMAC-SHA256 over the receiver's
+address and the payload, so an unauthenticated sender can neither forge
+messages nor forward one VM's message to another. A recorded datagram can be
+replayed to the same receiver; the sequence numbers of notes guard against
+that.
 """
 
 import collections.abc
@@ -17,18 +19,18 @@
 from mulberryway import clock
 from mulberryway.peers import traffic
 
-__all__ = ["DatagramTransport", "MOST_PAYLOAD_BYTES"]
+__all__ = ["DatagramTransport", "MAX_PAYLOAD_BYTES"]
 
 LOG = logging.getLogger(__name__)
 
 MAC_BYTES = 16
-# Longer ones are cut into fragments on the way, and one lost fragment loses
-# all; this still fits a few dozen reports.
-MOST_PAYLOAD_BYTES = 8_192
-MOST_DATAGRAM_BYTES = 65_535
-# Several notes may come while the one thread is at work on another.
+# Longer payloads are fragmented by IP, and one lost fragment loses the
+# datagram. This still fits a few dozen reports.
+MAX_PAYLOAD_BYTES = 8_192
+MAX_DATAGRAM_BYTES = 65_535
+# Buffers notes that arrive while the only thread handles another.
 RECEIVE_BUFFER_BYTES = 1 << 20
-# Bounds what is read together, so that the thread looks whether to stop.
+# Bounds a batch, after which the thread checks whether to stop.
 MAX_BATCH = 256
 CONTEXT = b"mulberryway datagrams 1"
 KIND = "Datagram"
@@ -37,15 +39,15 @@
 class DatagramTransport:
     """Sends and receives signed datagrams on one port.
 
-    :param host: the IP number to listen on
-    :param port: the port; the same number as that of the peers' server
-    :param secret: the fleet's secret
-    ``batch_delay_ms`` is for how long datagrams may wait to be read together:
-    each wakeup of the thread takes processor time of its own.
+    Datagrams may wait for ``batch_delay_ms`` milliseconds to be read in
+    batches, because each wakeup of the thread takes processor time.
 
-    :param on_payload: gets each genuine payload and the ``host:port`` that
-        it came from, on a thread of its own
-    :param clock_: where the time comes from
+    :param host: the IP address to listen on
+    :param port: the port; the same number as that of the peer server
+    :param secret: the fleet's secret
+    :param on_payload: called on the transport's thread with each verified
+        payload and its sender's ``host:port``
+    :param clock_: the clock
     """
 
     def __init__(
@@ -67,34 +69,35 @@
         )
         self._socket.bind((host, port))
         self.host, self.port = self._socket.getsockname()
-        self._own = f"{self.host}:{self.port}"
+        self._own_address = f"{self.host}:{self.port}"
         self._is_stopping = False
         self._thread = threading.Thread(
             target=self._run, name="datagrams", daemon=True
         )
 
     def start(self) -> None:
-        """Begin to receive."""
+        """Start the receiving thread."""
         self._thread.start()
 
     def stop(self) -> None:
         """Stop receiving and close the port."""
         self._is_stopping = True
-        # A datagram to itself ends the wait; closing alone would not.
+        # Sending a datagram to its own port wakes the thread; closing the
+        # socket would not.
         self._socket.sendto(b"", (self.host, self.port))
         if self._thread.is_alive():
             self._thread.join()
         self._socket.close()
 
     def send(self, peer: str, payload: bytes, kind: str = KIND) -> bool:
-        """Send a payload; whether it arrives is not known.
+        """Send a payload; delivery is not confirmed.
 
         :param peer: ``host:port``
-        :param payload: at most ``MOST_PAYLOAD_BYTES``
-        :param kind: under which it is counted
-        :returns: false if it could not even be sent
+        :param payload: at most ``MAX_PAYLOAD_BYTES``
+        :param kind: the kind under which it is counted
+        :returns: false if it is too long or the system rejected it
         """
-        if len(payload) > MOST_PAYLOAD_BYTES:
+        if len(payload) > MAX_PAYLOAD_BYTES:
             return False
         host, _, port = peer.rpartition(":")
         datagram = self._sign(peer, payload) + payload
@@ -114,37 +117,38 @@
         while not self._is_stopping:
             has_received = self._receive(0)
             if has_received and self.batch_delay_ms and not self._is_stopping:
-                self._receive_more()
+                self._receive_pending()
                 self._clock.sleep_ms(self.batch_delay_ms)
 
-    def _receive_more(self) -> None:
-        """Take what has come meanwhile, without waiting."""
+    def _receive_pending(self) -> None:
+        """Receive pending datagrams without waiting."""
         for _ in range(MAX_BATCH):
             if not self._receive(socket.MSG_DONTWAIT):
                 return
 
     def _receive(self, flags: int) -> bool:
-        """Take a datagram; tell whether there was one.
+        """Receive a datagram and return whether there was one.
 
-        :param flags: how to receive it
+        :param flags: flags of the socket's receive call
         """
         try:
-            datagram, source = self._socket.recvfrom(
-                MOST_DATAGRAM_BYTES, flags
-            )
+            datagram, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES, flags)
         except OSError as error:
-            # Nothing is there, or a peer that has gone shows as an error.
-            LOG.debug("no datagram: %r", error)
+            # No datagram is pending, or an unreachable peer's ICMP error is
+            # reported here.
+            LOG.debug("no datagram received: %r", error)
             return False
-        self._take(datagram, f"{source[0]}:{source[1]}")
+        self._handle(datagram, f"{source[0]}:{source[1]}")
         return True
 
-    def _take(self, datagram: bytes, sender: str) -> None:
+    def _handle(self, datagram: bytes, sender: str) -> None:
         signature, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-        if not hmac.compare_digest(signature, self._sign(self._own, payload)):
+        if not hmac.compare_digest(
+            signature, self._sign(self._own_address, payload)
+        ):
             return
         self.traffic.count(KIND, False, len(datagram))
         try:
             self._on_payload(payload, sender)
         except Exception:
-            LOG.exception("a datagram was not understood")
+            LOG.exception("a datagram could not be handled")
--- a/mulberryway/peers/envelopes.py
+++ b/mulberryway/peers/envelopes.py
@@ -1,4 +1,4 @@
-"""Turns envelopes into the payloads of datagrams, and back."""
+"""Encodes envelopes as payloads of datagrams and decodes them."""
 
 from mulberryway.peers import codec
 from mulberryway.peers.gen.notes import ttypes
@@ -8,7 +8,7 @@
 
 
 def encode_envelope(envelope: dissemination.Envelope) -> bytes:
-    """Return the payload for an envelope.
+    """Return the payload of an envelope.
 
     :param envelope: the envelope
     """
--- a/mulberryway/peers/gossip_messages.py
+++ b/mulberryway/peers/gossip_messages.py
@@ -1,4 +1,4 @@
-"""Turns routers' hints and engines' reports into datagrams, and back."""
+"""Encodes and decodes gossip messages: notes, engine reports and usage."""
 
 import itertools
 
@@ -21,22 +21,22 @@
 ]
 
 HASH_BYTES = 8
-# ``policy.telling`` puts no more upstreams into one note.
-MOST_HOLDINGS = 64
-MOST_ACCOUNTS = 32
-# Hashes of one engine in one datagram: 4 KB of its 8.
-MOST_HASHES = 512
-# The longest age that fits the message.
-MOST_AGE_MS = (1 << 31) - 1
+# Equal to the limit of upstreams in one note of ``policy.note_sender``.
+MAX_HOLDINGS = 64
+MAX_ACCOUNTS = 32
+# Hashes of one engine in one datagram: 4 KB of its 8 KB.
+MAX_HASHES = 512
+# The largest value of the message's 32-bit age field.
+MAX_AGE_MS = (1 << 31) - 1
 
 
 class EngineReport:
-    """What one router learnt from an engine for all that share it.
+    """State of an engine that one router reports to the others.
 
     :param pool: the pool's name
     :param upstream: the engine's name
     :param load: its load report
-    :param events: its cache events since the last news
+    :param events: its cache events since the last report
     """
 
     __slots__ = ("pool", "upstream", "load", "events")
@@ -55,11 +55,11 @@
 
 
 class DecodedDatagram:
-    """What a datagram held.
+    """Content of a datagram.
 
-    :param note: a router's hints, or none
-    :param news: engines' reports
-    :param usage: what the sender gave accounts, or none
+    :param note: a router's note, or none
+    :param news: engine reports
+    :param usage: tokens that the sender granted to accounts, or none
     """
 
     __slots__ = ("note", "news", "usage")
@@ -76,10 +76,10 @@
 
 
 def encode_note(note: hints.Note) -> bytes:
-    """Return the payload for a note.
+    """Return the payload of a note.
 
-    What is beyond the limits is left out; it comes again with the next
-    whole note.
+    Entries beyond the limits are omitted; the next whole note contains them
+    again.
 
     :param note: the note
     :returns: the payload
@@ -88,28 +88,28 @@
         note.vm,
         note.incarnation,
         note.sequence,
-        [_pack_holding(one) for one in note.holdings[:MOST_HOLDINGS]],
+        [_pack_holding(item) for item in note.holdings[:MAX_HOLDINGS]],
         [
             ttypes.AccountNote(
-                one.pool,
-                one.account,
-                one.weight,
-                one.charged,
-                one.waiting,
-                one.oldest_ms,
-                one.prefill_ms,
+                item.pool,
+                item.account,
+                item.weight,
+                item.charged,
+                item.waiting,
+                item.oldest_ms,
+                item.prefill_ms,
             )
-            for one in note.accounts[:MOST_ACCOUNTS]
+            for item in note.accounts[:MAX_ACCOUNTS]
         ],
-        [_pack_death(one) for one in note.deaths],
+        [_pack_death(item) for item in note.deaths],
     )
     return codec.write(ttypes.Datagram(note=message))
 
 
 def encode_report(news: EngineReport) -> bytes:
-    """Return the payload for an engine's news.
+    """Return the payload of an engine report.
 
-    :param news: the news
+    :param news: the report
     :returns: the payload
     """
     load = news.load
@@ -128,23 +128,23 @@
 
 
 def decode_datagram(payload: bytes) -> DecodedDatagram:
-    """Return what a datagram holds.
+    """Return the content of a datagram.
 
     :param payload: the payload
-    :returns: what it holds
+    :returns: the decoded messages
     """
     message = codec.read(ttypes.Datagram(), payload)
     note = None if message.note is None else _unpack_note(message.note)
     usage = None if message.usage is None else _unpack_usage(message.usage)
     return DecodedDatagram(
-        note, [_unpack_report(one) for one in message.reports or ()], usage
+        note, [_unpack_report(item) for item in message.reports or ()], usage
     )
 
 
 def encode_usage(usage: usages.Usage) -> bytes:
-    """Return the payload for a VM's counts.
+    """Return the payload of a VM's token usage.
 
-    :param usage: the counts
+    :param usage: the usage
     :returns: the payload
     """
     message = ttypes.Usage(
@@ -152,14 +152,14 @@
         usage.incarnation,
         usage.sequence,
         [
-            ttypes.AccountUsage(one.account, one.spent, one.left)
-            for one in usage.accounts
+            ttypes.AccountUsage(item.account, item.spent, item.left)
+            for item in usage.accounts
         ],
         [
             ttypes.MirrorState(kind, revision)
             for kind, revision in usage.mirrors.items()
         ],
-        min(usage.age_ms, MOST_AGE_MS),
+        min(usage.age_ms, MAX_AGE_MS),
         usage.is_store_reached,
         usage.is_whole or None,
     )
@@ -172,10 +172,10 @@
         message.incarnation,
         message.sequence,
         [
-            usages.AccountUsage(one.account, one.spent, one.left)
-            for one in message.accounts
+            usages.AccountUsage(item.account, item.spent, item.left)
+            for item in message.accounts
         ],
-        {one.kind: one.revision for one in message.mirrors},
+        {item.kind: item.revision for item in message.mirrors},
         message.age_ms,
         message.is_store_reached,
         bool(message.is_whole),
@@ -183,7 +183,7 @@
 
 
 def encode_death(death: hints.Death) -> bytes:
-    """Return the payload for a death that all VMs are told of.
+    """Return the payload of a death, which is broadcast to all VMs.
 
     :param death: the death
     :returns: the payload
@@ -215,17 +215,19 @@
 def _pack_events(
     events: list[upstreams.CacheEvent],
 ) -> list[ttypes.CacheEvent]:
-    # The newest matter most; the gap in the numbers shows that some are
-    # missing, just as one in the engine's own events does.
+    # The newest events have priority. The gap in the sequence numbers shows
+    # that some are missing, as it does for the engine's own events.
     sizes = itertools.accumulate(
-        len(one.stored) + len(one.removed) for one in reversed(events)
+        len(item.stored) + len(item.removed) for item in reversed(events)
     )
-    fitting = sum(size <= MOST_HASHES for size in sizes)
+    fitting_count = sum(size <= MAX_HASHES for size in sizes)
     return [
         ttypes.CacheEvent(
-            one.sequence, _pack_hashes(one.stored), _pack_hashes(one.removed)
+            item.sequence,
+            _pack_hashes(item.stored),
+            _pack_hashes(item.removed),
         )
-        for one in events[len(events) - fitting :]
+        for item in events[len(events) - fitting_count :]
     ]
 
 
@@ -240,17 +242,17 @@
     )
 
 
-def _pack_holding(one: hints.Holding) -> ttypes.Holding:
-    outcomes = one.outcomes
-    # Most counters are zero, and an absent field takes no bytes.
+def _pack_holding(item: hints.Holding) -> ttypes.Holding:
+    outcomes = item.outcomes
+    # Most counters are zero, and an absent field is not encoded.
     return ttypes.Holding(
-        one.pool,
-        one.upstream,
-        one.decodes,
-        one.prefill_ms,
-        one.suspects,
-        one.blocks,
-        one.step_ms or None,
+        item.pool,
+        item.upstream,
+        item.decodes,
+        item.prefill_ms,
+        item.suspects,
+        item.blocks,
+        item.step_ms or None,
         outcomes.succeeded or None,
         outcomes.failed or None,
         outcomes.unreached or None,
@@ -283,20 +285,20 @@
         message.vm,
         message.incarnation,
         message.sequence,
-        [_unpack_holding(one) for one in message.holdings],
+        [_unpack_holding(item) for item in message.holdings],
         [
             hints.AccountNote(
-                one.pool,
-                one.account,
-                one.weight,
-                one.charged,
-                one.waiting,
-                one.oldest_ms,
-                one.prefill_ms or 0,
+                item.pool,
+                item.account,
+                item.weight,
+                item.charged,
+                item.waiting,
+                item.oldest_ms,
+                item.prefill_ms or 0,
             )
-            for one in message.accounts
+            for item in message.accounts
         ],
-        [_unpack_death(one) for one in message.deaths],
+        [_unpack_death(item) for item in message.deaths],
     )
 
 
@@ -314,10 +316,10 @@
         ),
         [
             upstreams.CacheEvent(
-                one.sequence,
-                _unpack_hashes(one.stored),
-                _unpack_hashes(one.removed),
+                item.sequence,
+                _unpack_hashes(item.stored),
+                _unpack_hashes(item.removed),
             )
-            for one in message.events
+            for item in message.events
         ],
     )
--- a/mulberryway/peers/membership_messages.py
+++ b/mulberryway/peers/membership_messages.py
@@ -1,4 +1,4 @@
-"""Turns members and hints into messages between VMs, and back."""
+"""Converts members and hints to messages between VMs and back."""
 
 from mulberryway.peers.gen.membership import ttypes
 from mulberryway.policy import broadcast_queue
@@ -7,26 +7,26 @@
 __all__ = ["pack_hint", "pack_member", "unpack_hint", "unpack_member"]
 
 
-def pack_member(one: member.Member) -> ttypes.Member:
-    """Return the message for a member.
+def pack_member(member_: member.Member) -> ttypes.Member:
+    """Return the message of a member.
 
-    :param one: the member
+    :param member_: the member
     :returns: the message
     """
     return ttypes.Member(
-        one.name,
-        one.address,
-        one.peer_port,
-        one.router_port,
-        one.zone,
-        one.region,
-        one.incarnation,
-        one.version,
-        int(one.health),
-        one.is_stopping,
-        one.holdings,
-        one.is_starting,
-        one.link_mbps,
+        member_.name,
+        member_.address,
+        member_.peer_port,
+        member_.router_port,
+        member_.zone,
+        member_.region,
+        member_.incarnation,
+        member_.version,
+        int(member_.health),
+        member_.is_stopping,
+        member_.holdings,
+        member_.is_starting,
+        member_.link_mbps,
     )
 
 
@@ -54,10 +54,10 @@
 
 
 def pack_hint(hint: broadcast_queue.Hint, now_ms: int) -> ttypes.Hint:
-    """Return the message for a hint; its end goes as the time left.
+    """Return the message of a hint, with its end as the remaining time.
 
     :param hint: the hint
-    :param now_ms: the present
+    :param now_ms: the current time in milliseconds
     :returns: the message
     """
     return ttypes.Hint(
@@ -73,7 +73,7 @@
     """Return the hint of a message.
 
     :param message: the message
-    :param now_ms: the present
+    :param now_ms: the current time in milliseconds
     :returns: a new hint
     """
     return broadcast_queue.Hint(
--- a/mulberryway/peers/protocol.py
+++ b/mulberryway/peers/protocol.py
@@ -1,7 +1,7 @@
-"""Thrift's compact protocol with a service's name before each method.
+"""Thrift's compact protocol with a service name before each method.
 
-The bytes are those of Thrift's multiplexed protocol.  Thrift's own decorator
-makes a new class for each call, which costs more than the call itself.
+The encoding is that of Thrift's multiplexed protocol. Thrift's own decorator
+creates a new class for each call, which takes longer than the call itself.
 """
 
 import collections.abc
@@ -18,7 +18,7 @@
 class MultiplexedProtocol(TCompactProtocol.TCompactProtocolAccelerated):
     """Reads and writes messages named ``Service:method``.
 
-    :param transport: what to read from and write to
+    :param transport: the transport to read from and write to
     :param service: the service to call; empty on the server's side
     """
 
@@ -32,27 +32,27 @@
     def writeMessageBegin(  # noqa: N802
         self, name: str, type: int, seqid: int
     ) -> None:
-        """Write a message's head.
+        """Write a message's header.
 
         :param name: the method
         :param type: call, reply or exception
-        :param seqid: the message's number
+        :param seqid: the message's sequence number
         """
         if self._service and type == Thrift.TMessageType.CALL:
             name = self._service + SEPARATOR + name
         super().writeMessageBegin(name, type, seqid)
 
     def readMessageBegin(self) -> tuple[str, int, int]:  # noqa: N802
-        """Read a message's head, or return the one that was peeked at.
+        """Read a message's header, or return the one peeked at.
 
-        :returns: method, type and number
+        :returns: method, type and sequence number
         """
         if self._peeked is not None:
             return self._peeked
         return super().readMessageBegin()
 
     def peek_service(self) -> str:
-        """Read a message's head and keep it for the processor.
+        """Read a message's header and store it for the processor.
 
         :returns: the service's name; empty if there is none
         """
@@ -62,12 +62,12 @@
         return service
 
     def get_peeked_method(self) -> str:
-        """Return the method that was peeked at."""
+        """Return the method of the header peeked at, or an empty string."""
         return "" if self._peeked is None else self._peeked[0]
 
 
 class CallTransport(TTransport.TMemoryBuffer):
-    """Gathers a call's bytes and exchanges them for the reply's on flush.
+    """Buffers a request and exchanges it for its reply on flush.
 
     :param exchange: sends a request's bytes and returns the reply's
     """
@@ -79,7 +79,7 @@
         self._exchange = exchange
 
     def flush(self) -> None:
-        """Send what was written and make the reply readable."""
+        """Send the buffered request and make the reply readable."""
         reply = self._exchange(self.getvalue())
         super().__init__(reply)
 
@@ -88,6 +88,6 @@
     """Return the name of the service that a generated client calls.
 
     :param client_class: the generated ``Client``
-    :returns: the name as it stands in the interface file
+    :returns: the name as in the interface file
     """
     return client_class.__module__.rpartition(".")[2]
--- a/mulberryway/peers/server.py
+++ b/mulberryway/peers/server.py
@@ -1,4 +1,4 @@
-"""Answers other VMs' calls with a bounded number of threads."""
+"""Handles other VMs' calls with a bounded number of threads."""
 
 import collections
 import concurrent.futures
@@ -23,9 +23,10 @@
 
 WORKER_THREADS = 8
 BACKLOG = 512
-# Each VM may hold a few connections to each other VM.
-MOST_CONNECTIONS = 2_048
-# Strangers hold one of these places for at most the hello's time.
+# Each VM may open a few connections to each other VM.
+MAX_CONNECTIONS = 2_048
+# An unauthenticated connection occupies one of these places for at most
+# ``HANDSHAKE_TIMEOUT_MS``.
 MAX_UNAUTHENTICATED = 128
 HANDSHAKE_TIMEOUT_MS = 2_000
 FRAME_TIMEOUT_MS = 2_000
@@ -33,26 +34,26 @@
 SWEEP_MS = 500
 
 
-class _Stranger:
-    """A connection whose other end has not proved itself yet."""
+class _PendingConnection:
+    """A connection that has not completed the handshake."""
 
-    __slots__ = ("connection", "nonce", "hello", "until_ms")
+    __slots__ = ("connection", "nonce", "handshake", "until_ms")
 
     def __init__(self, connection: socket.socket, until_ms: int) -> None:
         self.connection = connection
         self.nonce = channel.make_nonce()
-        self.hello = b""
+        self.handshake = b""
         self.until_ms = until_ms
 
 
 class PeerServer:
-    """Listens for peers; idle connections cost no thread.
+    """Listens for peers; idle connections occupy no thread.
 
-    :param address: the IP number to listen on
+    :param address: the IP address to listen on
     :param port: the port; 0 for a free one
     :param secret: the fleet's secret
-    :param processors: generated processors by the service's name
-    :param clock_: where the time comes from
+    :param processors: generated processors by service name
+    :param clock_: the clock
     """
 
     def __init__(
@@ -70,13 +71,13 @@
         self._listener = socket.create_server((address, port), backlog=BACKLOG)
         self._listener.setblocking(False)
         self._selector = selectors.DefaultSelector()
-        self._waker, self._wakened = socket.socketpair()
-        self._wakened.setblocking(False)
+        self._wake_writer, self._wake_reader = socket.socketpair()
+        self._wake_reader.setblocking(False)
         self._returned: collections.deque[channel.Channel] = (
             collections.deque()
         )
-        self._busy = 0
-        self._strangers: set[_Stranger] = set()
+        self._busy_count = 0
+        self._pending: set[_PendingConnection] = set()
         self._is_stopping = False
         self._pool = concurrent.futures.ThreadPoolExecutor(
             WORKER_THREADS, "peer"
@@ -87,17 +88,17 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """Port on which the server listens."""
         return self._listener.getsockname()[1]
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start accepting connections."""
         self._selector.register(self._listener, selectors.EVENT_READ)
-        self._selector.register(self._wakened, selectors.EVENT_READ)
+        self._selector.register(self._wake_reader, selectors.EVENT_READ)
         self._thread.start()
 
     def stop(self) -> None:
-        """Finish the calls that run, then close all connections."""
+        """Complete the running calls, then close all connections."""
         self._is_stopping = True
         self._wake()
         if self._thread.is_alive():
@@ -106,144 +107,151 @@
         keys = list((self._selector.get_map() or {}).values())
         for key in keys:
             _close(key.fileobj)
-        for one in self._returned:
-            one.close()
+        for peer_channel in self._returned:
+            peer_channel.close()
         self._selector.close()
-        self._waker.close()
+        self._wake_writer.close()
 
     def _run(self) -> None:
-        swept_ms = self._clock.now_ms()
+        last_sweep_ms = self._clock.now_ms()
         while not self._is_stopping:
             for key, _ in self._selector.select(SWEEP_MS / 1000):
                 if self._is_stopping:
-                    # On a busy machine the stop may have waited in vain for
-                    # this thread; nothing can be handed out any more.
+                    # On a busy machine ``stop`` may have timed out waiting for
+                    # this thread; the pool accepts no more calls then.
                     return
                 self._serve_ready(key)
             now_ms = self._clock.now_ms()
-            if now_ms - swept_ms >= SWEEP_MS:
-                swept_ms = now_ms
+            if now_ms - last_sweep_ms >= SWEEP_MS:
+                last_sweep_ms = now_ms
                 self._sweep(now_ms)
 
     def _serve_ready(self, key: selectors.SelectorKey) -> None:
         if key.fileobj is self._listener:
             self._accept()
-        elif key.fileobj is self._wakened:
-            self._take_returned()
-        elif isinstance(key.data, _Stranger):
-            self._read_hello(key.data)
+        elif key.fileobj is self._wake_reader:
+            self._register_returned()
+        elif isinstance(key.data, _PendingConnection):
+            self._read_handshake(key.data)
         else:
             self._selector.unregister(key.fileobj)
-            self._hand_out(key.data)
+            self._dispatch(key.data)
 
-    def _hand_out(self, one: channel.Channel) -> None:
+    def _dispatch(self, peer_channel: channel.Channel) -> None:
         try:
-            self._pool.submit(self._answer, one)
+            self._pool.submit(self._handle_call, peer_channel)
         except RuntimeError as failure:
-            # The machine has no thread to spare, or the pool has just ended.
-            # The peer asks again; without this nobody would be answered.
-            LOG.warning("no thread for a peer's call: %s", failure)
-            one.close()
+            # The system cannot start a thread, or the pool was shut down. The
+            # peer retries. If the exception ended the selector thread, no peer
+            # would be served any more.
+            LOG.warning("cannot dispatch a peer's call: %s", failure)
+            peer_channel.close()
             return
-        self._busy += 1
+        self._busy_count += 1
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             connection, _ = self._listener.accept()
-            known = len(self._selector.get_map()) + self._busy
-            crowded = len(self._strangers) >= MAX_UNAUTHENTICATED
-            if crowded or known >= MOST_CONNECTIONS:
-                # Closing at once tells a peer to try again, where silence
-                # would cost it its whole timeout.
+            open_count = len(self._selector.get_map()) + self._busy_count
+            is_full = len(self._pending) >= MAX_UNAUTHENTICATED
+            if is_full or open_count >= MAX_CONNECTIONS:
+                # Closing at once lets the peer retry, which would otherwise
+                # wait for its whole timeout.
                 connection.close()
                 return
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            stranger = _Stranger(
+            pending = _PendingConnection(
                 connection, self._clock.now_ms() + HANDSHAKE_TIMEOUT_MS
             )
-            self._strangers.add(stranger)
-            self._selector.register(connection, selectors.EVENT_READ, stranger)
-            connection.send(stranger.nonce)
+            self._pending.add(pending)
+            self._selector.register(connection, selectors.EVENT_READ, pending)
+            connection.send(pending.nonce)
 
-    def _read_hello(self, stranger: _Stranger) -> None:
-        missing = channel.HANDSHAKE_BYTES - len(stranger.hello)
+    def _read_handshake(self, pending: _PendingConnection) -> None:
+        missing = channel.HANDSHAKE_BYTES - len(pending.handshake)
         try:
-            part = stranger.connection.recv(missing)
+            part = pending.connection.recv(missing)
         except BlockingIOError:
             return
         except OSError:
             part = b""
-        stranger.hello += part
+        pending.handshake += part
         if not part:
-            self._forget(stranger)
-        elif len(stranger.hello) == channel.HANDSHAKE_BYTES:
-            self._admit(stranger)
+            self._drop_pending(pending)
+        elif len(pending.handshake) == channel.HANDSHAKE_BYTES:
+            self._authenticate(pending)
 
-    def _admit(self, stranger: _Stranger) -> None:
+    def _authenticate(self, pending: _PendingConnection) -> None:
         try:
-            one = channel.accept_handshake(
-                stranger.connection,
+            peer_channel = channel.accept_handshake(
+                pending.connection,
                 self._secret,
-                stranger.nonce,
-                stranger.hello,
+                pending.nonce,
+                pending.handshake,
                 self._clock,
             )
         except channel.ChannelError as error:
-            LOG.warning("a peer connection was refused: %s", error)
-            self._forget(stranger)
+            LOG.warning("a peer connection was rejected: %s", error)
+            self._drop_pending(pending)
             return
-        self._strangers.discard(stranger)
-        self._selector.modify(one.connection, selectors.EVENT_READ, one)
+        self._pending.discard(pending)
+        self._selector.modify(
+            peer_channel.connection, selectors.EVENT_READ, peer_channel
+        )
 
-    def _forget(self, stranger: _Stranger) -> None:
-        self._strangers.discard(stranger)
-        self._selector.unregister(stranger.connection)
-        stranger.connection.close()
+    def _drop_pending(self, pending: _PendingConnection) -> None:
+        self._pending.discard(pending)
+        self._selector.unregister(pending.connection)
+        pending.connection.close()
 
-    def _take_returned(self) -> None:
+    def _register_returned(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._wakened.recv(4096)
+            self._wake_reader.recv(4096)
         while self._returned:
-            one = self._returned.popleft()
-            self._busy -= 1
-            if one.connection.fileno() >= 0:
-                one.connection.setblocking(False)
+            peer_channel = self._returned.popleft()
+            self._busy_count -= 1
+            if peer_channel.connection.fileno() >= 0:
+                peer_channel.connection.setblocking(False)
                 self._selector.register(
-                    one.connection, selectors.EVENT_READ, one
+                    peer_channel.connection, selectors.EVENT_READ, peer_channel
                 )
 
     def _sweep(self, now_ms: int) -> None:
-        late = [one for one in self._strangers if one.until_ms <= now_ms]
-        for stranger in late:
-            self._forget(stranger)
+        expired = [
+            connection
+            for connection in self._pending
+            if connection.until_ms <= now_ms
+        ]
+        for pending in expired:
+            self._drop_pending(pending)
         idle = [
             key.data
             for key in self._selector.get_map().values()
             if isinstance(key.data, channel.Channel)
             and now_ms - key.data.used_ms >= IDLE_TIMEOUT_MS
         ]
-        for one in idle:
-            self._selector.unregister(one.connection)
-            one.close()
+        for peer_channel in idle:
+            self._selector.unregister(peer_channel.connection)
+            peer_channel.close()
 
     def _wake(self) -> None:
         with contextlib.suppress(OSError):
-            self._waker.send(b"\0")
+            self._wake_writer.send(b"\0")
 
-    def _answer(self, one: channel.Channel) -> None:
+    def _handle_call(self, peer_channel: channel.Channel) -> None:
         try:
-            self._answer_frame(one)
+            self._handle_frame(peer_channel)
         except channel.ChannelError:
-            one.close()
+            peer_channel.close()
         except Exception:
             LOG.exception("a peer's call failed")
-            one.close()
-        self._returned.append(one)
+            peer_channel.close()
+        self._returned.append(peer_channel)
         self._wake()
 
-    def _answer_frame(self, one: channel.Channel) -> None:
-        request = one.receive(self._limit())
+    def _handle_frame(self, peer_channel: channel.Channel) -> None:
+        request = peer_channel.receive(self._make_deadline())
         reader = protocol.MultiplexedProtocol(
             TTransport.TMemoryBuffer(request)
         )
@@ -251,16 +259,16 @@
         service = reader.peek_service()
         processor = self._processors.get(service)
         if processor is None:
-            # Without an answer the caller would wait for its whole timeout.
+            # Closing the connection spares the caller its whole timeout.
             raise channel.ChannelError(f"no service {service!r}")
         processor.process(reader, protocol.MultiplexedProtocol(buffer))
         kind = service + protocol.SEPARATOR + reader.get_peeked_method()
         size = len(request) + channel.OVERHEAD_BYTES
         self.traffic.count(kind, False, size)
-        sent = one.send(buffer.getvalue(), self._limit())
+        sent = peer_channel.send(buffer.getvalue(), self._make_deadline())
         self.traffic.count(kind, True, sent)
 
-    def _limit(self) -> clock.Deadline:
+    def _make_deadline(self) -> clock.Deadline:
         return clock.Deadline(self._clock.now_ms() + FRAME_TIMEOUT_MS)
 
 
--- a/mulberryway/peers/traffic.py
+++ b/mulberryway/peers/traffic.py
@@ -1,4 +1,4 @@
-"""Counts the messages and bytes that go between peers, by kind."""
+"""Counts messages and bytes between peers, by kind."""
 
 import threading
 
@@ -6,12 +6,12 @@
 
 
 class TrafficCount:
-    """What went one way under one kind.
+    """Messages and bytes of one kind in one direction.
 
     :param kind: ``Service:method``
-    :param is_sent: true for what left this process
-    :param messages: how many
-    :param payload_bytes: their bytes, frames included, TCP excluded
+    :param is_sent: whether this process sent them
+    :param messages: the number of messages
+    :param payload_bytes: their bytes, including frames, excluding TCP
     """
 
     __slots__ = ("kind", "is_sent", "messages", "payload_bytes")
@@ -26,17 +26,17 @@
 
 
 class Traffic:
-    """Counters for metrics; safe to use from many threads."""
+    """Thread-safe traffic counters for metrics."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._counts: dict[tuple[str, bool], TrafficCount] = {}
 
     def count(self, kind: str, is_sent: bool, payload_bytes: int) -> None:
-        """Add one message.
+        """Count one message.
 
         :param kind: ``Service:method``
-        :param is_sent: true for what leaves this process
+        :param is_sent: whether this process sent it
         :param payload_bytes: its bytes
         """
         with self._lock:
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -123,7 +123,7 @@
     def test_a_note_fits_a_datagram(self):
         """Guards against notes that are too large to be sent."""
         payload = gossip_messages.encode_note(self.router.drain_hints(100))
-        self.assertLessEqual(len(payload), datagrams.MOST_PAYLOAD_BYTES)
+        self.assertLessEqual(len(payload), datagrams.MAX_PAYLOAD_BYTES)
 
 
 class HealthTest(unittest.TestCase):
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -105,7 +105,7 @@
             "lm", "p0", cases.make_load(running=3), events
         )
         payload = gossip_messages.encode_report(news)
-        self.assertLess(len(payload), datagrams.MOST_PAYLOAD_BYTES)
+        self.assertLess(len(payload), datagrams.MAX_PAYLOAD_BYTES)
         back = gossip_messages.decode_datagram(payload).news[0]
         self.assertEqual(back.load.running, 3)
         self.assertEqual(back.events[-1].stored, events[-1].stored)
