--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -29,7 +29,7 @@
 
 
 class RecordingProxy:
-    """A proxy that records traffic and can drop the first connection's."""
+    """A recording proxy that can drop its first connection's data."""
 
     def __init__(self, port):
         self.port = port
