--- a/mulberryway/tables/edits.py
+++ b/mulberryway/tables/edits.py
@@ -22,7 +22,7 @@
     """Changes that are accepted or rejected together.
 
     :param edit_id: unique; a resent edit has the same id
-    :param operator: the operator who decoded the edit
+    :param operator: the operator who made the edit
     :param changes: the changes, in order
     :param revision: the revision that the tables must have; none for any
     """
--- a/mulberryway/tables/validate.py
+++ b/mulberryway/tables/validate.py
@@ -150,7 +150,7 @@
 
 
 def _check_keys(tables: model.Tables) -> Problems:
-    """Reject a key of two accounts, whose requests could run for the wrong one."""
+    """Reject a key of two accounts: requests could run for the wrong one."""
     owners: dict[str, str] = {}
     for account in tables.accounts.values():
         for digest in account.key_digests:
