--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -106,7 +106,7 @@
             "lm", "p0", cases.make_load(running=3), events
         )
         payload = gossip_messages.encode_report(report)
-        self.assertLess(len(payload), datagrams.MOST_PAYLOAD_BYTES)
+        self.assertLess(len(payload), datagrams.MAX_PAYLOAD_BYTES)
         decoded = gossip_messages.decode_datagram(payload).news[0]
         self.assertEqual(decoded.load.running, 3)
         self.assertEqual(decoded.events[-1].stored, events[-1].stored)
