--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak: the real programs under faults from outside them.
+"""Randomized soak test that runs the real programs under injected faults.
 
-``python -m soak --seed 7`` plays one seed; docs/design/soak.md tells more.
+``python -m soak --seed 7`` runs one seed; see docs/design/soak.md.
 """
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, leave, and write down all they see."""
+"""Callers that reuse connections, disconnect early, and record responses."""
 
 import contextlib
 import http.client
@@ -12,10 +12,11 @@
 
 __all__ = ["Callers"]
 
-CALLERS = 10
-PAUSE_S = 0.12
+DEFAULT_CALLER_COUNT = 10
+MEAN_INTERVAL_S = 0.12
 CALL_TIMEOUT_S = 8.0
-# How often a caller keeps its connection, and how often it leaves early.
+# Probabilities that a caller keeps its connection after a response, and that
+# it disconnects before the response.
 KEEP_ALIVE_PROBABILITY = 0.8
 DISCONNECT_PROBABILITY = 0.05
 SMALL_ACCOUNT_PROBABILITY = 0.4
@@ -31,34 +32,36 @@
 )
 
 
-class Caller(threading.Thread):
-    """One caller.
+class CallerThread(threading.Thread):
+    """Thread that sends one attempt after another and records the results.
 
-    :param number: its number
-    :param seed: decides what it does
-    :param world_: the processes
-    :param ending: set when it has to end
+    :param number: index of the caller
+    :param seed: seed of the random choices
+    :param soak_cluster: processes under test
+    :param stop_event: event that stops the thread
     """
 
     def __init__(
         self,
         number: int,
         seed: int,
-        world_: cluster.SoakCluster,
-        ending: threading.Event,
+        soak_cluster: cluster.SoakCluster,
+        stop_event: threading.Event,
     ) -> None:
         super().__init__(daemon=True)
         self.attempts: list[history.Attempt] = []
         self._number = number
-        self._chance = random.Random(f"caller/{seed}/{number}")
-        self._world = world_
-        self._ending = ending
-        self._vm = number % len(world_.vms)
+        self._rng = random.Random(f"caller/{seed}/{number}")
+        self._cluster = soak_cluster
+        self._stop_event = stop_event
+        self._vm = number % len(soak_cluster.vms)
         self._connection: http.client.HTTPConnection | None = None
 
     def run(self) -> None:
-        """Send attempts until it has to end."""
-        while not self._ending.wait(PAUSE_S * 2 * self._chance.random()):
+        """Send attempts until the stop event is set."""
+        while not self._stop_event.wait(
+            MEAN_INTERVAL_S * 2 * self._rng.random()
+        ):
             attempt = self._make_attempt(len(self.attempts))
             self.attempts.append(attempt)
             self._call(attempt)
@@ -66,30 +69,28 @@
         self._close()
 
     def _make_attempt(self, number: int) -> history.Attempt:
-        kind = self._chance.choice(KINDS)
+        kind = self._rng.choice(KINDS)
         key = self._choose_key()
         name = f"a{self._number}-{number}"
         attempt = history.Attempt(name, kind, key, self._vm, cluster.now_ms())
         attempt.path = f"/{kind.value}/{name}"
-        attempt.sent = name.encode() * self._chance.randint(1, 40)
-        attempt.has_disconnected = (
-            self._chance.random() < DISCONNECT_PROBABILITY
-        )
+        attempt.sent = name.encode() * self._rng.randint(1, 40)
+        attempt.has_disconnected = self._rng.random() < DISCONNECT_PROBABILITY
         return attempt
 
     def _choose_key(self) -> str:
-        drawn = self._chance.random()
-        if drawn < SMALL_ACCOUNT_PROBABILITY:
+        sample = self._rng.random()
+        if sample < SMALL_ACCOUNT_PROBABILITY:
             return "k-small"
-        if drawn > 1 - ROTATED_KEY_PROBABILITY:
-            return self._chance.choice(list(self._world.seen.keys))
+        if sample > 1 - ROTATED_KEY_PROBABILITY:
+            return self._rng.choice(list(self._cluster.seen.keys))
         return "k-large"
 
     def _call(self, attempt: history.Attempt) -> None:
         if self._connection is None:
             self._connection = http.client.HTTPConnection(
                 hosted_fleet.HOST,
-                self._world.client_proxy_ports[self._vm],
+                self._cluster.client_proxy_ports[self._vm],
                 timeout=CALL_TIMEOUT_S,
             )
         headers = {
@@ -105,48 +106,48 @@
                 "POST", attempt.path, attempt.sent, headers
             )
             if attempt.has_disconnected:
-                time.sleep(0.2 * self._chance.random())
-                self._move()
+                time.sleep(0.2 * self._rng.random())
+                self._switch_vm()
                 return
-            self._read(attempt, self._connection.getresponse())
+            self._read_response(attempt, self._connection.getresponse())
         except (OSError, http.client.HTTPException):
-            # The record says it: status 0, or an answer that is cut.
+            # The attempt records it: status 0, or a truncated response.
             attempt.is_cut = attempt.status != 0
-            self._move()
+            self._switch_vm()
 
-    def _read(
-        self, attempt: history.Attempt, reply: http.client.HTTPResponse
+    def _read_response(
+        self, attempt: history.Attempt, response: http.client.HTTPResponse
     ) -> None:
-        attempt.status = reply.status
-        attempt.seal = reply.headers.get("Server-Seal", "")
-        attempt.echoed_id = reply.headers.get("Attempt-Id", "")
-        attempt.retry_after = reply.headers.get("Retry-After", "")
-        closes = reply.headers.get("Connection", "") == "close"
+        attempt.status = response.status
+        attempt.seal = response.headers.get("Server-Seal", "")
+        attempt.echoed_id = response.headers.get("Attempt-Id", "")
+        attempt.retry_after = response.headers.get("Retry-After", "")
+        should_close = response.headers.get("Connection", "") == "close"
         try:
-            attempt.body = reply.read()
-        except http.client.IncompleteRead as cut:
-            attempt.body = cut.partial
+            attempt.body = response.read()
+        except http.client.IncompleteRead as error:
+            attempt.body = error.partial
             attempt.is_cut = True
         if (
-            closes
+            should_close
             or attempt.is_cut
-            or self._chance.random() > KEEP_ALIVE_PROBABILITY
+            or self._rng.random() > KEEP_ALIVE_PROBABILITY
         ):
-            self._move()
+            self._switch_vm()
 
-    def _move(self) -> None:
-        """Go to another VM that takes callers, by a new connection."""
+    def _switch_vm(self) -> None:
+        """Choose a VM from the resolved addresses and reconnect to it."""
         self._close()
-        asked = self._chance.randrange(len(self._world.vms))
-        usable = [asked]
+        queried = self._rng.randrange(len(self._cluster.vms))
+        usable = [queried]
         with contextlib.suppress(OSError, ValueError, KeyError):
-            fronts = self._world.list_resolved(asked)
+            addresses = self._cluster.list_resolved(queried)
             usable = [
                 number
-                for number, ports in enumerate(self._world.ports)
-                if f"{hosted_fleet.HOST}:{ports[0]}" in fronts
+                for number, ports in enumerate(self._cluster.ports)
+                if f"{hosted_fleet.HOST}:{ports[0]}" in addresses
             ]
-        self._vm = self._chance.choice(usable or [asked])
+        self._vm = self._rng.choice(usable or [queried])
 
     def _close(self) -> None:
         if self._connection is not None:
@@ -155,30 +156,38 @@
 
 
 class Callers:
-    """Some callers at once.
+    """Group of callers that run at the same time.
 
-    :param seed: decides what they do
-    :param world_: the processes
-    :param count: how many
+    :param seed: seed of the random choices
+    :param soak_cluster: processes under test
+    :param count: number of callers
     """
 
     def __init__(
-        self, seed: int, world_: cluster.SoakCluster, count: int = CALLERS
+        self,
+        seed: int,
+        soak_cluster: cluster.SoakCluster,
+        count: int = DEFAULT_CALLER_COUNT,
     ) -> None:
-        self._ending = threading.Event()
+        self._stop_event = threading.Event()
         self._callers = [
-            Caller(number, seed, world_, self._ending)
+            CallerThread(number, seed, soak_cluster, self._stop_event)
             for number in range(count)
         ]
 
     def start(self) -> None:
-        """Let all begin."""
-        for one in self._callers:
-            one.start()
+        """Start all callers."""
+        for caller in self._callers:
+            caller.start()
 
     def stop(self) -> list[history.Attempt]:
-        """End all, and return what they sent and got."""
-        self._ending.set()
-        for one in self._callers:
-            one.join(CALL_TIMEOUT_S * 2)
-        return [attempt for one in self._callers for attempt in one.attempts]
+        """Stop all callers.
+
+        :returns: attempts of all callers
+        """
+        self._stop_event.set()
+        for caller in self._callers:
+            caller.join(CALL_TIMEOUT_S * 2)
+        return [
+            attempt for caller in self._callers for attempt in caller.attempts
+        ]
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,6 +1,6 @@
-"""The promises that a history is held against.
+"""Invariants that a recorded history must satisfy.
 
-Each check returns sentences, one for each promise that it finds broken.
+Each check yields one message for each violation.
 """
 
 import collections
@@ -11,36 +11,36 @@
 
 __all__ = ["CHECKS", "find_violations"]
 
-Violations = collections.abc.Iterator[str]
+ViolationIterator = collections.abc.Iterator[str]
 
-# What a fault does to a VM may show for so long after it.
-SETTLE_MS = 3_000
-# How soon an edit has to be in force, and how soon an upstream that leaves
-# gets nothing new; both are what the entry VMs' settings promise.
+# A fault may affect a VM for this long after its end.
+FAULT_EFFECT_MS = 3_000
+# Time limits for an edit to become active and for a draining upstream to get
+# no new requests.  The settings of the entry VMs guarantee both.
 EDIT_PROPAGATION_MS = 2_000
 DRAIN_PROPAGATION_MS = 2_000
-# A VM that has shown a route may not lose it again; requests that were
-# already on their way when it came may be answered by the tables before.
-REGRESS_MS = 250
-# An answer that comes so long after the deadline was forgotten, not late:
-# the machine itself is busy during a soak.
+# A VM that has served a route must not lose it again.  Requests that were in
+# flight when the route was added may still be served from the old tables.
+REGRESSION_TOLERANCE_MS = 250
+# A response this long after the deadline is a violation.  Smaller delays are
+# allowed because the machine is under load during a soak.
 DEADLINE_SLACK_MS = 1_500
 DEADLINE_MS = 4_000
 WINDOW_MS = 8_000
-EVENTS = 20
-REFUSALS = (408, 421, 429, 503)
-# Of the requests of the calm at the end so many have to be served.
+STREAM_EVENTS = 20
+REJECTION_STATUSES = (408, 421, 429, 503)
+# Minimum fraction of requests served in the fault-free period at the end.
 MIN_SERVED_FRACTION = 0.95
 
 
 class Quota:
-    """What one account may use, in tokens.
+    """Token limit of one account.
 
-    :param account: its name
-    :param rate: tokens a second
-    :param burst: tokens at once
-    :param over_part: the part of both that may go beyond
-    :param over_tokens: what may go beyond besides
+    :param account: name of the account
+    :param rate: tokens per second
+    :param burst: burst in tokens
+    :param over_part: allowed overrun as a fraction of rate and burst
+    :param over_tokens: additional allowed overrun in tokens
     """
 
     __slots__ = ("account", "rate", "burst", "over_part", "over_tokens")
@@ -60,16 +60,16 @@
         self.over_tokens = over_tokens
 
     def compute_max_tokens(self) -> float:
-        """Return the most that may run in one window."""
-        due = self.rate * WINDOW_MS / 1_000 + self.burst
-        return due * (1 + self.over_part) + self.over_tokens
+        """Return the maximum number of tokens allowed in one window."""
+        limit = self.rate * WINDOW_MS / 1_000 + self.burst
+        return limit * (1 + self.over_part) + self.over_tokens
 
 
-def check_runs(seen: history.History) -> Violations:
-    """No attempt runs more often, elsewhere or for another than it may."""
-    sent = {one.name: one for one in seen.attempts}
+def check_runs(seen: history.History) -> ViolationIterator:
+    """Check how often, where and for which account each attempt ran."""
+    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
     for name, runs in _group_runs(seen).items():
-        attempt = sent.get(name)
+        attempt = attempts_by_name.get(name)
         if attempt is None:
             yield f"{name} ran, and no caller sent it"
             continue
@@ -82,159 +82,194 @@
                 yield f"{name} ran at {run.instance}, where it must not"
 
 
-def check_keys(seen: history.History) -> Violations:
-    """No upstream sees a caller's key."""
+def check_keys(seen: history.History) -> ViolationIterator:
+    """Check that no upstream received a caller's API key."""
     for run in seen.runs:
         if any(key in run.text for key in seen.keys):
             yield f"{run.attempt} showed its key to {run.instance}"
 
 
-def check_refusals(seen: history.History) -> Violations:
-    """A refusal tells the truth, and when to come again."""
-    ran = _group_runs(seen)
-    for one in seen.attempts:
-        if one.status not in REFUSALS:
+def check_rejections(seen: history.History) -> ViolationIterator:
+    """Check that rejected attempts did not run and carry Retry-After."""
+    runs_by_attempt = _group_runs(seen)
+    for attempt in seen.attempts:
+        if attempt.status not in REJECTION_STATUSES:
             continue
-        if one.name in ran:
-            yield f"{one.name} was refused with {one.status}, and ran"
-        if one.status in (429, 503) and not one.retry_after:
-            yield f"{one.name} was refused without a time to come again"
+        if attempt.name in runs_by_attempt:
+            yield f"{attempt.name} was rejected with {attempt.status}, and ran"
+        if attempt.status in (429, 503) and not attempt.retry_after:
+            yield f"{attempt.name} was rejected without a time to retry"
 
 
-def check_answers(seen: history.History) -> Violations:
-    """A success is its own upstream's whole answer; a cut one looks cut."""
-    seals = collections.defaultdict(set)
+def check_answers(seen: history.History) -> ViolationIterator:
+    """Check that successful responses are complete and match the request.
+
+    A truncated response must be recognizable as truncated.
+    """
+    expected_seals = collections.defaultdict(set)
     for run in seen.runs:
-        seals[run.attempt].add(run.seal)
-    for one in seen.attempts:
-        if one.status != 200:
+        expected_seals[run.attempt].add(run.seal)
+    for attempt in seen.attempts:
+        if attempt.status != 200:
             continue
-        if one.seal not in seals[one.name] or one.echoed_id != one.name:
-            yield f"{one.name} got an answer that is not its own"
-        if one.kind.is_stream:
-            yield from _check_stream(one)
-        elif not one.is_cut and one.body != _expect_body(one):
-            yield f"{one.name} got {one.body[:60]!r}"
+        if (
+            attempt.seal not in expected_seals[attempt.name]
+            or attempt.echoed_id != attempt.name
+        ):
+            yield f"{attempt.name} got a response that is not its own"
+        if attempt.kind.is_stream:
+            yield from _check_stream(attempt)
+        elif not attempt.is_cut and attempt.body != _make_expected_body(
+            attempt
+        ):
+            yield f"{attempt.name} got {attempt.body[:60]!r}"
 
 
-def check_edit_propagation(seen: history.History) -> Violations:
-    """An edit is in force on every sound VM in time, and stays so."""
+def check_edit_propagation(seen: history.History) -> ViolationIterator:
+    """Check that edits become active on healthy VMs in time and stay so."""
     for edit in seen.edits:
         due_ms = edit.at_ms + EDIT_PROPAGATION_MS
-        again = _find_opposite(seen, edit)
-        for one in seen.attempts:
-            if one.began_ms < due_ms or one.ended_ms >= again:
+        changed_ms = _find_next_change_ms(seen, edit)
+        for attempt in seen.attempts:
+            if attempt.began_ms < due_ms or attempt.ended_ms >= changed_ms:
                 continue
             if not seen.is_vm_healthy(
-                one.vm, one.began_ms - SETTLE_MS, one.ended_ms
+                attempt.vm,
+                attempt.began_ms - FAULT_EFFECT_MS,
+                attempt.ended_ms,
             ):
                 continue
-            if edit.action == "withdraw" and one.key == edit.name:
-                if one.status == 200:
-                    yield f"{one.name} was served with a withdrawn key"
-            if edit.action == "give" and one.key == edit.name:
-                if one.status == 401:
-                    yield f"{one.name} was denied with a key that holds"
+            if edit.action == "withdraw" and attempt.key == edit.name:
+                if attempt.status == 200:
+                    yield f"{attempt.name} was served with a revoked key"
+            if edit.action == "give" and attempt.key == edit.name:
+                if attempt.status == 401:
+                    yield f"{attempt.name} was denied with a valid key"
             if (
                 edit.action == "add"
-                and one.kind is history.RequestKind.ADDED_ROUTE
+                and attempt.kind is history.RequestKind.ADDED_ROUTE
             ):
-                if one.status == 404:
-                    yield f"{one.name} found no route after it was added"
+                if attempt.status == 404:
+                    yield f"{attempt.name} found no route after it was added"
 
 
-def check_route_regression(seen: history.History) -> Violations:
-    """A VM that has shown a route goes on to have it."""
-    first: dict[int, int] = {}
-    late = [
-        one
-        for one in seen.attempts
-        if one.kind is history.RequestKind.ADDED_ROUTE
+def check_route_regression(seen: history.History) -> ViolationIterator:
+    """Check that a VM does not lose a route that it has served."""
+    first_served_ms: dict[int, int] = {}
+    attempts_on_added_route = [
+        attempt
+        for attempt in seen.attempts
+        if attempt.kind is history.RequestKind.ADDED_ROUTE
     ]
-    for one in sorted(late, key=lambda one: one.ended_ms):
-        shown_ms = first.get(one.vm)
-        if one.status == 200 and shown_ms is None:
-            first[one.vm] = one.ended_ms
-        if one.status == 404 and shown_ms is not None:
-            since_ms = shown_ms + REGRESS_MS
-            if one.began_ms > since_ms and not _was_restarted(
-                seen, one.vm, shown_ms, one.ended_ms
+    for attempt in sorted(
+        attempts_on_added_route, key=lambda attempt: attempt.ended_ms
+    ):
+        shown_ms = first_served_ms.get(attempt.vm)
+        if attempt.status == 200 and shown_ms is None:
+            first_served_ms[attempt.vm] = attempt.ended_ms
+        if attempt.status == 404 and shown_ms is not None:
+            since_ms = shown_ms + REGRESSION_TOLERANCE_MS
+            if attempt.began_ms > since_ms and not _was_restarted(
+                seen, attempt.vm, shown_ms, attempt.ended_ms
             ):
-                yield f"{one.name} found no route that vm-{one.vm} had shown"
-
-
-def check_draining(seen: history.History) -> Violations:
-    """An upstream that leaves gets no new work from sound VMs."""
-    sent = {one.name: one for one in seen.attempts}
-    left = {one.name: one.at_ms for one in seen.edits if one.action == "leave"}
+                yield (
+                    f"{attempt.name} found no route that vm-{attempt.vm}"
+                    f" had served"
+                )
+
+
+def check_draining(seen: history.History) -> ViolationIterator:
+    """Check that healthy VMs send no new requests to draining upstreams."""
+    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
+    draining = {
+        edit.name: edit.at_ms for edit in seen.edits if edit.action == "leave"
+    }
     for run in seen.runs:
-        attempt, left_ms = sent.get(run.attempt), left.get(run.instance)
-        if attempt is None or left_ms is None:
+        attempt, draining_since_ms = (
+            attempts_by_name.get(run.attempt),
+            draining.get(run.instance),
+        )
+        if attempt is None or draining_since_ms is None:
             continue
         if (
-            run.at_ms <= left_ms + DRAIN_PROPAGATION_MS
-            or attempt.began_ms < left_ms
+            run.at_ms <= draining_since_ms + DRAIN_PROPAGATION_MS
+            or attempt.began_ms < draining_since_ms
         ):
             continue
-        if seen.is_vm_healthy(attempt.vm, left_ms - SETTLE_MS, run.at_ms):
-            yield f"{run.attempt} ran at {run.instance}, which had left"
+        if seen.is_vm_healthy(
+            attempt.vm, draining_since_ms - FAULT_EFFECT_MS, run.at_ms
+        ):
+            yield f"{run.attempt} ran at {run.instance}, which was draining"
 
 
-def check_graceful_shutdown(seen: history.History) -> Violations:
-    """A planned stop of a VM cuts nothing that an upstream had begun."""
-    ran = _group_runs(seen)
-    for one in seen.attempts:
-        is_lost = one.status == 0 or one.is_cut
-        if not is_lost or one.has_disconnected or one.name not in ran:
+def check_graceful_shutdown(seen: history.History) -> ViolationIterator:
+    """Check that a graceful shutdown truncates no response in progress."""
+    runs_by_attempt = _group_runs(seen)
+    for attempt in seen.attempts:
+        is_incomplete = attempt.status == 0 or attempt.is_cut
+        if (
+            not is_incomplete
+            or attempt.has_disconnected
+            or attempt.name not in runs_by_attempt
+        ):
             continue
-        span = (one.began_ms - SETTLE_MS, one.ended_ms)
+        span = (attempt.began_ms - FAULT_EFFECT_MS, attempt.ended_ms)
         if not seen.are_upstreams_healthy(*span):
             continue
         kinds = {
             window.kind
             for window in seen.fault_windows
-            if window.target in (f"vm-{one.vm}", f"front-{one.vm}", "store")
+            if window.target
+            in (f"vm-{attempt.vm}", f"front-{attempt.vm}", "store")
             and window.overlaps(*span)
         }
         if kinds <= {"vm_term", "vm_reload"}:
-            yield f"{one.name} lost its answer, faults: {sorted(kinds)}"
+            yield f"{attempt.name} lost its response, faults: {sorted(kinds)}"
 
 
-def check_deadlines(seen: history.History) -> Violations:
-    """Nobody waits long after the deadline for a final answer."""
-    for one in seen.attempts:
-        took_ms = one.ended_ms - one.began_ms
-        if one.has_disconnected or took_ms <= DEADLINE_MS + DEADLINE_SLACK_MS:
+def check_deadlines(seen: history.History) -> ViolationIterator:
+    """Check that final responses arrive soon after the deadline at most."""
+    for attempt in seen.attempts:
+        duration_ms = attempt.ended_ms - attempt.began_ms
+        if (
+            attempt.has_disconnected
+            or duration_ms <= DEADLINE_MS + DEADLINE_SLACK_MS
+        ):
             continue
-        if seen.is_vm_healthy(one.vm, one.began_ms - SETTLE_MS, one.ended_ms):
-            yield f"{one.name} was answered after {took_ms} ms"
+        if seen.is_vm_healthy(
+            attempt.vm, attempt.began_ms - FAULT_EFFECT_MS, attempt.ended_ms
+        ):
+            yield f"{attempt.name} was answered after {duration_ms} ms"
 
 
-def check_recovery(seen: history.History) -> Violations:
-    """Nothing ends by itself, nothing is held, and all is well again."""
+def check_recovery(seen: history.History) -> ViolationIterator:
+    """Check for unexpected exits, leaked resources and missing recovery."""
     for vm in seen.unexpected_exits:
-        yield f"{vm} ended by itself"
+        yield f"{vm} exited unexpectedly"
     if seen.held:
         yield f"engines still hold {seen.held} runs or KV caches"
-    calm = [
-        one
-        for one in seen.attempts
-        if one.began_ms >= seen.recovered_ms
-        and not one.has_disconnected
-        and _is_owed(seen, one)
+    fault_free = [
+        attempt
+        for attempt in seen.attempts
+        if attempt.began_ms >= seen.recovered_ms
+        and not attempt.has_disconnected
+        and _should_be_served(seen, attempt)
     ]
-    served = sum(one.status == 200 and not one.is_cut for one in calm)
-    if served < len(calm) * MIN_SERVED_FRACTION:
-        yield f"after all faults {served} of {len(calm)} were served"
+    served = sum(
+        attempt.status == 200 and not attempt.is_cut for attempt in fault_free
+    )
+    if served < len(fault_free) * MIN_SERVED_FRACTION:
+        yield f"after all faults {served} of {len(fault_free)} were served"
 
 
-def check_quota(seen: history.History, quota: Quota) -> Violations:
-    """An account gets no more than its rate and burst from all VMs."""
-    sent = {one.name: one for one in seen.attempts}
+def check_quota(seen: history.History, quota: Quota) -> ViolationIterator:
+    """Check that an account stays within rate and burst across all VMs."""
+    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
     starts = sorted(
-        (min(run.at_ms for run in runs), _count_tokens(sent[name]))
+        (min(run.at_ms for run in runs), _count_tokens(attempts_by_name[name]))
         for name, runs in _group_runs(seen).items()
-        if name in sent and seen.keys[sent[name].key] == quota.account
+        if name in attempts_by_name
+        and seen.keys[attempts_by_name[name].key] == quota.account
     )
     for first_ms, _ in starts:
         used = sum(
@@ -253,7 +288,7 @@
 CHECKS = (
     check_runs,
     check_keys,
-    check_refusals,
+    check_rejections,
     check_answers,
     check_edit_propagation,
     check_route_regression,
@@ -265,36 +300,36 @@
 
 
 def find_violations(recorded: history.History, quota: Quota) -> list[str]:
-    """Hold a history against all promises.
+    """Check a history against all invariants.
 
-    :param recorded: the history
-    :param quota: the account with a limit
-    :returns: one sentence for each broken promise
+    :param recorded: history to check
+    :param quota: limit of the account that is checked
+    :returns: one message for each violation
     """
-    found = itertools.chain.from_iterable(one(recorded) for one in CHECKS)
+    found = itertools.chain.from_iterable(check(recorded) for check in CHECKS)
     return [*found, *check_quota(recorded, quota)]
 
 
 def list_events(body: bytes) -> list[int]:
-    """Return the numbers of a stream's whole events.
+    """Return the numbers of a stream's complete events.
 
-    :param body: the stream as far as it came
-    :returns: numbers; an event that broke off in the middle is left out
+    :param body: received part of the stream
+    :returns: event numbers without a truncated last event
     """
     events = body.split(b"\n\n")[:-1]
     return [int(event.split(b"\n")[0].partition(b":")[2]) for event in events]
 
 
-def _check_stream(one: history.Attempt) -> Violations:
-    numbers = list_events(one.body)
+def _check_stream(attempt: history.Attempt) -> ViolationIterator:
+    numbers = list_events(attempt.body)
     if numbers != list(range(1, len(numbers) + 1)):
-        yield f"{one.name} got events {numbers}"
-    if not one.is_cut and len(numbers) != EVENTS:
-        yield f"{one.name} ended as whole after {len(numbers)} events"
+        yield f"{attempt.name} got events {numbers}"
+    if not attempt.is_cut and len(numbers) != STREAM_EVENTS:
+        yield f"{attempt.name} ended as complete after {len(numbers)} events"
 
 
-def _expect_body(one: history.Attempt) -> bytes:
-    return f"POST {one.path} ".encode() + one.sent
+def _make_expected_body(attempt: history.Attempt) -> bytes:
+    return f"POST {attempt.path} ".encode() + attempt.sent
 
 
 def _group_runs(seen: history.History) -> dict[str, list[history.Run]]:
@@ -304,15 +339,15 @@
     return runs
 
 
-def _find_opposite(seen: history.History, edit: history.Edit) -> float:
-    """Return when a key that was given or withdrawn changed again."""
+def _find_next_change_ms(seen: history.History, edit: history.Edit) -> float:
+    """Return when a key that was issued or revoked changed again."""
     return min(
         (
-            one.at_ms
-            for one in seen.edits
-            if one.name == edit.name
-            and one.action != edit.action
-            and one.at_ms > edit.at_ms
+            other.at_ms
+            for other in seen.edits
+            if other.name == edit.name
+            and other.action != edit.action
+            and other.at_ms > edit.at_ms
         ),
         default=float("inf"),
     )
@@ -329,17 +364,20 @@
     )
 
 
-def _is_owed(seen: history.History, one: history.Attempt) -> bool:
-    """Tell whether a caller may expect to be served in the calm."""
-    if one.status == 429 or one.kind is history.RequestKind.ADDED_ROUTE:
+def _should_be_served(seen: history.History, attempt: history.Attempt) -> bool:
+    """Return whether an attempt of the fault-free period must succeed."""
+    if (
+        attempt.status == 429
+        or attempt.kind is history.RequestKind.ADDED_ROUTE
+    ):
         return False
-    withdrawn = [
+    revoked_at = [
         edit.at_ms
         for edit in seen.edits
-        if edit.name == one.key and edit.action == "withdraw"
+        if edit.name == attempt.key and edit.action == "withdraw"
     ]
-    return not withdrawn
+    return not revoked_at
 
 
-def _count_tokens(one: history.Attempt) -> int:
-    return 120 if one.kind.is_stream else 200
+def _count_tokens(attempt: history.Attempt) -> int:
+    return 120 if attempt.kind.is_stream else 200
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: entry VMs, upstreams, the store, and proxies."""
+"""Processes of a soak test: entry VMs, upstreams, the store and proxies."""
 
 import json
 import pathlib
@@ -15,61 +15,64 @@
 
 HANDLE_MS = 500
 RATE = 2_000
-# As the fleet's settings have them.
+# Same values as in the fleet's settings.
 OVER_PART = 0.1
 OVER_TOKENS = 2_000
-READY_S = 15.0
-DOWN_S = 0.2
-# Entries of upstreams that died lapse after about three heartbeats.
+READY_TIMEOUT_S = 15.0
+RESTART_DELAY_S = 0.2
+# Entries of crashed upstreams expire after about three heartbeats.
 ENTRY_EXPIRY_S = 2.5
-# The platform kills a VM that goes on after its grace.
-GRACE_S = 5.0
-WATCH_S = 0.1
+# A VM that still runs after the grace period is killed by the platform.
+SHUTDOWN_GRACE_S = 5.0
+WATCH_INTERVAL_S = 0.1
 
 
 def now_ms() -> int:
-    """Return the machine's steady time, which stand-ins use as well."""
+    """Return the monotonic time in ms, which stand-ins use as well."""
     return time.monotonic_ns() // 1_000_000
 
 
 class SoakCluster(hosted_fleet.Fleet):
-    """Everything that runs, with a proxy at each edge.
+    """Processes under test, connected by fault-injecting proxies.
 
-    :param shape: the size
+    :param config: size of the soak
 
-    Callers reach a VM by ``front-N``, a VM the store by ``tie-N``, and VMs
-    an upstream by ``up-NAME``; what VMs tell one another is not disturbed.
+    Callers reach a VM through the proxy pair ``front-N``, a VM reaches the
+    store through ``tie-N``, and VMs reach an upstream through ``up-NAME``.
+    Gossip messages between VMs pass no proxy.
     """
 
-    def __init__(self, shape: plan.SoakConfig) -> None:
-        super().__init__(shape.vms, rate=RATE)
-        self.shape = shape
+    def __init__(self, config: plan.SoakConfig) -> None:
+        super().__init__(config.vms, rate=RATE)
+        self.config = config
         self.keys = {"k-large": "large", "k-small": "small", "k-0": "large"}
-        self.seen = history.History(dict(self.keys), shape.vms)
+        self.seen = history.History(dict(self.keys), config.vms)
         self.journal = pathlib.Path(self.folder.name) / "runs.jsonl"
         self.lock = threading.RLock()
         self.vm_locks = [threading.Lock() for _ in self.vms]
-        # One fault may start an upstream while another one ends it.
+        # One fault may start an upstream while another one kills it.
         self.upstream_locks = {
-            name: threading.RLock() for name in shape.list_upstream_names()
+            name: threading.RLock() for name in config.list_upstream_names()
         }
         self.expected_exits: set[int] = set()
         self.routes: list[dict] = []
         self.instances: dict[str, str] = {}
         self.incarnation_counts: dict[str, int] = {}
-        self._ending = threading.Event()
-        self._watcher = threading.Thread(target=self._watch, daemon=True)
+        self._stopping = threading.Event()
+        self._watcher = threading.Thread(
+            target=self._watch_vm_exits, daemon=True
+        )
         self._start_proxy()
 
     def __enter__(self) -> "SoakCluster":
-        for name in self.shape.list_upstream_names():
+        for name in self.config.list_upstream_names():
             self.start_incarnation(name)
         self.start_vms()
         self._watcher.start()
         return self
 
     def __exit__(self, *reason: object) -> None:
-        self._ending.set()
+        self._stopping.set()
         for vm in self.vms:
             vm.send_signal(signal.SIGCONT)
         super().__exit__(*reason)
@@ -77,35 +80,35 @@
     def start_vm(
         self, number: int, store_port: int | None = None
     ) -> processes.Process:
-        """Start an entry VM that reaches the store by its tie."""
+        """Start an entry VM that uses its store proxy."""
         return super().start_vm(number, self.store_proxy_ports[number])
 
     def configure(self, keys=None, more=()) -> None:  # noqa: ANN001
-        """Write a new version with the keys and routes of this moment."""
+        """Write a new version with the current keys and routes."""
         with self.lock:
             super().configure(self.keys, self.routes)
 
     def compact(self) -> None:
-        """Let the store forget its history."""
+        """Make the store discard its history of changes."""
         processes.call(self.store_port, "POST", "/standin/compact", {})
 
     def set_proxy_faults(self, name: str, **faults: object) -> None:
-        """Switch faults of a proxy.
+        """Set faults of a proxy pair.
 
-        :param name: the pair
+        :param name: name of the pair
         :param faults: see ``standins.proxy_faults``
         """
         processes.call(self.control, "POST", f"/standin/pairs/{name}", faults)
 
     def start_incarnation(self, name: str) -> None:
-        """Start an upstream's next life, unless it lives, and register it."""
+        """Start and register a new incarnation unless the upstream runs."""
         with self.upstream_locks[name]:
             if self.is_alive(name):
                 return
-            self._start_life(name)
+            self._start_next_incarnation(name)
 
     def is_alive(self, name: str) -> bool:
-        """Tell whether an upstream's process runs."""
+        """Return whether an upstream's process is running."""
         with self.upstream_locks[name]:
             instance = self.instances.get(name)
             return (
@@ -113,7 +116,7 @@
                 and self.upstreams[instance][0].popen.poll() is None
             )
 
-    def _start_life(self, name: str) -> None:
+    def _start_next_incarnation(self, name: str) -> None:
         number = self.incarnation_counts[name] = (
             self.incarnation_counts.get(name, 0) + 1
         )
@@ -130,16 +133,16 @@
             f"--handle_ms={HANDLE_MS}",
             ports=[port],
         )
-        front = self.upstream_proxy_ports[name]
-        self.upstreams[instance] = (process, front, service, phase)
+        proxy_port = self.upstream_proxy_ports[name]
+        self.upstreams[instance] = (process, proxy_port, service, phase)
         self.instances[name] = instance
         self.register(instance)
 
     def kill_incarnation(self, name: str) -> str:
-        """Kill an upstream; its entry stays.
+        """Kill an upstream without removing its entry from the store.
 
-        :param name: the upstream
-        :returns: the incarnation that has ended
+        :param name: name of the upstream
+        :returns: name of the killed incarnation
         """
         with self.upstream_locks[name]:
             instance = self.instances[name]
@@ -147,36 +150,36 @@
         return instance
 
     def find_process(self, name: str) -> processes.Process:
-        """Return the process of an upstream's present life."""
+        """Return the process of an upstream's current incarnation."""
         with self.upstream_locks[name]:
             return self.upstreams[self.instances[name]][0]
 
     def set_upstream_fault(self, name: str, **faults: int) -> None:
-        """Switch faults of an upstream itself, not through its proxy."""
+        """Set faults of the upstream process, not of its proxy."""
         try:
             processes.call(
                 self.upstream_ports[name], "POST", "/standin/faults", faults
             )
         except OSError:
-            # It is down at this moment; its next life has no faults.
+            # It is down now, and its next incarnation starts without faults.
             return
 
     def kill_and_restart_vm(self, number: int) -> None:
-        """Kill a VM and start it again, and wait until it serves."""
+        """Kill a VM, restart it, and wait until it is ready."""
         with self.vm_locks[number]:
-            self._tell_to_end(number)
+            self._expect_exit(number)
             self.vms[number].kill()
-            time.sleep(DOWN_S)
+            time.sleep(RESTART_DELAY_S)
             self.start_vm(number)
         self.wait_until_ready(number)
 
     def restart_vm_gracefully(self, number: int) -> None:
-        """Stop a VM as planned and start it again."""
-        vm = self._tell_to_end(number)
+        """Shut a VM down gracefully, restart it and wait for readiness."""
+        vm = self._expect_exit(number)
         vm.terminate()
-        end = time.monotonic() + GRACE_S
+        end = time.monotonic() + SHUTDOWN_GRACE_S
         while vm.popen.poll() is None and time.monotonic() < end:
-            time.sleep(DOWN_S)
+            time.sleep(RESTART_DELAY_S)
         with self.vm_locks[number]:
             if self.vms[number] is vm:
                 vm.kill()
@@ -184,20 +187,20 @@
         self.wait_until_ready(number)
 
     def wait_until_ready(self, number: int) -> None:
-        """Wait until a VM says that it is ready."""
+        """Wait until a VM reports that it is ready."""
         processes.wait_until(
-            lambda: self.is_ready(self.ports[number]), READY_S
+            lambda: self.is_ready(self.ports[number]), READY_TIMEOUT_S
         )
 
     def is_ready(self, ports: list[int]) -> bool:
-        """Tell whether a VM takes callers; false while it is down."""
+        """Return whether a VM accepts requests; false while it is down."""
         try:
             return super().is_ready(ports)
         except OSError:
             return False
 
     def read_history(self) -> history.History:
-        """Return what was seen, with the upstreams' own records."""
+        """Return the recorded history, including the upstreams' journal."""
         if self.journal.exists():
             lines = self.journal.read_text(encoding="utf-8").splitlines()
             self.seen.runs = [
@@ -206,8 +209,8 @@
         return self.seen
 
     def count_held(self) -> int:
-        """Return how many runs and KV caches engines hold now."""
-        names = [n for n in self.shape.list_upstream_names() if n[0] != "s"]
+        """Return the number of requests and KV caches that engines hold."""
+        names = [n for n in self.config.list_upstream_names() if n[0] != "s"]
         states = [
             processes.call(
                 self.upstream_ports[name], "GET", "/standin/state"
@@ -218,7 +221,7 @@
 
     def _start_proxy(self) -> None:
         count = len(self.vms)
-        names = self.shape.list_upstream_names()
+        names = self.config.list_upstream_names()
         ports = iter(processes.pick_ports(1 + 2 * count + 2 * len(names)))
         self.control = next(ports)
         self.client_proxy_ports = [next(ports) for _ in range(count)]
@@ -255,14 +258,14 @@
             ports=[self.control],
         )
 
-    def _tell_to_end(self, number: int) -> processes.Process:
+    def _expect_exit(self, number: int) -> processes.Process:
         vm = self.vms[number]
         self.expected_exits.add(vm.popen.pid)
         return vm
 
-    def _watch(self) -> None:
-        """Note VMs that end by themselves."""
-        while not self._ending.wait(WATCH_S):
+    def _watch_vm_exits(self) -> None:
+        """Record VMs that exit unexpectedly."""
+        while not self._stopping.wait(WATCH_INTERVAL_S):
             for number, vm in enumerate(self.vms):
                 code = vm.popen.poll()
                 if (
@@ -278,7 +281,7 @@
 def parse_upstream_name(name: str) -> tuple[str, str]:
     """Return an upstream's service and phase.
 
-    :param name: its name, whose first letter tells
+    :param name: name of the upstream; its first letter selects the phase
     """
     phases = {"p": "prefill", "d": "decode"}
     phase = phases.get(name[0], "")
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,7 +1,7 @@
-"""What callers sent and got, what upstreams ran, and when what went wrong.
+"""Records of a soak: requests, responses, executions, edits and faults.
 
-All times are milliseconds of the machine's steady clock, which all processes
-of one machine share.
+All times are in milliseconds of the machine's monotonic clock, which all
+processes on one machine share.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class RequestKind(enum.Enum):
-    """The kinds of request, with the prefix of their routes."""
+    """Kind of a request; the value is the path prefix of its route."""
 
     PLAIN = "plain"
     NON_IDEMPOTENT = "book"
@@ -20,7 +20,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return self in (
             RequestKind.SINGLE_RUN_STREAM,
             RequestKind.RESUMABLE_STREAM,
@@ -28,7 +28,7 @@
 
     @property
     def max_runs(self) -> int:
-        """How often one attempt may run."""
+        """Maximum number of executions of one attempt."""
         return (
             1
             if self
@@ -38,21 +38,21 @@
 
     @property
     def service(self) -> str:
-        """The service that its route leads to."""
+        """Name of the service that the route leads to."""
         return "llm" if self.is_stream else "app"
 
 
 class Attempt:
-    """One attempt of a caller and what came of it.
+    """One attempt of a caller and its outcome.
 
-    :param name: its id, which nobody else uses
-    :param kind: what it asks for
-    :param key: the key that it carries
-    :param vm: the number of the VM that it went to
-    :param began_ms: when it was sent
+    :param name: unique id of the attempt
+    :param kind: kind of the request
+    :param key: API key that it carries
+    :param vm: number of the VM that it was sent to
+    :param began_ms: time of sending
 
-    ``status`` is 0 where no answer came; ``is_cut`` tells an answer that
-    ended early, ``has_disconnected`` a caller that did not wait for it.
+    ``status`` is 0 if no response arrived, ``is_cut`` marks a truncated
+    response, and ``has_disconnected`` a caller that did not wait for one.
     """
 
     __slots__ = (
@@ -94,14 +94,14 @@
 
 
 class Run:
-    """One run at an upstream, as the upstream wrote it down.
-
-    :param attempt: the attempt's id
-    :param instance: the upstream's incarnation
-    :param account: the client account that it was told
-    :param at_ms: when it began
-    :param seal: what the answer is signed with
-    :param text: the request's line and headers
+    """One execution of an attempt, as recorded by the upstream.
+
+    :param attempt: id of the attempt
+    :param instance: incarnation of the upstream
+    :param account: client account in the request's headers
+    :param at_ms: start time
+    :param seal: value of the response's Server-Seal header
+    :param text: request line and headers
     """
 
     __slots__ = ("attempt", "instance", "account", "at_ms", "seal", "text")
@@ -124,12 +124,12 @@
 
 
 class FaultWindow:
-    """A time in which a fault befell something.
+    """Period in which a fault affected a target.
 
-    :param kind: the fault
-    :param target: what it befell, such as ``vm-1``; ``store`` for all VMs
-    :param from_ms: its beginning
-    :param to_ms: its end; the history's end while it lasts
+    :param kind: kind of the fault
+    :param target: affected target, such as ``vm-1``; ``store`` affects all VMs
+    :param from_ms: start of the fault
+    :param to_ms: end of the fault; far in the future while it lasts
     """
 
     __slots__ = ("kind", "target", "from_ms", "to_ms")
@@ -143,21 +143,21 @@
         self.to_ms = to_ms
 
     def overlaps(self, from_ms: int, to_ms: int) -> bool:
-        """Tell whether it overlaps a time.
+        """Return whether the fault overlaps a period.
 
-        :param from_ms: the time's beginning
-        :param to_ms: its end
+        :param from_ms: start of the period
+        :param to_ms: end of the period
         """
         return self.from_ms <= to_ms and from_ms <= self.to_ms
 
 
 class Edit:
-    """A change that the store has acknowledged.
+    """Configuration change that the store has acknowledged.
 
-    :param action: ``give`` or ``withdraw`` a key, ``add`` a route, or
-        ``leave`` of an upstream
-    :param name: the key, the route's prefix or the upstream's incarnation
-    :param at_ms: when it was acknowledged
+    :param action: ``give`` (issue a key), ``withdraw`` (revoke a key),
+        ``add`` (a route) or ``leave`` (an upstream starts draining)
+    :param name: key, path prefix of the route or incarnation of the upstream
+    :param at_ms: time of the acknowledgment
     """
 
     __slots__ = ("action", "name", "at_ms")
@@ -169,10 +169,10 @@
 
 
 class History:
-    """Everything that the checks look at.
+    """All records that the checks use.
 
-    :param keys: the account of each key that was ever given
-    :param vms: how many VMs there are
+    :param keys: account of each key that was ever issued
+    :param vms: number of VMs
     """
 
     __slots__ = (
@@ -191,26 +191,26 @@
     def __init__(self, keys: dict[str, str], vms: int) -> None:
         self.keys = keys
         self.vms = vms
-        # The service of each incarnation of an upstream.
+        # Service name by incarnation of an upstream.
         self.services: dict[str, str] = {}
         self.attempts: list[Attempt] = []
         self.runs: list[Run] = []
         self.fault_windows: list[FaultWindow] = []
         self.edits: list[Edit] = []
-        # VMs that ended though nobody had told them to.
+        # VMs that exited without being stopped by the test.
         self.unexpected_exits: list[str] = []
-        # Runs and KV caches that engines still hold at the end.
+        # Number of requests and KV caches that engines still hold at the end.
         self.held = 0
-        # From here on nothing goes wrong any more, and all have had time
+        # After this time there are no faults, and all processes have had time
         # to recover.
         self.recovered_ms = 0
 
     def is_vm_healthy(self, vm: int, from_ms: int, to_ms: int) -> bool:
-        """Tell whether a VM was left alone by faults of its own.
+        """Return whether no fault prevented a VM from working normally.
 
-        :param vm: its number
-        :param from_ms: from when on
-        :param to_ms: until when
+        :param vm: number of the VM
+        :param from_ms: start of the period
+        :param to_ms: end of the period
         """
         targets = {
             window.target
@@ -219,18 +219,19 @@
         }
         if targets & {f"vm-{vm}", f"front-{vm}", "store"}:
             return False
-        # A VM that the store alone turns away hears of changes from others,
-        # if there is one that neither the store nor a fault keeps from it.
+        # A VM that only lacks its connection to the store receives changes
+        # from other VMs, if at least one of them reaches the store and has no
+        # fault of its own.
         others = set(range(self.vms)) - {vm}
         return f"tie-{vm}" not in targets or any(
             not targets & {f"vm-{other}", f"tie-{other}"} for other in others
         )
 
     def are_upstreams_healthy(self, from_ms: int, to_ms: int) -> bool:
-        """Tell whether no upstream had a fault.
+        """Return whether no upstream had a fault.
 
-        :param from_ms: from when on
-        :param to_ms: until when
+        :param from_ms: start of the period
+        :param to_ms: end of the period
         """
         return not any(
             window.target.startswith("up-") and window.overlaps(from_ms, to_ms)
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -1,4 +1,4 @@
-"""Carries out a plan's faults on the world, and writes down their times."""
+"""Injects the faults of a schedule and records when each was active."""
 
 import collections.abc
 import concurrent.futures
@@ -13,20 +13,20 @@
 __all__ = ["Injector"]
 
 MS_IN_S = 1_000
-MOST_THREADS = 32
+MAX_THREADS = 32
 DELAY = {"delay_ms": 100, "jitter_ms": 300}
 NO_DELAY = {"delay_ms": 0, "jitter_ms": 0}
 BOTH_WAYS = ["up", "down"]
-BREAK_AFTER = 5
-LEAVE_S = 3.0
-UPSTREAM_SWITCHES = {
+TRUNCATE_AFTER_EVENTS = 5
+DRAIN_DURATION_S = 3.0
+UPSTREAM_FAULT_SETTINGS = {
     "up_error": ("fail_status", 500),
     "up_full": ("full", 1),
     "up_lapse": ("lapse", 1),
     "up_lose": ("lose_answer", 1),
-    "up_break": ("cut_after", BREAK_AFTER),
+    "up_break": ("cut_after", TRUNCATE_AFTER_EVENTS),
 }
-PAIR_SWITCHES = {
+PROXY_FAULT_SETTINGS = {
     "delay": (DELAY, NO_DELAY),
     "one_way": ({"stall_down": True}, {"stall_down": False}),
     "stall": (
@@ -37,7 +37,7 @@
     "silent": ({"silent": BOTH_WAYS}, {}),
     "cut": ({"cut": True}, {}),
 }
-STORE_SWITCHES = {
+STORE_FAULT_NAMES = {
     "store_refuse": "refuse",
     "store_silent": "silent",
     "store_lose": "lose",
@@ -45,57 +45,59 @@
 
 
 class Injector:
-    """Plays one plan.
+    """Injector for one fault schedule.
 
-    :param world_: the processes
-    :param steps: the plan
+    :param soak_cluster: processes under test
+    :param steps: scheduled faults
     """
 
     def __init__(
-        self, world_: cluster.SoakCluster, steps: list[plan.ScheduledFault]
+        self,
+        soak_cluster: cluster.SoakCluster,
+        steps: list[plan.ScheduledFault],
     ) -> None:
-        self._world = world_
+        self._cluster = soak_cluster
         self._steps = steps
         self._actions: dict[
             str, collections.abc.Callable[[plan.ScheduledFault], None]
         ] = {
-            "vm_kill": lambda step: world_.kill_and_restart_vm(
+            "vm_kill": lambda step: soak_cluster.kill_and_restart_vm(
                 int(step.target)
             ),
-            "vm_term": lambda step: world_.restart_vm_gracefully(
+            "vm_term": lambda step: soak_cluster.restart_vm_gracefully(
                 int(step.target)
             ),
             "vm_pause": self._pause_vm,
             "vm_reload": self._reload_vm,
             "all_kill": self._kill_all,
-            "store_compact": self._compact,
+            "store_compact": self._compact_store,
             "up_kill": self._kill_upstream,
             "up_pause": self._pause_upstream,
-            "up_leave": self._leave,
+            "up_leave": self._drain_upstream,
             "edit_route": self._add_route,
             "edit_key": self._change_key,
             "edit_rate": self._change_rate,
-            "poison": self._poison,
+            "poison": self._send_poison_request,
         }
 
     def inject_all(self) -> None:
-        """Carry out all steps at their times, and wait for their ends."""
+        """Inject all faults at their times and wait until they have ended."""
         began_ms = cluster.now_ms()
-        with concurrent.futures.ThreadPoolExecutor(MOST_THREADS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(MAX_THREADS) as pool:
             running = [
-                pool.submit(self._play_step, step, began_ms)
+                pool.submit(self._run_step, step, began_ms)
                 for step in self._steps
             ]
-            for one in running:
-                one.result()
+            for future in running:
+                future.result()
 
-    def _play_step(self, step: plan.ScheduledFault, began_ms: int) -> None:
+    def _run_step(self, step: plan.ScheduledFault, began_ms: int) -> None:
         wait_ms = began_ms + step.at_ms - cluster.now_ms()
         time.sleep(max(wait_ms, 0) / MS_IN_S)
         window = history.FaultWindow(
             step.kind, get_target_name(step), cluster.now_ms(), 1 << 62
         )
-        self._world.seen.fault_windows.append(window)
+        self._cluster.seen.fault_windows.append(window)
         try:
             self._find_action(step)(step)
         finally:
@@ -106,116 +108,118 @@
     ) -> collections.abc.Callable[[plan.ScheduledFault], None]:
         if step.kind in self._actions:
             return self._actions[step.kind]
-        if step.kind in STORE_SWITCHES:
-            return self._switch_store
-        if step.kind in UPSTREAM_SWITCHES:
-            return self._switch_upstream
-        return self._switch_pair
-
-    def _switch_pair(self, step: plan.ScheduledFault) -> None:
-        place, _, how = step.kind.partition("_")
-        on, off = PAIR_SWITCHES[how]
-        name = f"{place}-{step.target}"
-        self._world.set_proxy_faults(name, **on)
-        _rest(step)
-        if off:
-            self._world.set_proxy_faults(name, **off)
-
-    def _switch_store(self, step: plan.ScheduledFault) -> None:
-        self._world.set_store_fault(STORE_SWITCHES[step.kind])
-        _rest(step)
-        self._world.set_store_fault("")
-
-    def _switch_upstream(self, step: plan.ScheduledFault) -> None:
-        fault, value = UPSTREAM_SWITCHES[step.kind]
-        self._world.set_upstream_fault(step.target, **{fault: value})
-        _rest(step)
-        self._world.set_upstream_fault(step.target, **{fault: 0})
+        if step.kind in STORE_FAULT_NAMES:
+            return self._inject_store_fault
+        if step.kind in UPSTREAM_FAULT_SETTINGS:
+            return self._inject_upstream_fault
+        return self._inject_proxy_fault
+
+    def _inject_proxy_fault(self, step: plan.ScheduledFault) -> None:
+        target_kind, _, fault = step.kind.partition("_")
+        settings_on, settings_off = PROXY_FAULT_SETTINGS[fault]
+        name = f"{target_kind}-{step.target}"
+        self._cluster.set_proxy_faults(name, **settings_on)
+        _wait_for_duration(step)
+        if settings_off:
+            self._cluster.set_proxy_faults(name, **settings_off)
+
+    def _inject_store_fault(self, step: plan.ScheduledFault) -> None:
+        self._cluster.set_store_fault(STORE_FAULT_NAMES[step.kind])
+        _wait_for_duration(step)
+        self._cluster.set_store_fault("")
+
+    def _inject_upstream_fault(self, step: plan.ScheduledFault) -> None:
+        fault, value = UPSTREAM_FAULT_SETTINGS[step.kind]
+        self._cluster.set_upstream_fault(step.target, **{fault: value})
+        _wait_for_duration(step)
+        self._cluster.set_upstream_fault(step.target, **{fault: 0})
 
     def _pause_vm(self, step: plan.ScheduledFault) -> None:
-        vm = self._world.vms[int(step.target)]
+        vm = self._cluster.vms[int(step.target)]
         vm.send_signal(signal.SIGSTOP)
-        _rest(step)
+        _wait_for_duration(step)
         vm.send_signal(signal.SIGCONT)
 
     def _reload_vm(self, step: plan.ScheduledFault) -> None:
         number = int(step.target)
-        self._world.write_settings(
-            number, self._world.store_proxy_ports[number]
+        self._cluster.write_settings(
+            number, self._cluster.store_proxy_ports[number]
         )
-        self._world.vms[number].send_signal(signal.SIGHUP)
+        self._cluster.vms[number].send_signal(signal.SIGHUP)
 
     def _kill_all(self, step: plan.ScheduledFault) -> None:
-        numbers = range(len(self._world.vms))
+        numbers = range(len(self._cluster.vms))
         with concurrent.futures.ThreadPoolExecutor() as pool:
-            list(pool.map(self._world.kill_and_restart_vm, numbers))
+            list(pool.map(self._cluster.kill_and_restart_vm, numbers))
 
-    def _compact(self, step: plan.ScheduledFault) -> None:
-        self._world.compact()
+    def _compact_store(self, step: plan.ScheduledFault) -> None:
+        self._cluster.compact()
 
     def _kill_upstream(self, step: plan.ScheduledFault) -> None:
-        ended = self._world.kill_incarnation(step.target)
-        _rest(step)
-        self._world.start_incarnation(step.target)
+        ended = self._cluster.kill_incarnation(step.target)
+        _wait_for_duration(step)
+        self._cluster.start_incarnation(step.target)
         time.sleep(cluster.ENTRY_EXPIRY_S)
-        self._world.drop("servers", ended)
+        self._cluster.drop("servers", ended)
 
     def _pause_upstream(self, step: plan.ScheduledFault) -> None:
-        process = self._world.find_process(step.target)
+        process = self._cluster.find_process(step.target)
         process.send_signal(signal.SIGSTOP)
-        _rest(step)
+        _wait_for_duration(step)
         process.send_signal(signal.SIGCONT)
 
-    def _leave(self, step: plan.ScheduledFault) -> None:
+    def _drain_upstream(self, step: plan.ScheduledFault) -> None:
         name = step.target
-        instance = self._world.instances[name]
-        self._world.register(instance, "draining")
-        self._note("leave", instance)
-        time.sleep(LEAVE_S)
-        if self._world.instances[name] != instance:
-            # It was killed meanwhile and has another life.
+        instance = self._cluster.instances[name]
+        self._cluster.register(instance, "draining")
+        self._record_edit("leave", instance)
+        time.sleep(DRAIN_DURATION_S)
+        if self._cluster.instances[name] != instance:
+            # It was killed meanwhile and runs as another incarnation.
             return
-        self._world.kill_incarnation(name)
-        self._world.drop("servers", instance)
-        self._world.start_incarnation(name)
+        self._cluster.kill_incarnation(name)
+        self._cluster.drop("servers", instance)
+        self._cluster.start_incarnation(name)
 
     def _add_route(self, step: plan.ScheduledFault) -> None:
-        with self._world.lock:
-            if self._world.routes:
+        with self._cluster.lock:
+            if self._cluster.routes:
                 return
-            self._world.routes.append(
+            self._cluster.routes.append(
                 hosted_fleet.make_route(
                     "r-late", "/late/", "app", "idempotent", 2
                 )
             )
-            self._world.configure()
-        self._note("add", "/late/")
+            self._cluster.configure()
+        self._record_edit("add", "/late/")
 
     def _change_key(self, step: plan.ScheduledFault) -> None:
-        """Take the changing key away and give another one."""
-        with self._world.lock:
-            before = next(
-                key for key in self._world.keys if key not in hosted_fleet.KEYS
+        """Revoke the rotated key and issue another one."""
+        with self._cluster.lock:
+            revoked_key = next(
+                key
+                for key in self._cluster.keys
+                if key not in hosted_fleet.KEYS
             )
-            del self._world.keys[before]
-            after = f"k-{len(self._world.seen.keys)}"
-            self._world.keys[after] = "large"
-            self._world.seen.keys[after] = "large"
-            self._world.configure()
-            self._note("withdraw", before)
-            self._note("give", after)
+            del self._cluster.keys[revoked_key]
+            issued_key = f"k-{len(self._cluster.seen.keys)}"
+            self._cluster.keys[issued_key] = "large"
+            self._cluster.seen.keys[issued_key] = "large"
+            self._cluster.configure()
+            self._record_edit("withdraw", revoked_key)
+            self._record_edit("give", issued_key)
 
     def _change_rate(self, step: plan.ScheduledFault) -> None:
-        with self._world.lock:
-            self._world.rate = cluster.RATE // 2
-            self._world.configure()
-        _rest(step)
-        with self._world.lock:
-            self._world.rate = cluster.RATE
-            self._world.configure()
-
-    def _poison(self, step: plan.ScheduledFault) -> None:
-        """Send a request of which each server dies that runs it."""
+        with self._cluster.lock:
+            self._cluster.rate = cluster.RATE // 2
+            self._cluster.configure()
+        _wait_for_duration(step)
+        with self._cluster.lock:
+            self._cluster.rate = cluster.RATE
+            self._cluster.configure()
+
+    def _send_poison_request(self, step: plan.ScheduledFault) -> None:
+        """Send a request that crashes each server that executes it."""
         number = int(step.target)
         attempt = history.Attempt(
             f"poison-{step.at_ms}",
@@ -225,43 +229,45 @@
             cluster.now_ms(),
         )
         attempt.has_disconnected = True
-        self._world.seen.attempts.append(attempt)
+        self._cluster.seen.attempts.append(attempt)
         try:
-            self._world.send(number, "/plain/p", attempt.name, body=b"poison")
+            self._cluster.send(
+                number, "/plain/p", attempt.name, body=b"poison"
+            )
         except OSError:
-            # The VM may be down at this moment; nothing is owed to poison.
+            # The VM may be down now; a poison request needs no response.
             pass
-        time.sleep(cluster.DOWN_S)
-        self._revive()
-
-    def _revive(self) -> None:
-        for name in self._world.shape.list_upstream_names():
-            if not self._world.is_alive(name):
-                ended = self._world.instances[name]
-                self._world.start_incarnation(name)
-                self._world.drop("servers", ended)
-
-    def _note(self, what: str, name: str) -> None:
-        self._world.seen.edits.append(
-            history.Edit(what, name, cluster.now_ms())
+        time.sleep(cluster.RESTART_DELAY_S)
+        self._restart_crashed_upstreams()
+
+    def _restart_crashed_upstreams(self) -> None:
+        for name in self._cluster.config.list_upstream_names():
+            if not self._cluster.is_alive(name):
+                ended = self._cluster.instances[name]
+                self._cluster.start_incarnation(name)
+                self._cluster.drop("servers", ended)
+
+    def _record_edit(self, action: str, name: str) -> None:
+        self._cluster.seen.edits.append(
+            history.Edit(action, name, cluster.now_ms())
         )
 
 
 def get_target_name(step: plan.ScheduledFault) -> str:
-    """Return what a step befalls, as windows name it.
+    """Return the target of a fault as named in fault windows.
 
-    :param step: the step
+    :param step: scheduled fault
     """
-    place = step.kind.partition("_")[0]
+    target_kind = step.kind.partition("_")[0]
     if step.kind == "poison":
-        # Which servers it reaches is not known before.
+        # The servers that will receive it are not known in advance.
         return "up-any"
-    if place in ("store", "all"):
+    if target_kind in ("store", "all"):
         return "store"
-    if place == "edit":
+    if target_kind == "edit":
         return "edit"
-    return f"{place}-{step.target}"
+    return f"{target_kind}-{step.target}"
 
 
-def _rest(step: plan.ScheduledFault) -> None:
+def _wait_for_duration(step: plan.ScheduledFault) -> None:
     time.sleep(step.duration_ms / MS_IN_S)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: a seeded plan of chains that overlap."""
+"""Seeded schedules of faults in overlapping chains."""
 
 import collections.abc
 import random
@@ -10,18 +10,16 @@
     "make_fault_schedule",
 ]
 
-# Faults end this long before the plan does, so that what comes after shows
-# whether everything has recovered.
+# Fault-free time at the end of a run, in which the checks verify recovery.
 COOLDOWN_MS = 7_000
-# Of that, what recovery may take.
+# Time allowed for recovery; part of the cooldown.
 RECOVERY_MS = 4_000
-LEAST_FOR_MS = 200
-# Silences and pauses are drawn up to this; it is longer than the time after
-# which a VM is taken for silent and shorter than that for which it is
-# remembered.
-MOST_FOR_MS = 4_000
-MOST_GAP_MS = 1_500
-MOST_STEPS = 4
+MIN_DURATION_MS = 200
+# Upper limit of fault durations.  It is longer than the time after which a VM
+# counts as unresponsive and shorter than the time after which it is removed.
+MAX_DURATION_MS = 4_000
+MAX_GAP_MS = 1_500
+MAX_CHAIN_LENGTH = 4
 
 VM_FAULTS = (
     "vm_kill",
@@ -52,7 +50,7 @@
 )
 EDITS = ("edit_route", "edit_key", "edit_rate")
 FLEET_FAULTS = ("all_kill", "poison")
-# How often each sort is drawn.
+# Relative frequency of each group of faults.
 WEIGHTED_FAULT_GROUPS = (
     (VM_FAULTS, 5),
     (STORE_FAULTS, 2),
@@ -63,14 +61,14 @@
 
 
 class SoakConfig:
-    """The size of a soak.
-
-    :param vms: entry VMs
-    :param prefills: prefill engines
-    :param decodes: decode engines
-    :param services: servers of the plain service
-    :param chains: chains of faults that overlap
-    :param length_ms: how long faults come; the calm follows
+    """Size of a soak.
+
+    :param vms: number of entry VMs
+    :param prefills: number of prefill engines
+    :param decodes: number of decode engines
+    :param services: number of servers of the non-model service
+    :param chains: number of overlapping fault chains
+    :param length_ms: duration of fault injection; the cooldown follows it
     """
 
     __slots__ = (
@@ -108,12 +106,12 @@
 
 
 class ScheduledFault:
-    """One fault.
+    """One fault of a schedule.
 
-    :param at_ms: when it comes, from the plan's beginning
-    :param kind: which one
-    :param target: a VM's number or an upstream's name, as text
-    :param duration_ms: how long it lasts, where that fits
+    :param at_ms: start time, relative to the start of the schedule
+    :param kind: kind of the fault
+    :param target: number of a VM or name of an upstream, as text
+    :param duration_ms: duration, for faults that have one
     """
 
     __slots__ = ("at_ms", "kind", "target", "duration_ms")
@@ -127,47 +125,45 @@
         self.duration_ms = duration_ms
 
 
-def make_fault_schedule(seed: int, shape: SoakConfig) -> list[ScheduledFault]:
-    """Return a plan; the same one for the same seed and shape.
+def make_fault_schedule(seed: int, config: SoakConfig) -> list[ScheduledFault]:
+    """Return the schedule for a seed and a size; the same on every call.
 
-    :param seed: decides everything
-    :param shape: the size
-    :returns: steps in the order of time
+    :param seed: seed of all random choices
+    :param config: size of the soak
+    :returns: faults in order of start time
     """
-    chance = random.Random(f"plan/{seed}")
+    rng = random.Random(f"plan/{seed}")
     steps = [
-        step
-        for _ in range(shape.chains)
-        for step in _make_chain(chance, shape)
+        step for _ in range(config.chains) for step in _make_chain(rng, config)
     ]
     return sorted(steps, key=lambda step: step.at_ms)
 
 
 def _make_chain(
-    chance: random.Random, shape: SoakConfig
+    rng: random.Random, config: SoakConfig
 ) -> collections.abc.Iterator[ScheduledFault]:
-    """Yield faults of one sort at one place, one soon after the other."""
-    at_ms = chance.randrange(500, shape.length_ms // 2)
-    (kinds,) = chance.choices(
+    """Yield faults of one group on one target in close succession."""
+    at_ms = rng.randrange(500, config.length_ms // 2)
+    (kinds,) = rng.choices(
         [kinds for kinds, _ in WEIGHTED_FAULT_GROUPS],
-        [often for _, often in WEIGHTED_FAULT_GROUPS],
+        [weight for _, weight in WEIGHTED_FAULT_GROUPS],
     )
-    target = _choose_target(chance, shape, kinds)
-    for _ in range(chance.randint(1, MOST_STEPS)):
-        for_ms = chance.randint(LEAST_FOR_MS, MOST_FOR_MS)
-        for_ms = min(for_ms, shape.length_ms - at_ms)
-        if for_ms < LEAST_FOR_MS:
+    target = _choose_target(rng, config, kinds)
+    for _ in range(rng.randint(1, MAX_CHAIN_LENGTH)):
+        duration_ms = rng.randint(MIN_DURATION_MS, MAX_DURATION_MS)
+        duration_ms = min(duration_ms, config.length_ms - at_ms)
+        if duration_ms < MIN_DURATION_MS:
             return
-        yield ScheduledFault(at_ms, chance.choice(kinds), target, for_ms)
-        # A chain may go on before its last fault has ended.
-        at_ms += chance.randint(100, MOST_GAP_MS) + (
-            for_ms if chance.random() < 0.5 else 0
+        yield ScheduledFault(at_ms, rng.choice(kinds), target, duration_ms)
+        # The next fault may start before the previous one has ended.
+        at_ms += rng.randint(100, MAX_GAP_MS) + (
+            duration_ms if rng.random() < 0.5 else 0
         )
 
 
 def _choose_target(
-    chance: random.Random, shape: SoakConfig, kinds: tuple[str, ...]
+    rng: random.Random, config: SoakConfig, kinds: tuple[str, ...]
 ) -> str:
     if kinds is UPSTREAM_FAULTS:
-        return chance.choice(shape.list_upstream_names())
-    return str(chance.randrange(shape.vms))
+        return rng.choice(config.list_upstream_names())
+    return str(rng.randrange(config.vms))
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed: the world, its callers, its faults, and the checks."""
+"""Runs one seed: processes, callers, fault injection and checks."""
 
 import pathlib
 import shutil
@@ -14,7 +14,7 @@
 __all__ = ["SeedResult", "run_seed"]
 
 MS_IN_S = 1_000
-# What runs when the last caller has gone has to end within this time.
+# Requests that run when the last caller disconnects must end in this time.
 RELEASE_TIMEOUT_S = 1.5
 QUOTA = checks.Quota(
     "small",
@@ -26,12 +26,12 @@
 
 
 class SeedResult:
-    """What came of a seed.
+    """Result of one seed.
 
-    :param seed: the seed
-    :param faults: its plan
-    :param seen: what was seen
-    :param broken: one sentence for each broken promise
+    :param seed: seed of the run
+    :param faults: fault schedule
+    :param seen: recorded history
+    :param violations: one message for each violation
     """
 
     __slots__ = ("seed", "faults", "seen", "broken")
@@ -41,69 +41,72 @@
         seed: int,
         faults: list[plan.ScheduledFault],
         seen: history.History,
-        broken: list[str],
+        violations: list[str],
     ) -> None:
         self.seed = seed
         self.faults = faults
         self.seen = seen
-        self.broken = broken
+        self.violations = violations
 
     def describe(self) -> str:
-        """Return one line for people."""
-        served = sum(one.status == 200 for one in self.seen.attempts)
+        """Return a one-line summary for people."""
+        served = sum(attempt.status == 200 for attempt in self.seen.attempts)
         faults = ", ".join(
             f"{step.kind}({step.target}) {step.at_ms}+{step.duration_ms}"
             for step in self.faults
         )
         return (
-            f"seed {self.seed}: {len(self.broken)} broken, "
+            f"seed {self.seed}: {len(self.violations)} violations, "
             f"{served} of {len(self.seen.attempts)} served; {faults}"
         )
 
 
 def run_seed(
-    seed: int, shape: plan.SoakConfig, keep: pathlib.Path | None = None
+    seed: int, config: plan.SoakConfig, log_folder: pathlib.Path | None = None
 ) -> SeedResult:
-    """Play one seed.
+    """Run one seed.
 
-    :param seed: decides the plan and the callers
-    :param shape: the size
-    :param keep: a folder that the logs of a failed seed are copied to
-    :returns: what came of it
+    :param seed: seed of the fault schedule and of the callers
+    :param config: size of the soak
+    :param log_folder: folder that the logs of a failed seed are copied to
+    :returns: result of the run
     """
-    steps = plan.make_fault_schedule(seed, shape)
-    with cluster.SoakCluster(shape) as world_:
-        crowd = callers.Callers(seed, world_)
+    steps = plan.make_fault_schedule(seed, config)
+    with cluster.SoakCluster(config) as soak_cluster:
+        client_callers = callers.Callers(seed, soak_cluster)
         began_ms = cluster.now_ms()
-        crowd.start()
-        injector.Injector(world_, steps).inject_all()
-        ended_ms = max(cluster.now_ms(), began_ms + shape.length_ms)
-        world_.seen.recovered_ms = ended_ms + plan.RECOVERY_MS
-        left_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
-        time.sleep(left_ms / MS_IN_S)
-        world_.seen.attempts += crowd.stop()
+        client_callers.start()
+        injector.Injector(soak_cluster, steps).inject_all()
+        ended_ms = max(cluster.now_ms(), began_ms + config.length_ms)
+        soak_cluster.seen.recovered_ms = ended_ms + plan.RECOVERY_MS
+        remaining_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
+        time.sleep(remaining_ms / MS_IN_S)
+        soak_cluster.seen.attempts += client_callers.stop()
         time.sleep(RELEASE_TIMEOUT_S)
-        world_.seen.held = world_.count_held()
-        seen = world_.read_history()
-        broken = checks.find_violations(seen, QUOTA)
-        if broken and keep is not None:
-            _keep_logs(world_, keep / f"seed-{seed}")
-    return SeedResult(seed, steps, seen, broken)
+        soak_cluster.seen.held = soak_cluster.count_held()
+        seen = soak_cluster.read_history()
+        violations = checks.find_violations(seen, QUOTA)
+        if violations and log_folder is not None:
+            _keep_logs(soak_cluster, log_folder / f"seed-{seed}")
+    return SeedResult(seed, steps, seen, violations)
 
 
-def _keep_logs(world_: cluster.SoakCluster, folder: pathlib.Path) -> None:
+def _keep_logs(
+    soak_cluster: cluster.SoakCluster, folder: pathlib.Path
+) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    for file in pathlib.Path(world_.folder.name).iterdir():
+    for file in pathlib.Path(soak_cluster.folder.name).iterdir():
         if file.suffix in (".log", ".jsonl"):
             shutil.copy(file, folder)
     windows = [
         f"{window.from_ms} {window.to_ms} {window.kind} {window.target}"
-        for window in world_.seen.fault_windows
+        for window in soak_cluster.seen.fault_windows
     ]
     (folder / "windows.txt").write_text("\n".join(windows), encoding="utf-8")
     attempts = [
-        f"{one.name} {one.kind.value} vm-{one.vm} {one.began_ms} "
-        f"{one.ended_ms} {one.status} cut={one.is_cut}"
-        for one in world_.seen.attempts
+        f"{attempt.name} {attempt.kind.value} vm-{attempt.vm} "
+        f"{attempt.began_ms} {attempt.ended_ms} {attempt.status} "
+        f"cut={attempt.is_cut}"
+        for attempt in soak_cluster.seen.attempts
     ]
     (folder / "attempts.txt").write_text("\n".join(attempts), encoding="utf-8")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its checks find what they are for, and short seeds hold."""
+"""Tests of the soak: its checks, its schedules, and some short seeds."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 def make_attempt(name="a", kind=RequestKind.PLAIN, status=200, **values):
-    """An attempt that went well, but for what is given."""
+    """Return a successful attempt, changed by the given values."""
     attempt = history.Attempt(name, kind, "k", 0, 10_000)
     attempt.ended_ms = 10_100
     attempt.path = f"/{kind.value}/{name}"
@@ -24,7 +24,7 @@
     attempt.echoed_id = name
     attempt.body = f"POST {attempt.path} ".encode()
     if kind.is_stream:
-        attempt.body = make_stream(range(1, checks.EVENTS + 1))
+        attempt.body = make_stream(range(1, checks.STREAM_EVENTS + 1))
     for field, value in values.items():
         setattr(attempt, field, value)
     return attempt
@@ -35,8 +35,8 @@
 
 
 def make_run(attempt="a", instance="s0-life1", **values):
-    given = {"account": "large", "at_ms": 10_050, "seal": "s", "text": ""}
-    return history.Run(attempt, instance, **(given | values))
+    defaults = {"account": "large", "at_ms": 10_050, "seal": "s", "text": ""}
+    return history.Run(attempt, instance, **(defaults | values))
 
 
 def make_history(attempts, runs=(), windows=(), edits=()):
@@ -51,21 +51,21 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Each check against a history that breaks just its promise."""
+    """Runs the checks on histories that violate a single invariant."""
 
     def check(self, *parts, **more):
         return checks.find_violations(make_history(*parts, **more), QUOTA)
 
     def find(self, needle, *parts, **more):
         found = self.check(*parts, **more)
-        self.assertTrue(any(needle in one for one in found), found)
+        self.assertTrue(any(needle in message for message in found), found)
 
-    def test_sound_history(self):
+    def test_valid_history(self):
         stream = make_attempt("b", RequestKind.SINGLE_RUN_STREAM)
         runs = [make_run(), make_run("b", "d0-life1")]
         self.assertEqual(self.check([make_attempt(), stream], runs), [])
 
-    def test_booking_that_runs_twice(self):
+    def test_non_idempotent_request_that_runs_twice(self):
         self.find(
             "ran 2 times",
             [make_attempt(kind=RequestKind.NON_IDEMPOTENT)],
@@ -82,33 +82,33 @@
             [make_run(instance="d0-life1")],
         )
 
-    def test_run_that_nobody_sent(self):
+    def test_run_without_an_attempt(self):
         self.find("no caller sent", [], [make_run()])
 
-    def test_key_that_an_upstream_saw(self):
+    def test_key_sent_to_an_upstream(self):
         self.find(
             "showed its key", [make_attempt()], [make_run(text="Token k")]
         )
 
-    def test_refusal_of_what_ran(self):
-        refused = make_attempt(status=503, retry_after="1")
-        self.find("and ran", [refused], [make_run()])
+    def test_rejected_request_that_ran(self):
+        rejected = make_attempt(status=503, retry_after="1")
+        self.find("and ran", [rejected], [make_run()])
 
-    def test_refusal_that_does_not_say_when(self):
+    def test_rejection_without_retry_after(self):
         self.find("without a time", [make_attempt(status=429)])
 
-    def test_answer_of_another_request(self):
+    def test_response_to_another_request(self):
         self.find("not its own", [make_attempt(echoed_id="b")], [make_run()])
 
-    def test_short_answer_that_looks_whole(self):
+    def test_truncated_stream_that_ends_as_complete(self):
         body = make_stream(range(1, 9))
         self.find(
-            "as whole",
+            "as complete",
             [make_attempt(kind=RequestKind.SINGLE_RUN_STREAM, body=body)],
             [make_run(instance="d0-life1")],
         )
 
-    def test_event_that_comes_twice(self):
+    def test_repeated_event(self):
         body = make_stream([1, 2, 2, 3])
         self.find(
             "got events",
@@ -120,46 +120,46 @@
             [make_run(instance="d0-life1")],
         )
 
-    def test_withdrawn_key_that_still_serves(self):
+    def test_revoked_key_that_is_served(self):
         edit = history.Edit("withdraw", "k", 5_000)
-        self.find("withdrawn", [make_attempt()], [make_run()], edits=[edit])
+        self.find("revoked", [make_attempt()], [make_run()], edits=[edit])
 
-    def test_key_that_is_denied(self):
+    def test_valid_key_that_is_denied(self):
         edit = history.Edit("give", "k", 5_000)
         self.find("denied", [make_attempt(status=401)], edits=[edit])
 
     def test_new_route_that_is_missing(self):
         edit = history.Edit("add", "/late/", 5_000)
-        late = make_attempt(kind=RequestKind.ADDED_ROUTE, status=404)
-        self.find("no route", [late], edits=[edit])
+        attempt = make_attempt(kind=RequestKind.ADDED_ROUTE, status=404)
+        self.find("no route", [attempt], edits=[edit])
 
-    def test_route_that_goes_again(self):
-        late = make_attempt(kind=RequestKind.ADDED_ROUTE)
-        gone = make_attempt(
+    def test_route_that_disappears(self):
+        attempt = make_attempt(kind=RequestKind.ADDED_ROUTE)
+        rejected_attempt = make_attempt(
             "b", RequestKind.ADDED_ROUTE, 404, began_ms=20_000, ended_ms=20_010
         )
-        self.find("had shown", [late, gone], [make_run()])
+        self.find("had served", [attempt, rejected_attempt], [make_run()])
 
-    def test_upstream_that_left(self):
+    def test_request_to_draining_upstream(self):
         edit = history.Edit("leave", "s0-life1", 5_000)
-        self.find("had left", [make_attempt()], [make_run()], edits=[edit])
+        self.find("was draining", [make_attempt()], [make_run()], edits=[edit])
 
-    def test_planned_stop_that_cuts(self):
+    def test_response_lost_in_graceful_shutdown(self):
         window = history.FaultWindow("vm_term", "vm-0", 9_900, 12_000)
-        lost = make_attempt(status=0)
-        self.find("lost its answer", [lost], [make_run()], [window])
+        incomplete = make_attempt(status=0)
+        self.find("lost its response", [incomplete], [make_run()], [window])
 
-    def test_answer_long_after_the_deadline(self):
-        late = make_attempt(ended_ms=16_000)
-        self.find("after 6000 ms", [late], [make_run()])
+    def test_response_long_after_the_deadline(self):
+        attempt = make_attempt(ended_ms=16_000)
+        self.find("after 6000 ms", [attempt], [make_run()])
 
-    def test_calm_in_which_too_little_is_served(self):
+    def test_missing_recovery(self):
         seen = make_history([make_attempt(status=502)])
         seen.recovered_ms = 0
         found = checks.find_violations(seen, QUOTA)
         self.assertIn("after all faults 0 of 1 were served", found)
 
-    def test_end_of_its_own_and_held_memory(self):
+    def test_unexpected_exit_and_held_memory(self):
         seen = make_history([])
         seen.unexpected_exits.append("vm-0")
         seen.held = 2
@@ -168,12 +168,12 @@
     def test_account_over_its_rate(self):
         count = int(QUOTA.compute_max_tokens() / 200) + 1
         sent = [make_attempt(f"q{n}", key="k-small") for n in range(count)]
-        for one in sent:
-            one.body = f"POST {one.path} ".encode()
+        for attempt in sent:
+            attempt.body = f"POST {attempt.path} ".encode()
         runs = [make_run(f"q{n}", account="small") for n in range(count)]
         self.find("small used", sent, runs)
 
-    def test_fault_of_the_vm_itself_excuses(self):
+    def test_fault_of_the_vm_suppresses_violation(self):
         edit = history.Edit("withdraw", "k", 5_000)
         window = history.FaultWindow("vm_pause", "vm-0", 9_000, 10_000)
         found = self.check([make_attempt()], [make_run()], [window], [edit])
@@ -182,23 +182,23 @@
 
 class PlanTest(unittest.TestCase):
     def test_same_seed_gives_the_same_plan(self):
-        shape = plan.SoakConfig()
+        config = plan.SoakConfig()
 
         def describe():
             return [
                 (step.at_ms, step.kind, step.target, step.duration_ms)
-                for step in plan.make_fault_schedule(5, shape)
+                for step in plan.make_fault_schedule(5, config)
             ]
 
         self.assertEqual(describe(), describe())
 
-    def test_faults_end_before_the_calm(self):
-        shape = plan.SoakConfig()
+    def test_faults_end_before_the_cooldown(self):
+        config = plan.SoakConfig()
         for seed in range(200):
-            for step in plan.make_fault_schedule(seed, shape):
+            for step in plan.make_fault_schedule(seed, config):
                 self.assertLessEqual(step.at_ms + step.duration_ms, 10_000)
 
-    def test_every_fault_is_drawn(self):
+    def test_every_fault_kind_is_scheduled(self):
         kinds = {
             step.kind
             for seed in range(400)
@@ -211,21 +211,23 @@
 
 
 class SeedsTest(unittest.TestCase):
-    """Real processes under faults."""
+    """Runs seeds with real processes and injected faults."""
 
-    def hold(self, seed, shape):
-        outcome = run.run_seed(seed, shape)
-        self.assertEqual(outcome.broken, [], outcome.describe())
+    def check_seed(self, seed, config):
+        result = run.run_seed(seed, config)
+        self.assertEqual(result.violations, [], result.describe())
 
     def test_short_seeds(self):
-        """A few seconds of faults that overlap; every promise holds."""
+        """Overlapping faults for a few seconds violate no invariant."""
         for seed in (101, 102):
             with self.subTest(seed=seed):
-                self.hold(seed, SHORT)
+                self.check_seed(seed, SHORT)
 
     def test_prefill_engine_that_became_a_decode_engine(self):
-        """Seed 1: after an order an engine's entry still says prefill, and
-        each prompt that it drew was refused.  Callers of streams got one
-        refusal in seven for as long as the entry was wrong.
+        """Prompts are not sent to an engine that now decodes.
+
+        With seed 1 an engine's entry still said prefill after an order.  It
+        rejected every prompt, so one stream request in seven was rejected
+        for as long as the entry was wrong.
         """
-        self.hold(1, plan.SoakConfig())
+        self.check_seed(1, plan.SoakConfig())
