--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems; none of them ships."""
+"""Stand-ins for outside systems, for tests and benchmarks only."""
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,7 +1,7 @@
-"""The text that the model engine stand-in generates, for checkers as well.
+"""Deterministic text generation of the engine stand-in.
 
-Everything follows from the model, the prompt and the token's index, so that
-a checker can compute each byte of an answer without asking an engine.
+The text depends only on the model, the prompt and the token's index, so tests
+can compute each byte of a response without asking an engine.
 """
 
 import hashlib
@@ -18,16 +18,16 @@
 SEED_DIGITS = 8
 HASH_DIGITS = 16
 
-# A prompt with this word gets an answer that ends before ``max_tokens``.
+# The response to a prompt with this word ends before ``max_tokens``.
 SHORT_MARKER = "SHORT"
 
 
 class Answer:
-    """The whole answer to one prompt.
+    """Complete response to one prompt.
 
-    :param model: the model's name
-    :param prompt: the prompt's text
-    :param max_tokens: the most that the caller wants
+    :param model: name of the model
+    :param prompt: text of the prompt
+    :param max_tokens: maximum number of tokens that the caller requested
     """
 
     __slots__ = ("seed", "length", "is_stopped_early")
@@ -41,44 +41,45 @@
             self.length = 1 + int(digest[-4:], 16) % max(max_tokens, 1)
 
     def get_token_text(self, index: int) -> str:
-        """Return one token's text.
+        """Return the text of one token.
 
-        :param index: the token's place, from 0
-        :returns: text that no other prompt's answer holds at any place
+        :param index: index of the token, from 0
+        :returns: text that occurs in no other prompt's response
         """
         return f" {self.seed}.{index}"
 
     def finish_reason(self) -> str:
-        """Return why the answer ends: ``stop`` or ``length``."""
+        """Return the finish reason: ``stop`` or ``length``."""
         return "stop" if self.is_stopped_early else "length"
 
     def text(self) -> str:
-        """Return the whole answer's text."""
+        """Return the text of the complete response."""
         return "".join(map(self.get_token_text, range(self.length)))
 
 
 def count_prompt_tokens(prompt: str) -> int:
-    """Return a prompt's length in tokens of four bytes.
+    """Return the length of a prompt in tokens of four bytes.
 
-    :param prompt: the prompt's text
-    :returns: tokens, at least one
+    :param prompt: text of the prompt
+    :returns: number of tokens, at least one
     """
     return max(math.ceil(len(prompt.encode()) / BYTES_PER_TOKEN), 1)
 
 
 def hash_blocks(model: str, prompt: str, block_tokens: int) -> tuple[str, ...]:
-    """Return the hashes of a prompt's whole blocks.
+    """Return the hashes of a prompt's complete blocks.
 
-    :param model: the model's name
-    :param prompt: the prompt's text
-    :param block_tokens: tokens in a block
-    :returns: 16 hexadecimal digits for each block, over all that precedes
+    :param model: name of the model
+    :param prompt: text of the prompt
+    :param block_tokens: number of tokens in a block
+    :returns: 16 hexadecimal digits for each block; each hash covers all
+        text up to the end of its block
     """
     data = prompt.encode()
     size = block_tokens * BYTES_PER_TOKEN
-    running = hashlib.sha256(model.encode() + b"\0")
+    hasher = hashlib.sha256(model.encode() + b"\0")
     hashes = []
     for end in range(size, len(data) + 1, size):
-        running.update(data[end - size : end])
-        hashes.append(running.hexdigest()[:HASH_DIGITS])
+        hasher.update(data[end - size : end])
+        hashes.append(hasher.hexdigest()[:HASH_DIGITS])
     return tuple(hashes)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,7 @@
-"""The model engine stand-in: one process, one or several engines.
+"""Engine stand-in that runs one or several engines in one process.
 
 ``python -m standins.engine --port 9001 --role prefill --port 9002 --role
-decode``; each engine has a port, a role and its own memory.
+decode``; each engine has its own port, role and KV cache memory.
 """
 
 import asyncio
@@ -17,20 +17,23 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_multi_integer("port", [9000], "an engine's port")
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_multi_integer("port", [9000], "port of an engine; repeatable")
 flags.DEFINE_multi_enum(
-    "role", [], ["prefill", "decode", "both"], "an engine's role, as --port"
+    "role",
+    [],
+    ["prefill", "decode", "both"],
+    "role of an engine, in the order of --port",
 )
-flags.DEFINE_list("models", ["m"], "models that are loaded at the start")
-flags.DEFINE_string("credential", "", "the bearer token to ask for, if any")
-flags.DEFINE_integer("seed", 1, "decides which cache events are lost")
-flags.DEFINE_string(
-    "crash_marker", "", "end the process soon after a prompt with this text"
+flags.DEFINE_list("models", ["m"], "models that are loaded at start")
+flags.DEFINE_string("credential", "", "required bearer token, if any")
+flags.DEFINE_integer(
+    "seed", 1, "random seed that selects the lost cache events"
 )
-flags.DEFINE_boolean(
-    "stamps", False, "put the time of sending, in ms, into each event"
+flags.DEFINE_string(
+    "crash_marker", "", "text in a prompt that crashes the process"
 )
+flags.DEFINE_boolean("stamps", False, "add the send time in ms to each event")
 
 DEFINE = {
     bool: flags.DEFINE_boolean,
@@ -43,15 +46,15 @@
 
 
 def make_parameters() -> engine_types.EngineParameters:
-    """Return the figures from the command line."""
-    shape = engine_types.EngineParameters()
-    for name in vars(shape):
-        setattr(shape, name, getattr(FLAGS, name))
-    return shape
+    """Return the engine parameters from the command line."""
+    parameters = engine_types.EngineParameters()
+    for name in vars(parameters):
+        setattr(parameters, name, getattr(FLAGS, name))
+    return parameters
 
 
 async def serve() -> None:
-    """Serve all engines until a signal."""
+    """Serve all engines until a termination signal."""
     roles = FLAGS.role or ["both"]
     if len(roles) == 1:
         roles = roles * len(FLAGS.port)
--- a/standins/engine_completion.py
+++ b/standins/engine_completion.py
@@ -1,4 +1,4 @@
-"""One completion call to the engine stand-in, and its token events."""
+"""Completion requests to the engine stand-in and their token events."""
 
 import asyncio
 import json
@@ -16,16 +16,16 @@
     "parse_completion_request",
 ]
 
-DEFAULT_TOKENS = 16
+DEFAULT_MAX_TOKENS = 16
 DONE = b"data: [DONE]\n\n"
-# A caller that reads nothing must not make the stand-in's memory grow.
-MOST_UNSENT_BYTES = 4 << 20
+# Limits the memory that a caller which does not read its stream can use.
+MAX_UNSENT_BYTES = 4 << 20
 
 
 class CompletionRequest:
-    """A completion call's body, read.
+    """Parsed body of a completion request.
 
-    :param body: the JSON object
+    :param body: JSON object
     """
 
     __slots__ = ("model", "prompt", "max_tokens", "stream", "offset", "params")
@@ -34,18 +34,18 @@
         self.model = str(body.get("model", ""))
         prompt = body.get("prompt", "")
         self.prompt = prompt if isinstance(prompt, str) else json.dumps(prompt)
-        self.max_tokens = int(body.get("max_tokens", DEFAULT_TOKENS))
+        self.max_tokens = int(body.get("max_tokens", DEFAULT_MAX_TOKENS))
         self.stream = bool(body.get("stream", False))
         self.offset = int(body.get("resume_offset", 0))
         self.params = body.get("kv_transfer_params") or {}
 
 
 def parse_completion_request(body: dict[str, typing.Any]) -> CompletionRequest:
-    """Return the call.
+    """Parse the body of a completion request.
 
-    :param body: the JSON object
-    :returns: the call
-    :raises web.HTTPBadRequest: if a value is of the wrong type
+    :param body: JSON object
+    :returns: parsed request
+    :raises web.HTTPBadRequest: if a value has the wrong type
     """
     try:
         return CompletionRequest(body)
@@ -54,16 +54,17 @@
 
 
 class CompletionResponder:
-    """Sends a run's tokens as they come.
+    """Sends the tokens of one engine request as the model generates them.
 
-    Events go to the transport directly: a task switch and an awaited write
-    for each token of each stream would cost several times the processor
-    time, and the stand-in shares its machine with what is measured.
+    Events are written to the transport directly.  A task switch and an
+    awaited write for each token of each stream would cost several times the
+    processor time, and the stand-in shares its machine with the system that
+    is measured.
 
-    :param call: the call
-    :param run: the run
-    :param record: the run's record for checkers
-    :param stamps: whether each event tells when it was sent
+    :param call: parsed request
+    :param run: request on the engine model
+    :param record: record of the request for the test harness
+    :param stamps: whether each event contains its send time
     """
 
     __slots__ = (
@@ -98,47 +99,49 @@
         self.finished: asyncio.Future[bool] = loop.create_future()
         self.transport: asyncio.Transport | None = None
         self._call = call
-        self._head = f'data: {{"id": {json.dumps(run.request_id)}, "index": '
+        self._event_prefix = (
+            f'data: {{"id": {json.dumps(run.request_id)}, "index": '
+        )
         self._texts: list[str] = []
         self._unsent: list[bytes] = []
 
     def send_token(self, index: int) -> None:
-        """Send or keep one token.
+        """Send one token, or collect it if the call does not stream.
 
-        :param index: the token's place
+        :param index: index of the token
         """
         self.record["tokens"] += 1
         text = self.answer.get_token_text(index)
         if not self._call.stream:
             self._texts.append(text)
             return
-        end = "}]}\n\n"
+        suffix = "}]}\n\n"
         if index + 1 >= self.answer.length:
-            end = (
+            suffix = (
                 f', "finish_reason": "{self.answer.finish_reason()}"}}], '
                 f'"usage": {json.dumps(self.make_usage())}}}\n\n'
             )
-        choice = f'{{"index": 0, "text": "{text}"{end}'
+        choice = f'{{"index": 0, "text": "{text}"{suffix}'
         stamp = ""
         if self.stamps:
             stamp = f'"sent_ms": {time.monotonic() * 1000:.3f}, '
-        event = f'{self._head}{index}, {stamp}"choices": [{choice}'
+        event = f'{self._event_prefix}{index}, {stamp}"choices": [{choice}'
         self._write(event.encode())
 
     def finish(self) -> None:
-        """Send the closing event."""
+        """Complete the call and send the final event of a stream."""
         if self._call.stream:
             self._write(DONE)
         set_result(self.finished, True)
 
     def abandon(self) -> None:
-        """End the call because the engine dropped its run."""
+        """End the call because the engine cancelled its request."""
         set_result(self.prefilled, None)
         set_result(self.imported, None)
         set_result(self.finished, False)
 
     def make_usage(self) -> dict[str, int]:
-        """Return the usage part of a reply."""
+        """Return the ``usage`` object of a response."""
         return {
             "prompt_tokens": self.run.prompt_tokens,
             "completion_tokens": self.answer.length,
@@ -146,7 +149,7 @@
         }
 
     def make_full_response(self) -> dict[str, typing.Any]:
-        """Return the reply to a call that does not stream."""
+        """Return the response to a call that does not stream."""
         choice = {
             "index": 0,
             "text": "".join(self._texts),
@@ -160,12 +163,12 @@
         }
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Send from now on, beginning with what came before the head.
+        """Set the transport and send the events that were buffered for it.
 
-        A busy engine may make the first token while the reply's head is
-        still being written; left out, the caller would miss it.
+        A busy engine may generate the first token while the response headers
+        are still being written.  Without the buffer the caller would miss it.
 
-        :param transport: where the reply's head went to
+        :param transport: transport that the headers were written to
         """
         self.transport = transport
         unsent, self._unsent = self._unsent, []
@@ -178,17 +181,17 @@
             return
         if self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.transport.abort()
             return
         self.transport.write(b"%x\r\n%s\r\n" % (len(event), event))
 
 
 def set_result(future: asyncio.Future[typing.Any], value: typing.Any) -> None:
-    """Set a future's result unless it has one.
+    """Set a future's result unless it is done.
 
-    :param future: the future
-    :param value: the result
+    :param future: future to complete
+    :param value: result
     """
     if not future.done():
         future.set_result(value)
--- a/standins/engine_kv_transfer.py
+++ b/standins/engine_kv_transfer.py
@@ -1,4 +1,4 @@
-"""How engine stand-ins fetch one another's prefill results."""
+"""Transfer of prefill results between engine stand-ins."""
 
 import asyncio
 import collections.abc
@@ -17,10 +17,11 @@
 
 
 class KvTransfer:
-    """Both ends: gives out this engine's handles, claims other engines'.
+    """Serves this engine's handles and claims those of other engines.
 
-    :param model: the engine
-    :param advance_model: lets the model catch up and returns the time in ms
+    :param model: engine model
+    :param advance_model: advances the model to the current time and returns
+        that time in ms
     """
 
     def __init__(
@@ -29,15 +30,15 @@
         advance_model: collections.abc.Callable[[], float],
     ) -> None:
         self._model = model
-        self._pump = advance_model
+        self._advance_model = advance_model
         self._client: aiohttp.ClientSession | None = None
-        # The event loop itself keeps only weak references to tasks.
+        # Strong references; the event loop keeps only weak ones to tasks.
         self._releases: set[asyncio.Task[bool]] = set()
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve other engines.
+        """Add the routes that other engines call.
 
-        :param app: the engine's application
+        :param app: application of the engine
         """
         path = "/standin/handles/{handle}"
         app.router.add_post(path, self._claim)
@@ -47,17 +48,17 @@
     async def claim(self, params: dict[str, typing.Any]) -> bool:
         """Pin another engine's prefill result for an import.
 
-        :param params: the call's ``kv_transfer_params``
-        :returns: false if it has expired or cannot be reached
+        :param params: ``kv_transfer_params`` of the request
+        :returns: false if the result has expired or its engine is unreachable
         """
-        return await self._ask("POST", params)
+        return await self._request_handle("POST", params)
 
     def release_in_background(self, params: dict[str, typing.Any]) -> None:
-        """Let another engine free a result after its import.
+        """Release another engine's result after its import.
 
-        :param params: the call's ``kv_transfer_params``
+        :param params: ``kv_transfer_params`` of the request
         """
-        task = asyncio.ensure_future(self._ask("DELETE", params))
+        task = asyncio.ensure_future(self._request_handle("DELETE", params))
         self._releases.add(task)
         task.add_done_callback(self._releases.discard)
 
@@ -68,27 +69,31 @@
         yield
         await self._client.close()
 
-    async def _ask(self, method: str, params: dict[str, typing.Any]) -> bool:
+    async def _request_handle(
+        self, method: str, params: dict[str, typing.Any]
+    ) -> bool:
         url = (
             f"http://{params.get('remote_address')}"
             f"/standin/handles/{params.get('remote_handle')}"
         )
         try:
-            async with self._client.request(method, url) as reply:
-                return reply.status == OK
+            async with self._client.request(method, url) as response:
+                return response.status == OK
         except (aiohttp.ClientError, TimeoutError):
             return False
 
     async def _claim(self, request: web.Request) -> web.Response:
         run = self._model.pin_handle(
-            request.match_info["handle"], self._pump()
+            request.match_info["handle"], self._advance_model()
         )
         if run is None:
             return serving.make_error_response(410, "expired")
-        self._pump()
+        self._advance_model()
         return serving.answer({"prompt_tokens": run.prompt_tokens})
 
     async def _release(self, request: web.Request) -> web.Response:
-        self._model.release_handle(request.match_info["handle"], self._pump())
-        self._pump()
+        self._model.release_handle(
+            request.match_info["handle"], self._advance_model()
+        )
+        self._advance_model()
         return serving.answer({})
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -1,9 +1,9 @@
-"""How long a model engine's work takes, without I/O, threads or clocks.
+"""Discrete-event model of an inference engine without I/O or clocks.
 
-The time is passed in, in milliseconds with fractions, so that the model
-serves the engine stand-in in real time and benchmarks in virtual time.
-Simplified: a prefill does not slow the batch of the same engine, and a run
-that joins during a step gets its first token at that step's end.
+Callers pass the time in fractional milliseconds.  The engine stand-in runs
+the model in real time, benchmarks in virtual time.  Simplifications: a prefill
+does not slow down the batch of the same engine, and a request that joins
+during a step gets its first token at the end of that step.
 """
 
 import itertools
@@ -25,134 +25,134 @@
 EngineRequest = engine_types.EngineRequest
 
 NEVER = math.inf
-# How long an importing engine may keep another's handle without release.
+# Time in ms after which a pinned handle expires if it is not released.
 PIN_MS = 5_000.0
 
 
 class EngineModel:
-    """One engine: a serial prefill queue, a shared link and a batch.
+    """Engine with a serial prefill queue, a shared link and a batch.
 
-    Call :meth:`advance` up to the present before anything else; the other
-    methods take effect at the time that they are given.
+    Call :meth:`advance` with the current time before any other method; the
+    other methods take effect at the time that is passed to them.
 
-    :param shape: the engine's figures
+    :param parameters: parameters of the engine
     :param role: ``prefill``, ``decode`` or ``both``
-    :param models: names of the models that are loaded
-    :param seed: decides which cache events are lost
+    :param models: names of the loaded models
+    :param seed: random seed that selects the lost cache events
     """
 
     def __init__(
         self,
-        shape: engine_types.EngineParameters,
+        parameters: engine_types.EngineParameters,
         role: str,
         models: tuple[str, ...],
         seed: int = 0,
     ) -> None:
-        self.shape = shape
+        self.shape = parameters
         self.role = role
         self.models = list(models)
         self.cache = prefix_cache.PrefixCache(
-            shape.cache_blocks,
-            shape.cache_lag_ms,
-            shape.cache_gap_share,
+            parameters.cache_blocks,
+            parameters.cache_lag_ms,
+            parameters.cache_gap_share,
             random.Random(seed),
         )
         self.fencing = 0
         self.held: dict[EngineRequest, None] = {}
-        self.free_blocks = shape.total_blocks
-        self._numbers = itertools.count(1)
-        self._prefills = prefill_queue.PrefillQueue(shape, self.cache)
-        self._link = shared_link.SharedLink(shape)
+        self.free_blocks = parameters.total_blocks
+        self._handle_numbers = itertools.count(1)
+        self._prefills = prefill_queue.PrefillQueue(parameters, self.cache)
+        self._link = shared_link.SharedLink(parameters)
         self._batch: list[EngineRequest] = []
-        self._reserved = 0
-        self._step_ms = NEVER
+        self._reserved_slots = 0
+        self._step_end_ms = NEVER
         self._handles: dict[str, EngineRequest] = {}
         self._loading: list[tuple[float, str]] = []
-        self._history = load_history.LoadHistory(shape.total_blocks)
+        self._history = load_history.LoadHistory(parameters.total_blocks)
 
     def submit_prefill(
-        self, run: EngineRequest, now_ms: float, decodes: bool = False
+        self, request: EngineRequest, now_ms: float, decodes: bool = False
     ) -> RejectReason | None:
         """Queue a prefill.
 
-        :param run: the run
-        :param now_ms: the present
-        :param decodes: go on to decode here, without a transfer
-        :returns: why it was refused, or none
+        :param request: request to prefill
+        :param now_ms: current time in ms
+        :param decodes: whether the same engine decodes, without a transfer
+        :returns: reason of the rejection; none if it was accepted
         """
         if self.role == "decode" or (decodes and self.role != "both"):
             return RejectReason.WRONG_ROLE
-        if run.model not in self.models:
+        if request.model not in self.models:
             return RejectReason.NOT_READY
         if self._prefills.is_full():
             return RejectReason.FULL
-        if not self._take(run, decodes):
+        if not self._reserve(request, decodes):
             return RejectReason.FULL
-        run.decodes = decodes
-        self._prefills.add(run, now_ms)
-        self._snapshot(now_ms)
+        request.decodes = decodes
+        self._prefills.add(request, now_ms)
+        self._record_load(now_ms)
         return None
 
     def submit_decode(
-        self, run: EngineRequest, now_ms: float
+        self, request: EngineRequest, now_ms: float
     ) -> RejectReason | None:
-        """Begin to import a KV cache and then to generate.
+        """Start the import of a KV cache; decoding follows.
 
-        :param run: the run
-        :param now_ms: the present
-        :returns: why it was refused, or none
+        :param request: request to decode
+        :param now_ms: current time in ms
+        :returns: reason of the rejection; none if it was accepted
         """
         if self.role == "prefill":
             return RejectReason.WRONG_ROLE
-        if run.model not in self.models:
+        if request.model not in self.models:
             return RejectReason.NOT_READY
-        if not self._take(run, True):
+        if not self._reserve(request, True):
             return RejectReason.FULL
-        run.decodes = True
-        run.phase = RequestPhase.TRANSFER
-        self._link.add(run, now_ms)
-        self._snapshot(now_ms)
+        request.decodes = True
+        request.phase = RequestPhase.TRANSFER
+        self._link.add(request, now_ms)
+        self._record_load(now_ms)
         return None
 
-    def cancel(self, run: EngineRequest, now_ms: float) -> bool:
-        """Free what a run holds; idempotent.
+    def cancel(self, request: EngineRequest, now_ms: float) -> bool:
+        """Free a request's slot and KV blocks; idempotent.
 
-        :param run: the run
-        :param now_ms: the present
-        :returns: whether it held anything
+        :param request: request to cancel
+        :param now_ms: current time in ms
+        :returns: whether the engine still held the request
         """
-        if run not in self.held:
+        if request not in self.held:
             return False
-        self._link.remove(run, now_ms)
-        self._prefills.remove(run, now_ms)
-        if run in self._batch:
-            self._batch.remove(run)
+        self._link.remove(request, now_ms)
+        self._prefills.remove(request, now_ms)
+        if request in self._batch:
+            self._batch.remove(request)
         if not self._batch:
-            self._step_ms = NEVER
-        self._let_go(run, now_ms)
+            self._step_end_ms = NEVER
+        self._release(request, now_ms)
         return True
 
     def pin_handle(self, handle: str, now_ms: float) -> EngineRequest | None:
-        """Pin a prefill's result for an import; none once it has expired.
+        """Pin a prefill result for an import.
 
-        :param handle: the handle's name
-        :param now_ms: the present
-        :returns: the prefill
+        :param handle: name of the handle
+        :param now_ms: current time in ms
+        :returns: prefilled request; none if its handle has expired
         """
-        run = self._handles.get(handle)
-        if run is not None:
-            run.due_ms = now_ms + PIN_MS
-        return run
+        request = self._handles.get(handle)
+        if request is not None:
+            request.due_ms = now_ms + PIN_MS
+        return request
 
     def release_handle(self, handle: str, now_ms: float) -> None:
-        """Free a prefill's result after its import; idempotent.
+        """Free a prefill result after its import; idempotent.
 
-        :param handle: the handle's name
-        :param now_ms: the present
+        :param handle: name of the handle
+        :param now_ms: current time in ms
         """
-        run = self._handles.get(handle)
-        if run is not None:
-            self._let_go(run, now_ms)
+        request = self._handles.get(handle)
+        if request is not None:
+            self._release(request, now_ms)
 
     def give_order(
         self, verb: str, argument: str, fencing: int, now_ms: float
@@ -160,10 +160,10 @@
         """Load or unload a model, or change the role.
 
         :param verb: ``load``, ``unload`` or ``role``
-        :param argument: the model or the role
-        :param fencing: the issuer's fencing number
-        :param now_ms: the present
-        :returns: false if the order is fenced off
+        :param argument: name of the model or the role
+        :param fencing: fencing number of the leader that sent the order
+        :param now_ms: current time in ms
+        :returns: false if the fencing number is outdated
         """
         if self.shape.checks_fencing and fencing < self.fencing:
             return False
@@ -178,138 +178,155 @@
         return True
 
     def set_parameter(self, name: str, value: float, now_ms: float) -> None:
-        """Change one of the engine's figures while it works.
+        """Change a parameter of the running engine.
 
-        :param name: the attribute
-        :param value: its new value
-        :param now_ms: the present
+        :param name: name of the parameter
+        :param value: new value
+        :param now_ms: current time in ms
         """
-        self._link.settle(now_ms)
+        self._link.advance(now_ms)
         setattr(self.shape, name, value)
 
     def report_load(self, now_ms: float) -> load_history.LoadSnapshot:
-        """Return the load as it was some time ago.
+        """Return the load with the delay of a load report.
 
-        :param now_ms: the present
-        :returns: the newest snapshot that is old enough
+        :param now_ms: current time in ms
+        :returns: newest snapshot that is at least ``load_lag_ms`` old
         """
         return self._history.read(now_ms - self.shape.load_lag_ms)
 
     def get_next_event_ms(self) -> float:
-        """Return when something happens next; infinite if nothing will."""
+        """Return the time of the next event in ms; infinite if none."""
         return min(
             self._prefills.get_next_event_ms(),
             self._link.get_next_event_ms(),
-            self._step_ms,
-            min((run.due_ms for run in self._handles.values()), default=NEVER),
+            self._step_end_ms,
+            min(
+                (request.due_ms for request in self._handles.values()),
+                default=NEVER,
+            ),
             min((at_ms for at_ms, _ in self._loading), default=NEVER),
         )
 
     def advance(self, now_ms: float) -> list[ModelEvent]:
-        """Let time pass.
+        """Advance the simulation to the current time.
 
-        :param now_ms: the present
-        :returns: what happened, in order
+        :param now_ms: current time in ms
+        :returns: events in order
         """
-        found: list[ModelEvent] = []
+        events: list[ModelEvent] = []
         while (at_ms := self.get_next_event_ms()) <= now_ms:
             self._finish_loading(at_ms)
-            self._end_prefill(at_ms, found)
-            self._end_imports(at_ms, found)
-            self._end_step(at_ms, found)
-            self._expire_handles(at_ms, found)
-        return found
-
-    def _take(self, run: EngineRequest, decodes: bool) -> bool:
-        tokens = run.prompt_tokens + (run.output_tokens if decodes else 0)
+            self._finish_prefill(at_ms, events)
+            self._finish_imports(at_ms, events)
+            self._finish_step(at_ms, events)
+            self._expire_handles(at_ms, events)
+        return events
+
+    def _reserve(self, request: EngineRequest, decodes: bool) -> bool:
+        tokens = request.prompt_tokens + (
+            request.output_tokens if decodes else 0
+        )
         blocks = math.ceil(tokens / self.shape.block_tokens)
-        has_slot = not decodes or self._reserved < self.shape.slots
+        has_slot = not decodes or self._reserved_slots < self.shape.slots
         if not has_slot or blocks > self.free_blocks:
             return False
-        run.blocks = blocks
+        request.blocks = blocks
         self.free_blocks -= blocks
-        self._reserved += decodes
-        self.held[run] = None
+        self._reserved_slots += decodes
+        self.held[request] = None
         return True
 
-    def _let_go(self, run: EngineRequest, now_ms: float) -> None:
-        del self.held[run]
-        self._handles.pop(run.handle, None)
-        self.free_blocks += run.blocks
-        self._reserved -= run.decodes
-        run.blocks = 0
-        run.phase = RequestPhase.DONE
-        self._snapshot(now_ms)
+    def _release(self, request: EngineRequest, now_ms: float) -> None:
+        del self.held[request]
+        self._handles.pop(request.handle, None)
+        self.free_blocks += request.blocks
+        self._reserved_slots -= request.decodes
+        request.blocks = 0
+        request.phase = RequestPhase.DONE
+        self._record_load(now_ms)
 
-    def _snapshot(self, now_ms: float) -> None:
+    def _record_load(self, now_ms: float) -> None:
         self._history.add(
             load_history.LoadSnapshot(
                 now_ms,
-                self._reserved,
+                self._reserved_slots,
                 len(self._prefills),
                 self.free_blocks,
             )
         )
 
-    def _end_prefill(self, at_ms: float, found: list[ModelEvent]) -> None:
-        run = self._prefills.end(at_ms)
-        if run is None:
+    def _finish_prefill(self, at_ms: float, events: list[ModelEvent]) -> None:
+        request = self._prefills.pop_finished(at_ms)
+        if request is None:
             return
-        if run.decodes:
-            self._join_batch(run, at_ms)
+        if request.decodes:
+            self._join_batch(request, at_ms)
         else:
-            run.phase = RequestPhase.TRANSFER
-            run.handle = f"{run.request_id}-{next(self._numbers)}"
-            run.due_ms = at_ms + self.shape.handle_ms
-            self._handles[run.handle] = run
-        found.append(ModelEvent(EventKind.PREFILLED, run, at_ms))
-        self._snapshot(at_ms)
-
-    def _end_imports(self, at_ms: float, found: list[ModelEvent]) -> None:
-        for run in self._link.pop_finished(at_ms):
-            self._join_batch(run, at_ms)
-            found.append(ModelEvent(EventKind.IMPORTED, run, at_ms))
-
-    def _join_batch(self, run: EngineRequest, at_ms: float) -> None:
-        run.phase = RequestPhase.DECODE
-        self._batch.append(run)
-        if self._step_ms == NEVER:
-            self._step_ms = at_ms + self._step_length_ms()
-
-    def _step_length_ms(self) -> float:
-        idle = 1 - len(self._batch) / self.shape.slots
-        part = 1 - self.shape.batch_growth * idle
-        return self.shape.token_ms * part * self.shape.slow_factor
-
-    def _end_step(self, at_ms: float, found: list[ModelEvent]) -> None:
-        if self._step_ms > at_ms:
+            request.phase = RequestPhase.TRANSFER
+            request.handle = (
+                f"{request.request_id}-{next(self._handle_numbers)}"
+            )
+            request.due_ms = at_ms + self.shape.handle_ms
+            self._handles[request.handle] = request
+        events.append(ModelEvent(EventKind.PREFILLED, request, at_ms))
+        self._record_load(at_ms)
+
+    def _finish_imports(self, at_ms: float, events: list[ModelEvent]) -> None:
+        for request in self._link.pop_finished(at_ms):
+            self._join_batch(request, at_ms)
+            events.append(ModelEvent(EventKind.IMPORTED, request, at_ms))
+
+    def _join_batch(self, request: EngineRequest, at_ms: float) -> None:
+        request.phase = RequestPhase.DECODE
+        self._batch.append(request)
+        if self._step_end_ms == NEVER:
+            self._step_end_ms = at_ms + self._compute_step_ms()
+
+    def _compute_step_ms(self) -> float:
+        idle_fraction = 1 - len(self._batch) / self.shape.slots
+        step_fraction = 1 - self.shape.batch_growth * idle_fraction
+        return self.shape.token_ms * step_fraction * self.shape.slow_factor
+
+    def _finish_step(self, at_ms: float, events: list[ModelEvent]) -> None:
+        if self._step_end_ms > at_ms:
             return
-        for run in self._batch:
-            found.append(
-                ModelEvent(EventKind.TOKEN, run, at_ms, run.generated)
+        for request in self._batch:
+            events.append(
+                ModelEvent(EventKind.TOKEN, request, at_ms, request.generated)
             )
-            run.generated += 1
-        ended = [run for run in self._batch if _is_whole(run)]
-        if ended:
-            self._batch = [run for run in self._batch if not _is_whole(run)]
-        for run in ended:
-            self._let_go(run, at_ms)
-            found.append(ModelEvent(EventKind.FINISHED, run, at_ms))
-        self._step_ms = NEVER
+            request.generated += 1
+        finished = [
+            request for request in self._batch if _is_complete(request)
+        ]
+        if finished:
+            self._batch = [
+                request for request in self._batch if not _is_complete(request)
+            ]
+        for request in finished:
+            self._release(request, at_ms)
+            events.append(ModelEvent(EventKind.FINISHED, request, at_ms))
+        self._step_end_ms = NEVER
         if self._batch:
-            self._step_ms = at_ms + self._step_length_ms()
-
-    def _expire_handles(self, at_ms: float, found: list[ModelEvent]) -> None:
-        ended = [run for run in self._handles.values() if run.due_ms <= at_ms]
-        for run in ended:
-            self._let_go(run, at_ms)
-            found.append(ModelEvent(EventKind.EXPIRED, run, at_ms))
+            self._step_end_ms = at_ms + self._compute_step_ms()
+
+    def _expire_handles(self, at_ms: float, events: list[ModelEvent]) -> None:
+        finished = [
+            request
+            for request in self._handles.values()
+            if request.due_ms <= at_ms
+        ]
+        for request in finished:
+            self._release(request, at_ms)
+            events.append(ModelEvent(EventKind.EXPIRED, request, at_ms))
 
     def _finish_loading(self, at_ms: float) -> None:
-        ended = [name for ready_ms, name in self._loading if ready_ms <= at_ms]
-        self.models += ended
+        finished = [
+            name for ready_ms, name in self._loading if ready_ms <= at_ms
+        ]
+        self.models += finished
         self._loading = [entry for entry in self._loading if entry[0] > at_ms]
 
 
-def _is_whole(run: EngineRequest) -> bool:
-    return run.generated >= run.output_tokens
+def _is_complete(request: EngineRequest) -> bool:
+    return request.generated >= request.output_tokens
--- a/standins/engine_status_api.py
+++ b/standins/engine_status_api.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in tells about itself, and orders to it."""
+"""Status and order API of the engine stand-in."""
 
 import collections.abc
 
@@ -12,48 +12,49 @@
 
 
 class EngineStatusApi:
-    """The calls around the completions.
+    """Handlers for status queries and orders.
 
-    :param model: the engine
-    :param recorder_: keeps orders
-    :param pump: lets the model catch up and returns the time in ms
+    :param model: engine model
+    :param recorder_: recorder of the received orders
+    :param advance_model: advances the model to the current time and returns
+        that time in ms
     """
 
     def __init__(
         self,
         model: engine_model.EngineModel,
         recorder_: recorder.Recorder,
-        pump: collections.abc.Callable[[], float],
+        advance_model: collections.abc.Callable[[], float],
     ) -> None:
         self._model = model
         self._recorder = recorder_
-        self._pump = pump
+        self._advance_model = advance_model
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the calls.
+        """Add the routes to an application.
 
-        :param app: the engine's application
+        :param app: application of the engine
         """
-        app.router.add_get("/v1/requests", self._list_held)
+        app.router.add_get("/v1/requests", self._list_requests)
         app.router.add_get("/v1/load", self._report_load)
         app.router.add_get("/v1/cache_events", self._read_cache_events)
-        app.router.add_post("/v1/orders", self._take_order)
+        app.router.add_post("/v1/orders", self._apply_order)
 
-    async def _list_held(self, request: web.Request) -> web.Response:
-        self._pump()
-        held = [
+    async def _list_requests(self, request: web.Request) -> web.Response:
+        self._advance_model()
+        requests = [
             {
-                "id": run.request_id,
-                "owner": run.owner,
-                "phase": run.phase.value,
-                "blocks": run.blocks,
+                "id": engine_request.request_id,
+                "owner": engine_request.owner,
+                "phase": engine_request.phase.value,
+                "blocks": engine_request.blocks,
             }
-            for run in self._model.held
+            for engine_request in self._model.held
         ]
-        return serving.answer({"requests": held})
+        return serving.answer({"requests": requests})
 
     async def _report_load(self, request: web.Request) -> web.Response:
-        now_ms = self._pump()
+        now_ms = self._advance_model()
         load = self._model.report_load(now_ms)
         return serving.answer(
             {
@@ -67,7 +68,7 @@
         )
 
     async def _read_cache_events(self, request: web.Request) -> web.Response:
-        now_ms = self._pump()
+        now_ms = self._advance_model()
         after = int(request.query.get("after", "0"))
         records = self._model.cache.read_events(after, now_ms)
         events = [
@@ -80,17 +81,19 @@
         ]
         return serving.answer({"events": events})
 
-    async def _take_order(self, request: web.Request) -> web.Response:
+    async def _apply_order(self, request: web.Request) -> web.Response:
         self._recorder.note(request, await request.read())
         order = await serving.read_json(request)
-        now_ms = self._pump()
-        taken = self._model.give_order(
+        now_ms = self._advance_model()
+        is_accepted = self._model.give_order(
             order["verb"],
             order["argument"],
             int(order["fencing"]),
             now_ms,
         )
-        if not taken:
-            return serving.make_error_response(409, "an old fencing number")
-        self._pump()
+        if not is_accepted:
+            return serving.make_error_response(
+                409, "the fencing number is outdated"
+            )
+        self._advance_model()
         return serving.answer({})
--- a/standins/engine_types.py
+++ b/standins/engine_types.py
@@ -1,4 +1,4 @@
-"""What a model engine is like, and what one run on it is."""
+"""Parameters, requests and events of the engine model."""
 
 import enum
 
@@ -13,10 +13,11 @@
 
 
 class EngineParameters:
-    """The figures of one engine; times in ms, sizes in bytes or tokens.
+    """Parameters of one engine; times in ms, sizes in bytes or tokens.
 
-    ``token_ms`` holds for a full batch; an empty one is faster by the share
-    ``batch_growth``.  ``slow_factor`` stretches all work of a sick engine.
+    ``token_ms`` is the decode step of a full batch; an empty batch is faster
+    by the fraction ``batch_growth``.  ``slow_factor`` multiplies the duration
+    of all work, to simulate a degraded engine.
     """
 
     def __init__(self) -> None:
@@ -41,7 +42,7 @@
 
 
 class RejectReason(enum.Enum):
-    """Why an engine did not take a run; the value is the HTTP status."""
+    """Reason why an engine rejected a request; the value is the status."""
 
     FULL = 429
     HANDLE_EXPIRED = 410
@@ -50,7 +51,7 @@
 
 
 class RequestPhase(enum.Enum):
-    """Where a run stands; the four first hold memory."""
+    """Phase of a request; the first four hold KV cache blocks."""
 
     QUEUED = "queued"
     PREFILL = "prefill"
@@ -60,16 +61,16 @@
 
 
 class EngineRequest:
-    """One attempt that an engine works on.
+    """One attempt of a request that an engine processes.
 
-    :param request_id: the attempt's name
-    :param owner: ``VM/INCARNATION`` of whoever started it
-    :param model: the model's name
+    :param request_id: id of the attempt
+    :param owner: ``VM/INCARNATION`` of the VM that started it
+    :param model: name of the model
     :param hashes: hashes of the prompt's blocks
-    :param prompt_tokens: the prompt's length
-    :param output_tokens: the whole answer's length
-    :param priority: 0 goes first
-    :param offset: the first token to generate
+    :param prompt_tokens: length of the prompt in tokens
+    :param output_tokens: length of the complete response in tokens
+    :param priority: scheduling priority; 0 is the highest
+    :param offset: index of the first token to generate
     """
 
     __slots__ = (
@@ -117,12 +118,12 @@
         self.handle = ""
         self.remaining_bytes = 0.0
         self.due_ms = 0.0
-        # Whatever the model's user wants to find again with an event.
+        # Data of the model's user, available from the request's events.
         self.context: object = None
 
 
 class EventKind(enum.Enum):
-    """What the model reports to its user."""
+    """Kind of an event that the model reports."""
 
     PREFILLED = "prefilled"
     IMPORTED = "imported"
@@ -132,12 +133,12 @@
 
 
 class ModelEvent:
-    """Something that happened to a run.
+    """Event of one request.
 
-    :param kind: what happened
-    :param run: to which run
-    :param at_ms: when, which may be before the call that reports it
-    :param index: the token's place, for ``TOKEN``
+    :param kind: kind of the event
+    :param run: request that it concerns
+    :param at_ms: time in ms; may be before the call that reports the event
+    :param index: index of the token, for ``TOKEN``
     """
 
     __slots__ = ("kind", "run", "at_ms", "index")
--- a/standins/faultproxy.py
+++ b/standins/faultproxy.py
@@ -1,9 +1,8 @@
-"""The fault-injecting TCP proxy: many pairs in one process.
+"""Fault-injecting TCP proxy for several pairs of listening port and target.
 
 ``python -m standins.faultproxy --port 9300 --pair
-engine=127.0.0.1:9301=127.0.0.1:9001``; faults are switched by ``POST
-/standin/pairs/NAME`` on the control port, and shown by ``GET
-/standin/pairs``.
+engine=127.0.0.1:9301=127.0.0.1:9001``; ``POST /standin/pairs/NAME`` on the
+control port sets faults, and ``GET /standin/pairs`` returns them.
 """
 
 import asyncio
@@ -19,26 +18,26 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_integer("port", 9300, "the control port")
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_integer("port", 9300, "control port")
 flags.DEFINE_multi_string("pair", [], "NAME=LISTEN_HOST:PORT=HOST:PORT")
-flags.DEFINE_integer("seed", 1, "decides delays")
+flags.DEFINE_integer("seed", 1, "random seed of the delays")
 
 
 class Control:
-    """The control port.
+    """HTTP API of the control port.
 
-    :param pairs: the pairs by name
+    :param pairs: proxy pairs by name
     """
 
     def __init__(self, pairs: dict[str, proxy_pair.Proxy]) -> None:
         self._pairs = pairs
 
     def make_app(self) -> web.Application:
-        """Return the application to serve."""
+        """Return the control application."""
         app_ = serving.make_app()
         app_.router.add_get("/standin/pairs", self._show)
-        app_.router.add_post("/standin/pairs/{name}", self._change)
+        app_.router.add_post("/standin/pairs/{name}", self._set_faults)
         return app_
 
     async def _show(self, request: web.Request) -> web.Response:
@@ -46,7 +45,7 @@
             {name: pair.show() for name, pair in self._pairs.items()}
         )
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _set_faults(self, request: web.Request) -> web.Response:
         pair = self._pairs.get(request.match_info["name"])
         if pair is None:
             return serving.make_error_response(404, "no such pair")
@@ -58,19 +57,20 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return host and port.
+    """Split an address into host and port.
 
-    :param text: ``host:port``
+    :param definition: ``host:port``
+    :returns: host and port
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 async def serve() -> None:
-    """Listen for all pairs, then serve the control port until a signal."""
+    """Listen for all pairs and serve the control port until a signal."""
     pairs = {}
-    for number, text in enumerate(FLAGS.pair):
-        name, listen, target = text.split("=")
+    for number, definition in enumerate(FLAGS.pair):
+        name, listen, target = definition.split("=")
         pair = proxy_pair.Proxy(
             name, split_address(target), FLAGS.seed + number
         )
--- a/standins/hosted_store.py
+++ b/standins/hosted_store.py
@@ -1,8 +1,9 @@
-"""Stand-in for the operators' store of objects: one revision for all kinds.
+"""Stand-in for the operators' object store with one revision for all kinds.
 
-``python -m standins.hosted_store --port 8101``.  A fault can be set:
-``refuse`` (503), ``silent`` (no answer), ``lose`` (done, but the connection
-closes without an answer); and history can be dropped.
+``python -m standins.hosted_store --port 8101``.  ``POST /standin/fault`` sets
+one of the faults ``refuse`` (status 503), ``silent`` (no response) and
+``lose`` (writes take effect, but the connection closes without a response);
+``POST /standin/compact`` discards the history of changes.
 """
 
 import asyncio
@@ -19,18 +20,18 @@
 
 FLAGS = flags.FLAGS
 ROOT = "/mulberryway/objects"
-PAGE = 500
-SILENT_S = 60.0
+PAGE_SIZE = 500
+UNRESPONSIVE_S = 60.0
 MS_IN_S = 1_000
 
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_integer("port", 8101, "the port")
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_integer("port", 8101, "port to listen on")
 
 Stored = dict[str, typing.Any]
 
 
 class HostedStore:
-    """Objects by kind and name, and the changes that watches report."""
+    """Store of objects by kind and name, with a history for watches."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -39,14 +40,14 @@
         )
         self.calls = 0
         self._changes: list[tuple[int, str, bool, Stored]] = []
-        self._oldest = 0
+        self._oldest_revision = 0
         self._changed = asyncio.Condition()
         self._fault = ""
 
     def make_app(self) -> web.Application:
-        """Return the application."""
+        """Return the application to serve."""
         app = serving.make_app()
-        app.middlewares.append(self._misbehave)
+        app.middlewares.append(self._inject_fault)
         app.router.add_get(f"{ROOT}/{{kind}}", self._list)
         app.router.add_post(f"{ROOT}/{{kind}}", self._create)
         app.router.add_get(f"{ROOT}/{{kind}}/{{name}}", self._read)
@@ -60,18 +61,18 @@
         return app
 
     @web.middleware
-    async def _misbehave(
+    async def _inject_fault(
         self, request: web.Request, handler: typing.Any
     ) -> web.StreamResponse:
-        """Let the fault that is set befall the platform's own calls."""
+        """Apply the current fault to all calls but those of the tests."""
         if request.path.startswith("/standin/"):
             return await handler(request)
         self.calls += 1
         fault = self._fault
         if fault == "refuse":
-            return serving.make_error_response(503, "turned away")
+            return serving.make_error_response(503, "injected fault")
         if fault == "silent":
-            await asyncio.sleep(SILENT_S)
+            await asyncio.sleep(UNRESPONSIVE_S)
         response = await handler(request)
         if fault == "lose" and request.method != "GET":
             assert request.transport is not None
@@ -84,26 +85,30 @@
             return await self._watch(kind, request)
         names = sorted(self.objects[kind])
         after = request.query.get("after", "")
-        left = [name for name in names if name > after]
+        remaining = [name for name in names if name > after]
         return serving.answer(
             {
-                "items": [self.objects[kind][name] for name in left[:PAGE]],
-                "has_more": len(left) > PAGE,
+                "items": [
+                    self.objects[kind][name] for name in remaining[:PAGE_SIZE]
+                ],
+                "has_more": len(remaining) > PAGE_SIZE,
                 "store_revision": self.revision,
             }
         )
 
     async def _watch(self, kind: str, request: web.Request) -> web.Response:
-        since = int(request.query["watch"])
+        after_revision = int(request.query["watch"])
         wait_s = int(request.query.get("wait_ms", 0)) / MS_IN_S
-        if since < self._oldest:
-            return serving.make_error_response(410, "that history is gone")
+        if after_revision < self._oldest_revision:
+            return serving.make_error_response(
+                410, "the revision was compacted"
+            )
 
         def list_events() -> list[dict[str, typing.Any]]:
             return [
-                {"object": found, "deleted": deleted}
-                for revision, changed, deleted, found in self._changes
-                if changed == kind and revision > since
+                {"object": stored, "deleted": is_deleted}
+                for revision, changed_kind, is_deleted, stored in self._changes
+                if changed_kind == kind and revision > after_revision
             ]
 
         async with self._changed:
@@ -112,7 +117,7 @@
                     self._changed.wait_for(lambda: bool(list_events())), wait_s
                 )
             except asyncio.TimeoutError:
-                # An empty answer says that nothing has changed.
+                # An empty list of events means that nothing has changed.
                 pass
         return serving.answer(
             {"events": list_events(), "store_revision": self.revision}
@@ -127,29 +132,35 @@
         return serving.answer(await self.put(kind, name, body.get("spec")))
 
     async def _read(self, request: web.Request) -> web.Response:
-        found = self._find(request)
-        if found is None:
+        stored = self._find(request)
+        if stored is None:
             return serving.make_error_response(404, "no such object")
-        return serving.answer(found)
+        return serving.answer(stored)
 
     async def _replace(self, request: web.Request) -> web.Response:
         kind, name = request.match_info["kind"], request.match_info["name"]
-        found = self._find(request)
-        if found is None:
+        stored = self._find(request)
+        if stored is None:
             return serving.make_error_response(404, "no such object")
         body = await serving.read_json(request)
-        wanted = body.get("metadata", {}).get("revision")
-        if wanted is not None and wanted != found["metadata"]["revision"]:
-            return serving.answer(found, 409)
+        expected_revision = body.get("metadata", {}).get("revision")
+        if (
+            expected_revision is not None
+            and expected_revision != stored["metadata"]["revision"]
+        ):
+            return serving.answer(stored, 409)
         return serving.answer(await self.put(kind, name, body.get("spec")))
 
     async def _delete(self, request: web.Request) -> web.Response:
-        found = self._find(request)
-        if found is None:
+        stored = self._find(request)
+        if stored is None:
             return serving.make_error_response(404, "no such object")
-        wanted = request.query.get("revision")
-        if wanted and int(wanted) != found["metadata"]["revision"]:
-            return serving.answer(found, 409)
+        expected_revision = request.query.get("revision")
+        if (
+            expected_revision
+            and int(expected_revision) != stored["metadata"]["revision"]
+        ):
+            return serving.answer(stored, 409)
         await self.drop(request.match_info["kind"], request.match_info["name"])
         return serving.answer({})
 
@@ -160,16 +171,16 @@
     async def put(self, kind: str, name: str, spec: typing.Any) -> Stored:
         """Write an object.
 
-        :param kind: its kind
-        :param name: its name
-        :param spec: its content
-        :returns: the object as stored
+        :param kind: kind of the object
+        :param name: name of the object
+        :param spec: content of the object
+        :returns: stored object
         """
         async with self._changed:
             self.revision += 1
-            before = self.objects[kind].get(name)
-            created = before["metadata"]["created"] if before else 1
-            found = {
+            previous = self.objects[kind].get(name)
+            created = previous["metadata"]["created"] if previous else 1
+            stored = {
                 "metadata": {
                     "name": name,
                     "revision": self.revision,
@@ -180,23 +191,23 @@
                 "spec": spec,
                 "status": None,
             }
-            self.objects[kind][name] = found
-            self._changes.append((self.revision, kind, False, found))
+            self.objects[kind][name] = stored
+            self._changes.append((self.revision, kind, False, stored))
             self._changed.notify_all()
-        return found
+        return stored
 
     async def drop(self, kind: str, name: str) -> None:
-        """Remove an object.
+        """Remove an object if it exists.
 
-        :param kind: its kind
-        :param name: its name
+        :param kind: kind of the object
+        :param name: name of the object
         """
         async with self._changed:
-            found = self.objects[kind].pop(name, None)
-            if found is None:
+            stored = self.objects[kind].pop(name, None)
+            if stored is None:
                 return
             self.revision += 1
-            self._changes.append((self.revision, kind, True, found))
+            self._changes.append((self.revision, kind, True, stored))
             self._changed.notify_all()
 
     async def _put(self, request: web.Request) -> web.Response:
@@ -218,7 +229,7 @@
         async with self._changed:
             self._changes.clear()
             self.revision += 1
-            self._oldest = self.revision
+            self._oldest_revision = self.revision
         return serving.answer({})
 
     async def _show_calls(self, request: web.Request) -> web.Response:
@@ -226,9 +237,9 @@
 
 
 def run(arguments: list[str]) -> None:
-    """Serve until a signal comes.
+    """Serve until a termination signal.
 
-    :param arguments: what is left of the command line
+    :param arguments: remaining command-line arguments
     """
     store = HostedStore()
     asyncio.run(serving.serve(FLAGS.host, {FLAGS.port: store.make_app()}))
--- a/standins/hosted_upstreams.py
+++ b/standins/hosted_upstreams.py
@@ -1,15 +1,21 @@
-"""Stand-ins for the operators' upstreams: engines and a plain service.
+"""Stand-ins for the operators' upstreams: engines and a non-model service.
 
 ``python -m standins.hosted_upstreams --port 9001 --phase decode``; without a
-phase it is a plain service.  What it was sent is kept for checkers, and
-``POST /standin/faults`` sets faults: ``cut_after`` events, ``fail_status``,
-``full`` (refuses what would run), ``lapse`` (handles are gone at once),
-``mute`` (answers neither prompts, reservations nor decodes), ``lose_answer``
-(runs a plain call and closes the connection), ``event_ms`` (the time between
-events), ``pause_ms`` after the event ``pause_at``, ``refuse_prompts``.
-With
-``--journal`` each run is added to a file as a line of JSON, which outlives
-the process.
+phase it is a non-model service.  It records its requests for the test harness.
+With ``--journal`` it also appends each execution to a file as a line of JSON,
+which outlives the process.  ``POST /standin/faults`` sets faults:
+
+* ``cut_after``: truncate streams after this many events
+* ``fail_status``: status of all responses
+* ``full``: reject all requests without executing them
+* ``lapse``: let handles expire at once
+* ``mute``: answer neither prompts, reservations nor decodes
+* ``lose_answer``: execute a service call and close the connection
+* ``event_ms``: time between events
+* ``pause_ms``: additional time after the event ``pause_at``
+* ``refuse_prompts``: reject prefills
+* ``read_ms``: duration of a prefill
+* ``no_room``: reject reservations
 """
 
 import asyncio
@@ -32,28 +38,28 @@
 
 FLAGS = flags.FLAGS
 NOT_EXECUTED = {"Not-Executed": "1"}
-EVENT_MS = 10
+DEFAULT_EVENT_MS = 10
 EVENTS = 20
-WORK_S = 0.02
-MUTE_S = 60.0
-
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_integer("port", 9001, "the port")
-flags.DEFINE_string("instance", "i-1", "the incarnation that it is")
-flags.DEFINE_string("phase", "", "prefill or decode; a plain service if none")
-flags.DEFINE_string("journal", "", "a file that runs are written to")
+SERVICE_TIME_S = 0.02
+UNRESPONSIVE_S = 60.0
+
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_integer("port", 9001, "port to listen on")
+flags.DEFINE_string("instance", "i-1", "name of its incarnation")
+flags.DEFINE_string("phase", "", "prefill or decode; empty for a service")
+flags.DEFINE_string("journal", "", "file that executions are written to")
 flags.DEFINE_integer(
-    "handle_ms", 0, "how long a KV cache waits to be taken; 0 for ever"
+    "handle_ms", 0, "time in ms until a handle expires; 0 for never"
 )
 
 
 class HostedUpstream:
-    """One server.
+    """One upstream server.
 
-    :param instance: the incarnation that it is
-    :param phase: ``prefill`` or ``decode``; empty for a plain service
-    :param journal: the file that runs are added to; none to do without
-    :param handle_ms: how long a KV cache waits to be taken; 0 for ever
+    :param instance: name of its incarnation
+    :param phase: ``prefill`` or ``decode``; empty for a non-model service
+    :param journal: file that executions are appended to, if any
+    :param handle_ms: time in ms until a handle expires; 0 for never
     """
 
     def __init__(
@@ -70,12 +76,12 @@
         self.recorder = recorder.Recorder()
         self.handles: set[str] = set()
         self.holds: set[str] = set()
-        # Reservations that were refused, and decodes that came with one.
+        # Number of rejected reservations, and of decodes with a reservation.
         self.refused_holds = 0
         self.held_decodes = 0
         self.orders = 0
         self.running = 0
-        # How many prompts were read for other engines.
+        # Number of prefills for other engines.
         self.prompts = 0
         self.faults: dict[str, int] = {
             "cut_after": 0,
@@ -86,27 +92,29 @@
             "mute": 0,
             "read_ms": 0,
             "no_room": 0,
-            "event_ms": EVENT_MS,
+            "event_ms": DEFAULT_EVENT_MS,
             "pause_at": 0,
             "pause_ms": 0,
             "refuse_prompts": 0,
         }
-        self._numbers = itertools.count(1)
+        self._id_numbers = itertools.count(1)
 
     def make_app(self) -> web.Application:
-        """Return the application."""
+        """Return the application to serve."""
         app = serving.make_app()
         self.recorder.add_routes(app)
         app.router.add_post("/standin/faults", self._set_faults)
         app.router.add_get("/standin/state", self._show_state)
         app.router.add_get("/mulberryway/report", self._report)
         app.router.add_post("/mulberryway/order", self._order)
-        app.router.add_post("/mulberryway/hold-take", self._take_hold)
-        app.router.add_delete("/mulberryway/hold-drop/{name}", self._drop_hold)
+        app.router.add_post("/mulberryway/hold-take", self._reserve)
         app.router.add_delete(
-            "/mulberryway/kv-handle/{name}", self._free_handle
+            "/mulberryway/hold-drop/{name}", self._release_reservation
         )
-        app.router.add_post("/take/{name}", self._take)
+        app.router.add_delete(
+            "/mulberryway/kv-handle/{name}", self._release_handle
+        )
+        app.router.add_post("/take/{name}", self._serve_handle)
         app.router.add_route("*", "/{path:.*}", self._handle)
         return app
 
@@ -115,43 +123,45 @@
         self.recorder.note(request, body)
         expected = request.headers.get("Expect-Instance", self.instance)
         if expected != self.instance:
-            return self._answer(request, 421, b"")
+            return self._make_response(request, 421, b"")
         if self.faults["fail_status"]:
-            return self._answer(request, self.faults["fail_status"], b"failed")
+            return self._make_response(
+                request, self.faults["fail_status"], b"failed"
+            )
         if self.faults["full"]:
-            return self._answer(request, 503, b"", NOT_EXECUTED)
+            return self._make_response(request, 503, b"", NOT_EXECUTED)
         if not self.phase:
             return await self._serve_plain(request, body)
         if self.faults["mute"]:
-            await asyncio.sleep(MUTE_S)
+            await asyncio.sleep(UNRESPONSIVE_S)
         if request.headers.get("Serving-Phase") == "prefill":
             await asyncio.sleep(self.faults["read_ms"] / 1_000)
-            return self._read_prompt(request)
+            return self._prefill(request)
         if self.phase != "decode":
-            return self._answer(request, 421, b"")
+            return self._make_response(request, 421, b"")
         return await self._stream(request)
 
     async def _serve_plain(
         self, request: web.Request, body: bytes
     ) -> web.Response:
-        self._note_run(request)
-        await asyncio.sleep(WORK_S)
+        self._record_run(request)
+        await asyncio.sleep(SERVICE_TIME_S)
         if body == b"poison":
-            # A server that runs this dies of it.
+            # Simulates a request that crashes its server.
             os._exit(1)
         if self.faults["lose_answer"]:
             assert request.transport is not None
             request.transport.abort()
         content = f"{request.method} {request.path_qs} ".encode() + body
-        return self._answer(request, 200, content)
+        return self._make_response(request, 200, content)
 
-    def _read_prompt(self, request: web.Request) -> web.Response:
+    def _prefill(self, request: web.Request) -> web.Response:
         if self.phase != "prefill":
-            return self._answer(request, 421, b"")
+            return self._make_response(request, 421, b"")
         if self.faults["refuse_prompts"]:
-            return self._answer(request, 503, b"", NOT_EXECUTED)
+            return self._make_response(request, 503, b"", NOT_EXECUTED)
         self.prompts += 1
-        name = f"{self.instance}-{next(self._numbers)}"
+        name = f"{self.instance}-{next(self._id_numbers)}"
         if not self.faults["lapse"]:
             self.handles.add(name)
             if self.handle_ms:
@@ -159,72 +169,72 @@
                     self.handle_ms / 1_000, self.handles.discard, name
                 )
         tokens = int(request.headers["Token-Counts"].partition(",")[0])
-        value = {"cache_handle": name, "tokens": tokens, "version": 1}
-        return self._answer(request, 200, json.dumps(value).encode())
+        result = {"cache_handle": name, "tokens": tokens, "version": 1}
+        return self._make_response(request, 200, json.dumps(result).encode())
 
     async def _stream(self, request: web.Request) -> web.StreamResponse:
-        hold = request.headers.get("Kv-Hold")
-        if hold in self.holds:
-            self.holds.discard(hold)
+        reservation = request.headers.get("Kv-Hold")
+        if reservation in self.holds:
+            self.holds.discard(reservation)
             self.held_decodes += 1
-        source = request.headers.get("Kv-Source")
-        if source and not await self._fetch(source):
-            return self._answer(request, 503, b"", NOT_EXECUTED)
-        first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        self._note_run(request)
+        kv_source = request.headers.get("Kv-Source")
+        if kv_source and not await self._take_remote_handle(kv_source):
+            return self._make_response(request, 503, b"", NOT_EXECUTED)
+        first_event = int(request.headers.get("Last-Event-Id", "0")) + 1
+        self._record_run(request)
         response = web.StreamResponse(headers=self._make_headers(request))
         response.headers["Content-Type"] = "text/event-stream"
         await response.prepare(request)
         self.running += 1
         try:
-            for number in range(first, EVENTS + 1):
-                cut = self.faults["cut_after"]
-                if cut and number > cut:
+            for number in range(first_event, EVENTS + 1):
+                cut_after = self.faults["cut_after"]
+                if cut_after and number > cut_after:
                     assert request.transport is not None
                     request.transport.abort()
                     break
                 await response.write(
                     b"id: %d\ndata: t%d\n\n" % (number, number)
                 )
-                await self._pause_after(number)
+                await self._wait_after_event(number)
         finally:
             self.running -= 1
         return response
 
-    async def _pause_after(self, number: int) -> None:
-        pause_ms = self.faults["event_ms"]
+    async def _wait_after_event(self, number: int) -> None:
+        delay_ms = self.faults["event_ms"]
         if number == self.faults["pause_at"]:
-            pause_ms += self.faults["pause_ms"]
-        await asyncio.sleep(pause_ms / 1_000)
+            delay_ms += self.faults["pause_ms"]
+        await asyncio.sleep(delay_ms / 1_000)
 
-    async def _fetch(self, source: str) -> bool:
-        address, _, name = source.partition("/")
+    async def _take_remote_handle(self, kv_source: str) -> bool:
+        address, _, name = kv_source.partition("/")
         async with serving.make_session() as session:
             async with session.post(f"http://{address}/take/{name}") as reply:
                 return reply.status == 200
 
-    async def _take(self, request: web.Request) -> web.Response:
+    async def _serve_handle(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         if name not in self.handles:
             return serving.make_error_response(404, "no such handle")
         self.handles.discard(name)
         return serving.answer({})
 
-    async def _free_handle(self, request: web.Request) -> web.Response:
+    async def _release_handle(self, request: web.Request) -> web.Response:
         self.handles.discard(request.match_info["name"])
         return serving.answer({})
 
-    async def _take_hold(self, request: web.Request) -> web.Response:
+    async def _reserve(self, request: web.Request) -> web.Response:
         if self.faults["mute"]:
-            await asyncio.sleep(MUTE_S)
+            await asyncio.sleep(UNRESPONSIVE_S)
         if self.faults["no_room"] or self.faults["full"]:
             self.refused_holds += 1
-            return self._answer(request, 503, b"")
-        name = f"h{next(self._numbers)}"
+            return self._make_response(request, 503, b"")
+        name = f"h{next(self._id_numbers)}"
         self.holds.add(name)
         return serving.answer({"hold": name})
 
-    async def _drop_hold(self, request: web.Request) -> web.Response:
+    async def _release_reservation(self, request: web.Request) -> web.Response:
         self.holds.discard(request.match_info["name"])
         return serving.answer({})
 
@@ -246,7 +256,9 @@
     async def _order(self, request: web.Request) -> web.Response:
         body = await serving.read_json(request)
         if body.get("expect", self.orders) != self.orders:
-            return serving.make_error_response(409, "another state")
+            return serving.make_error_response(
+                409, "the sequence does not match"
+            )
         self.orders += 1
         self.phase = body["phase"]
         return serving.answer({}, 202)
@@ -269,7 +281,7 @@
             }
         )
 
-    def _note_run(self, request: web.Request) -> None:
+    def _record_run(self, request: web.Request) -> None:
         self.recorder.runs.append(
             {
                 "id": request.headers.get("Attempt-Id", ""),
@@ -279,11 +291,13 @@
             }
         )
         if self.journal is not None:
-            self._write_run(self.journal, request)
+            self._append_to_journal(self.journal, request)
 
-    def _write_run(self, journal: pathlib.Path, request: web.Request) -> None:
-        """Add a run to the journal before it begins to work."""
-        row = {
+    def _append_to_journal(
+        self, journal: pathlib.Path, request: web.Request
+    ) -> None:
+        """Append an execution to the journal before its work starts."""
+        record = {
             "attempt": request.headers.get("Attempt-Id", ""),
             "instance": self.instance,
             "account": request.headers.get("Tenant", ""),
@@ -292,9 +306,9 @@
             "text": f"{request.raw_path} {dict(request.headers)}",
         }
         with journal.open("a", encoding="utf-8") as output:
-            output.write(json.dumps(row) + "\n")
+            output.write(json.dumps(record) + "\n")
 
-    def _answer(
+    def _make_response(
         self,
         request: web.Request,
         status: int,
@@ -318,9 +332,9 @@
 
 
 def run(arguments: list[str]) -> None:
-    """Serve until a signal comes.
+    """Serve until a termination signal.
 
-    :param arguments: what is left of the command line
+    :param arguments: remaining command-line arguments
     """
     journal = pathlib.Path(FLAGS.journal) if FLAGS.journal else None
     server: typing.Final = HostedUpstream(
--- a/standins/load_history.py
+++ b/standins/load_history.py
@@ -1,19 +1,19 @@
-"""An engine's load over time, so that its reports can lag."""
+"""History of an engine's load, which allows delayed load reports."""
 
 import collections
 
 __all__ = ["LoadHistory", "LoadSnapshot"]
 
-MOST_SNAPSHOTS = 4_096
+MAX_SNAPSHOTS = 4_096
 
 
 class LoadSnapshot:
-    """What an engine's load was at some time.
+    """Load of an engine at one time.
 
-    :param at_ms: when
-    :param running: requests that hold a slot of the batch
-    :param waiting: prefills that are queued or under way
-    :param free_blocks: KV cache blocks that were free
+    :param at_ms: time in ms
+    :param running: number of requests that hold a slot of the batch
+    :param waiting: number of queued and running prefills
+    :param free_blocks: number of free KV cache blocks
     """
 
     __slots__ = ("at_ms", "running", "waiting", "free_blocks")
@@ -28,29 +28,29 @@
 
 
 class LoadHistory:
-    """Keeps snapshots until they are older than any report.
+    """Load snapshots that reports may still need.
 
-    :param total_blocks: what was free before the first snapshot
+    :param total_blocks: free blocks before the first snapshot
     """
 
     def __init__(self, total_blocks: int) -> None:
         self._total_blocks = total_blocks
         self._snapshots: collections.deque[LoadSnapshot] = collections.deque(
-            maxlen=MOST_SNAPSHOTS
+            maxlen=MAX_SNAPSHOTS
         )
 
     def add(self, snapshot: LoadSnapshot) -> None:
-        """Note the load after a change.
+        """Add a snapshot after a change of the load.
 
-        :param snapshot: the newest load
+        :param snapshot: newest load
         """
         self._snapshots.append(snapshot)
 
     def read(self, seen_ms: float) -> LoadSnapshot:
-        """Return the load as it was; later calls must not ask for earlier.
+        """Return the load at a time that must not decrease between calls.
 
-        :param seen_ms: the time of the report
-        :returns: the newest snapshot that is not younger
+        :param seen_ms: time in ms that the report is about
+        :returns: newest snapshot that is not younger than this time
         """
         while len(self._snapshots) > 1 and self._snapshots[1].at_ms <= seen_ms:
             self._snapshots.popleft()
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
-"""The platform stand-in: an object API with conditional updates.
+"""Platform stand-in: an object API with conditional updates and watches.
 
-``python -m standins.platform --port 8001``; faults are switched by ``POST
-/standin/faults``, the list of VMs is set by ``POST /standin/nodes``.
+``python -m standins.platform --port 8001``; ``POST /standin/faults`` sets
+faults, and ``POST /standin/nodes`` sets the list of VMs.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_integer("port", 8001, "the port")
-flags.DEFINE_integer("writes_per_s", 300, "writes a second; 0: no limit")
-flags.DEFINE_integer("reads_per_s", 2_000, "reads a second; 0: no limit")
-flags.DEFINE_integer("most_changes", 10_000, "writes that watches reach back")
-flags.DEFINE_integer("nodes_lag_ms", 2_000, "how late the list of VMs is")
-flags.DEFINE_integer("latency_ms", 2, "the usual time to an answer")
-flags.DEFINE_integer("seed", 1, "decides which replies are lost")
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_integer("port", 8001, "port to listen on")
+flags.DEFINE_integer("writes_per_s", 300, "writes per second; 0: no limit")
+flags.DEFINE_integer("reads_per_s", 2_000, "reads per second; 0: no limit")
+flags.DEFINE_integer("most_changes", 10_000, "history length in writes")
+flags.DEFINE_integer("nodes_lag_ms", 2_000, "delay of the list of VMs")
+flags.DEFINE_integer("latency_ms", 2, "response latency without faults")
+flags.DEFINE_integer("seed", 1, "random seed that selects lost replies")
 
 PREFIX = "/apis/mulberryway.dev/v1/{kind}"
 WRITES = ("create", "update", "delete")
@@ -45,14 +45,14 @@
 
 
 class PlatformServer:
-    """The object API over a :class:`store.Store`.
-
-    :param writes_per_s: the rate of writes
-    :param reads_per_s: the rate of reads
-    :param most_changes: the history's length
-    :param nodes_lag_ms: the lag of the list of VMs
-    :param latency_ms: the usual time to an answer
-    :param seed: decides which replies are lost
+    """Serves a :class:`store.Store` over HTTP, with limits and faults.
+
+    :param writes_per_s: maximum rate of writes per second; 0 for no limit
+    :param reads_per_s: maximum rate of reads per second; 0 for no limit
+    :param most_changes: maximum number of writes in the history
+    :param nodes_lag_ms: delay in ms of changes to the list of VMs
+    :param latency_ms: response latency in ms without faults
+    :param seed: random seed that selects lost replies
     """
 
     def __init__(
@@ -87,7 +87,9 @@
             ("GET", "/api/v1/{kind:nodes}", "list", self._read_nodes),
         )
         for method, path, verb, handler in routes:
-            app_.router.add_route(method, path, self._guard(verb, handler))
+            app_.router.add_route(
+                method, path, self._add_faults_and_limits(verb, handler)
+            )
         app_.router.add_get("/standin/calls", self._show_calls)
         app_.router.add_delete("/standin/calls", self._clear_calls)
         app_.router.add_get("/standin/faults", self._set_faults)
@@ -95,40 +97,42 @@
         app_.router.add_post("/standin/nodes", self._set_nodes)
         return app_
 
-    def _guard(self, verb: str, handler: Handler) -> Handler:
-        """Put rates, counts and faults around a call."""
+    def _add_faults_and_limits(self, verb: str, handler: Handler) -> Handler:
+        """Wrap a handler with call counts, rate limits and faults."""
 
-        async def guarded(request: web.Request) -> web.StreamResponse:
+        async def wrapper(request: web.Request) -> web.StreamResponse:
             kind = request.match_info["kind"]
-            watching = request.query.get("watch") == "true"
+            is_watch = request.query.get("watch") == "true"
             body = await request.read()
-            self.calls.note("watch" if watching else verb, kind, len(body))
-            faulty = self.faults.hits(kind)
-            if faulty and self.faults.silence:
+            self.calls.note("watch" if is_watch else verb, kind, len(body))
+            is_affected = self.faults.affects(kind)
+            if is_affected and self.faults.silence:
                 await asyncio.Event().wait()
-            slow_ms = self.faults.slow_ms if faulty else 0
+            slow_ms = self.faults.slow_ms if is_affected else 0
             await asyncio.sleep((self._latency_ms + slow_ms) / 1000)
-            if faulty and self.faults.outage:
-                return serving.make_error_response(503, "an outage")
-            if not self._take(verb):
-                return serving.make_error_response(429, "over the rate")
-            response = await self._run(handler, request)
-            loses = (
-                verb in WRITES and faulty and self.faults.consume_reply_drop()
+            if is_affected and self.faults.outage:
+                return serving.make_error_response(503, "simulated outage")
+            if not self._consume_rate(verb):
+                return serving.make_error_response(429, "rate limit exceeded")
+            response = await self._call_handler(handler, request)
+            drops_reply = (
+                verb in WRITES
+                and is_affected
+                and self.faults.consume_reply_drop()
             )
-            if loses and request.transport is not None:
+            if drops_reply and request.transport is not None:
                 request.transport.abort()
             return response
 
-        return guarded
+        return wrapper
 
-    def _take(self, verb: str) -> bool:
+    def _consume_rate(self, verb: str) -> bool:
         now_s = asyncio.get_running_loop().time()
         if verb in WRITES:
             return self._writes.take(now_s)
         return self._reads.take(now_s, len(self.watches))
 
-    async def _run(
+    async def _call_handler(
         self, handler: Handler, request: web.Request
     ) -> web.StreamResponse:
         try:
@@ -139,7 +143,7 @@
             )
 
     async def _read(self, request: web.Request) -> web.Response:
-        return serving.answer(self.store.read(*_name_of(request)))
+        return serving.answer(self.store.read(*_get_kind_and_name(request)))
 
     async def _read_all(self, request: web.Request) -> web.StreamResponse:
         if request.query.get("watch") == "true":
@@ -150,7 +154,7 @@
 
     async def _create(self, request: web.Request) -> web.Response:
         body = await serving.read_json(request)
-        kind, name = _name_of(request)
+        kind, name = _get_kind_and_name(request)
         name = name or str(body["metadata"]["name"])
         object_ = self.store.create(kind, name, body["value"])
         self.watches.wake()
@@ -158,15 +162,17 @@
 
     async def _update(self, request: web.Request) -> web.Response:
         body = await serving.read_json(request)
-        kind, name = _name_of(request)
-        version = _version_of(request, body)
+        kind, name = _get_kind_and_name(request)
+        version = _get_expected_version(request, body)
         object_ = self.store.update(kind, name, body["value"], version)
         self.watches.wake()
         return serving.answer(object_)
 
     async def _delete(self, request: web.Request) -> web.Response:
         body = await serving.read_json(request)
-        self.store.delete(*_name_of(request), _version_of(request, body))
+        self.store.delete(
+            *_get_kind_and_name(request), _get_expected_version(request, body)
+        )
         self.watches.wake()
         return serving.answer({"status": "Success"})
 
@@ -176,11 +182,11 @@
     async def _set_nodes(self, request: web.Request) -> web.Response:
         items = (await serving.read_json(request))["items"]
         asyncio.get_running_loop().call_later(
-            self._nodes_lag_ms / 1000, self._show_nodes, items
+            self._nodes_lag_ms / 1000, self._apply_nodes, items
         )
         return serving.answer({})
 
-    def _show_nodes(self, items: list[typing.Any]) -> None:
+    def _apply_nodes(self, items: list[typing.Any]) -> None:
         self._nodes = items
 
     async def _set_faults(self, request: web.Request) -> web.Response:
@@ -206,28 +212,30 @@
         return serving.answer({})
 
 
-def _name_of(request: web.Request) -> tuple[str, str]:
+def _get_kind_and_name(request: web.Request) -> tuple[str, str]:
     return request.match_info["kind"], request.match_info.get("name", "")
 
 
-def _version_of(request: web.Request, body: dict[str, typing.Any]) -> int:
+def _get_expected_version(
+    request: web.Request, body: dict[str, typing.Any]
+) -> int:
     """Return the version that a write is conditional on.
 
-    :raises web.HTTPBadRequest: if there is none; the system makes no
-        unconditional writes, and a forgotten condition must show
+    :raises web.HTTPBadRequest: if there is none; the system under test makes
+        no unconditional writes, so a missing condition is an error
     """
-    found = (
+    version = (
         request.query.get("resourceVersion")
         or body.get("metadata", {}).get("resourceVersion")
         or body.get("preconditions", {}).get("resourceVersion")
     )
-    if found is None:
-        raise web.HTTPBadRequest(text="no resourceVersion")
-    return int(found)
+    if version is None:
+        raise web.HTTPBadRequest(text="missing resourceVersion")
+    return int(version)
 
 
 async def serve() -> None:
-    """Serve until a signal."""
+    """Serve until a termination signal."""
     server = PlatformServer(
         FLAGS.writes_per_s,
         FLAGS.reads_per_s,
--- a/standins/platform_faults.py
+++ b/standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""The faults that the platform stand-in can be switched to."""
+"""Faults of the platform stand-in."""
 
 import random
 import typing
@@ -7,15 +7,20 @@
 
 
 class Faults:
-    """What goes wrong at present; everything off at first.
+    """Current faults; initially all are off.
 
-    ``outage`` answers 503; ``silence`` takes calls and never answers;
-    ``slow_ms`` delays each answer; ``lost_writes`` counts writes to come
-    that take effect and whose connection is then cut; ``lost_share`` does
-    so to a seeded share; ``stale`` lets reads answer from the state of the
-    moment it was switched on; ``silent_watches`` silences for good the
-    watches that are open at that moment, while new ones work; ``kinds``
-    limits all this to some kinds.
+    * ``outage``: respond with status 503, and end watches
+    * ``silence``: accept calls and never respond
+    * ``slow_ms``: additional delay of each response
+    * ``lost_writes``: number of coming writes that take effect, but whose
+      connection is reset before the response
+    * ``lost_share``: probability of the same fault for each other write
+    * ``stale``: serve reads from the state at the time this was enabled
+    * ``silent_watches``: send nothing more on the watches open at that time;
+      new watches work
+    * ``kinds``: limit the faults to these kinds; empty for all
+
+    :param seed: random seed that selects lost replies
     """
 
     def __init__(self, seed: int) -> None:
@@ -27,18 +32,18 @@
         self.stale = False
         self.silent_watches = False
         self.kinds: list[str] = []
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def change(self, values: dict[str, typing.Any]) -> None:
-        """Switch faults on or off; the others stay as they are.
+        """Set some faults and leave the others unchanged.
 
-        :param values: faults by name
-        :raises ValueError: if there is no such fault
+        :param values: new values by fault name
+        :raises ValueError: if a fault does not exist
         """
         known = self.show()
         unknown = values.keys() - known.keys()
         if unknown:
-            raise ValueError(f"unknown: {sorted(unknown)}")
+            raise ValueError(f"unknown faults: {sorted(unknown)}")
         for name, value in values.items():
             setattr(self, name, value)
 
@@ -50,16 +55,16 @@
             if not name.startswith("_")
         }
 
-    def hits(self, kind: str) -> bool:
-        """Tell whether a kind is among those that faults concern.
+    def affects(self, kind: str) -> bool:
+        """Return whether the faults apply to a kind.
 
-        :param kind: the kind
+        :param kind: kind of an object
         """
         return not self.kinds or kind in self.kinds
 
     def consume_reply_drop(self) -> bool:
-        """Decide whether a write's reply is lost; counts the write."""
+        """Return whether to drop a write's reply, and count the write."""
         if self.lost_writes > 0:
             self.lost_writes -= 1
             return True
-        return self._random.random() < self.lost_share
+        return self._rng.random() < self.lost_share
--- a/standins/prefill_queue.py
+++ b/standins/prefill_queue.py
@@ -1,4 +1,4 @@
-"""Prefills of one engine, one after another, urgent ones first."""
+"""Priority queue of one engine's prefills, which run one at a time."""
 
 import heapq
 import itertools
@@ -11,20 +11,20 @@
 
 
 class PrefillQueue:
-    """Runs one prefill at a time.
+    """Queue that runs one prefill at a time, by priority.
 
-    :param shape: the engine's figures
-    :param cache: blocks whose tokens cost nothing
+    :param parameters: parameters of the engine
+    :param cache: prefix cache; tokens of cached blocks need no work
     """
 
     def __init__(
         self,
-        shape: engine_types.EngineParameters,
+        parameters: engine_types.EngineParameters,
         cache: prefix_cache.PrefixCache,
     ) -> None:
-        self._shape = shape
+        self._parameters = parameters
         self._cache = cache
-        self._numbers = itertools.count(1)
+        self._sequence_numbers = itertools.count(1)
         self._waiting: list[tuple[int, int, engine_types.EngineRequest]] = []
         self._current: engine_types.EngineRequest | None = None
 
@@ -32,60 +32,62 @@
         return len(self._waiting) + (self._current is not None)
 
     def is_full(self) -> bool:
-        """Tell whether no further prefill may wait."""
-        return len(self._waiting) >= self._shape.most_prefills
+        """Return whether the queue accepts no further prefill."""
+        return len(self._waiting) >= self._parameters.most_prefills
 
-    def add(self, run: engine_types.EngineRequest, now_ms: float) -> None:
+    def add(self, request: engine_types.EngineRequest, now_ms: float) -> None:
         """Queue a prefill.
 
-        :param run: the run
-        :param now_ms: the present
+        :param request: request to prefill
+        :param now_ms: current time in ms
         """
-        number = next(self._numbers)
-        heapq.heappush(self._waiting, (run.priority, number, run))
-        self._start(now_ms)
+        number = next(self._sequence_numbers)
+        heapq.heappush(self._waiting, (request.priority, number, request))
+        self._start_next(now_ms)
 
-    def remove(self, run: engine_types.EngineRequest, now_ms: float) -> None:
-        """Give a run's prefill up, if it waits or is under way.
+    def remove(
+        self, request: engine_types.EngineRequest, now_ms: float
+    ) -> None:
+        """Cancel the prefill of a request if it is queued or running.
 
-        :param run: the run
-        :param now_ms: the present
+        :param request: request to cancel
+        :param now_ms: current time in ms
         """
         self._waiting = [
-            entry for entry in self._waiting if entry[2] is not run
+            entry for entry in self._waiting if entry[2] is not request
         ]
         heapq.heapify(self._waiting)
-        if self._current is run:
+        if self._current is request:
             self._current = None
-            self._start(now_ms)
+            self._start_next(now_ms)
 
     def get_next_event_ms(self) -> float:
-        """Return when the current prefill ends; infinite if there is none."""
+        """Return the end of the running prefill in ms; infinite if none."""
         return self._current.due_ms if self._current else math.inf
 
-    def end(self, at_ms: float) -> engine_types.EngineRequest | None:
-        """Take out the prefill that has ended, and start the next.
+    def pop_finished(self, at_ms: float) -> engine_types.EngineRequest | None:
+        """Remove the prefill that has finished, and start the next one.
 
-        :param at_ms: the present
-        :returns: the run, or none
+        :param at_ms: current time in ms
+        :returns: request whose prefill has finished, if any
         """
-        run = self._current
-        if run is None or run.due_ms > at_ms:
+        request = self._current
+        if request is None or request.due_ms > at_ms:
             return None
-        self._cache.store(run.hashes, at_ms)
+        self._cache.store(request.hashes, at_ms)
         self._current = None
-        self._start(at_ms)
-        return run
+        self._start_next(at_ms)
+        return request
 
-    def _start(self, now_ms: float) -> None:
+    def _start_next(self, now_ms: float) -> None:
         if self._current is not None or not self._waiting:
             return
-        run = heapq.heappop(self._waiting)[2]
-        hits = self._cache.count_hits(run.hashes)
-        run.cached_tokens = hits * self._shape.block_tokens
-        run.phase = engine_types.RequestPhase.PREFILL
-        uncached = max(run.prompt_tokens - run.cached_tokens, 1)
-        work_ms = uncached * self._shape.prefill_token_ms
-        work_ms += self._shape.prefill_base_ms
-        run.due_ms = now_ms + work_ms * self._shape.slow_factor
-        self._current = run
+        request = heapq.heappop(self._waiting)[2]
+        cached_blocks = self._cache.count_hits(request.hashes)
+        request.cached_tokens = cached_blocks * self._parameters.block_tokens
+        request.phase = engine_types.RequestPhase.PREFILL
+        uncached_tokens = max(request.prompt_tokens - request.cached_tokens, 1)
+        work_ms = uncached_tokens * self._parameters.prefill_token_ms
+        work_ms += self._parameters.prefill_base_ms
+        request.due_ms = now_ms + work_ms * self._parameters.slow_factor
+        self._current = request
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,20 +1,20 @@
-"""The engine model's prefix cache and its late, incomplete events."""
+"""Prefix cache of the engine model, with delayed and incomplete events."""
 
 import collections
 import random
 
 __all__ = ["CacheRecord", "PrefixCache"]
 
-MOST_RECORDS = 4_096
+MAX_RECORDS = 4_096
 
 
 class CacheRecord:
     """One published change of the cache.
 
-    :param sequence: counts up by one; a lost record leaves a gap
-    :param visible_ms: when readers see it
-    :param stored: hashes of blocks now in the cache
-    :param removed: hashes of blocks evicted
+    :param sequence: consecutive number; a lost record leaves a gap
+    :param visible_ms: time in ms from which readers see it
+    :param stored: hashes of the added blocks
+    :param removed: hashes of the evicted blocks
     """
 
     __slots__ = ("sequence", "visible_ms", "stored", "removed")
@@ -33,12 +33,12 @@
 
 
 class PrefixCache:
-    """Blocks by hash, the least recently used evicted first.
+    """LRU cache of blocks by hash.
 
-    :param blocks: how many it holds
-    :param lag_ms: how late its events are seen
-    :param loss_fraction: the share of events that are lost
-    :param random_: decides which are lost
+    :param blocks: capacity in blocks
+    :param lag_ms: delay in ms until readers see an event
+    :param loss_fraction: fraction of events that are lost
+    :param rng: random generator that selects the lost events
     """
 
     def __init__(
@@ -46,25 +46,25 @@
         blocks: int,
         lag_ms: float,
         loss_fraction: float,
-        random_: random.Random,
+        rng: random.Random,
     ) -> None:
         self.blocks = blocks
         self.lag_ms = lag_ms
         self.loss_fraction = loss_fraction
-        self._random = random_
+        self._rng = rng
         self._held: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._records: collections.deque[CacheRecord] = collections.deque(
-            maxlen=MOST_RECORDS
+            maxlen=MAX_RECORDS
         )
         self._sequence = 0
 
     def count_hits(self, hashes: tuple[str, ...]) -> int:
-        """Return how many leading blocks are held, and mark them as used.
+        """Return the number of leading cached blocks and mark them as used.
 
-        :param hashes: the prompt's block hashes in order
-        :returns: blocks
+        :param hashes: block hashes of the prompt in order
+        :returns: number of blocks
         """
         hits = 0
         for block in hashes:
@@ -75,10 +75,10 @@
         return hits
 
     def store(self, hashes: tuple[str, ...], now_ms: float) -> None:
-        """Keep a prompt's blocks and publish the change.
+        """Add a prompt's blocks and publish the change.
 
-        :param hashes: the prompt's block hashes in order
-        :param now_ms: the present
+        :param hashes: block hashes of the prompt in order
+        :param now_ms: current time in ms
         """
         stored = tuple(block for block in hashes if block not in self._held)
         for block in hashes:
@@ -92,9 +92,9 @@
             self._publish(stored, removed, now_ms)
 
     def clear(self, now_ms: float) -> None:
-        """Drop everything, as a model's unloading does.
+        """Evict all blocks, for example when a model is unloaded.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         removed = tuple(self._held)
         self._held.clear()
@@ -102,10 +102,10 @@
             self._publish((), removed, now_ms)
 
     def read_events(self, after: int, now_ms: float) -> list[CacheRecord]:
-        """Return what readers see by now.
+        """Return the visible records after a sequence number.
 
-        :param after: the last sequence that the reader has
-        :param now_ms: the present
+        :param after: last sequence number that the reader has
+        :param now_ms: current time in ms
         :returns: records in order
         """
         return [
@@ -121,7 +121,7 @@
         now_ms: float,
     ) -> None:
         self._sequence += 1
-        if self._random.random() >= self.loss_fraction:
+        if self._rng.random() >= self.loss_fraction:
             self._records.append(
                 CacheRecord(
                     self._sequence, now_ms + self.lag_ms, stored, removed
--- a/standins/proxy_faults.py
+++ b/standins/proxy_faults.py
@@ -1,4 +1,4 @@
-"""The faults that one pair of the fault-injecting proxy can have."""
+"""Faults of one pair of the fault-injecting proxy."""
 
 import random
 import typing
@@ -7,18 +7,21 @@
 
 
 class ProxyFaults:
-    """What goes wrong between one listening port and its target.
+    """Faults between one listening port and its target.
 
-    Directions are ``up``, towards the target, and ``down``, towards whoever
-    connected.  New connections see what is switched when bytes pass, but
-    for ``silent``, which concerns the connections open at that moment.
+    The direction ``up`` is towards the target, ``down`` towards the client.
+    Faults apply to all connections at the time that bytes pass; only
+    ``silent`` applies just to the connections that are open when it is set.
 
-    ``refuse`` closes new connections at once; ``stall_up`` and
-    ``stall_down`` hold bytes back until switched off; ``delay_ms`` and
-    ``jitter_ms`` delay bytes; ``drop_replies`` counts replies to come which
-    are dropped, with the connection cut, after the request has passed;
-    ``hold_replies`` counts replies to come each of which is held until
-    another connection of the pair has got its own, and delivered then.
+    * ``refuse``: close new connections at once
+    * ``stall_up``, ``stall_down``: hold bytes of a direction until disabled
+    * ``delay_ms``, ``jitter_ms``: delay bytes
+    * ``drop_replies``: number of coming replies that are dropped with their
+      connection, after the request has passed
+    * ``hold_replies``: number of coming replies that are held until another
+      connection of the pair has received its reply
+
+    :param seed: random seed of the delays
     """
 
     def __init__(self, seed: int) -> None:
@@ -29,17 +32,17 @@
         self.jitter_ms = 0
         self.drop_replies = 0
         self.hold_replies = 0
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def change(self, values: dict[str, typing.Any]) -> None:
-        """Switch faults; the others stay as they are.
+        """Set some faults and leave the others unchanged.
 
-        :param values: faults by name
-        :raises ValueError: if there is no such fault
+        :param values: new values by fault name
+        :raises ValueError: if a fault does not exist
         """
         unknown = values.keys() - self.show().keys()
         if unknown:
-            raise ValueError(f"unknown: {sorted(unknown)}")
+            raise ValueError(f"unknown faults: {sorted(unknown)}")
         for name, value in values.items():
             setattr(self, name, value)
 
@@ -55,17 +58,17 @@
         """Return the delay of the next bytes, in seconds."""
         if not self.delay_ms and not self.jitter_ms:
             return 0.0
-        return (self.delay_ms + self._random.random() * self.jitter_ms) / 1000
+        return (self.delay_ms + self._rng.random() * self.jitter_ms) / 1000
 
     def consume_reply_drop(self) -> bool:
-        """Decide whether a reply is dropped; counts it."""
+        """Return whether to drop a reply, and count it."""
         if self.drop_replies > 0:
             self.drop_replies -= 1
             return True
         return False
 
     def consume_reply_hold(self) -> bool:
-        """Decide whether a reply is held; counts it."""
+        """Return whether to hold a reply, and count it."""
         if self.hold_replies > 0:
             self.hold_replies -= 1
             return True
--- a/standins/proxy_pair.py
+++ b/standins/proxy_pair.py
@@ -1,4 +1,4 @@
-"""One listening port of the fault-injecting proxy and its target."""
+"""One pair of listening port and target of the fault-injecting proxy."""
 
 import asyncio
 import typing
@@ -13,10 +13,10 @@
 
 
 class ProxiedConnection:
-    """One connection through a pair, and the half it goes on from there.
+    """One connection through a pair.
 
-    :param client: whoever connected
-    :param target: the other end
+    :param client: writer to the client
+    :param target: writer to the target
     """
 
     __slots__ = ("client", "target", "silent", "awaits_reply")
@@ -26,30 +26,31 @@
     ) -> None:
         self.client = client
         self.target = target
-        # Directions in which bytes vanish for good.
+        # Directions in which all further bytes are discarded.
         self.silent: set[str] = set()
-        # Bytes went up since bytes last came down: the next are a reply.
+        # Bytes went up since bytes last came down, so the next bytes that
+        # come down are a reply.
         self.awaits_reply = False
 
     def writer(self, direction: str) -> asyncio.StreamWriter:
-        """Return where bytes of a direction go.
+        """Return the writer of a direction.
 
         :param direction: ``up`` or ``down``
         """
         return self.target if direction == UP else self.client
 
     def abort(self) -> None:
-        """Cut both halves with a reset."""
+        """Reset the connections to the client and the target."""
         self.client.transport.abort()
         self.target.transport.abort()
 
 
 class Proxy:
-    """Passes connections on, with faults.
+    """Forwards connections to a target and injects faults.
 
-    :param name: what the control port calls it
-    :param target: ``(host, port)``
-    :param seed: decides delays
+    :param name: name of the pair on the control port
+    :param target: ``(host, port)`` of the target
+    :param seed: random seed of the delays
     """
 
     def __init__(self, name: str, target: tuple[str, int], seed: int) -> None:
@@ -57,49 +58,49 @@
         self.target = target
         self.faults = proxy_faults.ProxyFaults(seed)
         self.accepted = 0
-        self._links: set[ProxiedConnection] = set()
+        self._connections: set[ProxiedConnection] = set()
         self._changed = asyncio.Condition()
-        self._replies = 0
+        self._reply_count = 0
 
     def show(self) -> dict[str, typing.Any]:
-        """Return the pair's state as JSON."""
+        """Return the state of the pair as a JSON object."""
         return {
             "target": f"{self.target[0]}:{self.target[1]}",
-            "open": len(self._links),
+            "open": len(self._connections),
             "accepted": self.accepted,
             "faults": self.faults.show(),
         }
 
     async def change(self, values: dict[str, typing.Any]) -> None:
-        """Switch faults, or act on the connections that are open now.
+        """Set faults, or act on the open connections.
 
-        :param values: faults by name; ``cut`` true cuts what is open,
-            ``half_close`` names a direction to end on what is open,
-            ``silent`` names directions in which what is open falls silent
-        :raises ValueError: if there is no such fault
+        :param values: new values by fault name; on open connections, ``cut``
+            resets them, ``half_close`` ends the given direction, and
+            ``silent`` discards all further bytes of the given directions
+        :raises ValueError: if a fault does not exist
         """
         cut = values.pop("cut", False)
         half_close = values.pop("half_close", "")
         silent = values.pop("silent", [])
         self.faults.change(values)
-        for link in [*self._links]:
-            link.silent |= set(silent)
+        for connection in [*self._connections]:
+            connection.silent |= set(silent)
             if half_close:
-                _end(link.writer(half_close))
-                # What comes after an end has nowhere to go.
-                link.silent.add(half_close)
+                _close_for_writing(connection.writer(half_close))
+                # Bytes that arrive later cannot be written any more.
+                connection.silent.add(half_close)
             if cut:
-                link.abort()
+                connection.abort()
         async with self._changed:
             self._changed.notify_all()
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection until both directions have ended.
+        """Forward one connection until both directions have ended.
 
-        :param reader: the client's bytes
-        :param writer: to the client
+        :param reader: reader from the client
+        :param writer: writer to the client
         """
         self.accepted += 1
         if self.faults.refuse:
@@ -110,59 +111,63 @@
         except OSError:
             writer.transport.abort()
             return
-        link = ProxiedConnection(writer, target)
-        self._links.add(link)
+        connection = ProxiedConnection(writer, target)
+        self._connections.add(connection)
         try:
             await asyncio.gather(
-                self._pass(reader, link, UP),
-                self._pass(target_reader, link, DOWN),
+                self._forward(reader, connection, UP),
+                self._forward(target_reader, connection, DOWN),
             )
         except (OSError, asyncio.CancelledError):
-            # Cancelled only as the whole program ends; asyncio would print
-            # a traceback for each connection that is still open then.
-            link.abort()
+            # Tasks are cancelled only at the end of the program.  Otherwise
+            # asyncio would print a traceback for each open connection.
+            connection.abort()
         finally:
-            self._links.discard(link)
+            self._connections.discard(connection)
             writer.close()
             target.close()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
-        link: ProxiedConnection,
+        connection: ProxiedConnection,
         direction: str,
     ) -> None:
-        writer = link.writer(direction)
+        writer = connection.writer(direction)
         while data := await reader.read(READ_BYTES):
-            await self._disturb(link, direction)
-            if direction not in link.silent:
+            await self._apply_faults(connection, direction)
+            if direction not in connection.silent:
                 writer.write(data)
                 await writer.drain()
         await self._wait_for_stall(direction)
-        if direction not in link.silent:
-            _end(writer)
+        if direction not in connection.silent:
+            _close_for_writing(writer)
 
-    async def _disturb(self, link: ProxiedConnection, direction: str) -> None:
-        """Delay, hold back or drop bytes that are about to pass."""
+    async def _apply_faults(
+        self, connection: ProxiedConnection, direction: str
+    ) -> None:
+        """Delay or stall bytes, or drop a reply, before forwarding."""
         delay_s = self.faults.pick_delay_s()
         if delay_s:
             await asyncio.sleep(delay_s)
         await self._wait_for_stall(direction)
         if direction == UP:
-            link.awaits_reply = True
-        elif link.awaits_reply:
-            link.awaits_reply = False
-            await self._disturb_reply(link)
+            connection.awaits_reply = True
+        elif connection.awaits_reply:
+            connection.awaits_reply = False
+            await self._apply_reply_faults(connection)
 
-    async def _disturb_reply(self, link: ProxiedConnection) -> None:
+    async def _apply_reply_faults(self, connection: ProxiedConnection) -> None:
         if self.faults.consume_reply_drop():
-            link.abort()
+            connection.abort()
             raise ConnectionResetError
         if self.faults.consume_reply_hold():
-            seen = self._replies
+            reply_count = self._reply_count
             async with self._changed:
-                await self._changed.wait_for(lambda: self._replies > seen)
-        self._replies += 1
+                await self._changed.wait_for(
+                    lambda: self._reply_count > reply_count
+                )
+        self._reply_count += 1
         async with self._changed:
             self._changed.notify_all()
 
@@ -173,6 +178,6 @@
             )
 
 
-def _end(writer: asyncio.StreamWriter) -> None:
+def _close_for_writing(writer: asyncio.StreamWriter) -> None:
     if writer.can_write_eof() and not writer.is_closing():
         writer.write_eof()
--- a/standins/rate_limits.py
+++ b/standins/rate_limits.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's rates and counts of calls."""
+"""Rate limits and call counts of the platform stand-in."""
 
 import collections
 
@@ -6,37 +6,37 @@
 
 
 class TokenBucket:
-    """A token bucket of one second's worth.
+    """Token bucket with a burst of one second's calls.
 
-    :param per_s: calls a second; 0 for no limit
+    :param per_s: calls per second; 0 for no limit
     """
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
-        self._left = per_s
+        self._tokens = per_s
         self._at_s = 0.0
 
-    def take(self, now_s: float, waiting: int = 0) -> bool:
-        """Take one call.
+    def take(self, now_s: float, open_watches: int = 0) -> bool:
+        """Take one token for a call.
 
-        :param now_s: the present, in seconds
-        :param waiting: watches that are open, each of which uses up one
-            call a second
-        :returns: false if the rate is used up
+        :param now_s: current time in seconds
+        :param open_watches: number of open watches, each of which uses
+            one call per second
+        :returns: false if the rate is exceeded
         """
         if not self.per_s:
             return True
-        gained = (now_s - self._at_s) * max(self.per_s - waiting, 0)
-        self._left = min(self._left + gained, self.per_s)
+        refilled = (now_s - self._at_s) * max(self.per_s - open_watches, 0)
+        self._tokens = min(self._tokens + refilled, self.per_s)
         self._at_s = now_s
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class CallCounter:
-    """Counts calls by verb and kind, for checkers and benchmarks."""
+    """Counts calls by verb and kind, for tests and benchmarks."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[str] = collections.Counter()
@@ -45,22 +45,22 @@
     def note(self, verb: str, kind: str, size: int) -> None:
         """Count one call.
 
-        :param verb: such as ``update``
-        :param kind: the kind
-        :param size: bytes of the body that was sent
+        :param verb: verb of the call, such as ``update``
+        :param kind: kind of the object
+        :param size: size of the request body in bytes
         """
         self._counts[f"{verb} {kind}"] += 1
         self._bytes[f"{verb} {kind}"] += size
 
     def clear(self) -> None:
-        """Begin again at zero."""
+        """Reset all counts."""
         self._counts.clear()
         self._bytes.clear()
 
     def show(self, watches: int) -> dict[str, object]:
-        """Return the counts as JSON.
+        """Return the counts as a JSON object.
 
-        :param watches: how many are open
+        :param watches: number of open watches
         """
         return {
             "calls": dict(self._counts),
--- a/standins/recorder.py
+++ b/standins/recorder.py
@@ -1,4 +1,4 @@
-"""What a stand-in was sent, kept within bounds for checkers."""
+"""Bounded record of the requests to a stand-in, for the test harness."""
 
 import collections
 import typing
@@ -9,15 +9,15 @@
 
 __all__ = ["Recorder"]
 
-MOST_BYTES = 64 << 20
-MOST_RUNS = 200_000
+MAX_BYTES = 64 << 20
+MAX_RUNS = 200_000
 
 
 class Recorder:
-    """Keeps the text of requests, and a record of each run.
+    """Record of request texts and of executions.
 
-    The oldest are dropped at the bounds; ``dropped`` tells a checker that
-    what it counts is incomplete.
+    The oldest entries are dropped at the limits.  If ``dropped`` is not 0,
+    the counts that a test reads are incomplete.
     """
 
     def __init__(self) -> None:
@@ -25,14 +25,14 @@
         self._bytes = 0
         self._dropped = 0
         self.runs: collections.deque[dict[str, typing.Any]] = (
-            collections.deque(maxlen=MOST_RUNS)
+            collections.deque(maxlen=MAX_RUNS)
         )
 
     def note(self, request: web.Request, body: bytes) -> None:
-        """Keep everything a request could carry a key in.
+        """Record all parts of a request that could contain an API key.
 
-        :param request: the request
-        :param body: its whole body
+        :param request: received request
+        :param body: complete body of the request
         """
         headers = "\n".join(
             f"{name}: {value}" for name, value in request.headers.items()
@@ -42,20 +42,20 @@
         )
         self._texts.append(text)
         self._bytes += len(text)
-        while self._bytes > MOST_BYTES:
+        while self._bytes > MAX_BYTES:
             self._bytes -= len(self._texts.popleft())
             self._dropped += 1
 
     def add_routes(self, app: web.Application) -> None:
-        """Let checkers ask.
+        """Add the routes that the test harness reads.
 
-        :param app: the stand-in's application
+        :param app: application of the stand-in
         """
         app.router.add_get("/standin/seen", self._show_seen)
         app.router.add_get("/standin/runs", self._show_runs)
 
     async def _show_seen(self, request: web.Request) -> web.Response:
-        """Count the requests that hold the query's ``needle``."""
+        """Return the number of requests that contain the ``needle``."""
         needle = request.query["needle"]
         count = sum(needle in text for text in self._texts)
         return serving.answer(
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""The plain service stand-in: an echo, and bookings that must run once.
+"""Stand-in for a non-model service with an echo and non-idempotent bookings.
 
 ``python -m standins.service --port 9100``; ``POST /bookings`` takes effect
-each time that it arrives, and ``GET /standin/bookings`` shows how often.
+each time that it arrives, and ``GET /standin/bookings`` returns the counts.
 """
 
 import asyncio
@@ -21,22 +21,25 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("host", "127.0.0.1", "the IP number to listen on")
-flags.DEFINE_integer("port", 9100, "the port")
-flags.DEFINE_integer("delay_ms", 0, "the time that each call takes")
-flags.DEFINE_string("credential", "", "the bearer token to ask for, if any")
+flags.DEFINE_string("host", "127.0.0.1", "IP address to listen on")
+flags.DEFINE_integer("port", 9100, "port to listen on")
+flags.DEFINE_integer("delay_ms", 0, "duration of each call")
+flags.DEFINE_string("credential", "", "required bearer token, if any")
 
 
 class ServiceServer:
-    """A service with effects that are counted.
+    """Service that counts the effects of its calls.
 
-    Faults, switched by ``POST /standin/faults``: ``delay_ms``;
-    ``lost_replies`` counts bookings to come that take effect and whose
-    connection is then cut; ``fail_status`` is answered, without any effect,
-    to all calls while it is not 0.
+    ``POST /standin/faults`` sets faults:
 
-    :param delay_ms: the time that each call takes
-    :param credential: the bearer token to ask for; empty for none
+    * ``delay_ms``: duration of each call
+    * ``lost_replies``: number of coming bookings that take effect, but whose
+      connection is reset before the response
+    * ``fail_status``: if not 0, status of all responses; calls then have no
+      effect
+
+    :param delay_ms: duration of each call in ms
+    :param credential: required bearer token; empty for none
     """
 
     def __init__(self, delay_ms: int, credential: str) -> None:
@@ -47,7 +50,7 @@
         }
         self.recorder = recorder.Recorder()
         self._credential = credential
-        self._numbers = itertools.count(1)
+        self._booking_numbers = itertools.count(1)
         self._by_request: collections.Counter[str] = collections.Counter()
         self._by_key: collections.Counter[str] = collections.Counter()
         self._by_body: collections.Counter[str] = collections.Counter()
@@ -62,18 +65,25 @@
         app_.router.add_route("*", "/{path:.*}", self._echo)
         return app_
 
-    async def _begin(self, request: web.Request) -> web.Response | None:
+    async def _find_error(self, request: web.Request) -> web.Response | None:
         self.recorder.note(request, await request.read())
-        wanted = f"Bearer {self._credential}"
-        if self._credential and request.headers.get("Authorization") != wanted:
-            return self._answer(request, {"error": "wrong credential"}, 401)
+        expected = f"Bearer {self._credential}"
+        if (
+            self._credential
+            and request.headers.get("Authorization") != expected
+        ):
+            return self._make_response(
+                request, {"error": "wrong credential"}, 401
+            )
         if self.faults["fail_status"]:
             status = self.faults["fail_status"]
-            return self._answer(request, {"error": "switched"}, status)
+            return self._make_response(
+                request, {"error": "injected fault"}, status
+            )
         await asyncio.sleep(self.faults["delay_ms"] / 1000)
         return None
 
-    def _answer(
+    def _make_response(
         self, request: web.Request, body: typing.Any, status: int = 200
     ) -> web.Response:
         response = serving.answer(body, status)
@@ -83,11 +93,11 @@
         return response
 
     async def _echo(self, request: web.Request) -> web.Response:
-        refused = await self._begin(request)
-        if refused is not None:
-            return refused
+        error_response = await self._find_error(request)
+        if error_response is not None:
+            return error_response
         body = await request.read()
-        return self._answer(
+        return self._make_response(
             request,
             {
                 "method": request.method,
@@ -97,12 +107,12 @@
         )
 
     async def _book(self, request: web.Request) -> web.Response:
-        """Book once more, whatever came before."""
-        refused = await self._begin(request)
-        if refused is not None:
-            return refused
+        """Make another booking, also for a repeated request."""
+        error_response = await self._find_error(request)
+        if error_response is not None:
+            return error_response
         body = await request.read()
-        number = next(self._numbers)
+        number = next(self._booking_numbers)
         digest = hashlib.sha256(body).hexdigest()[:16]
         request_id = request.headers.get("X-Request-Id", "")
         key = request.headers.get("Idempotency-Key", "")
@@ -115,7 +125,9 @@
         if self.faults["lost_replies"] > 0:
             self.faults["lost_replies"] -= 1
             request.transport.abort()
-        return self._answer(request, {"booking": number, "body": digest}, 201)
+        return self._make_response(
+            request, {"booking": number, "body": digest}, 201
+        )
 
     async def _show_bookings(self, request: web.Request) -> web.Response:
         return serving.answer(
@@ -133,7 +145,7 @@
 
 
 async def serve() -> None:
-    """Serve until a signal."""
+    """Serve until a termination signal."""
     server = ServiceServer(FLAGS.delay_ms, FLAGS.credential)
     await serving.serve(FLAGS.host, {FLAGS.port: server.make_app()})
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What all HTTP stand-ins share: serving until a signal, JSON replies."""
+"""Helpers of all HTTP stand-ins: serving until a signal, JSON responses."""
 
 import asyncio
 import json
@@ -19,48 +19,48 @@
 
 BACKLOG = 1_024
 KEEP_ALIVE_S = 75.0
-MOST_BODY_BYTES = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 
 
 def answer(body: typing.Any, status: int = 200) -> web.Response:
     """Return a JSON response.
 
-    :param body: what to encode
-    :param status: the HTTP status
-    :returns: the response
+    :param body: value to encode
+    :param status: HTTP status
+    :returns: response with the encoded value
     """
     return web.json_response(body, status=status)
 
 
 def make_error_response(status: int, message: str) -> web.Response:
-    """Return a JSON error.
+    """Return a JSON error response.
 
-    :param status: the HTTP status
-    :param message: one sentence
-    :returns: the response
+    :param status: HTTP status
+    :param message: error message
+    :returns: response with the error
     """
     return answer({"error": {"code": status, "message": message}}, status)
 
 
 async def read_json(request: web.Request) -> dict[str, typing.Any]:
-    """Return a request's JSON object.
+    """Return the JSON object in a request's body.
 
-    :param request: the request
-    :returns: the object
-    :raises web.HTTPBadRequest: if the body is anything else
+    :param request: request to read
+    :returns: decoded object; empty if there is no body
+    :raises web.HTTPBadRequest: if the body is not a JSON object
     """
     try:
         body = json.loads(await request.read() or b"{}")
     except ValueError as error:
-        raise web.HTTPBadRequest(text="not JSON") from error
+        raise web.HTTPBadRequest(text="the body is not valid JSON") from error
     if not isinstance(body, dict):
-        raise web.HTTPBadRequest(text="not a JSON object")
+        raise web.HTTPBadRequest(text="the body is not a JSON object")
     return body
 
 
 def make_app() -> web.Application:
-    """Return an application that takes large bodies."""
-    return web.Application(client_max_size=MOST_BODY_BYTES)
+    """Return an application that accepts large bodies."""
+    return web.Application(client_max_size=MAX_BODY_BYTES)
 
 
 def make_session() -> aiohttp.ClientSession:
@@ -71,22 +71,22 @@
 async def serve(host: str, apps: dict[int, web.Application]) -> None:
     """Serve applications until SIGTERM or SIGINT.
 
-    :param host: the IP number to listen on
-    :param apps: the applications by port
+    :param host: IP address to listen on
+    :param apps: applications by port
     """
-    stopping = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
     runners = [await _start(host, port, app) for port, app in apps.items()]
     print(json.dumps({"ready": sorted(apps)}), flush=True)
-    await stopping.wait()
+    await stop_event.wait()
     await asyncio.gather(*(runner.cleanup() for runner in runners))
 
 
 async def _start(host: str, port: int, app: web.Application) -> web.AppRunner:
-    # A handler has to end when its caller goes: that is how an engine
-    # learns that a request is cancelled.
+    # Handlers are cancelled when their caller disconnects.  This is how an
+    # engine detects that a request is cancelled.
     runner = web.AppRunner(
         app,
         handler_cancellation=True,
--- a/standins/shared_link.py
+++ b/standins/shared_link.py
@@ -1,4 +1,4 @@
-"""A link of limited rate that KV cache imports share evenly."""
+"""Network link with limited bandwidth that KV cache imports share."""
 
 import math
 
@@ -8,73 +8,83 @@
 
 
 class SharedLink:
-    """Moves the bytes of all transfers at once, each at an equal part.
+    """Link whose bandwidth is divided equally among all transfers.
 
-    :param shape: the engine's figures
+    :param parameters: parameters of the engine
     """
 
-    def __init__(self, shape: engine_types.EngineParameters) -> None:
-        self._shape = shape
+    def __init__(self, parameters: engine_types.EngineParameters) -> None:
+        self._parameters = parameters
         self._transfers: list[engine_types.EngineRequest] = []
-        self._moved_ms = 0.0
+        self._advanced_ms = 0.0
 
-    def add(self, run: engine_types.EngineRequest, now_ms: float) -> None:
-        """Begin a run's transfer.
+    def add(self, request: engine_types.EngineRequest, now_ms: float) -> None:
+        """Start the transfer of a request's KV cache.
 
-        :param run: the run
-        :param now_ms: the present
+        :param request: request to import
+        :param now_ms: current time in ms
         """
-        self.settle(now_ms)
-        run.remaining_bytes = float(
-            run.prompt_tokens * self._shape.kv_bytes_per_token
+        self.advance(now_ms)
+        request.remaining_bytes = float(
+            request.prompt_tokens * self._parameters.kv_bytes_per_token
         )
-        self._transfers.append(run)
+        self._transfers.append(request)
 
-    def remove(self, run: engine_types.EngineRequest, now_ms: float) -> None:
-        """Give a run's transfer up, if it has one.
+    def remove(
+        self, request: engine_types.EngineRequest, now_ms: float
+    ) -> None:
+        """Cancel the transfer of a request, if it has one.
 
-        :param run: the run
-        :param now_ms: the present
+        :param request: request to cancel
+        :param now_ms: current time in ms
         """
-        self.settle(now_ms)
-        if run in self._transfers:
-            self._transfers.remove(run)
+        self.advance(now_ms)
+        if request in self._transfers:
+            self._transfers.remove(request)
 
     def get_next_event_ms(self) -> float:
-        """Return when the next transfer ends; infinite if there is none."""
+        """Return the end of the next transfer in ms; infinite if none."""
         if not self._transfers:
             return math.inf
-        least = min(run.remaining_bytes for run in self._transfers)
-        rate = self._bytes_per_ms() / len(self._transfers)
-        return self._moved_ms + max(least, 0.0) / rate
+        min_bytes = min(request.remaining_bytes for request in self._transfers)
+        bytes_per_ms = self._compute_bytes_per_ms() / len(self._transfers)
+        return self._advanced_ms + max(min_bytes, 0.0) / bytes_per_ms
 
     def pop_finished(self, at_ms: float) -> list[engine_types.EngineRequest]:
-        """Take out the runs whose transfers have ended.
+        """Remove the requests whose transfers have finished.
 
-        :param at_ms: the present
-        :returns: the runs
+        :param at_ms: current time in ms
+        :returns: removed requests
         """
         if self.get_next_event_ms() > at_ms:
             return []
-        self.settle(at_ms)
-        # Less than a byte is what rounding leaves of a whole transfer.
-        ended = [run for run in self._transfers if run.remaining_bytes < 1]
+        self.advance(at_ms)
+        # Rounding may leave less than a byte of a complete transfer.
+        finished = [
+            request
+            for request in self._transfers
+            if request.remaining_bytes < 1
+        ]
         self._transfers = [
-            run for run in self._transfers if run.remaining_bytes >= 1
+            request
+            for request in self._transfers
+            if request.remaining_bytes >= 1
         ]
-        return ended
+        return finished
 
-    def _bytes_per_ms(self) -> float:
-        rate = self._shape.link_bytes_per_s / 1000
-        return rate / self._shape.slow_factor
+    def _compute_bytes_per_ms(self) -> float:
+        bytes_per_ms = self._parameters.link_bytes_per_s / 1000
+        return bytes_per_ms / self._parameters.slow_factor
 
-    def settle(self, now_ms: float) -> None:
-        """Move what the time since the last call allowed.
+    def advance(self, now_ms: float) -> None:
+        """Advance all transfers to the current time.
 
-        :param now_ms: the present
+        :param now_ms: current time in ms
         """
         if self._transfers:
-            moved = (now_ms - self._moved_ms) * self._bytes_per_ms()
-            for run in self._transfers:
-                run.remaining_bytes -= moved / len(self._transfers)
-        self._moved_ms = now_ms
+            transferred = (
+                now_ms - self._advanced_ms
+            ) * self._compute_bytes_per_ms()
+            for request in self._transfers:
+                request.remaining_bytes -= transferred / len(self._transfers)
+        self._advanced_ms = now_ms
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's objects: versions, history, old snapshots."""
+"""Versioned objects of the platform stand-in, with history and stale reads."""
 
 import collections
 import json
@@ -6,32 +6,32 @@
 
 __all__ = ["Change", "Conflict", "Missing", "Store", "TooLarge", "TooOld"]
 
-MOST_VALUE_BYTES = 1 << 20
+MAX_VALUE_BYTES = 1 << 20
 
 
 class Conflict(Exception):
-    """The object exists already, or has another version."""
+    """Raised if the object exists already or has another version."""
 
 
 class Missing(Exception):
-    """There is no such object."""
+    """Raised if the object does not exist."""
 
 
 class TooLarge(Exception):
-    """The value is above a megabyte."""
+    """Raised if the encoded value is larger than 1 MiB."""
 
 
 class TooOld(Exception):
-    """The history does not reach back to the version asked for."""
+    """Raised if the history does not contain the requested version."""
 
 
 class Change:
     """One write, as watches report it.
 
     :param type_: ``ADDED``, ``MODIFIED`` or ``DELETED``
-    :param kind: the object's kind
-    :param version: the write's version
-    :param object_: the object as the API shows it
+    :param kind: kind of the object
+    :param version: version of the write
+    :param object_: object in the form of the API
     """
 
     __slots__ = ("type", "kind", "version", "object")
@@ -50,9 +50,9 @@
 
 
 class Store:
-    """Objects by kind and name under one growing version.
+    """Store of objects by kind and name with one version counter.
 
-    :param most_changes: how many writes the history holds
+    :param most_changes: maximum number of writes in the history
     """
 
     def __init__(self, most_changes: int) -> None:
@@ -64,12 +64,12 @@
         self._frozen: Store | None = None
 
     def freeze(self, frozen: bool) -> None:
-        """Let reads answer as of now, or as of the present again.
+        """Start or stop serving reads from the state at this time.
 
-        A replica that has fallen behind answers like this, while writes
-        still go to the current version.
+        This simulates a replica that lags behind; writes still use the
+        current version.
 
-        :param frozen: whether reads are to stay behind
+        :param frozen: whether reads are stale
         """
         self._frozen = None
         if frozen:
@@ -82,7 +82,7 @@
     def read(self, kind: str, name: str) -> dict[str, typing.Any]:
         """Return an object.
 
-        :raises Missing: if there is none
+        :raises Missing: if it does not exist
         """
         if self._frozen is not None:
             return self._frozen.read(kind, name)
@@ -100,9 +100,9 @@
     def create(
         self, kind: str, name: str, value: typing.Any
     ) -> dict[str, typing.Any]:
-        """Store an object that must not exist.
+        """Create an object.
 
-        :raises Conflict: if it does
+        :raises Conflict: if it exists already
         :raises TooLarge: if the value is too large
         """
         if name in self._kinds.get(kind, {}):
@@ -114,20 +114,20 @@
     ) -> dict[str, typing.Any]:
         """Replace an object that must have the given version.
 
-        :raises Conflict: if it has moved
-        :raises Missing: if there is none
+        :raises Conflict: if it has another version
+        :raises Missing: if it does not exist
         :raises TooLarge: if the value is too large
         """
-        self._check(kind, name, version)
+        self._check_version(kind, name, version)
         return self._put("MODIFIED", kind, name, value)
 
     def delete(self, kind: str, name: str, version: int) -> None:
-        """Remove an object that must have the given version.
+        """Delete an object that must have the given version.
 
-        :raises Conflict: if it has moved
-        :raises Missing: if there is none
+        :raises Conflict: if it has another version
+        :raises Missing: if it does not exist
         """
-        self._check(kind, name, version)
+        self._check_version(kind, name, version)
         self.version += 1
         object_ = self._kinds[kind].pop(name)
         metadata = {"name": name, "resourceVersion": str(self.version)}
@@ -141,22 +141,22 @@
         )
 
     def read_changes(self, kind: str, after: int) -> list[Change]:
-        """Return a kind's writes after a version.
+        """Return the writes to a kind after a version.
 
-        :raises TooOld: if the history does not reach back so far
+        :raises TooOld: if the history does not contain that version
         """
-        reach = self.version - len(self._changes)
-        if after < reach:
+        oldest_version = self.version - len(self._changes)
+        if after < oldest_version:
             raise TooOld(str(after))
-        fresh = []
+        newer_changes = []
         for change in reversed(self._changes):
             if change.version <= after:
                 break
             if change.kind == kind:
-                fresh.append(change)
-        return fresh[::-1]
+                newer_changes.append(change)
+        return newer_changes[::-1]
 
-    def _check(self, kind: str, name: str, version: int) -> None:
+    def _check_version(self, kind: str, name: str, version: int) -> None:
         object_ = self._kinds.get(kind, {}).get(name)
         if object_ is None:
             raise Missing(name)
@@ -166,7 +166,7 @@
     def _put(
         self, type_: str, kind: str, name: str, value: typing.Any
     ) -> dict[str, typing.Any]:
-        if len(json.dumps(value)) > MOST_VALUE_BYTES:
+        if len(json.dumps(value)) > MAX_VALUE_BYTES:
             raise TooLarge(name)
         self.version += 1
         object_ = {
--- a/standins/watches.py
+++ b/standins/watches.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's watches."""
+"""Watches of the platform stand-in."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,14 @@
 
 __all__ = ["Watches"]
 
-BOOKMARK_S = 1.0
+BOOKMARK_INTERVAL_S = 1.0
 
 
 class Watch:
-    """One open watch; a silent one holds its connection and says nothing."""
+    """Open watch; a silent one keeps its connection and sends nothing.
+
+    :param kind: kind of the watched objects
+    """
 
     __slots__ = ("kind", "wake", "is_silent")
 
@@ -28,10 +31,10 @@
 
 
 class Watches:
-    """All open watches.
+    """Set of all open watches.
 
-    :param store_: the objects
-    :param faults: an outage ends watches
+    :param store_: store of the watched objects
+    :param faults: current faults; an outage ends watches
     """
 
     def __init__(
@@ -45,26 +48,26 @@
         return len(self._open)
 
     def wake(self) -> None:
-        """Let all look for changes, or for an outage."""
+        """Make all watches check for changes and for an outage."""
         for watch in self._open:
             watch.wake.set()
 
     def silence(self) -> None:
-        """Silence those that are open now, for good."""
+        """Make the watches that are open now send nothing more."""
         for watch in self._open:
-            if self._faults.hits(watch.kind):
+            if self._faults.affects(watch.kind):
                 watch.is_silent = True
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
         """Send changes as JSON lines, and a bookmark each second.
 
-        :param request: with the query's ``resourceVersion``
-        :returns: the response, when the watch has ended
+        :param request: request with ``resourceVersion`` in its query
+        :returns: response, after the watch has ended
         """
         kind = request.match_info["kind"]
-        after = int(request.query.get("resourceVersion") or 0)
+        after_version = int(request.query.get("resourceVersion") or 0)
         try:
-            self._store.read_changes(kind, after)
+            self._store.read_changes(kind, after_version)
         except store.TooOld:
             return serving.make_error_response(410, "the version is too old")
         watch = Watch(kind)
@@ -76,45 +79,47 @@
             response.enable_chunked_encoding()
             writer = await response.prepare(request)
             writer.send_headers()
-            await self._send(response, watch, after)
+            await self._send_events(response, watch, after_version)
         finally:
             self._open.discard(watch)
         return response
 
-    async def _send(
-        self, response: web.StreamResponse, watch: Watch, after: int
+    async def _send_events(
+        self, response: web.StreamResponse, watch: Watch, after_version: int
     ) -> None:
         loop = asyncio.get_running_loop()
-        bookmark_s = loop.time() + BOOKMARK_S
-        while not (self._faults.outage and self._faults.hits(watch.kind)):
+        bookmark_s = loop.time() + BOOKMARK_INTERVAL_S
+        while not (self._faults.outage and self._faults.affects(watch.kind)):
             watch.wake.clear()
             if not watch.is_silent:
                 try:
-                    after = await self._send_fresh(response, watch, after)
+                    after_version = await self._send_changes(
+                        response, watch, after_version
+                    )
                 except store.TooOld:
                     return
-            # Writes of other kinds wake this watch too, again and again;
-            # its bookmarks are due all the same.
+            # Frequent writes to other kinds wake this watch as well; they
+            # must not delay its bookmarks.
             if loop.time() >= bookmark_s:
-                bookmark_s = loop.time() + BOOKMARK_S
+                bookmark_s = loop.time() + BOOKMARK_INTERVAL_S
                 if not watch.is_silent:
-                    await response.write(_encode_bookmark(after))
+                    await response.write(_encode_bookmark(after_version))
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
                     watch.wake.wait(), bookmark_s - loop.time()
                 )
 
-    async def _send_fresh(
-        self, response: web.StreamResponse, watch: Watch, after: int
+    async def _send_changes(
+        self, response: web.StreamResponse, watch: Watch, after_version: int
     ) -> int:
         version = self._store.version
         lines = [
             encode_line(change.type, change.object)
-            for change in self._store.read_changes(watch.kind, after)
+            for change in self._store.read_changes(watch.kind, after_version)
         ]
         if lines:
             await response.write(b"".join(lines))
-        return max(version, after)
+        return max(version, after_version)
 
 
 def _encode_bookmark(version: int) -> bytes:
@@ -123,9 +128,9 @@
 
 
 def encode_line(type_: str, object_: dict[str, typing.Any]) -> bytes:
-    """Return one line of a watch.
+    """Encode one event of a watch as a line of JSON.
 
-    :param type_: the event's type
-    :param object_: the object
+    :param type_: type of the event
+    :param object_: object in the form of the API
     """
     return json.dumps({"type": type_, "object": object_}).encode() + b"\n"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -213,7 +213,7 @@
 class SeedsTest(unittest.TestCase):
     """Runs seeds with real processes and injected faults."""
 
-    def check_seed(self, seed, config):
+    def hold(self, seed, config):
         result = run.run_seed(seed, config)
         self.assertEqual(result.violations, [], result.describe())
 
@@ -221,7 +221,7 @@
         """Overlapping faults for a few seconds violate no invariant."""
         for seed in (101, 102):
             with self.subTest(seed=seed):
-                self.check_seed(seed, SHORT)
+                self.hold(seed, SHORT)
 
     def test_prefill_engine_that_became_a_decode_engine(self):
         """Prompts are not sent to an engine that now decodes.
@@ -230,4 +230,4 @@
         rejected every prompt, so one stream request in seven was rejected
         for as long as the entry was wrong.
         """
-        self.check_seed(1, plan.SoakConfig())
+        self.hold(1, plan.SoakConfig())
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Chores for developers; nothing here ships with the package."""
+"""Development tools; not part of the installed package."""
--- a/tools/known_failures.py
+++ b/tools/known_failures.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt, the list of failures whose cause is not mended yet."""
+"""Reads KNOWN-RED.txt, the list of known test failures."""
 
 import importlib
 import itertools
@@ -8,22 +8,22 @@
 
 SEPARATOR = "|"
 TEST_PREFIX = "tests."
-# A day that is played by hand is no test of the suite, so it is listed but
-# passes over nothing.
+# Simulations are started by hand and are not part of the suite.  Their entries
+# are only listed; they do not change the result of any test.
 SIMULATION_PREFIXES = ("hunt of ", "run of ")
 
 
 class KnownFailuresError(Exception):
-    """An entry that does not say what it must."""
+    """Raised if an entry of the list is invalid."""
 
 
 class KnownFailure:
-    """One known failure.
+    """Entry of the list of known failures.
 
-    :param test: a test's id, or the hunt or run that showed the failure
-    :param command: how to repeat it, with its seed
-    :param seen: what was seen, and why as far as it is known
-    :param issue: the number of the open issue
+    :param test: id of a test, or name of the simulation that failed
+    :param command: command that reproduces the failure, with its seed
+    :param seen: observed failure, and its cause as far as it is known
+    :param issue: number of the open issue
     """
 
     __slots__ = ("test", "command", "seen", "issue")
@@ -36,7 +36,7 @@
 
     @property
     def is_suite_test(self) -> bool:
-        """Whether the suite runs it."""
+        """Whether the entry is a test of the suite."""
         return self.test.startswith(TEST_PREFIX)
 
     def __str__(self) -> str:
@@ -44,11 +44,12 @@
 
 
 def read_entries(path: pathlib.Path) -> dict[str, KnownFailure]:
-    """Return the entries by test.
+    """Return the entries of the list by test.
 
-    :param path: the list; none are known if it does not exist
-    :raises KnownFailuresError: if an entry is malformed, stands twice, or
-        names a test that the suite does not have
+    :param path: file with the list; a missing file is an empty list
+    :returns: entries by test id or name of the simulation
+    :raises KnownFailuresError: if an entry is malformed, is listed twice, or
+        names a test that does not exist
     """
     if not path.exists():
         return {}
@@ -58,9 +59,9 @@
         if line.strip() and not line.startswith("#")
     ]
     tests = sorted(entry.test for entry in entries)
-    for one, other in itertools.pairwise(tests):
-        if one == other:
-            raise KnownFailuresError(f"{one} is listed twice")
+    for test, next_test in itertools.pairwise(tests):
+        if test == next_test:
+            raise KnownFailuresError(f"{test} is listed twice")
     return {entry.test: entry for entry in entries}
 
 
@@ -68,27 +69,23 @@
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != 4 or not all(fields):
         raise KnownFailuresError(
-            f"an entry needs test, command, what was seen, issue: {line}"
+            f"an entry needs test, command, observed failure, issue: {line}"
         )
     test, command, seen, issue = fields
     if not issue.isdecimal():
-        raise KnownFailuresError(
-            f"{test}: {issue!r} is not the number of an issue"
-        )
+        raise KnownFailuresError(f"{test}: {issue!r} is not an issue number")
     if test.startswith(TEST_PREFIX):
-        _find_test(test)
+        _check_test_exists(test)
     elif not test.startswith(SIMULATION_PREFIXES):
-        raise KnownFailuresError(f"{test}: neither a test nor a played day")
+        raise KnownFailuresError(f"{test}: neither a test nor a simulation")
     return KnownFailure(test, command, seen, int(issue))
 
 
-def _find_test(name: str) -> None:
-    module, _, rest = name.rpartition(".")
-    module, _, case = module.rpartition(".")
+def _check_test_exists(name: str) -> None:
+    module, _, method_name = name.rpartition(".")
+    module, _, class_name = module.rpartition(".")
     try:
-        found = getattr(importlib.import_module(module), case)
-        getattr(found, rest)
+        class_ = getattr(importlib.import_module(module), class_name)
+        getattr(class_, method_name)
     except (ImportError, AttributeError, ValueError) as error:
-        raise KnownFailuresError(
-            f"{name}: the suite has no such test"
-        ) from error
+        raise KnownFailuresError(f"{name}: the test does not exist") from error
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -1,9 +1,9 @@
-"""Runs entry VMs of two builds in one fleet and checks that they interwork.
+"""Runs VMs of two builds in one fleet and checks their interoperability.
 
 ``python -m tools.mixed_builds --other FOLDER``, where FOLDER is a working copy
-of the other build.  The stand-ins and the client side are this working copy's.
+of the other build.  The stand-ins and the clients run from this working copy.
 Each check prints a line; the exit status is 1 if one failed.  A check that
-raises ends all processes.
+raises an exception ends all processes.
 """
 
 import collections.abc
@@ -27,29 +27,29 @@
 
 FLAGS = flags.FLAGS
 VMS = 4
-WAIT_S = 10.0
-STOP_S = 20.0
-# Some seconds, in which accounts get tokens after a restart of all VMs.
-TOKENS_S = 20.0
+WAIT_TIMEOUT_S = 10.0
+STOP_TIMEOUT_S = 20.0
+# Time until accounts have tokens again after a restart of all VMs.
+TOKENS_TIMEOUT_S = 20.0
 BOOKINGS = 12
 CALLS = 160
 RATE = 2_000
 PLAIN_TOKENS = 200
 SIGTERM = 15
-# The status of a booking whose first request has no stored result yet.
-UNDER_WAY = 409
+# Status of a booking whose first request has no stored result yet.
+IN_PROGRESS_STATUS = 409
 
-flags.DEFINE_string("other", None, "a working copy of the other build")
+flags.DEFINE_string("other", None, "working copy of the other build")
 
 
 class OtherProcess(processes.Process):
-    """A program of the other build.
+    """Process that runs a program from a given working copy.
 
-    :param module: what follows ``python -m``
-    :param arguments: the command line
-    :param ports: where it listens once it is ready
-    :param log: a file that its standard output is added to
-    :param root: the working copy that it runs from
+    :param module: name of the program's module
+    :param arguments: command-line arguments
+    :param ports: ports that it listens on once it is ready
+    :param log: file that its standard output is appended to
+    :param root: working copy that it runs from
     """
 
     def __init__(
@@ -72,9 +72,9 @@
 
 
 class Builds:
-    """Tells which VMs run the other build.
+    """Assignment of builds to VMs.
 
-    :param other: its working copy
+    :param other: working copy of the other build
     """
 
     def __init__(self, other: pathlib.Path) -> None:
@@ -84,8 +84,8 @@
     def find_root(self, number: int) -> pathlib.Path:
         """Return the working copy that a VM runs from.
 
-        :param number: the VM's number; odd ones run the other build until
-            ``turn`` is 1
+        :param number: number of the VM; odd numbers run the other build while
+            ``turn`` is 0, even numbers while it is 1
         """
         return self.roots[(number + self.turn) % 2]
 
@@ -96,12 +96,12 @@
         file: pathlib.Path,
         ports: collections.abc.Iterable[int],
     ) -> processes.Process:
-        """Start a VM's program from its build.
+        """Start a VM's program from its assigned build.
 
-        :param number: the VM's number
-        :param module: what follows ``python -m``
-        :param file: its settings
-        :param ports: where it will listen
+        :param number: number of the VM
+        :param module: name of the program's module
+        :param file: settings file
+        :param ports: ports that it will listen on
         """
         log = file.with_suffix(".log")
         return OtherProcess(
@@ -110,9 +110,9 @@
 
 
 class MixedDeployment(deployment.Deployment):
-    """Routers of both builds on the project's own interfaces.
+    """Deployment of routers of both builds on the project's own interfaces.
 
-    :param builds: which VM runs which build
+    :param builds: assignment of builds to VMs
     """
 
     def __init__(self, builds: Builds) -> None:
@@ -120,9 +120,9 @@
         super().__init__(vms=VMS)
 
     def start_router(self, number: int) -> processes.Process:
-        """Start a router and return it; it may not listen yet.
+        """Start a router and return it before it listens.
 
-        :param number: the VM's number
+        :param number: number of the VM
         """
         self.routers[number] = self.builds.start(
             number,
@@ -134,7 +134,7 @@
         return self.routers[number]
 
     def restart(self) -> None:
-        """Stop all routers and start each from the build that is its turn."""
+        """Stop all routers and start each from its assigned build."""
         for router in self.routers:
             router.stop()
         for number in range(VMS):
@@ -143,14 +143,14 @@
             router.wait_ready()
         processes.wait_until(lambda: all(map(self.is_ready, self.ports)))
         processes.wait_until(
-            lambda: all(map(self.has_tokens, self.ports)), TOKENS_S
+            lambda: all(map(self.has_tokens, self.ports)), TOKENS_TIMEOUT_S
         )
 
 
 class MixedFleet(hosted_fleet.Fleet):
-    """Entry VMs of both builds on the operators' platform.
+    """Fleet of entry VMs of both builds on the operators' platform.
 
-    :param builds: which VM runs which build
+    :param builds: assignment of builds to VMs
     """
 
     def __init__(self, builds: Builds) -> None:
@@ -160,10 +160,10 @@
     def start_vm(
         self, number: int, store_port: int | None = None
     ) -> processes.Process:
-        """Start an entry VM and return it; it may not listen yet.
+        """Start an entry VM and return it before it listens.
 
-        :param number: the VM's number
-        :param store_port: where it reaches the store
+        :param number: number of the VM
+        :param store_port: port that it reaches the store on
         """
         self.vms[number] = self.builds.start(
             number,
@@ -181,41 +181,45 @@
     def __init__(self) -> None:
         self.failed = 0
 
-    def report(self, name: str, passes: bool, seen: typing.Any = "") -> None:
-        """Print a check's result.
+    def report(
+        self, name: str, has_passed: bool, seen: typing.Any = ""
+    ) -> None:
+        """Print and count the result of a check.
 
-        :param name: what was checked
-        :param passes: whether it held
-        :param seen: what was seen
+        :param name: description of the check
+        :param has_passed: whether it passed
+        :param seen: observed values
         """
-        self.failed += not passes
-        print(f"{'ok    ' if passes else 'FAILED'} {name} {seen}", flush=True)
+        self.failed += not has_passed
+        print(
+            f"{'ok    ' if has_passed else 'FAILED'} {name} {seen}", flush=True
+        )
 
 
 def check_own_interface(builds: Builds, checks: Checks) -> None:
     """Check routers of both builds on the project's own interfaces.
 
-    :param builds: which VM runs which build
-    :param checks: takes the results
+    :param builds: assignment of builds to VMs
+    :param checks: receives the results
     """
-    with MixedDeployment(builds) as world:
-        rigs = list(map(deployment.RemoteRouter, world.ports))
-        _check_requests(rigs, checks)
-        _check_members(world, rigs, checks)
-        keys = _check_bookings(world, rigs, checks)
-        _check_edits(world, rigs, checks)
+    with MixedDeployment(builds) as mixed_deployment:
+        clients = list(map(deployment.RemoteRouter, mixed_deployment.ports))
+        _check_requests(clients, checks)
+        _check_members(mixed_deployment, clients, checks)
+        keys = _check_bookings(mixed_deployment, clients, checks)
+        _check_edits(mixed_deployment, clients, checks)
         builds.turn = 1 - builds.turn
-        world.restart()
-        _check_repeats(world, rigs, keys, checks)
-        _check_requests(rigs, checks)
-        _check_stops(world.routers, checks)
+        mixed_deployment.restart()
+        _check_retries(mixed_deployment, clients, keys, checks)
+        _check_requests(clients, checks)
+        _check_stops(mixed_deployment.routers, checks)
 
 
 def check_platform(builds: Builds, checks: Checks) -> None:
     """Check entry VMs of both builds on the operators' platform.
 
-    :param builds: which VM runs which build
-    :param checks: takes the results
+    :param builds: assignment of builds to VMs
+    :param checks: receives the results
     """
     with MixedFleet(builds) as fleet:
         _check_allowance(fleet, checks)
@@ -226,7 +230,7 @@
         ]
         statuses = [reply.status for reply in replies]
         checks.report(
-            "platform: calls and streams of each VM",
+            "platform: calls and streams through each VM",
             statuses == [200] * len(statuses)
             and not any(reply.is_cut for reply in replies),
             statuses,
@@ -236,33 +240,33 @@
         )
         fleet.configure({"k-large": "large"}, [route])
         checks.report(
-            "platform: a new route and a withdrawn key on each VM",
+            "platform: a new route and a revoked key on each VM",
             all(_has_changed(fleet, n) for n in range(VMS)),
         )
         fleet.drop("servers", "s0")
         time.sleep(2.0)
-        before = len(fleet.list_runs("s0"))
+        previous_count = len(fleet.list_runs("s0"))
         for n in range(VMS):
             fleet.send(n, "/plain/x", f"d-{n}")
         checks.report(
-            "platform: no call to a server that left",
-            len(fleet.list_runs("s0")) == before,
+            "platform: no call to a removed server",
+            len(fleet.list_runs("s0")) == previous_count,
         )
         _check_logs(builds, fleet, checks)
         _check_stops(fleet.vms, checks)
 
 
 def main(arguments: list[str]) -> int:
-    """Run all checks, with either half of the VMs on the other build.
+    """Run all checks twice, with each half of the VMs on the other build.
 
-    :param arguments: the program's name
-    :returns: the exit status
+    :param arguments: remaining command-line arguments
+    :returns: exit status
     """
     builds = Builds(pathlib.Path(FLAGS.other).resolve())
     checks = Checks()
     for turn in (0, 1):
         builds.turn = turn
-        print(f"VMs 0 to {VMS - 1} run from this build or the other, {turn=}")
+        print(f"VMs 0 to {VMS - 1} alternate between the two builds, {turn=}")
         check_platform(builds, checks)
         check_own_interface(builds, checks)
     print(f"{checks.failed} failed")
@@ -270,147 +274,180 @@
 
 
 def _check_requests(
-    rigs: list[deployment.RemoteRouter], checks: Checks
+    clients: list[deployment.RemoteRouter], checks: Checks
 ) -> None:
-    statuses = [rig.complete(f"why {n}").status for n, rig in enumerate(rigs)]
-    checks.report("completions of each VM", set(statuses) == {200}, statuses)
-    statuses = [rig.call("GET", "/member/x").status for rig in rigs]
-    checks.report("plain calls of each VM", set(statuses) == {200}, statuses)
+    statuses = [
+        client.complete(f"why {n}").status for n, client in enumerate(clients)
+    ]
+    checks.report(
+        "completions through each VM", set(statuses) == {200}, statuses
+    )
+    statuses = [client.call("GET", "/member/x").status for client in clients]
+    checks.report(
+        "calls to a non-model service through each VM",
+        set(statuses) == {200},
+        statuses,
+    )
     prompts = [f"log {n}" for n in range(VMS * 4)]
 
-    def is_whole(n: int) -> bool:
-        stream = router_fixture.OpenStream(rigs[n % VMS], prompts[n], 12)
+    def is_complete(n: int) -> bool:
+        stream = router_fixture.OpenStream(clients[n % VMS], prompts[n], 12)
         text = router_fixture.join_text(stream.read_all())
         stream.close()
         return text == router_fixture.expect_text(prompts[n], 12)
 
     with concurrent.futures.ThreadPoolExecutor() as pool:
-        whole = list(pool.map(is_whole, range(len(prompts))))
-    checks.report("whole streams of each VM", all(whole), sum(whole))
+        complete = list(pool.map(is_complete, range(len(prompts))))
+    checks.report(
+        "complete streams through each VM", all(complete), sum(complete)
+    )
 
 
 def _check_members(
-    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
+    mixed_deployment: MixedDeployment,
+    clients: list[deployment.RemoteRouter],
+    checks: Checks,
 ) -> None:
-    expected = {f"127.0.0.1:{port}" for port in world.ports}
+    expected = {f"127.0.0.1:{port}" for port in mixed_deployment.ports}
 
-    def read(rig: deployment.RemoteRouter) -> set[str]:
-        reply = rig.call("GET", "/v1/entry", key="").json()
-        return {one["address"] for one in reply["addresses"]}
+    def read(client: deployment.RemoteRouter) -> set[str]:
+        reply = client.call("GET", "/v1/entry", key="").json()
+        return {address["address"] for address in reply["addresses"]}
 
-    for number, rig in enumerate(rigs):
-        # Each answer names some of the VMs, chosen at random.
+    for number, client in enumerate(clients):
+        # Each response contains a random subset of the VMs.
         known: set[str] = set()
         processes.wait_until(
-            lambda rig=rig, known=known: (
-                known.update(read(rig)) or known == expected
+            lambda client=client, known=known: (
+                known.update(read(client)) or known == expected
             ),
-            WAIT_S,
+            WAIT_TIMEOUT_S,
         )
-        checks.report(f"members that VM {number} knows", known == expected)
+        checks.report(f"members that VM {number} lists", known == expected)
 
 
 def _check_bookings(
-    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
+    mixed_deployment: MixedDeployment,
+    clients: list[deployment.RemoteRouter],
+    checks: Checks,
 ) -> list[str]:
-    """Send bookings to one build and repeat each to the other.
+    """Send bookings to one build and retry each at the other.
 
-    :returns: the bookings' keys
+    :returns: idempotency keys of the bookings
     """
     keys = [
         claim_records.make_uuid7(time.time_ns() // 1_000_000, number)
         for number in range(BOOKINGS)
     ]
-    firsts = [_book(rigs[n % VMS], key) for n, key in enumerate(keys)]
-    again = [_book(rigs[(n + 1) % VMS], key) for n, key in enumerate(keys)]
-    statuses = [reply.status for reply in (*firsts, *again)]
+    first_replies = [
+        _book(clients[n % VMS], key) for n, key in enumerate(keys)
+    ]
+    retry_replies = [
+        _book(clients[(n + 1) % VMS], key) for n, key in enumerate(keys)
+    ]
+    statuses = [reply.status for reply in (*first_replies, *retry_replies)]
     checks.report(
-        "bookings, and their repeats at the other build",
+        "bookings, and their retries at the other build",
         set(statuses) == {201}
-        and [one.body for one in firsts] == [one.body for one in again],
+        and [reply.body for reply in first_replies]
+        == [reply.body for reply in retry_replies],
         statuses,
     )
-    _check_runs(world, keys, checks)
+    _check_runs(mixed_deployment, keys, checks)
     return keys
 
 
-def _check_repeats(
-    world: MixedDeployment,
-    rigs: list[deployment.RemoteRouter],
+def _check_retries(
+    mixed_deployment: MixedDeployment,
+    clients: list[deployment.RemoteRouter],
     keys: list[str],
     checks: Checks,
 ) -> None:
-    statuses = [_book(rigs[n % VMS], key).status for n, key in enumerate(keys)]
+    statuses = [
+        _book(clients[n % VMS], key).status for n, key in enumerate(keys)
+    ]
     checks.report(
-        "repeats read from claims that the other build stored",
+        "retries answered from claims that the other build stored",
         set(statuses) == {201},
         statuses,
     )
-    _check_runs(world, keys, checks)
+    _check_runs(mixed_deployment, keys, checks)
 
 
 def _check_runs(
-    world: MixedDeployment, keys: list[str], checks: Checks
+    mixed_deployment: MixedDeployment, keys: list[str], checks: Checks
 ) -> None:
     path = "/standin/bookings"
-    shown = processes.call(world.service_port, "GET", path).json()["by_key"]
-    runs = [shown.get(key, 0) for key in keys]
+    bookings_by_key = processes.call(
+        mixed_deployment.service_port, "GET", path
+    ).json()["by_key"]
+    runs = [bookings_by_key.get(key, 0) for key in keys]
     checks.report("each booking ran once", set(runs) == {1}, runs)
 
 
-def _book(rig: deployment.RemoteRouter, key: str) -> processes.Reply:
-    """Send a booking, and repeat it while it counts as under way."""
+def _book(client: deployment.RemoteRouter, key: str) -> processes.Reply:
+    """Send a booking, and retry it while its result is not stored."""
 
     def send() -> processes.Reply:
-        return rig.call("POST", "/bookings", key.encode(), Idempotency_Key=key)
+        return client.call(
+            "POST", "/bookings", key.encode(), Idempotency_Key=key
+        )
 
-    found: list[processes.Reply] = []
+    replies: list[processes.Reply] = []
     processes.wait_until(
-        lambda: found.append(send()) or found[-1].status != UNDER_WAY, WAIT_S
+        lambda: (
+            replies.append(send()) or replies[-1].status != IN_PROGRESS_STATUS
+        ),
+        WAIT_TIMEOUT_S,
     )
-    return found[-1]
+    return replies[-1]
 
 
 def _check_edits(
-    world: MixedDeployment, rigs: list[deployment.RemoteRouter], checks: Checks
+    mixed_deployment: MixedDeployment,
+    clients: list[deployment.RemoteRouter],
+    checks: Checks,
 ) -> None:
-    """Submit a change to each build's administration API."""
-    for root in world.builds.roots:
-        for process in list(world.group.processes):
+    """Submit an edit to the administration API of each build."""
+    for root in mixed_deployment.builds.roots:
+        for process in list(mixed_deployment.group.processes):
             if "mulberryway.commands.admin" in process.popen.args:
                 process.stop()
-                world.group.processes.remove(process)
+                mixed_deployment.group.processes.remove(process)
         admin = OtherProcess(
             "mulberryway.commands.admin",
-            [f"--settings={world.files[0]}"],
-            [world.admin_port],
-            world.files[0].with_suffix(".admin.log"),
+            [f"--settings={mixed_deployment.files[0]}"],
+            [mixed_deployment.admin_port],
+            mixed_deployment.files[0].with_suffix(".admin.log"),
             root,
         )
-        world.group.processes.append(admin)
+        mixed_deployment.group.processes.append(admin)
         admin.wait_ready()
-        rows = world.make_rows()
+        rows = mixed_deployment.make_rows()
         del rows["accounts"]["surveyors"]
-        for status, tables in ((401, rows), (200, world.make_rows())):
-            world.apply(tables)
-            seen = [_wait_status(rig, status) for rig in rigs]
+        for status, tables in (
+            (401, rows),
+            (200, mixed_deployment.make_rows()),
+        ):
+            mixed_deployment.apply(tables)
+            seen = [_wait_status(client, status) for client in clients]
             checks.report(
-                f"an edit is in force on each VM, from {root.name}",
+                f"an edit is active on each VM, from {root.name}",
                 set(seen) == {status},
                 seen,
             )
 
 
-def _wait_status(rig: deployment.RemoteRouter, status: int) -> int:
+def _wait_status(client: deployment.RemoteRouter, status: int) -> int:
     def read() -> int:
-        return rig.complete(key=router_fixture.OTHER_KEY).status
+        return client.complete(key=router_fixture.OTHER_KEY).status
 
-    processes.wait_until(lambda: read() == status, WAIT_S)
+    processes.wait_until(lambda: read() == status, WAIT_TIMEOUT_S)
     return read()
 
 
 def _check_allowance(fleet: MixedFleet, checks: Checks) -> None:
-    """Send an account's calls to all VMs, several times its rate."""
+    """Send calls of one account to all VMs at several times its rate."""
     time.sleep(1.5)
     began_s = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -422,14 +459,14 @@
                 range(CALLS),
             )
         )
-    took_s = time.monotonic() - began_s
+    duration_s = time.monotonic() - began_s
     served = sum(reply.status == 200 for reply in replies) * PLAIN_TOKENS
-    most = (RATE * took_s + RATE) * 1.1 + RATE
+    max_tokens = (RATE * duration_s + RATE) * 1.1 + RATE
     checks.report(
         "platform: an account's allowance over all VMs",
-        RATE < served <= most
+        RATE < served <= max_tokens
         and {reply.status for reply in replies} == {200, 429},
-        f"{served} tokens in {took_s:.2f} s",
+        f"{served} tokens in {duration_s:.2f} s",
     )
 
 
@@ -440,12 +477,12 @@
             fleet.send(number, "/plain/x", "n-2", key="k-small").status,
         )
 
-    processes.wait_until(lambda: read() == (200, 401), WAIT_S)
+    processes.wait_until(lambda: read() == (200, 401), WAIT_TIMEOUT_S)
     return read() == (200, 401)
 
 
 def _check_logs(builds: Builds, fleet: MixedFleet, checks: Checks) -> None:
-    """Read all VMs' logs with the tools of both builds."""
+    """Read the logs of all VMs with the tools of both builds."""
     files = [str(fleet.find_log(number)) for number in range(VMS)]
     for module, flag in (("story", ["--id=a-1"]), ("losses", [])):
         command = [
@@ -461,7 +498,7 @@
                 cwd=builds.find_root(number),
                 capture_output=True,
                 text=True,
-                timeout=STOP_S,
+                timeout=STOP_TIMEOUT_S,
             ).stdout
             for number in (0, 1)
         ]
@@ -478,8 +515,8 @@
     statuses = []
     for vm in vms:
         vm.send_signal(SIGTERM)
-        statuses.append(vm.popen.wait(STOP_S))
-    checks.report("exit status of each VM's stop", set(statuses) == {0})
+        statuses.append(vm.popen.wait(STOP_TIMEOUT_S))
+    checks.report("exit status of each VM after SIGTERM", set(statuses) == {0})
 
 
 if __name__ == "__main__":
--- a/tools/suite.py
+++ b/tools/suite.py
@@ -1,8 +1,9 @@
-"""Runs the test suite in several processes, and adds up what they counted.
+"""Runs the test suite in several processes and sums up the results.
 
-``python -m tools.suite`` runs one test module a process, the longest first,
-and prints each module's report when it ends.  Tests that start processes
-take their ports from their worker's own range, so two never want the same.
+``python -m tools.suite`` runs each test module in its own process, the longest
+first, and prints the report of a module when it ends.  Tests that start
+processes take ports from the range of their worker, so the ranges of two
+running modules never overlap.
 """
 
 import concurrent.futures
@@ -16,14 +17,15 @@
 
 __all__ = ["main"]
 
-# Most of the time tests wait for processes, so a few workers keep half of a
-# small machine busy; more only make timings differ from run to run.
-WORKERS = 4
+# Tests mostly wait for processes, so a few workers keep half of a small
+# machine busy.  More workers only increase the variation of timings.
+WORKER_COUNT = 4
 WORKER_VARIABLE = "MULBERRYWAY_TEST_WORKER"
 SUMMARY_PATTERN = re.compile(
     r"^(\d+) passed, (\d+) failed(?:, (\d+) skipped)?$"
 )
-# A module that takes longer hangs; the whole suite takes four minutes.
+# A module that takes longer counts as hung; the complete suite takes four
+# minutes.
 MODULE_TIMEOUT_S = 420.0
 LONGEST_FIRST = (
     "test_soak",
@@ -43,49 +45,49 @@
 
 
 class ModuleResult:
-    """What one module's tests came to.
+    """Result of one test module.
 
-    :param module: the module's name
-    :param text: its report
-    :param counts: passed, failed and skipped
-    :param took_s: how long it took
+    :param module: name of the module
+    :param text: report of the test runner
+    :param counts: numbers of passed, failed and skipped tests
+    :param duration_s: duration in seconds
     """
 
     __slots__ = ("module", "text", "counts", "took_s")
 
     def __init__(
-        self, module: str, text: str, counts: list[int], took_s: float
+        self, module: str, text: str, counts: list[int], duration_s: float
     ) -> None:
         self.module = module
         self.text = text
         self.counts = counts
-        self.took_s = took_s
+        self.duration_s = duration_s
 
 
 def list_modules() -> list[str]:
     """Return the names of all test modules, the longest first."""
     names = [path.stem for path in pathlib.Path("tests").glob("test_*.py")]
 
-    def rank(name: str) -> tuple[int, str]:
-        known = name in LONGEST_FIRST
-        place = LONGEST_FIRST.index(name) if known else len(LONGEST_FIRST)
-        return place, name
+    def get_sort_key(name: str) -> tuple[int, str]:
+        is_listed = name in LONGEST_FIRST
+        index = LONGEST_FIRST.index(name) if is_listed else len(LONGEST_FIRST)
+        return index, name
 
-    return sorted(names, key=rank)
+    return sorted(names, key=get_sort_key)
 
 
 def run_module(module: str, workers: "queue.Queue[int]") -> ModuleResult:
     """Run one module's tests.
 
-    :param module: its name
-    :param workers: numbers of workers that are free
-    :returns: the outcome; a module that hangs or prints no closing line
-        counts as one failure
+    :param module: name of the module
+    :param workers: numbers of the idle workers
+    :returns: result; a module that hangs or prints no summary line counts as
+        one failure
     """
     worker = workers.get()
     began_s = time.monotonic()
     try:
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "nose2", "-v", f"tests.{module}"],
             env=os.environ | {WORKER_VARIABLE: str(worker)},
             stdout=subprocess.PIPE,
@@ -94,48 +96,48 @@
             text=True,
             errors="replace",
         )
-        text, is_good = done.stdout, done.returncode == 0
-    except subprocess.TimeoutExpired as late:
-        text, is_good = f"{late.stdout or ''}\n{module} hangs", False
+        text, has_passed = process.stdout, process.returncode == 0
+    except subprocess.TimeoutExpired as timeout:
+        text, has_passed = f"{timeout.stdout or ''}\n{module} timed out", False
     finally:
         workers.put(worker)
     counts = next(
         (
-            [int(number or 0) for number in found.groups()]
+            [int(number or 0) for number in match.groups()]
             for line in reversed(text.splitlines())
-            if (found := SUMMARY_PATTERN.match(line))
+            if (match := SUMMARY_PATTERN.match(line))
         ),
         [0, 0, 0],
     )
-    if not is_good and not counts[1]:
+    if not has_passed and not counts[1]:
         counts[1] = 1
     return ModuleResult(module, text, counts, time.monotonic() - began_s)
 
 
 def main() -> int:
-    """Run all modules, print their reports and the sum.
+    """Run all modules, and print their reports and the total counts.
 
-    :returns: the exit status
+    :returns: exit status
     """
     workers: queue.Queue[int] = queue.Queue()
-    for number in range(WORKERS):
+    for number in range(WORKER_COUNT):
         workers.put(number)
     totals = [0, 0, 0]
-    with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
+    with concurrent.futures.ThreadPoolExecutor(WORKER_COUNT) as pool:
         running = [
             pool.submit(run_module, module, workers)
             for module in list_modules()
         ]
-        for one in concurrent.futures.as_completed(running):
-            outcome = one.result()
-            print(f"== {outcome.module}, {outcome.took_s:.1f} s")
-            print(outcome.text, flush=True)
+        for future in concurrent.futures.as_completed(running):
+            result = future.result()
+            print(f"== {result.module}, {result.duration_s:.1f} s")
+            print(result.text, flush=True)
             totals = [
                 total + count
-                for total, count in zip(totals, outcome.counts, strict=True)
+                for total, count in zip(totals, result.counts, strict=True)
             ]
-    closing = f"{totals[0]} passed, {totals[1]} failed"
-    print(closing + (f", {totals[2]} skipped" if totals[2] else ""))
+    summary = f"{totals[0]} passed, {totals[1]} failed"
+    print(summary + (f", {totals[2]} skipped" if totals[2] else ""))
     return 1 if totals[1] else 0
 
 
--- a/tools/verdict.py
+++ b/tools/verdict.py
@@ -1,8 +1,8 @@
-"""A nose2 plug-in that prints the plain closing line and honours known reds.
+"""Plug-in for nose2 that prints a summary line and handles known failures.
 
-A test that fails for a real fault which is not mended yet may be listed in
-KNOWN-RED.txt, with its command, what was seen and the open issue.  It still
-runs as written and is still printed; only the exit status passes over it.
+A test that fails because of an unfixed fault may be listed in KNOWN-RED.txt,
+with its command, the observed failure and the open issue.  It still runs
+unchanged and is still printed, but it does not affect the exit status.
 """
 
 import pathlib
@@ -14,7 +14,7 @@
 
 
 class Verdict(events.Plugin):
-    """Counts outcomes and forgives exactly the listed tests."""
+    """Counts outcomes and ignores failures of exactly the listed tests."""
 
     configSection = "verdict"
     alwaysOn = True
@@ -23,14 +23,14 @@
         self._passed = 0
         self._failed = 0
         self._skipped = 0
-        self._seen_red: list[str] = []
+        self._known_failures_seen: list[str] = []
         name = self.config.as_str("known-red", "KNOWN-RED.txt")
-        self._known = known_failures.read_entries(pathlib.Path(name))
+        self._known_failures = known_failures.read_entries(pathlib.Path(name))
 
     def testOutcome(self, event: events.TestOutcomeEvent) -> None:
-        """Count one outcome, and set a known red apart from a failure.
+        """Count one outcome; known failures are counted separately.
 
-        :param event: the outcome that nose2 reports
+        :param event: outcome reported by nose2
         """
         if event.outcome == result.SKIP:
             self._skipped += 1
@@ -40,27 +40,29 @@
             self._passed += 1
 
     def _count_failure(self, name: str) -> None:
-        if name in self._known:
-            self._seen_red.append(name)
+        if name in self._known_failures:
+            self._known_failures_seen.append(name)
         else:
             self._failed += 1
 
     def wasSuccessful(self, event: events.ResultSuccessEvent) -> None:
-        """Decide the exit status from what was counted.
+        """Set the overall result from the counts.
 
-        :param event: the event that carries the verdict
+        :param event: event that receives the result
         """
         event.success = not self._failed
         event.handled = True
 
     def afterSummaryReport(self, event: events.ReportSummaryEvent) -> None:
-        """Print the closing line, and each known red by its name.
+        """Print the known failures that occurred, and the summary line.
 
-        :param event: the event whose stream the report goes to
+        :param event: event with the output stream
         """
         event.stream.writeln("")
-        for name in self._seen_red:
-            event.stream.writeln(f"known red: {name}: {self._known[name]}")
+        for name in self._known_failures_seen:
+            event.stream.writeln(
+                f"known red: {name}: {self._known_failures[name]}"
+            )
         line = f"{self._passed} passed, {self._failed} failed"
         if self._skipped:
             line += f", {self._skipped} skipped"
