--- a/soak/checks.py
+++ b/soak/checks.py
@@ -11,10 +11,10 @@
 
 __all__ = ["CHECKS", "find_violations"]
 
-ViolationIterator = collections.abc.Iterator[str]
+Violations = collections.abc.Iterator[str]
 
 # A fault may affect a VM for this long after its end.
-FAULT_EFFECT_MS = 3_000
+SETTLE_MS = 3_000
 # Time limits for an edit to become active and for a draining upstream to get
 # no new requests.  The settings of the entry VMs guarantee both.
 EDIT_PROPAGATION_MS = 2_000
@@ -65,7 +65,7 @@
         return limit * (1 + self.over_part) + self.over_tokens
 
 
-def check_runs(seen: history.History) -> ViolationIterator:
+def check_runs(seen: history.History) -> Violations:
     """Check how often, where and for which account each attempt ran."""
     attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
     for name, runs in _group_runs(seen).items():
@@ -82,14 +82,14 @@
                 yield f"{name} ran at {run.instance}, where it must not"
 
 
-def check_keys(seen: history.History) -> ViolationIterator:
+def check_keys(seen: history.History) -> Violations:
     """Check that no upstream received a caller's API key."""
     for run in seen.runs:
         if any(key in run.text for key in seen.keys):
             yield f"{run.attempt} showed its key to {run.instance}"
 
 
-def check_rejections(seen: history.History) -> ViolationIterator:
+def check_rejections(seen: history.History) -> Violations:
     """Check that rejected attempts did not run and carry Retry-After."""
     runs_by_attempt = _group_runs(seen)
     for attempt in seen.attempts:
@@ -101,7 +101,7 @@
             yield f"{attempt.name} was rejected without a time to retry"
 
 
-def check_answers(seen: history.History) -> ViolationIterator:
+def check_answers(seen: history.History) -> Violations:
     """Check that successful responses are complete and match the request.
 
     A truncated response must be recognizable as truncated.
@@ -125,7 +125,7 @@
             yield f"{attempt.name} got {attempt.body[:60]!r}"
 
 
-def check_edit_propagation(seen: history.History) -> ViolationIterator:
+def check_edit_propagation(seen: history.History) -> Violations:
     """Check that edits become active on healthy VMs in time and stay so."""
     for edit in seen.edits:
         due_ms = edit.at_ms + EDIT_PROPAGATION_MS
@@ -135,7 +135,7 @@
                 continue
             if not seen.is_vm_healthy(
                 attempt.vm,
-                attempt.began_ms - FAULT_EFFECT_MS,
+                attempt.began_ms - SETTLE_MS,
                 attempt.ended_ms,
             ):
                 continue
@@ -153,7 +153,7 @@
                     yield f"{attempt.name} found no route after it was added"
 
 
-def check_route_regression(seen: history.History) -> ViolationIterator:
+def check_route_regression(seen: history.History) -> Violations:
     """Check that a VM does not lose a route that it has served."""
     first_served_ms: dict[int, int] = {}
     attempts_on_added_route = [
@@ -178,7 +178,7 @@
                 )
 
 
-def check_draining(seen: history.History) -> ViolationIterator:
+def check_draining(seen: history.History) -> Violations:
     """Check that healthy VMs send no new requests to draining upstreams."""
     attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
     draining = {
@@ -197,12 +197,12 @@
         ):
             continue
         if seen.is_vm_healthy(
-            attempt.vm, draining_since_ms - FAULT_EFFECT_MS, run.at_ms
+            attempt.vm, draining_since_ms - SETTLE_MS, run.at_ms
         ):
             yield f"{run.attempt} ran at {run.instance}, which was draining"
 
 
-def check_graceful_shutdown(seen: history.History) -> ViolationIterator:
+def check_graceful_shutdown(seen: history.History) -> Violations:
     """Check that a graceful shutdown truncates no response in progress."""
     runs_by_attempt = _group_runs(seen)
     for attempt in seen.attempts:
@@ -213,7 +213,7 @@
             or attempt.name not in runs_by_attempt
         ):
             continue
-        span = (attempt.began_ms - FAULT_EFFECT_MS, attempt.ended_ms)
+        span = (attempt.began_ms - SETTLE_MS, attempt.ended_ms)
         if not seen.are_upstreams_healthy(*span):
             continue
         kinds = {
@@ -227,7 +227,7 @@
             yield f"{attempt.name} lost its response, faults: {sorted(kinds)}"
 
 
-def check_deadlines(seen: history.History) -> ViolationIterator:
+def check_deadlines(seen: history.History) -> Violations:
     """Check that final responses arrive soon after the deadline at most."""
     for attempt in seen.attempts:
         duration_ms = attempt.ended_ms - attempt.began_ms
@@ -237,12 +237,12 @@
         ):
             continue
         if seen.is_vm_healthy(
-            attempt.vm, attempt.began_ms - FAULT_EFFECT_MS, attempt.ended_ms
+            attempt.vm, attempt.began_ms - SETTLE_MS, attempt.ended_ms
         ):
             yield f"{attempt.name} was answered after {duration_ms} ms"
 
 
-def check_recovery(seen: history.History) -> ViolationIterator:
+def check_recovery(seen: history.History) -> Violations:
     """Check for unexpected exits, leaked resources and missing recovery."""
     for vm in seen.unexpected_exits:
         yield f"{vm} exited unexpectedly"
@@ -262,7 +262,7 @@
         yield f"after all faults {served} of {len(fault_free)} were served"
 
 
-def check_quota(seen: history.History, quota: Quota) -> ViolationIterator:
+def check_quota(seen: history.History, quota: Quota) -> Violations:
     """Check that an account stays within rate and burst across all VMs."""
     attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
     starts = sorted(
@@ -320,7 +320,7 @@
     return [int(event.split(b"\n")[0].partition(b":")[2]) for event in events]
 
 
-def _check_stream(attempt: history.Attempt) -> ViolationIterator:
+def _check_stream(attempt: history.Attempt) -> Violations:
     numbers = list_events(attempt.body)
     if numbers != list(range(1, len(numbers) + 1)):
         yield f"{attempt.name} got events {numbers}"
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""The list of known failures, and what it may pass over."""
+"""Tests of the parser for the list of known failures."""
 
 import pathlib
 import tempfile
@@ -17,7 +17,7 @@
             path.write_text("\n".join(lines), encoding="utf-8")
             return known_failures.read_entries(path)
 
-    def check_refused(self, *lines):
+    def check_rejected(self, *lines):
         with self.assertRaises(known_failures.KnownFailuresError):
             self.read(*lines)
 
@@ -28,36 +28,39 @@
         self.assertEqual(entry.seen, "fails at times")
         self.assertEqual(entry.issue, 18)
 
-    def test_played_day(self):
+    def test_simulation(self):
         name = "hunt of a-site.toml, LOST"
         entry = self.read(f"{name} | run SITE mix --seed 3 | cut | 21")[name]
         self.assertFalse(entry.is_suite_test)
 
     def test_many_entries(self):
-        days = (
+        lines = (
             f"run of day-{number} | seed {number} | cut | 2"
             for number in range(9)
         )
-        self.assertEqual(len(self.read(*days)), 9)
+        self.assertEqual(len(self.read(*lines)), 9)
 
     def test_missing_field(self):
-        """Guards against entries that nobody can repeat."""
-        self.check_refused(f"{KNOWN} | make test | 18")
-        self.check_refused(f"{KNOWN} | | fails at times | 18")
+        """An entry without a command or a result cannot be reproduced."""
+        self.check_rejected(f"{KNOWN} | make test | 18")
+        self.check_rejected(f"{KNOWN} | | fails at times | 18")
 
     def test_missing_issue(self):
-        """Guards against entries that no issue stands for."""
-        self.check_refused(f"{KNOWN} | make test | fails at times | later")
+        """An entry without an issue number is rejected."""
+        self.check_rejected(f"{KNOWN} | make test | fails at times | later")
 
     def test_unknown_test(self):
-        """Guards against a renamed test that fails unnoticed."""
-        self.check_refused(GOOD.replace("test_listed", "test_renamed"))
-        self.check_refused(GOOD.replace("ListTest", "OtherTest"))
-        self.check_refused(GOOD.replace("known_failures", "no_module"))
-        self.check_refused("anything | make test | fails at times | 18")
+        """An entry must name a test that exists.
+
+        Otherwise the entry of a renamed test would remain unnoticed.
+        """
+        self.check_rejected(GOOD.replace("test_listed", "test_renamed"))
+        self.check_rejected(GOOD.replace("ListTest", "OtherTest"))
+        self.check_rejected(GOOD.replace("known_failures", "no_module"))
+        self.check_rejected("anything | make test | fails at times | 18")
 
     def test_listed_twice(self):
-        self.check_refused(GOOD, GOOD)
+        self.check_rejected(GOOD, GOOD)
 
     def test_no_list(self):
         self.assertEqual(
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in as a process, spoken to as routers do."""
+"""Tests of the engine stand-in as a process, over HTTP as routers use it."""
 
 import asyncio
 import json
@@ -23,14 +23,14 @@
     def setUpClass(cls):
         cls.group = processes.Group()
         cls.addClassCleanup(cls.group.stop)
-        _, ports = processes.start_engines(
+        _, engine_ports = processes.start_engines(
             cls.group,
             ("prefill", "decode"),
             "--token_ms=5",
             "--credential=pool-secret",
             "--load_lag_ms=0",
         )
-        cls.prefill_port, cls.decode_port = ports
+        cls.prefill_port, cls.decode_port = engine_ports
 
     def post(self, port, request_id, **values):
         body = {"model": "m", "prompt": PROMPT, "max_tokens": 20} | values
@@ -60,18 +60,18 @@
             **values,
         )
 
-    def list_in_flight(self, port):
+    def list_requests(self, port):
         return processes.call(port, "GET", "/v1/requests").json()["requests"]
 
-    def check_empty(self):
-        ports = (self.prefill_port, self.decode_port)
+    def check_no_requests(self):
+        engine_ports = (self.prefill_port, self.decode_port)
         self.assertTrue(
             processes.wait_until(
-                lambda: not any(map(self.list_in_flight, ports))
+                lambda: not any(map(self.list_requests, engine_ports))
             )
         )
 
-    def test_prefill_and_decode_give_the_known_bytes(self):
+    def test_prefill_and_decode_return_the_expected_text(self):
         reply = self.decode("r1", self.prefill("r1"))
         self.assertEqual(reply.headers["X-Request-Id"], "r1")
         events = read_events(reply.body)
@@ -81,26 +81,29 @@
         text = "".join(event["choices"][0]["text"] for event in events)
         self.assertEqual(text, answers.Answer("m", PROMPT, 20).text())
         self.assertEqual(events[-1]["choices"][0]["finish_reason"], "length")
-        self.check_empty()
+        self.check_no_requests()
 
-    def test_resume_begins_at_the_offset(self):
+    def test_resume_starts_at_the_offset(self):
         reply = self.decode("r2", self.prefill("r2"), resume_offset=15)
         events = [json.loads(event) for event in read_events(reply.body)[:-1]]
         self.assertEqual(
             [event["index"] for event in events], [*range(15, 20)]
         )
 
-    def test_unknown_handle_is_gone(self):
-        """A transfer comes later than the prefill's result lives.  The
-        engine must say so, or the caller would wait for nothing.
+    def test_unknown_handle_is_rejected(self):
+        """A decode whose prefill result has expired gets status 410.
+
+        Without the rejection the caller would wait for tokens in vain.
         """
         params = self.prefill("r3") | {"remote_handle": "none"}
         self.assertEqual(self.decode("r3", params).status, 410)
-        self.check_empty()
+        self.check_no_requests()
+
+    def test_full_engine_rejects(self):
+        """An engine without a free slot rejects streams.
 
-    def test_full_engine_refuses(self):
-        """More streams come than the batch holds.  The next router learns
-        it from the refusal alone, since load reports lag.
+        Load reports lag, so a router may send more streams than the engine
+        can hold and detects this only by the rejection.
         """
         faults = {"slots": 0}
         processes.call(self.decode_port, "POST", "/standin/faults", faults)
@@ -108,7 +111,7 @@
         faults = {"slots": 20}
         processes.call(self.decode_port, "POST", "/standin/faults", faults)
 
-    def begin_stream(self, request_id):
+    def open_stream(self, request_id):
         body = {
             "model": "m",
             "prompt": PROMPT,
@@ -127,37 +130,40 @@
             b"X-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s"
             % (request_id.encode(), len(data), data)
         )
-        read = b""
-        while b"data: " not in read:
-            read += sock.recv(65_536)
+        received = b""
+        while b"data: " not in received:
+            received += sock.recv(65_536)
         return sock
 
     def test_closed_connection_frees_memory(self):
-        """A caller goes and its router closes the engine's connection.
-        The slot must come back without any further order.
+        """An engine frees a stream's slot when its connection closes.
+
+        A router closes the connection after its caller has disconnected, and
+        sends no further request about the stream.
         """
-        sock = self.begin_stream("r5")
-        self.assertEqual(len(self.list_in_flight(self.decode_port)), 1)
+        sock = self.open_stream("r5")
+        self.assertEqual(len(self.list_requests(self.decode_port)), 1)
         sock.close()
-        self.check_empty()
+        self.check_no_requests()
 
-    def test_cancel_frees_memory_and_the_stream_looks_cut(self):
-        """A stream is cancelled from elsewhere.  Its reader must not take
-        what it has for a whole answer.
+    def test_cancel_frees_memory_and_truncates_the_stream(self):
+        """A stream that another client cancels ends without a final chunk.
+
+        Otherwise its reader would treat a truncated response as complete.
         """
-        sock = self.begin_stream("r6")
+        sock = self.open_stream("r6")
         path = "/v1/requests/r6"
         for held in (True, False):
             reply = processes.call(self.decode_port, "DELETE", path)
             self.assertEqual(reply.json(), {"held": held})
-        read = b""
+        received = b""
         while data := sock.recv(65_536):
-            read += data
-        self.assertNotIn(b"[DONE]", read)
-        self.assertFalse(read.endswith(b"0\r\n\r\n"))
-        self.check_empty()
+            received += data
+        self.assertNotIn(b"[DONE]", received)
+        self.assertFalse(received.endswith(b"0\r\n\r\n"))
+        self.check_no_requests()
 
-    def test_checkers_can_see_what_was_sent(self):
+    def test_requests_are_recorded(self):
         self.prefill("needle-1")
         for needle, count in (("needle-1", 1), ("needle-none", 0)):
             path = f"/standin/seen?needle={needle}"
@@ -169,7 +175,7 @@
         )
         self.assertEqual((run["owner"], run["kind"]), ("a1/7", "prefill"))
 
-    def test_wrong_credential_is_refused(self):
+    def test_missing_credential_is_rejected(self):
         reply = processes.call(
             self.prefill_port, "POST", "/v1/completions", {"model": "m"}
         )
@@ -194,24 +200,25 @@
         self.written += data
 
 
-class ExchangeTest(unittest.IsolatedAsyncioTestCase):
-    async def test_tokens_before_the_head_are_not_lost(self):
-        """The machine is busy, and the engine's first tokens come while the
-        reply's head is still being written.  The caller saw its answer begin
-        with a later token, and a checker blamed the router for it.
+class CompletionResponderTest(unittest.IsolatedAsyncioTestCase):
+    async def test_tokens_before_the_headers_are_not_lost(self):
+        """Tokens are sent that were generated before the response headers.
+
+        On a busy machine the first tokens may come while the headers are still
+        being written.  They were lost, and a check reported a router fault.
         """
         await asyncio.sleep(0)
         call = engine_completion.parse_completion_request(
             {"model": "m", "prompt": PROMPT, "max_tokens": 3, "stream": True}
         )
         run = engine_types.EngineRequest("r-1", "a1/7", "m", (), 90, 3)
-        exchange = engine_completion.CompletionResponder(
+        responder = engine_completion.CompletionResponder(
             call, run, {"tokens": 0}
         )
-        exchange.send_token(0)
+        responder.send_token(0)
         transport = FakeTransport()
-        exchange.attach(transport)
-        exchange.send_token(1)
+        responder.attach(transport)
+        responder.send_token(1)
         self.assertEqual(
             [transport.written.count(b'"index": %d, "ch' % n) for n in (0, 1)],
             [1, 1],
--- a/tests/test_standin_faultproxy.py
+++ b/tests/test_standin_faultproxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy in front of a plain service."""
+"""Tests of the fault-injecting proxy in front of the service stand-in."""
 
 import http.client
 import unittest
@@ -39,14 +39,14 @@
         self.addCleanup(connection.close)
         return connection
 
-    def send(self, connection, body=b"x"):
+    def send_request(self, connection, body=b"x"):
         connection.request("POST", "/bookings", body)
 
     def submit_request(self, connection, body=b"x"):
-        self.send(connection, body)
+        self.send_request(connection, body)
         return connection.getresponse().read()
 
-    def test_cut_ends_open_connections(self):
+    def test_cut_resets_open_connections(self):
         connection = self.open()
         self.submit_request(connection)
         self.fault(cut=True)
@@ -55,28 +55,30 @@
         self.submit_request(self.open())
 
     def test_refused_connections_never_reach_the_target(self):
-        before = self.count_bookings()
+        previous_count = self.count_bookings()
         self.fault(refuse=True)
         with self.assertRaises((OSError, http.client.HTTPException)):
             self.submit_request(self.open())
         self.fault(refuse=False)
-        self.assertEqual(self.count_bookings(), before)
+        self.assertEqual(self.count_bookings(), previous_count)
 
-    def test_old_connections_fall_silent_and_new_ones_work(self):
-        """Something between the ends forgets a connection.  A user who
-        waits on it without a limit waits for good.
+    def test_silent_affects_only_open_connections(self):
+        """The fault ``silent`` stops open connections, but not new ones.
+
+        It simulates a middlebox that has lost a connection's state.  A client
+        without a timeout would wait forever.
         """
         for direction, runs in (("up", 0), ("down", 1)):
             connection = self.open(timeout_s=0.5)
             self.submit_request(connection)
-            before = self.count_bookings()
+            previous_count = self.count_bookings()
             self.fault(silent=[direction])
             with self.assertRaises(TimeoutError):
                 self.submit_request(connection)
-            self.assertEqual(self.count_bookings(), before + runs)
+            self.assertEqual(self.count_bookings(), previous_count + runs)
             self.submit_request(self.open())
 
-    def test_stall_ends(self):
+    def test_connection_works_after_stall(self):
         connection = self.open(timeout_s=0.3)
         self.fault(stall_down=True)
         with self.assertRaises(TimeoutError):
@@ -84,24 +86,23 @@
         self.fault(stall_down=False)
         self.submit_request(self.open())
 
-    def test_reply_is_lost_after_the_effect(self):
-        """The service books and the answer is lost on its way.  The caller
-        cannot tell this from a request that never arrived.
+    def test_dropped_reply_follows_the_effect(self):
+        """A dropped reply leaves the effect of its request.
+
+        The caller cannot distinguish this from a request that never arrived.
         """
-        before = self.count_bookings()
+        previous_count = self.count_bookings()
         self.fault(drop_replies=1)
         with self.assertRaises((OSError, http.client.HTTPException)):
             self.submit_request(self.open())
-        self.assertEqual(self.count_bookings(), before + 1)
+        self.assertEqual(self.count_bookings(), previous_count + 1)
         self.submit_request(self.open())
 
-    def test_held_reply_comes_after_the_next(self):
-        """Two answers come in the other order than their requests.  Each
-        must still reach its own caller.
-        """
-        late = self.open()
+    def test_held_reply_arrives_after_the_next(self):
+        """A held reply is delivered to its own caller, after a later one."""
+        held_connection = self.open()
         self.fault(hold_replies=1)
-        self.send(late, b"late")
+        self.send_request(held_connection, b"late")
         processes.wait_until(
             lambda: (
                 processes.call(
@@ -111,9 +112,9 @@
             )
         )
         self.submit_request(self.open(), b"next")
-        self.assertIn(b"booking", late.getresponse().read())
+        self.assertIn(b"booking", held_connection.getresponse().read())
 
-    def test_half_close_is_seen_as_the_end(self):
+    def test_half_close_ends_the_stream(self):
         connection = self.open()
         self.submit_request(connection)
         self.fault(half_close="down")
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as a process, spoken to as routers do."""
+"""Tests of the platform stand-in as a process, over HTTP."""
 
 import contextlib
 import http.client
@@ -46,9 +46,9 @@
 
     def test_conditional_writes(self):
         self.start()
-        made = self.create("a", {"n": 1})
-        self.assertEqual(made.status, 201)
-        version = made.json()["metadata"]["resourceVersion"]
+        created = self.create("a", {"n": 1})
+        self.assertEqual(created.status, 201)
+        version = created.json()["metadata"]["resourceVersion"]
         self.assertEqual(self.create("a", {"n": 2}).status, 409)
         updated = self.update("a", {"n": 3}, version)
         self.assertEqual(updated.status, 200)
@@ -57,52 +57,54 @@
         read = self.call("GET", f"{ROOT}/a").json()
         self.assertEqual(read, updated.json())
         self.assertEqual(self.call("GET", ROOT).json()["items"], [read])
-        for wanted, status in (
+        for expected_version, status in (
             (version, 409),
             (read["metadata"]["resourceVersion"], 200),
         ):
-            path = f"{ROOT}/a?resourceVersion={wanted}"
+            path = f"{ROOT}/a?resourceVersion={expected_version}"
             self.assertEqual(self.call("DELETE", path).status, status)
         self.assertEqual(self.call("GET", f"{ROOT}/a").status, 404)
         self.assertEqual(self.create("c", "x" * (1 << 20)).status, 413)
         calls = self.call("GET", "/standin/calls").json()
         self.assertEqual(calls["calls"]["update things"], 3)
 
-    def test_watch_tells_changes_and_bookmarks(self):
+    def test_watch_sends_changes_and_bookmarks(self):
         self.start("--most_changes=2")
         for name in "abc":
             self.create(name, 1)
         self.assertEqual(self.open_watch(0).status, 410)
-        lines = self.open_watch(1)
+        watch = self.open_watch(1)
         self.create("d", 1)
         names = [
-            json.loads(lines.readline())["object"]["metadata"]["name"]
+            json.loads(watch.readline())["object"]["metadata"]["name"]
             for _ in "bcd"
         ]
         self.assertEqual(names, ["b", "c", "d"])
-        bookmark = json.loads(lines.readline())
+        bookmark = json.loads(watch.readline())
         self.assertEqual(bookmark["type"], "BOOKMARK")
         self.assertEqual(
             bookmark["object"]["metadata"]["resourceVersion"], "4"
         )
 
-    def test_bookmarks_come_while_other_kinds_are_written(self):
-        """Claims are written all the time and no table changes.  Without
-        bookmarks the tables' watchers would take their watch for silent
-        and open it again and again.
+    def test_bookmarks_are_sent_during_writes_to_other_kinds(self):
+        """A watch gets its bookmarks while other kinds are written.
+
+        Claims are written continuously while tables do not change.  Without
+        bookmarks the watchers of the tables would consider their watch
+        unresponsive and reopen it repeatedly.
         """
         self.start()
-        lines = self.open_watch(0)
+        watch = self.open_watch(0)
         end_s = time.monotonic() + 1.5
         while time.monotonic() < end_s:
             body = {"metadata": {"name": str(time.monotonic())}, "value": 1}
             path = ROOT.replace("things", "others")
             self.assertEqual(self.call("POST", path, body).status, 201)
-        # Less than the second after which a quiet platform would send one.
-        lines.fp.raw._sock.settimeout(0.3)
-        self.assertEqual(json.loads(lines.readline())["type"], "BOOKMARK")
+        # Less than the bookmark interval of one second without any writes.
+        watch.fp.raw._sock.settimeout(0.3)
+        self.assertEqual(json.loads(watch.readline())["type"], "BOOKMARK")
 
-    def test_rates_are_held(self):
+    def test_rates_are_limited(self):
         self.start("--writes_per_s=5", "--reads_per_s=5")
         written = [self.create(str(n), n).status for n in range(30)]
         self.assertIn(429, written)
@@ -110,8 +112,10 @@
         self.assertIn(429, read)
 
     def test_lost_reply_has_taken_effect(self):
-        """The platform writes and the connection breaks before its answer.
-        A writer that takes this for a failure would do its work twice.
+        """A write whose reply is lost has taken effect.
+
+        A writer that treats the lost reply as a failed write would repeat its
+        work.
         """
         self.start()
         self.fault(lost_writes=1)
@@ -120,14 +124,16 @@
         self.assertEqual(self.call("GET", f"{ROOT}/a").status, 200)
         self.assertEqual(self.create("b", 1).status, 201)
 
-    def test_outage_ends_watches_and_silence_answers_nothing(self):
-        """The platform is down, or takes calls without ever answering.
-        Nobody may wait for it without a limit.
+    def test_outage_ends_watches_and_silence_sends_no_response(self):
+        """An outage ends watches, and ``silence`` leaves calls unanswered.
+
+        Clients need a timeout for calls that the platform accepts but never
+        answers.
         """
         self.start()
-        lines = self.open_watch(0)
+        watch = self.open_watch(0)
         self.fault(outage=True)
-        self.assertEqual(lines.read(), b"")
+        self.assertEqual(watch.read(), b"")
         self.assertEqual(self.call("GET", ROOT).status, 503)
         self.fault(outage=False, silence=True)
         with self.assertRaises(OSError):
@@ -136,21 +142,23 @@
         self.assertEqual(self.call("GET", ROOT).status, 200)
 
     def test_stale_reads_and_silent_watches(self):
-        """A replica falls behind and answers reads from an old state, and
-        a watch's connection is lost track of.  A reader that trusts either
-        would go back to an old configuration or stay there.
+        """Stale reads and silent watches show only old state.
+
+        They simulate a lagging replica and a watch whose connection was lost.
+        A reader that relies on either would return to an old configuration or
+        keep it.
         """
         self.start()
         self.create("a", 1)
-        lines = self.open_watch(1)
+        watch = self.open_watch(1)
         self.fault(stale=True, silent_watches=True)
         self.update("a", 2, 1)
         self.assertEqual(self.call("GET", f"{ROOT}/a").json()["value"], 1)
-        with contextlib.closing(self.open_watch(1)) as fresh:
-            self.assertIn(b"MODIFIED", fresh.readline())
-        lines.fp.raw._sock.settimeout(1.5)
+        with contextlib.closing(self.open_watch(1)) as new_watch:
+            self.assertIn(b"MODIFIED", new_watch.readline())
+        watch.fp.raw._sock.settimeout(1.5)
         with self.assertRaises(OSError):
-            lines.readline()
+            watch.readline()
         self.fault(stale=False)
         self.assertEqual(self.call("GET", f"{ROOT}/a").json()["value"], 2)
 
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -1,4 +1,4 @@
-"""The plain service stand-in as a process."""
+"""Tests of the service stand-in as a process."""
 
 import http.client
 import unittest
@@ -25,9 +25,10 @@
             {"method": "PUT", "target": "/pens/7?lake=begnas", "body": "nets"},
         )
 
-    def test_each_booking_that_arrives_counts(self):
-        """A reply is lost after the effect and the caller repeats it.  The
-        stand-in must show two runs, or a checker could not find them.
+    def test_repeated_booking_is_counted_twice(self):
+        """A booking that is retried after a lost reply counts twice.
+
+        Tests detect duplicate executions by these counts.
         """
         headers = {"X-Request-Id": "r1", "Idempotency-Key": "k1"}
         self.call("POST", "/standin/faults", {"lost_replies": 1})
