--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -206,8 +206,8 @@
     def _report(self, router: int) -> None:
         scheduler, now_ms = self._schedulers[router], int(self.now_ms)
         for name, engine in self._engines.items():
-            load = engine.report_load(self.now_ms)
-            shape = engine.shape
+            load = engine.get_delayed_load(self.now_ms)
+            shape = engine.parameters
             scheduler.record_load(
                 "lm",
                 name,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -83,7 +83,7 @@
         if sample < SMALL_ACCOUNT_PROBABILITY:
             return "k-small"
         if sample > 1 - ROTATED_KEY_PROBABILITY:
-            return self._rng.choice(list(self._cluster.seen.keys))
+            return self._rng.choice(list(self._cluster.history.keys))
         return "k-large"
 
     def _call(self, attempt: history.Attempt) -> None:
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -46,7 +46,7 @@
         super().__init__(config.vms, rate=RATE)
         self.config = config
         self.keys = {"k-large": "large", "k-small": "small", "k-0": "large"}
-        self.seen = history.History(dict(self.keys), config.vms)
+        self.history = history.History(dict(self.keys), config.vms)
         self.journal = pathlib.Path(self.folder.name) / "runs.jsonl"
         self.lock = threading.RLock()
         self.vm_locks = [threading.Lock() for _ in self.vms]
@@ -122,7 +122,7 @@
         )
         instance = f"{name}-life{number}"
         service, phase = parse_upstream_name(name)
-        self.seen.services[instance] = service
+        self.history.services[instance] = service
         port = self.upstream_ports[name]
         process = self.group.start(
             "standins.hosted_upstreams",
@@ -203,10 +203,10 @@
         """Return the recorded history, including the upstreams' journal."""
         if self.journal.exists():
             lines = self.journal.read_text(encoding="utf-8").splitlines()
-            self.seen.runs = [
+            self.history.runs = [
                 history.Run(**json.loads(line)) for line in lines
             ]
-        return self.seen
+        return self.history
 
     def count_held(self) -> int:
         """Return the number of requests and KV caches that engines hold."""
@@ -273,7 +273,7 @@
                     and vm.popen.pid not in self.expected_exits
                 ):
                     self.expected_exits.add(vm.popen.pid)
-                    self.seen.unexpected_exits.append(
+                    self.history.unexpected_exits.append(
                         f"vm-{number} (status {code})"
                     )
 
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -97,7 +97,7 @@
         window = history.FaultWindow(
             step.kind, get_target_name(step), cluster.now_ms(), 1 << 62
         )
-        self._cluster.seen.fault_windows.append(window)
+        self._cluster.history.fault_windows.append(window)
         try:
             self._find_action(step)(step)
         finally:
@@ -202,9 +202,9 @@
                 if key not in hosted_fleet.KEYS
             )
             del self._cluster.keys[revoked_key]
-            issued_key = f"k-{len(self._cluster.seen.keys)}"
+            issued_key = f"k-{len(self._cluster.history.keys)}"
             self._cluster.keys[issued_key] = "large"
-            self._cluster.seen.keys[issued_key] = "large"
+            self._cluster.history.keys[issued_key] = "large"
             self._cluster.configure()
             self._record_edit("withdraw", revoked_key)
             self._record_edit("give", issued_key)
@@ -229,7 +229,7 @@
             cluster.now_ms(),
         )
         attempt.has_disconnected = True
-        self._cluster.seen.attempts.append(attempt)
+        self._cluster.history.attempts.append(attempt)
         try:
             self._cluster.send(
                 number, "/plain/p", attempt.name, body=b"poison"
@@ -248,7 +248,7 @@
                 self._cluster.drop("servers", ended)
 
     def _record_edit(self, action: str, name: str) -> None:
-        self._cluster.seen.edits.append(
+        self._cluster.history.edits.append(
             history.Edit(action, name, cluster.now_ms())
         )
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -30,34 +30,36 @@
 
     :param seed: seed of the run
     :param faults: fault schedule
-    :param seen: recorded history
+    :param recorded: recorded history
     :param violations: one message for each violation
     """
 
-    __slots__ = ("seed", "faults", "seen", "broken")
+    __slots__ = ("seed", "faults", "history", "violations")
 
     def __init__(
         self,
         seed: int,
         faults: list[plan.ScheduledFault],
-        seen: history.History,
+        recorded: history.History,
         violations: list[str],
     ) -> None:
         self.seed = seed
         self.faults = faults
-        self.seen = seen
+        self.history = recorded
         self.violations = violations
 
     def describe(self) -> str:
         """Return a one-line summary for people."""
-        served = sum(attempt.status == 200 for attempt in self.seen.attempts)
+        served = sum(
+            attempt.status == 200 for attempt in self.history.attempts
+        )
         faults = ", ".join(
             f"{step.kind}({step.target}) {step.at_ms}+{step.duration_ms}"
             for step in self.faults
         )
         return (
             f"seed {self.seed}: {len(self.violations)} violations, "
-            f"{served} of {len(self.seen.attempts)} served; {faults}"
+            f"{served} of {len(self.history.attempts)} served; {faults}"
         )
 
 
@@ -78,12 +80,12 @@
         client_callers.start()
         injector.Injector(soak_cluster, steps).inject_all()
         ended_ms = max(cluster.now_ms(), began_ms + config.length_ms)
-        soak_cluster.seen.recovered_ms = ended_ms + plan.RECOVERY_MS
+        soak_cluster.history.recovered_ms = ended_ms + plan.RECOVERY_MS
         remaining_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
         time.sleep(remaining_ms / MS_IN_S)
-        soak_cluster.seen.attempts += client_callers.stop()
+        soak_cluster.history.attempts += client_callers.stop()
         time.sleep(RELEASE_TIMEOUT_S)
-        soak_cluster.seen.held = soak_cluster.count_held()
+        soak_cluster.history.held = soak_cluster.count_held()
         seen = soak_cluster.read_history()
         violations = checks.find_violations(seen, QUOTA)
         if violations and log_folder is not None:
@@ -100,13 +102,13 @@
             shutil.copy(file, folder)
     windows = [
         f"{window.from_ms} {window.to_ms} {window.kind} {window.target}"
-        for window in soak_cluster.seen.fault_windows
+        for window in soak_cluster.history.fault_windows
     ]
     (folder / "windows.txt").write_text("\n".join(windows), encoding="utf-8")
     attempts = [
         f"{attempt.name} {attempt.kind.value} vm-{attempt.vm} "
         f"{attempt.began_ms} {attempt.ended_ms} {attempt.status} "
         f"cut={attempt.is_cut}"
-        for attempt in soak_cluster.seen.attempts
+        for attempt in soak_cluster.history.attempts
     ]
     (folder / "attempts.txt").write_text("\n".join(attempts), encoding="utf-8")
--- a/standins/engine_completion.py
+++ b/standins/engine_completion.py
@@ -77,7 +77,7 @@
         "imported",
         "stamps",
         "_call",
-        "_head",
+        "_event_prefix",
         "_texts",
         "_unsent",
     )
@@ -134,7 +134,7 @@
             self._write(DONE)
         set_result(self.finished, True)
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """End the call because the engine cancelled its request."""
         set_result(self.prefilled, None)
         set_result(self.imported, None)
@@ -162,7 +162,7 @@
             "usage": self.make_usage(),
         }
 
-    def attach(self, transport: asyncio.Transport) -> None:
+    def start_streaming(self, transport: asyncio.Transport) -> None:
         """Set the transport and send the events that were buffered for it.
 
         A busy engine may generate the first token while the response headers
--- a/standins/engine_kv_transfer.py
+++ b/standins/engine_kv_transfer.py
@@ -45,7 +45,7 @@
         app.router.add_delete(path, self._release)
         app.cleanup_ctx.append(self._open_client)
 
-    async def claim(self, params: dict[str, typing.Any]) -> bool:
+    async def pin(self, params: dict[str, typing.Any]) -> bool:
         """Pin another engine's prefill result for an import.
 
         :param params: ``kv_transfer_params`` of the request
--- a/standins/engine_model.py
+++ b/standins/engine_model.py
@@ -48,7 +48,7 @@
         models: tuple[str, ...],
         seed: int = 0,
     ) -> None:
-        self.shape = parameters
+        self.parameters = parameters
         self.role = role
         self.models = list(models)
         self.cache = prefix_cache.PrefixCache(
@@ -154,7 +154,7 @@
         if request is not None:
             self._release(request, now_ms)
 
-    def give_order(
+    def apply_order(
         self, verb: str, argument: str, fencing: int, now_ms: float
     ) -> bool:
         """Load or unload a model, or change the role.
@@ -165,7 +165,7 @@
         :param now_ms: current time in ms
         :returns: false if the fencing number is outdated
         """
-        if self.shape.checks_fencing and fencing < self.fencing:
+        if self.parameters.checks_fencing and fencing < self.fencing:
             return False
         self.fencing = max(fencing, self.fencing)
         if verb == "role":
@@ -174,7 +174,9 @@
             self.models.remove(argument)
             self.cache.clear(now_ms)
         elif verb == "load" and argument not in self.models:
-            self._loading.append((now_ms + self.shape.load_model_ms, argument))
+            self._loading.append(
+                (now_ms + self.parameters.load_model_ms, argument)
+            )
         return True
 
     def set_parameter(self, name: str, value: float, now_ms: float) -> None:
@@ -185,15 +187,15 @@
         :param now_ms: current time in ms
         """
         self._link.advance(now_ms)
-        setattr(self.shape, name, value)
+        setattr(self.parameters, name, value)
 
-    def report_load(self, now_ms: float) -> load_history.LoadSnapshot:
+    def get_delayed_load(self, now_ms: float) -> load_history.LoadSnapshot:
         """Return the load with the delay of a load report.
 
         :param now_ms: current time in ms
         :returns: newest snapshot that is at least ``load_lag_ms`` old
         """
-        return self._history.read(now_ms - self.shape.load_lag_ms)
+        return self._history.read(now_ms - self.parameters.load_lag_ms)
 
     def get_next_event_ms(self) -> float:
         """Return the time of the next event in ms; infinite if none."""
@@ -227,8 +229,8 @@
         tokens = request.prompt_tokens + (
             request.output_tokens if decodes else 0
         )
-        blocks = math.ceil(tokens / self.shape.block_tokens)
-        has_slot = not decodes or self._reserved_slots < self.shape.slots
+        blocks = math.ceil(tokens / self.parameters.block_tokens)
+        has_slot = not decodes or self._reserved_slots < self.parameters.slots
         if not has_slot or blocks > self.free_blocks:
             return False
         request.blocks = blocks
@@ -267,7 +269,7 @@
             request.handle = (
                 f"{request.request_id}-{next(self._handle_numbers)}"
             )
-            request.due_ms = at_ms + self.shape.handle_ms
+            request.due_ms = at_ms + self.parameters.handle_ms
             self._handles[request.handle] = request
         events.append(ModelEvent(EventKind.PREFILLED, request, at_ms))
         self._record_load(at_ms)
@@ -284,9 +286,13 @@
             self._step_end_ms = at_ms + self._compute_step_ms()
 
     def _compute_step_ms(self) -> float:
-        idle_fraction = 1 - len(self._batch) / self.shape.slots
-        step_fraction = 1 - self.shape.batch_growth * idle_fraction
-        return self.shape.token_ms * step_fraction * self.shape.slow_factor
+        idle_fraction = 1 - len(self._batch) / self.parameters.slots
+        step_fraction = 1 - self.parameters.batch_growth * idle_fraction
+        return (
+            self.parameters.token_ms
+            * step_fraction
+            * self.parameters.slow_factor
+        )
 
     def _finish_step(self, at_ms: float, events: list[ModelEvent]) -> None:
         if self._step_end_ms > at_ms:
--- a/standins/engine_server.py
+++ b/standins/engine_server.py
@@ -159,7 +159,7 @@
             request.headers.get("X-Request-Owner", ""),
             call.model,
             answers.hash_blocks(
-                call.model, call.prompt, self.model.shape.block_tokens
+                call.model, call.prompt, self.model.parameters.block_tokens
             ),
             answers.count_prompt_tokens(call.prompt),
             answer.length,
@@ -217,7 +217,7 @@
             "remote_engine": self.address,
             "remote_address": self.address,
             "remote_handle": run.handle,
-            "expires_ms": self.model.shape.handle_ms,
+            "expires_ms": self.model.parameters.handle_ms,
         }
         return self._make_response(
             responder,
@@ -238,7 +238,7 @@
         if rejection is not None:
             return self._make_rejection(responder, rejection)
         try:
-            if not await self._kv_transfer.claim(call.params):
+            if not await self._kv_transfer.pin(call.params):
                 self._cancel_call(responder)
                 return self._make_rejection(
                     responder, engine_types.RejectReason.HANDLE_EXPIRED
@@ -290,7 +290,7 @@
         writer = await response.prepare(request)
         writer.send_headers()
         if request.transport is not None:
-            responder.attach(request.transport)
+            responder.start_streaming(request.transport)
         if not await responder.finished and request.transport is not None:
             # A cancelled stream must be recognizable as truncated, so the
             # connection is closed without a final chunk.
@@ -300,7 +300,7 @@
     def _cancel_call(self, responder: CompletionResponder) -> None:
         if self.model.cancel(responder.run, self._now_ms()):
             responder.record["outcome"] = "cancelled"
-            responder.abandon()
+            responder.abort()
             self._advance_model()
 
     async def _handle_cancel(self, request: web.Request) -> web.Response:
@@ -319,4 +319,4 @@
         for name, value in faults.items():
             self.model.set_parameter(name, value, self._now_ms())
         self._advance_model()
-        return serving.answer(vars(self.model.shape))
+        return serving.answer(vars(self.model.parameters))
--- a/standins/engine_status_api.py
+++ b/standins/engine_status_api.py
@@ -55,14 +55,14 @@
 
     async def _report_load(self, request: web.Request) -> web.Response:
         now_ms = self._advance_model()
-        load = self._model.report_load(now_ms)
+        load = self._model.get_delayed_load(now_ms)
         return serving.answer(
             {
                 "running": load.running,
                 "waiting": load.waiting,
-                "slots": self._model.shape.slots,
+                "slots": self._model.parameters.slots,
                 "free_blocks": load.free_blocks,
-                "total_blocks": self._model.shape.total_blocks,
+                "total_blocks": self._model.parameters.total_blocks,
                 "models": self._model.models,
             }
         )
@@ -85,7 +85,7 @@
         self._recorder.note(request, await request.read())
         order = await serving.read_json(request)
         now_ms = self._advance_model()
-        is_accepted = self._model.give_order(
+        is_accepted = self._model.apply_order(
             order["verb"],
             order["argument"],
             int(order["fencing"]),
--- a/standins/faultproxy.py
+++ b/standins/faultproxy.py
@@ -50,7 +50,7 @@
         if pair is None:
             return serving.make_error_response(404, "no such pair")
         try:
-            await pair.change(await serving.read_json(request))
+            await pair.apply_faults(await serving.read_json(request))
         except ValueError as error:
             return serving.make_error_response(400, str(error))
         return serving.answer(pair.show())
--- a/standins/hosted_store.py
+++ b/standins/hosted_store.py
@@ -161,7 +161,9 @@
             and int(expected_revision) != stored["metadata"]["revision"]
         ):
             return serving.answer(stored, 409)
-        await self.drop(request.match_info["kind"], request.match_info["name"])
+        await self.delete(
+            request.match_info["kind"], request.match_info["name"]
+        )
         return serving.answer({})
 
     def _find(self, request: web.Request) -> Stored | None:
@@ -196,7 +198,7 @@
             self._changed.notify_all()
         return stored
 
-    async def drop(self, kind: str, name: str) -> None:
+    async def delete(self, kind: str, name: str) -> None:
         """Remove an object if it exists.
 
         :param kind: kind of the object
@@ -217,7 +219,7 @@
 
     async def _drop(self, request: web.Request) -> web.Response:
         kind, name = request.match_info["kind"], request.match_info["name"]
-        await self.drop(kind, name)
+        await self.delete(kind, name)
         return serving.answer({})
 
     async def _set_fault(self, request: web.Request) -> web.Response:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -105,7 +105,7 @@
             is_watch = request.query.get("watch") == "true"
             body = await request.read()
             self.calls.note("watch" if is_watch else verb, kind, len(body))
-            is_affected = self.faults.affects(kind)
+            is_affected = self.faults.applies_to(kind)
             if is_affected and self.faults.silence:
                 await asyncio.Event().wait()
             slow_ms = self.faults.slow_ms if is_affected else 0
@@ -193,11 +193,11 @@
         if request.method == "POST":
             values = await serving.read_json(request)
             try:
-                self.faults.change(values)
+                self.faults.update(values)
             except ValueError as error:
                 return serving.make_error_response(400, str(error))
             if "stale" in values:
-                self.store.freeze(self.faults.stale)
+                self.store.set_stale_reads(self.faults.stale)
             if self.faults.silent_watches:
                 self.watches.silence()
                 self.faults.silent_watches = False
--- a/standins/platform_faults.py
+++ b/standins/platform_faults.py
@@ -34,7 +34,7 @@
         self.kinds: list[str] = []
         self._rng = random.Random(seed)
 
-    def change(self, values: dict[str, typing.Any]) -> None:
+    def update(self, values: dict[str, typing.Any]) -> None:
         """Set some faults and leave the others unchanged.
 
         :param values: new values by fault name
@@ -55,7 +55,7 @@
             if not name.startswith("_")
         }
 
-    def affects(self, kind: str) -> bool:
+    def applies_to(self, kind: str) -> bool:
         """Return whether the faults apply to a kind.
 
         :param kind: kind of an object
--- a/standins/proxy_faults.py
+++ b/standins/proxy_faults.py
@@ -34,7 +34,7 @@
         self.hold_replies = 0
         self._rng = random.Random(seed)
 
-    def change(self, values: dict[str, typing.Any]) -> None:
+    def update(self, values: dict[str, typing.Any]) -> None:
         """Set some faults and leave the others unchanged.
 
         :param values: new values by fault name
--- a/standins/proxy_pair.py
+++ b/standins/proxy_pair.py
@@ -71,7 +71,7 @@
             "faults": self.faults.show(),
         }
 
-    async def change(self, values: dict[str, typing.Any]) -> None:
+    async def apply_faults(self, values: dict[str, typing.Any]) -> None:
         """Set faults, or act on the open connections.
 
         :param values: new values by fault name; on open connections, ``cut``
@@ -82,7 +82,7 @@
         cut = values.pop("cut", False)
         half_close = values.pop("half_close", "")
         silent = values.pop("silent", [])
-        self.faults.change(values)
+        self.faults.update(values)
         for connection in [*self._connections]:
             connection.silent |= set(silent)
             if half_close:
@@ -135,7 +135,7 @@
     ) -> None:
         writer = connection.writer(direction)
         while data := await reader.read(READ_BYTES):
-            await self._apply_faults(connection, direction)
+            await self._delay_or_drop(connection, direction)
             if direction not in connection.silent:
                 writer.write(data)
                 await writer.drain()
@@ -143,7 +143,7 @@
         if direction not in connection.silent:
             _close_for_writing(writer)
 
-    async def _apply_faults(
+    async def _delay_or_drop(
         self, connection: ProxiedConnection, direction: str
     ) -> None:
         """Delay or stall bytes, or drop a reply, before forwarding."""
@@ -155,9 +155,9 @@
             connection.awaits_reply = True
         elif connection.awaits_reply:
             connection.awaits_reply = False
-            await self._apply_reply_faults(connection)
+            await self._drop_or_hold_reply(connection)
 
-    async def _apply_reply_faults(self, connection: ProxiedConnection) -> None:
+    async def _drop_or_hold_reply(self, connection: ProxiedConnection) -> None:
         if self.faults.consume_reply_drop():
             connection.abort()
             raise ConnectionResetError
--- a/standins/store.py
+++ b/standins/store.py
@@ -61,21 +61,21 @@
         self._changes: collections.deque[Change] = collections.deque(
             maxlen=most_changes
         )
-        self._frozen: Store | None = None
+        self._stale_copy: Store | None = None
 
-    def freeze(self, frozen: bool) -> None:
+    def set_stale_reads(self, is_stale: bool) -> None:
         """Start or stop serving reads from the state at this time.
 
         This simulates a replica that lags behind; writes still use the
         current version.
 
-        :param frozen: whether reads are stale
+        :param is_stale: whether reads are stale
         """
-        self._frozen = None
-        if frozen:
-            self._frozen = Store(0)
-            self._frozen.version = self.version
-            self._frozen._kinds = {
+        self._stale_copy = None
+        if is_stale:
+            self._stale_copy = Store(0)
+            self._stale_copy.version = self.version
+            self._stale_copy._kinds = {
                 kind: dict(objects) for kind, objects in self._kinds.items()
             }
 
@@ -84,8 +84,8 @@
 
         :raises Missing: if it does not exist
         """
-        if self._frozen is not None:
-            return self._frozen.read(kind, name)
+        if self._stale_copy is not None:
+            return self._stale_copy.read(kind, name)
         try:
             return self._kinds[kind][name]
         except KeyError as error:
@@ -93,8 +93,8 @@
 
     def read_all(self, kind: str) -> tuple[int, list[dict[str, typing.Any]]]:
         """Return the version and all objects of a kind."""
-        if self._frozen is not None:
-            return self._frozen.read_all(kind)
+        if self._stale_copy is not None:
+            return self._stale_copy.read_all(kind)
         return self.version, list(self._kinds.get(kind, {}).values())
 
     def create(
--- a/standins/watches.py
+++ b/standins/watches.py
@@ -55,7 +55,7 @@
     def silence(self) -> None:
         """Make the watches that are open now send nothing more."""
         for watch in self._open:
-            if self._faults.affects(watch.kind):
+            if self._faults.applies_to(watch.kind):
                 watch.is_silent = True
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
@@ -89,7 +89,9 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         bookmark_s = loop.time() + BOOKMARK_INTERVAL_S
-        while not (self._faults.outage and self._faults.affects(watch.kind)):
+        while not (
+            self._faults.outage and self._faults.applies_to(watch.kind)
+        ):
             watch.wake.clear()
             if not watch.is_silent:
                 try:
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -25,7 +25,7 @@
         entry = self.read("# test | command | seen | issue", "", GOOD)[KNOWN]
         self.assertTrue(entry.is_suite_test)
         self.assertEqual(entry.command, "make test, no seed")
-        self.assertEqual(entry.seen, "fails at times")
+        self.assertEqual(entry.symptom, "fails at times")
         self.assertEqual(entry.issue, 18)
 
     def test_simulation(self):
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -217,7 +217,7 @@
         )
         responder.send_token(0)
         transport = FakeTransport()
-        responder.attach(transport)
+        responder.start_streaming(transport)
         responder.send_token(1)
         self.assertEqual(
             [transport.written.count(b'"index": %d, "ch' % n) for n in (0, 1)],
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -41,7 +41,7 @@
         self.assertEqual(len(times), 10)
         self.assertAlmostEqual(times[-1] - times[0], 9 * 37.0)
         self.assertEqual(model.held, {})
-        self.assertEqual(model.free_blocks, model.shape.total_blocks)
+        self.assertEqual(model.free_blocks, model.parameters.total_blocks)
 
     def test_prefills_run_one_at_a_time_by_priority(self):
         model = self.make_model("prefill", prefill_base_ms=0.0)
@@ -123,14 +123,14 @@
         for request in requests:
             self.assertTrue(model.cancel(request, 101.0))
             self.assertFalse(model.cancel(request, 101.0))
-        self.assertEqual(model.free_blocks, model.shape.total_blocks)
+        self.assertEqual(model.free_blocks, model.parameters.total_blocks)
         self.assertEqual(model.get_next_event_ms(), engine_model.NEVER)
 
     def test_load_report_lags(self):
         model = self.make_model("decode")
         model.submit_decode(make_request("a"), 1_000.0)
-        self.assertEqual(model.report_load(1_100.0).running, 0)
-        self.assertEqual(model.report_load(1_500.0).running, 1)
+        self.assertEqual(model.get_delayed_load(1_100.0).running, 0)
+        self.assertEqual(model.get_delayed_load(1_500.0).running, 1)
 
     def test_outdated_fencing_number_is_rejected(self):
         """An order with an outdated fencing number is rejected.
@@ -140,8 +140,8 @@
         """
         for checks, taken in ((True, False), (False, True)):
             model = self.make_model("both", checks_fencing=checks)
-            self.assertTrue(model.give_order("load", "n", 7, 0.0))
-            self.assertEqual(model.give_order("load", "o", 6, 0.0), taken)
+            self.assertTrue(model.apply_order("load", "n", 7, 0.0))
+            self.assertEqual(model.apply_order("load", "o", 6, 0.0), taken)
             model.advance(FAR_MS)
             self.assertIn("n", model.models)
             self.assertEqual("o" in model.models, taken)
--- a/tools/known_failures.py
+++ b/tools/known_failures.py
@@ -22,16 +22,18 @@
 
     :param test: id of a test, or name of the simulation that failed
     :param command: command that reproduces the failure, with its seed
-    :param seen: observed failure, and its cause as far as it is known
+    :param symptom: observed failure, and its cause as far as it is known
     :param issue: number of the open issue
     """
 
-    __slots__ = ("test", "command", "seen", "issue")
+    __slots__ = ("test", "command", "symptom", "issue")
 
-    def __init__(self, test: str, command: str, seen: str, issue: int) -> None:
+    def __init__(
+        self, test: str, command: str, symptom: str, issue: int
+    ) -> None:
         self.test = test
         self.command = command
-        self.seen = seen
+        self.symptom = symptom
         self.issue = issue
 
     @property
@@ -40,7 +42,7 @@
         return self.test.startswith(TEST_PREFIX)
 
     def __str__(self) -> str:
-        return f"{self.command}: {self.seen} (issue {self.issue})"
+        return f"{self.command}: {self.symptom} (issue {self.issue})"
 
 
 def read_entries(path: pathlib.Path) -> dict[str, KnownFailure]:
@@ -71,14 +73,14 @@
         raise KnownFailuresError(
             f"an entry needs test, command, observed failure, issue: {line}"
         )
-    test, command, seen, issue = fields
+    test, command, symptom, issue = fields
     if not issue.isdecimal():
         raise KnownFailuresError(f"{test}: {issue!r} is not an issue number")
     if test.startswith(TEST_PREFIX):
         _check_test_exists(test)
     elif not test.startswith(SIMULATION_PREFIXES):
         raise KnownFailuresError(f"{test}: neither a test nor a simulation")
-    return KnownFailure(test, command, seen, int(issue))
+    return KnownFailure(test, command, symptom, int(issue))
 
 
 def _check_test_exists(name: str) -> None:
--- a/tools/suite.py
+++ b/tools/suite.py
@@ -53,7 +53,7 @@
     :param duration_s: duration in seconds
     """
 
-    __slots__ = ("module", "text", "counts", "took_s")
+    __slots__ = ("module", "text", "counts", "duration_s")
 
     def __init__(
         self, module: str, text: str, counts: list[int], duration_s: float
