--- a/soak/checks.py
+++ b/soak/checks.py
@@ -65,10 +65,10 @@
         return limit * (1 + self.over_part) + self.over_tokens
 
 
-def check_runs(seen: history.History) -> Violations:
+def check_runs(recorded: history.History) -> Violations:
     """Check how often, where and for which account each attempt ran."""
-    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
-    for name, runs in _group_runs(seen).items():
+    attempts_by_name = {attempt.name: attempt for attempt in recorded.attempts}
+    for name, runs in _group_runs(recorded).items():
         attempt = attempts_by_name.get(name)
         if attempt is None:
             yield f"{name} ran, and no caller sent it"
@@ -76,23 +76,23 @@
         if len(runs) > attempt.kind.max_runs:
             yield f"{name} ran {len(runs)} times: {attempt.kind.value}"
         for run in runs:
-            if run.account != seen.keys[attempt.key]:
+            if run.account != recorded.keys[attempt.key]:
                 yield f"{name} ran for {run.account}, not its key's account"
-            if seen.services.get(run.instance) != attempt.kind.service:
+            if recorded.services.get(run.instance) != attempt.kind.service:
                 yield f"{name} ran at {run.instance}, where it must not"
 
 
-def check_keys(seen: history.History) -> Violations:
+def check_keys(recorded: history.History) -> Violations:
     """Check that no upstream received a caller's API key."""
-    for run in seen.runs:
-        if any(key in run.text for key in seen.keys):
+    for run in recorded.runs:
+        if any(key in run.text for key in recorded.keys):
             yield f"{run.attempt} showed its key to {run.instance}"
 
 
-def check_rejections(seen: history.History) -> Violations:
+def check_rejections(recorded: history.History) -> Violations:
     """Check that rejected attempts did not run and carry Retry-After."""
-    runs_by_attempt = _group_runs(seen)
-    for attempt in seen.attempts:
+    runs_by_attempt = _group_runs(recorded)
+    for attempt in recorded.attempts:
         if attempt.status not in REJECTION_STATUSES:
             continue
         if attempt.name in runs_by_attempt:
@@ -101,15 +101,15 @@
             yield f"{attempt.name} was rejected without a time to retry"
 
 
-def check_answers(seen: history.History) -> Violations:
+def check_answers(recorded: history.History) -> Violations:
     """Check that successful responses are complete and match the request.
 
     A truncated response must be recognizable as truncated.
     """
     expected_seals = collections.defaultdict(set)
-    for run in seen.runs:
+    for run in recorded.runs:
         expected_seals[run.attempt].add(run.seal)
-    for attempt in seen.attempts:
+    for attempt in recorded.attempts:
         if attempt.status != 200:
             continue
         if (
@@ -125,15 +125,15 @@
             yield f"{attempt.name} got {attempt.body[:60]!r}"
 
 
-def check_edit_propagation(seen: history.History) -> Violations:
+def check_edit_propagation(recorded: history.History) -> Violations:
     """Check that edits become active on healthy VMs in time and stay so."""
-    for edit in seen.edits:
+    for edit in recorded.edits:
         due_ms = edit.at_ms + EDIT_PROPAGATION_MS
-        changed_ms = _find_next_change_ms(seen, edit)
-        for attempt in seen.attempts:
+        changed_ms = _find_next_change_ms(recorded, edit)
+        for attempt in recorded.attempts:
             if attempt.began_ms < due_ms or attempt.ended_ms >= changed_ms:
                 continue
-            if not seen.is_vm_healthy(
+            if not recorded.is_vm_healthy(
                 attempt.vm,
                 attempt.began_ms - SETTLE_MS,
                 attempt.ended_ms,
@@ -153,24 +153,24 @@
                     yield f"{attempt.name} found no route after it was added"
 
 
-def check_route_regression(seen: history.History) -> Violations:
+def check_route_regression(recorded: history.History) -> Violations:
     """Check that a VM does not lose a route that it has served."""
     first_served_ms: dict[int, int] = {}
     attempts_on_added_route = [
         attempt
-        for attempt in seen.attempts
+        for attempt in recorded.attempts
         if attempt.kind is history.RequestKind.ADDED_ROUTE
     ]
     for attempt in sorted(
         attempts_on_added_route, key=lambda attempt: attempt.ended_ms
     ):
-        shown_ms = first_served_ms.get(attempt.vm)
-        if attempt.status == 200 and shown_ms is None:
+        served_ms = first_served_ms.get(attempt.vm)
+        if attempt.status == 200 and served_ms is None:
             first_served_ms[attempt.vm] = attempt.ended_ms
-        if attempt.status == 404 and shown_ms is not None:
-            since_ms = shown_ms + REGRESSION_TOLERANCE_MS
-            if attempt.began_ms > since_ms and not _was_restarted(
-                seen, attempt.vm, shown_ms, attempt.ended_ms
+        if attempt.status == 404 and served_ms is not None:
+            since_ms = served_ms + REGRESSION_TOLERANCE_MS
+            if attempt.began_ms > since_ms and not _was_vm_restarted(
+                recorded, attempt.vm, served_ms, attempt.ended_ms
             ):
                 yield (
                     f"{attempt.name} found no route that vm-{attempt.vm}"
@@ -178,13 +178,15 @@
                 )
 
 
-def check_draining(seen: history.History) -> Violations:
+def check_draining(recorded: history.History) -> Violations:
     """Check that healthy VMs send no new requests to draining upstreams."""
-    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
+    attempts_by_name = {attempt.name: attempt for attempt in recorded.attempts}
     draining = {
-        edit.name: edit.at_ms for edit in seen.edits if edit.action == "leave"
+        edit.name: edit.at_ms
+        for edit in recorded.edits
+        if edit.action == "leave"
     }
-    for run in seen.runs:
+    for run in recorded.runs:
         attempt, draining_since_ms = (
             attempts_by_name.get(run.attempt),
             draining.get(run.instance),
@@ -196,16 +198,16 @@
             or attempt.began_ms < draining_since_ms
         ):
             continue
-        if seen.is_vm_healthy(
+        if recorded.is_vm_healthy(
             attempt.vm, draining_since_ms - SETTLE_MS, run.at_ms
         ):
             yield f"{run.attempt} ran at {run.instance}, which was draining"
 
 
-def check_graceful_shutdown(seen: history.History) -> Violations:
+def check_graceful_shutdown(recorded: history.History) -> Violations:
     """Check that a graceful shutdown truncates no response in progress."""
-    runs_by_attempt = _group_runs(seen)
-    for attempt in seen.attempts:
+    runs_by_attempt = _group_runs(recorded)
+    for attempt in recorded.attempts:
         is_incomplete = attempt.status == 0 or attempt.is_cut
         if (
             not is_incomplete
@@ -214,11 +216,11 @@
         ):
             continue
         span = (attempt.began_ms - SETTLE_MS, attempt.ended_ms)
-        if not seen.are_upstreams_healthy(*span):
+        if not recorded.are_upstreams_healthy(*span):
             continue
         kinds = {
             window.kind
-            for window in seen.fault_windows
+            for window in recorded.fault_windows
             if window.target
             in (f"vm-{attempt.vm}", f"front-{attempt.vm}", "store")
             and window.overlaps(*span)
@@ -227,33 +229,33 @@
             yield f"{attempt.name} lost its response, faults: {sorted(kinds)}"
 
 
-def check_deadlines(seen: history.History) -> Violations:
+def check_deadlines(recorded: history.History) -> Violations:
     """Check that final responses arrive soon after the deadline at most."""
-    for attempt in seen.attempts:
+    for attempt in recorded.attempts:
         duration_ms = attempt.ended_ms - attempt.began_ms
         if (
             attempt.has_disconnected
             or duration_ms <= DEADLINE_MS + DEADLINE_SLACK_MS
         ):
             continue
-        if seen.is_vm_healthy(
+        if recorded.is_vm_healthy(
             attempt.vm, attempt.began_ms - SETTLE_MS, attempt.ended_ms
         ):
             yield f"{attempt.name} was answered after {duration_ms} ms"
 
 
-def check_recovery(seen: history.History) -> Violations:
+def check_recovery(recorded: history.History) -> Violations:
     """Check for unexpected exits, leaked resources and missing recovery."""
-    for vm in seen.unexpected_exits:
+    for vm in recorded.unexpected_exits:
         yield f"{vm} exited unexpectedly"
-    if seen.held:
-        yield f"engines still hold {seen.held} runs or KV caches"
+    if recorded.held:
+        yield f"engines still hold {recorded.held} runs or KV caches"
     fault_free = [
         attempt
-        for attempt in seen.attempts
-        if attempt.began_ms >= seen.recovered_ms
+        for attempt in recorded.attempts
+        if attempt.began_ms >= recorded.recovered_ms
         and not attempt.has_disconnected
-        and _should_be_served(seen, attempt)
+        and _should_be_served(recorded, attempt)
     ]
     served = sum(
         attempt.status == 200 and not attempt.is_cut for attempt in fault_free
@@ -262,20 +264,20 @@
         yield f"after all faults {served} of {len(fault_free)} were served"
 
 
-def check_quota(seen: history.History, quota: Quota) -> Violations:
+def check_quota(recorded: history.History, quota: Quota) -> Violations:
     """Check that an account stays within rate and burst across all VMs."""
-    attempts_by_name = {attempt.name: attempt for attempt in seen.attempts}
+    attempts_by_name = {attempt.name: attempt for attempt in recorded.attempts}
     starts = sorted(
         (min(run.at_ms for run in runs), _count_tokens(attempts_by_name[name]))
-        for name, runs in _group_runs(seen).items()
+        for name, runs in _group_runs(recorded).items()
         if name in attempts_by_name
-        and seen.keys[attempts_by_name[name].key] == quota.account
+        and recorded.keys[attempts_by_name[name].key] == quota.account
     )
-    for first_ms, _ in starts:
+    for window_start_ms, _ in starts:
         used = sum(
             tokens
             for at_ms, tokens in starts
-            if first_ms <= at_ms < first_ms + WINDOW_MS
+            if window_start_ms <= at_ms < window_start_ms + WINDOW_MS
         )
         if used > quota.compute_max_tokens():
             yield (
@@ -332,19 +334,21 @@
     return f"POST {attempt.path} ".encode() + attempt.sent
 
 
-def _group_runs(seen: history.History) -> dict[str, list[history.Run]]:
+def _group_runs(recorded: history.History) -> dict[str, list[history.Run]]:
     runs = collections.defaultdict(list)
-    for run in seen.runs:
+    for run in recorded.runs:
         runs[run.attempt].append(run)
     return runs
 
 
-def _find_next_change_ms(seen: history.History, edit: history.Edit) -> float:
+def _find_next_change_ms(
+    recorded: history.History, edit: history.Edit
+) -> float:
     """Return when a key that was issued or revoked changed again."""
     return min(
         (
             other.at_ms
-            for other in seen.edits
+            for other in recorded.edits
             if other.name == edit.name
             and other.action != edit.action
             and other.at_ms > edit.at_ms
@@ -353,18 +357,20 @@
     )
 
 
-def _was_restarted(
-    seen: history.History, vm: int, from_ms: int, to_ms: int
+def _was_vm_restarted(
+    recorded: history.History, vm: int, from_ms: int, to_ms: int
 ) -> bool:
     return any(
         window.target == f"vm-{vm}"
         and window.kind in ("vm_kill", "vm_term")
         and window.overlaps(from_ms, to_ms)
-        for window in seen.fault_windows
+        for window in recorded.fault_windows
     )
 
 
-def _should_be_served(seen: history.History, attempt: history.Attempt) -> bool:
+def _should_be_served(
+    recorded: history.History, attempt: history.Attempt
+) -> bool:
     """Return whether an attempt of the fault-free period must succeed."""
     if (
         attempt.status == 429
@@ -373,7 +379,7 @@
         return False
     revoked_at = [
         edit.at_ms
-        for edit in seen.edits
+        for edit in recorded.edits
         if edit.name == attempt.key and edit.action == "withdraw"
     ]
     return not revoked_at
--- a/soak/run.py
+++ b/soak/run.py
@@ -76,21 +76,21 @@
     steps = plan.make_fault_schedule(seed, config)
     with cluster.SoakCluster(config) as soak_cluster:
         client_callers = callers.Callers(seed, soak_cluster)
-        began_ms = cluster.now_ms()
+        started_ms = cluster.now_ms()
         client_callers.start()
         injector.Injector(soak_cluster, steps).inject_all()
-        ended_ms = max(cluster.now_ms(), began_ms + config.length_ms)
+        ended_ms = max(cluster.now_ms(), started_ms + config.length_ms)
         soak_cluster.history.recovered_ms = ended_ms + plan.RECOVERY_MS
         remaining_ms = ended_ms + plan.COOLDOWN_MS - cluster.now_ms()
         time.sleep(remaining_ms / MS_IN_S)
         soak_cluster.history.attempts += client_callers.stop()
         time.sleep(RELEASE_TIMEOUT_S)
         soak_cluster.history.held = soak_cluster.count_held()
-        seen = soak_cluster.read_history()
-        violations = checks.find_violations(seen, QUOTA)
+        recorded = soak_cluster.read_history()
+        violations = checks.find_violations(recorded, QUOTA)
         if violations and log_folder is not None:
             _keep_logs(soak_cluster, log_folder / f"seed-{seed}")
-    return SeedResult(seed, steps, seen, violations)
+    return SeedResult(seed, steps, recorded, violations)
 
 
 def _keep_logs(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -40,25 +40,27 @@
 
 
 def make_history(attempts, runs=(), windows=(), edits=()):
-    seen = history.History({"k": "large", "k-small": "small"}, 2)
-    seen.services = {"s0-life1": "app", "d0-life1": "llm"}
-    seen.attempts = list(attempts)
-    seen.runs = list(runs)
-    seen.fault_windows = list(windows)
-    seen.edits = list(edits)
-    seen.recovered_ms = 1 << 60
-    return seen
+    recorded = history.History({"k": "large", "k-small": "small"}, 2)
+    recorded.services = {"s0-life1": "app", "d0-life1": "llm"}
+    recorded.attempts = list(attempts)
+    recorded.runs = list(runs)
+    recorded.fault_windows = list(windows)
+    recorded.edits = list(edits)
+    recorded.recovered_ms = 1 << 60
+    return recorded
 
 
 class ChecksTest(unittest.TestCase):
     """Runs the checks on histories that violate a single invariant."""
 
-    def check(self, *parts, **more):
-        return checks.find_violations(make_history(*parts, **more), QUOTA)
+    def check(self, *records, **options):
+        return checks.find_violations(make_history(*records, **options), QUOTA)
 
-    def find(self, needle, *parts, **more):
-        found = self.check(*parts, **more)
-        self.assertTrue(any(needle in message for message in found), found)
+    def find(self, needle, *records, **options):
+        violations = self.check(*records, **options)
+        self.assertTrue(
+            any(needle in message for message in violations), violations
+        )
 
     def test_valid_history(self):
         stream = make_attempt("b", RequestKind.SINGLE_RUN_STREAM)
@@ -154,16 +156,16 @@
         self.find("after 6000 ms", [attempt], [make_run()])
 
     def test_missing_recovery(self):
-        seen = make_history([make_attempt(status=502)])
-        seen.recovered_ms = 0
-        found = checks.find_violations(seen, QUOTA)
-        self.assertIn("after all faults 0 of 1 were served", found)
+        recorded = make_history([make_attempt(status=502)])
+        recorded.recovered_ms = 0
+        violations = checks.find_violations(recorded, QUOTA)
+        self.assertIn("after all faults 0 of 1 were served", violations)
 
     def test_unexpected_exit_and_held_memory(self):
-        seen = make_history([])
-        seen.unexpected_exits.append("vm-0")
-        seen.held = 2
-        self.assertEqual(len(checks.find_violations(seen, QUOTA)), 2)
+        recorded = make_history([])
+        recorded.unexpected_exits.append("vm-0")
+        recorded.held = 2
+        self.assertEqual(len(checks.find_violations(recorded, QUOTA)), 2)
 
     def test_account_over_its_rate(self):
         count = int(QUOTA.compute_max_tokens() / 200) + 1
@@ -176,8 +178,10 @@
     def test_fault_of_the_vm_suppresses_violation(self):
         edit = history.Edit("withdraw", "k", 5_000)
         window = history.FaultWindow("vm_pause", "vm-0", 9_000, 10_000)
-        found = self.check([make_attempt()], [make_run()], [window], [edit])
-        self.assertEqual(found, [])
+        violations = self.check(
+            [make_attempt()], [make_run()], [window], [edit]
+        )
+        self.assertEqual(violations, [])
 
 
 class PlanTest(unittest.TestCase):
@@ -205,7 +209,7 @@
             for step in plan.make_fault_schedule(seed, plan.SoakConfig())
         }
         known = {
-            kind for kinds_, _ in plan.WEIGHTED_FAULT_GROUPS for kind in kinds_
+            kind for group, _ in plan.WEIGHTED_FAULT_GROUPS for kind in group
         }
         self.assertEqual(kinds, known)
 
