--- a/mulberryway/relay/__init__.py
+++ b/mulberryway/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The event loop that carries running answers, so that no thread has to."""
+"""Event loop that forwards token streams without a thread per stream."""
 
 from mulberryway.relay import loop
 from mulberryway.relay import pump
--- a/mulberryway/relay/events.py
+++ b/mulberryway/relay/events.py
@@ -1,4 +1,4 @@
-"""Reads chunked transfer coding and server-sent events from raw bytes."""
+"""Decodes chunked transfer coding and server-sent events from raw bytes."""
 
 import json
 import re
@@ -11,8 +11,9 @@
 MAX_CHUNK_SIZE_LINE_BYTES = 1_024
 MAX_EVENT_BYTES = 1_048_576
 
-# The form in which engines write an event's beginning.  Quotes within JSON
-# strings are escaped, so a match can only be the event's own two members.
+# Matches the usual start of an engine's event, which saves parsing its JSON.
+# Quotes within JSON strings are escaped, so the pattern can match only the
+# event's own "id" and "index".
 TOKEN_EVENT_PATTERN = re.compile(
     rb'data: ?\{"id": ?"([^"\\]*)", ?"index": ?(\d+)[,}]'
 )
@@ -21,75 +22,82 @@
 
 
 class InvalidStream(Exception):
-    """Bytes from an engine that are not a stream of events."""
+    """Raised if an engine's bytes are not a valid event stream."""
 
 
 class ChunkDecoder:
-    """Takes the chunked transfer coding off, one received piece at a time.
+    """Incremental decoder of the chunked transfer coding.
 
-    ``ended`` becomes true with the last chunk; without it the stream was
-    cut, however complete its text may look.
+    ``ended`` becomes true with the last chunk.  A stream that closes before
+    that is truncated, even if its text looks complete.
     """
 
-    __slots__ = ("ended", "_buffer", "_left", "_needs_end")
+    __slots__ = ("ended", "_buffer", "_chunk_remaining", "_needs_crlf")
 
     def __init__(self) -> None:
         self.ended = False
         self._buffer = b""
-        self._left = 0
-        self._needs_end = False
+        self._chunk_remaining = 0
+        self._needs_crlf = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return the payload in the bytes received so far.
+        """Return the payload of the bytes received so far.
 
-        :param data: what was received
-        :returns: payload, possibly empty
-        :raises InvalidStream: if the coding is wrong
+        :param data: the bytes received
+        :returns: the payload, possibly empty
+        :raises InvalidStream: if the chunked coding is malformed
         """
         buffer = self._buffer + data if self._buffer else data
         pieces: list[bytes] = []
-        at = 0
+        offset = 0
         while not self.ended:
-            if self._left:
-                piece = buffer[at : at + self._left]
+            if self._chunk_remaining:
+                piece = buffer[offset : offset + self._chunk_remaining]
                 pieces.append(piece)
-                at += len(piece)
-                self._left -= len(piece)
-                if self._left:
+                offset += len(piece)
+                self._chunk_remaining -= len(piece)
+                if self._chunk_remaining:
                     break
-                self._needs_end = True
-            after = self._read_size(buffer, at)
-            if after is None:
+                self._needs_crlf = True
+            next_offset = self._parse_size_line(buffer, offset)
+            if next_offset is None:
                 break
-            at = after
-        self._buffer = buffer[at:]
+            offset = next_offset
+        self._buffer = buffer[offset:]
         return pieces[0] if len(pieces) == 1 else b"".join(pieces)
 
-    def _read_size(self, buffer: bytes, at: int) -> int | None:
-        if self._needs_end:
-            if len(buffer) - at < len(CRLF):
+    def _parse_size_line(self, buffer: bytes, offset: int) -> int | None:
+        if self._needs_crlf:
+            if len(buffer) - offset < len(CRLF):
                 return None
-            if not buffer.startswith(CRLF, at):
-                raise InvalidStream("a chunk does not end with CRLF")
-            at += len(CRLF)
-        end = buffer.find(CRLF, at)
+            if not buffer.startswith(CRLF, offset):
+                raise InvalidStream("chunk does not end with CRLF")
+            offset += len(CRLF)
+        end = buffer.find(CRLF, offset)
         if end < 0:
-            if len(buffer) - at > MAX_CHUNK_SIZE_LINE_BYTES:
-                raise InvalidStream("a chunk's size line is too long")
+            if len(buffer) - offset > MAX_CHUNK_SIZE_LINE_BYTES:
+                raise InvalidStream("chunk size line is too long")
             return None
-        self._needs_end = False
+        self._needs_crlf = False
         try:
-            self._left = int(buffer[at:end].partition(b";")[0], 16)
+            self._chunk_remaining = int(
+                buffer[offset:end].partition(b";")[0], 16
+            )
         except ValueError as error:
-            raise InvalidStream("a chunk's size is not a number") from error
-        if self._left < 0:
-            raise InvalidStream("a chunk's size is negative")
-        self.ended = not self._left
+            raise InvalidStream(
+                "chunk size is not a hexadecimal number"
+            ) from error
+        if self._chunk_remaining < 0:
+            raise InvalidStream("chunk size is negative")
+        self.ended = not self._chunk_remaining
         return end + len(CRLF)
 
 
 class EventSplitter:
-    """Cuts payload into whole events, without the blank line after each."""
+    """Splits payload into complete events, without the blank line after each.
+
+    An incomplete event at the end is buffered until the next call.
+    """
 
     __slots__ = ("_buffer",)
 
@@ -97,25 +105,26 @@
         self._buffer = b""
 
     def feed(self, payload: bytes) -> list[bytes]:
-        """Return the events that are complete now.
+        """Return the events that this payload completes.
 
         :param payload: bytes without transfer coding
-        :returns: events in order
-        :raises InvalidStream: if an event grows without end
+        :returns: the complete events in order
+        :raises InvalidStream: if an event exceeds ``MAX_EVENT_BYTES``
         """
         buffer = self._buffer + payload if self._buffer else payload
         events = buffer.split(EVENT_END)
         self._buffer = events.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise InvalidStream("an event is too long")
+            raise InvalidStream("event is too long")
         return events
 
 
 class TokenEvent:
-    """What the relay needs to know of one event.
+    """The fields of an event that the relay needs.
 
-    :param id_: the answer's id, as the engine wrote it
-    :param index: the token's place in the answer; none for other events
+    :param id_: the completion's id, as the engine wrote it
+    :param index: the token's index in the completion; none for events that
+        are not tokens
     """
 
     __slots__ = ("id", "index")
@@ -126,11 +135,11 @@
 
     @classmethod
     def read(cls, event: bytes) -> "TokenEvent":
-        """Read one event.
+        """Parse one event.
 
-        :param event: one whole event
-        :returns: what it holds
-        :raises InvalidStream: if it is no JSON object, or an error
+        :param event: one complete event
+        :returns: its id and index
+        :raises InvalidStream: if it is not a JSON object, or is an error event
         """
         match = TOKEN_EVENT_PATTERN.match(event)
         if match is not None:
@@ -140,21 +149,21 @@
             raise InvalidStream("the engine sent an error event")
         index = value.get("index")
         if index is not None and type(index) is not int:
-            raise InvalidStream("an event's index is not a number")
+            raise InvalidStream("event index is not an integer")
         return cls(str(value.get("id", "")).encode(), index)
 
 
 def parse_json_event(event: bytes) -> dict[str, typing.Any]:
-    """Return the JSON object that an event carries.
+    """Parse the JSON object of an event's data line.
 
-    :param event: one whole event
+    :param event: one complete event
     :returns: the object
-    :raises InvalidStream: if it carries none
+    :raises InvalidStream: if the data is not a JSON object
     """
     try:
         value = json.loads(event.removeprefix(DATA_PREFIX))
     except ValueError as error:
-        raise InvalidStream("an event is not JSON") from error
+        raise InvalidStream("event is not JSON") from error
     if not isinstance(value, dict):
-        raise InvalidStream("an event is not a JSON object")
+        raise InvalidStream("event is not a JSON object")
     return value
--- a/mulberryway/relay/loop.py
+++ b/mulberryway/relay/loop.py
@@ -1,4 +1,4 @@
-"""An event loop on one thread, over Linux's epoll."""
+"""Single-threaded event loop on top of Linux's epoll."""
 
 import collections
 import collections.abc
@@ -14,7 +14,7 @@
 LOG = logging.getLogger(__name__)
 
 TICK_MS = 50
-# How long the loop sleeps where nothing needs a tick.
+# Timeout of epoll while no periodic callback is needed.
 IDLE_POLL_TIMEOUT_MS = 5_000
 MS_IN_S = 1_000
 
@@ -24,17 +24,19 @@
 
 
 class EventLoop:
-    """Calls handlers for file descriptors, posted acts and ticks.
+    """Runs file descriptor handlers, posted callbacks and periodic callbacks.
 
-    All but :meth:`post` is for the loop's own thread.  Handlers change only
-    there, between two events, so that an event never reaches the handler of
-    a later socket which was given the same number.
+    All methods but :meth:`post`, :meth:`start` and :meth:`stop` must be called
+    on the loop's thread, or before it starts.  Handlers change only there,
+    between two events, so an event never reaches the handler of a later
+    socket that reuses the same descriptor number.
 
-    ``epoll`` is used directly: ``selectors`` has no word for EPOLLRDHUP,
-    which tells of a caller's going without reading what it sent.
+    ``epoll`` is used directly because ``selectors`` does not support
+    EPOLLRDHUP, which reports that a caller has disconnected without reading
+    the data it sent.
 
     :param name: the thread's name
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(self, name: str, clock_: clock.Clock) -> None:
@@ -43,11 +45,11 @@
         self._epoll = select.epoll()
         self._handlers: dict[int, Handler] = {}
         self._posted: collections.deque[Callback] = collections.deque()
-        self._ticks: list[tuple[Callback, Condition]] = []
+        self._periodic: list[tuple[Callback, Condition]] = []
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self._is_woken = False
+        self._is_wake_pending = False
         self._is_stopping = False
-        self._ticked_ms = self.now_ms
+        self._last_tick_ms = self.now_ms
         self._thread = threading.Thread(
             target=self._run, name=name, daemon=True
         )
@@ -55,11 +57,11 @@
         self._handlers[self._wake_fd] = self._on_wake
 
     def start(self) -> None:
-        """Begin to run on a thread of its own."""
+        """Start the loop's thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread and close what belongs to the loop."""
+        """Stop the thread and close the loop's file descriptors."""
         self.post(self._stop)
         if self._thread.is_alive():
             self._thread.join()
@@ -67,36 +69,37 @@
         os.close(self._wake_fd)
 
     def post(self, callback: Callback) -> None:
-        """Let the loop's thread do something soon; from any thread.
+        """Schedule a callback on the loop's thread; safe from any thread.
 
-        :param callback: what to do; must not block
+        :param callback: the callback; must not block
         """
         self._posted.append(callback)
-        if not self._is_woken:
-            self._is_woken = True
+        if not self._is_wake_pending:
+            self._is_wake_pending = True
             os.eventfd_write(self._wake_fd, 1)
 
-    def add_periodic(self, act: Callback, is_needed: Condition) -> None:
-        """Do something about every ``TICK_MS``; before the start only.
+    def add_periodic(self, callback: Callback, is_needed: Condition) -> None:
+        """Run a callback about every ``TICK_MS``; call before the start only.
 
-        :param act: what to do; must not block
-        :param is_needed: whether there is anything to do; asked after each
-            event, and while it says no the loop may sleep for longer
+        :param callback: the callback; must not block
+        :param is_needed: returns whether there is anything to do; called
+            after each poll, and while no callback is needed the loop sleeps
+            up to ``IDLE_POLL_TIMEOUT_MS``
         """
-        self._ticks.append((act, is_needed))
+        self._periodic.append((callback, is_needed))
 
     def register(self, fd: int, events: int, handler: Handler) -> None:
         """Watch a file descriptor.
 
         :param fd: the descriptor
         :param events: epoll's flags
-        :param handler: gets the flags that are set
+        :param handler: called with the flags that are set
         """
         self._handlers[fd] = handler
         self._epoll.register(fd, events)
 
     def modify(self, fd: int, events: int) -> None:
-        """Change the flags that are watched.
+        """Change the flags that a descriptor is watched for.
 
         :param fd: the descriptor
         :param events: epoll's flags
@@ -104,7 +107,7 @@
         self._epoll.modify(fd, events)
 
     def unregister(self, fd: int) -> None:
-        """Stop to watch a descriptor, before it is closed.
+        """Stop watching a descriptor; call before it is closed.
 
         :param fd: the descriptor
         """
@@ -112,21 +115,22 @@
             try:
                 self._epoll.unregister(fd)
             except OSError:
-                LOG.debug("descriptor %d was closed while watched", fd)
+                LOG.debug("descriptor %d was closed before unregistering", fd)
 
     def _stop(self) -> None:
         self._is_stopping = True
 
     def _on_wake(self, events: int) -> None:
-        # In this order: a write that is read here must not leave the flag set.
+        # Read first: resetting the flag before the read would let the read
+        # consume a later wake-up while the flag stays set.
         os.eventfd_read(self._wake_fd)
-        self._is_woken = False
+        self._is_wake_pending = False
 
     def _run(self) -> None:
         poll = self._epoll.poll
         handlers = self._handlers
         while not self._is_stopping:
-            ready = poll(self._read_pause_ms() / MS_IN_S)
+            ready = poll(self._get_poll_timeout_ms() / MS_IN_S)
             self.now_ms = self.clock.now_ms()
             for fd, events in ready:
                 handler = handlers.get(fd)
@@ -134,22 +138,22 @@
                     self._call(handler, events)
             while self._posted:
                 self._call(self._posted.popleft())
-            if self.now_ms - self._ticked_ms >= TICK_MS:
-                self._ticked_ms = self.now_ms
-                for tick, is_needed in self._ticks:
+            if self.now_ms - self._last_tick_ms >= TICK_MS:
+                self._last_tick_ms = self.now_ms
+                for callback, is_needed in self._periodic:
                     if is_needed():
-                        self._call(tick)
+                        self._call(callback)
 
-    def _read_pause_ms(self) -> int:
-        is_needed = any(is_needed() for _, is_needed in self._ticks)
+    def _get_poll_timeout_ms(self) -> int:
+        is_needed = any(is_needed() for _, is_needed in self._periodic)
         return TICK_MS if is_needed else IDLE_POLL_TIMEOUT_MS
 
     def _call(
-        self, act: collections.abc.Callable[..., None], *arguments: int
+        self, callback: collections.abc.Callable[..., None], *arguments: int
     ) -> None:
-        # One stream's error must not end the loop: every other stream of
-        # the process would then fall silent at once.
+        # An error in one stream must not stop the loop, because that would
+        # stall every other stream of the process.
         try:
-            act(*arguments)
+            callback(*arguments)
         except Exception:
-            LOG.exception("an act of the event loop failed")
+            LOG.exception("event loop callback failed")
--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -1,4 +1,4 @@
-"""Answers that go to the caller byte for byte, as their engine wrote them."""
+"""Streams that are forwarded to the caller byte for byte."""
 
 import re
 
@@ -10,18 +10,18 @@
 
 __all__ = ["PassthroughStream", "PassthroughWriter"]
 
-# The line that numbers an event; the number grows along the answer.
+# The id line of an event; ids are integers that increase within a stream.
 EVENT_ID_PATTERN = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 EVENT_END = b"\n\n"
 LAST_CHUNK = b"0\r\n\r\n"
-# These speak of the engine's own connection and transfer coding.
+# Headers about the engine's connection and transfer coding.
 FRAMING_HEADERS = frozenset(
     ("connection", "keep-alive", "transfer-encoding", "content-length")
 )
 
 
 class PassthroughWriter(writers.Writer):
-    """Passes an engine's head and payload on, in a coding of its own.
+    """Forwards an engine's headers and payload with its own transfer coding.
 
     :param head: writes the reply's head
     """
@@ -32,7 +32,7 @@
         self._headers: list[tuple[str, str]] = []
 
     def set_source(self, source: upstreams.TokenStream) -> None:
-        """Take over the head of the first engine that begins to answer.
+        """Copy the headers of the first engine that responds.
 
         :param source: the engine's stream
         """
@@ -43,16 +43,15 @@
             for name, value in source.headers
             if name.lower() not in FRAMING_HEADERS
         ]
-        # Where the engine's own answer ends only with its connection, its
-        # end is told in chunks all the same: a caller can then tell a whole
-        # answer from a broken one.
+        # The reply is chunked even if the engine ends its response by head
+        # the connection: the caller can then detect a truncated reply.
         self._is_chunked = self.head.is_http_11
 
     def add(self, tokens: list[bytes]) -> bytes:
-        """Return some payload as one chunk, after the head at first.
+        """Return payload as one chunk, preceded by the head on the first call.
 
         :param tokens: pieces of payload in order
-        :returns: the bytes
+        :returns: the bytes to send
         """
         body = b"".join(tokens)
         if self._is_chunked and body:
@@ -63,18 +62,18 @@
         return self._write_head() + body
 
     def end(self) -> bytes:
-        """Return what closes a whole answer."""
-        closing = b"" if self.is_head_written else self.add([])
-        return closing + LAST_CHUNK if self._is_chunked else closing
+        """Return the bytes that end a complete reply."""
+        head = b"" if self.is_head_written else self.add([])
+        return head + LAST_CHUNK if self._is_chunked else head
 
     def fail(self, fault: errors.Fault) -> bytes:
-        """Return an error reply before the head, and nothing after it.
+        """Return an error reply, or nothing once the head was written.
 
-        Anything written after the head would be taken for the engine's; the
-        missing end shows that the answer was cut.
+        Bytes written after the head would be taken for the engine's.  The
+        missing last chunk shows the caller that the reply is truncated.
 
-        :param fault: what went wrong
-        :returns: the bytes
+        :param fault: the fault
+        :returns: the bytes to send
         """
         return b"" if self.is_head_written else super().fail(fault)
 
@@ -88,77 +87,79 @@
 
 
 class PassthroughStream(stream.Stream):
-    """One answer whose events pass unread but for their numbers.
+    """Stream whose events are forwarded unparsed except for their ids.
 
-    ``expected`` is the number of the last event that went to the caller;
-    another engine goes on after it.
+    ``expected`` is the id of the last event sent to the caller; another
+    engine resumes after it.
     """
 
-    __slots__ = ("_left", "_tail")
+    __slots__ = ("_remaining", "_partial_event")
 
     def set_source(self, source: upstreams.TokenStream) -> None:
-        """Begin to read from an engine.
+        """Start to read from an engine.
 
         :param source: the engine's stream
         """
         super().set_source(source)
-        self._left = None if source.chunked else source.length
-        self._tail = b""
+        self._remaining = None if source.chunked else source.length
+        self._partial_event = b""
         self.writer.set_source(source)
 
     def may_end_on_close(self) -> bool:
-        """Tell whether an answer may end with its engine's connection.
+        """Return whether head the connection may end the response.
 
-        One without a length has no other end.  What stood in the tail is
-        no whole event, so nothing of it may look like one.
+        A response with neither chunks nor a length ends in no other way.  It
+        is truncated if an incomplete event is still buffered.
         """
         source = self.source
         return (
             source is not None
             and not source.chunked
-            and self._left is None
-            and not self._tail
+            and self._remaining is None
+            and not self._partial_event
         )
 
     def take(self, data: bytes) -> bytes:
-        """Take in what an engine sent and return what to send on.
+        """Process bytes from an engine and return the bytes to forward.
 
-        Only whole events go on, so that another engine can go on after the
-        last one if this one breaks off in the middle.
+        Only complete events are forwarded, so another engine can resume after
+        the last one if this engine fails in the middle of an event.
 
         :param data: bytes from the engine
         :returns: bytes for the caller, possibly none
-        :raises BrokenStream: if the stream cannot be used any more
+        :raises InvalidStream: if the stream is invalid
         """
-        payload = self._read_payload(data)
-        whole, mark, rest = (self._tail + payload).rpartition(EVENT_END)
-        self._tail = rest
-        out = [whole + mark] if mark else []
-        if mark:
-            self._note_numbers(whole + mark)
-        if self.is_complete and self._tail:
-            out.append(self._tail)
-            self._tail = b""
+        payload = self._decode_payload(data)
+        complete, separator, partial = (
+            self._partial_event + payload
+        ).rpartition(EVENT_END)
+        self._partial_event = partial
+        out = [complete + separator] if separator else []
+        if separator:
+            self._update_position(complete + separator)
+        if self.is_complete and self._partial_event:
+            out.append(self._partial_event)
+            self._partial_event = b""
         return self.writer.add(out) if out else b""
 
-    def _read_payload(self, data: bytes) -> bytes:
+    def _decode_payload(self, data: bytes) -> bytes:
         if self.source is not None and self.source.chunked:
             payload = self.decoder.feed(data)
             self.is_complete = self.decoder.ended
             return payload
-        if self._left is None:
+        if self._remaining is None:
             return data
-        payload = data[: self._left]
-        self._left -= len(payload)
-        self.is_complete = not self._left
+        payload = data[: self._remaining]
+        self._remaining -= len(payload)
+        self.is_complete = not self._remaining
         return payload
 
-    def _note_numbers(self, whole: bytes) -> None:
-        numbers = [int(found) for found in EVENT_ID_PATTERN.findall(whole)]
-        if not numbers:
-            # An answer without numbers still moves on.
-            self.expected += whole.count(EVENT_END)
+    def _update_position(self, complete: bytes) -> None:
+        ids = [int(id_) for id_ in EVENT_ID_PATTERN.findall(complete)]
+        if not ids:
+            # Without ids, progress is the number of events.
+            self.expected += complete.count(EVENT_END)
             return
-        if numbers[0] <= self.expected and self.writer.is_head_written:
-            raise events.InvalidStream("an event comes a second time")
-        self.expected = numbers[-1]
+        if ids[0] <= self.expected and self.writer.is_head_written:
+            raise events.InvalidStream("event was already sent")
+        self.expected = ids[-1]
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -1,4 +1,4 @@
-"""Moves tokens from engines to callers, all streams on one event loop."""
+"""Forwards tokens from engines to callers, all streams on one event loop."""
 
 import collections.abc
 import concurrent.futures
@@ -17,18 +17,18 @@
 LOG = logging.getLogger(__name__)
 
 RECEIVE_BYTES = 65_536
-# What one slow caller may keep in memory: about five thousand tokens.  Above
-# it the engine is not read from, so that it notices and slows down.
+# Limit of a caller's write buffer, about five thousand tokens.  Above it the
+# engine's socket is not read, so TCP flow control slows the engine down.
 MAX_WRITE_BUFFER_BYTES = 262_144
-# A caller that takes nothing for so long has gone without a word, or holds
-# a decode slot that others wait for.
+# A caller that accepts no bytes for this long counts as disconnected: it has
+# vanished without closing, or blocks a decode slot that others wait for.
 CALLER_WRITE_TIMEOUT_MS = 20_000
-# An engine's last chunk usually comes with its last event; the connection is
-# not kept longer than this for it.
+# An engine's last chunk usually arrives with its last event.  This limits how
+# long the connection is kept open to wait for it.
 LAST_CHUNK_TIMEOUT_MS = 1_000
 RECOVERY_THREADS = 16
-# The loop is never busy for so long; a search must not wait for ever for one
-# that was stopped.
+# The loop never takes this long.  The timeout keeps a recovery thread from
+# waiting forever for a loop that was stopped.
 SOURCE_CLOSE_TIMEOUT_S = 1.0
 TOKEN_REPORT_INTERVAL_MS = 1_000
 
@@ -41,10 +41,11 @@
 
 
 class Relay:
-    """Carries lent connections until their answers end.
+    """Forwards the streams handed over to it until they end.
 
     ``lend``, ``resume``, ``fail``, ``try_close_source``, ``keep_source`` and
-    ``cut`` may be called on any thread; all else happens on the loop's.
+    ``cut`` may be called on any thread; everything else runs on the loop's
+    thread.
 
     :param loop_: the event loop
     """
@@ -52,35 +53,35 @@
     def __init__(self, loop_: loop.EventLoop) -> None:
         self._loop = loop_
         self._streams: set[Stream] = set()
-        self._farewells: dict[socket.socket, int] = {}
-        self._told_ms = loop_.now_ms
-        self._recoverers = concurrent.futures.ThreadPoolExecutor(
+        self._draining: dict[socket.socket, int] = {}
+        self._last_report_ms = loop_.now_ms
+        self._recovery_pool = concurrent.futures.ThreadPoolExecutor(
             RECOVERY_THREADS, "recover"
         )
         loop_.add_periodic(
-            self._check_limits,
-            lambda: bool(self._streams or self._farewells),
+            self._check_timeouts,
+            lambda: bool(self._streams or self._draining),
         )
-        loop_.add_periodic(self._tell_tokens, lambda: bool(self._streams))
+        loop_.add_periodic(self._report_tokens, lambda: bool(self._streams))
 
     @property
     def count(self) -> int:
-        """How many streams are on their way."""
+        """The number of streams in progress."""
         return len(self._streams)
 
     def stop(self) -> None:
-        """End the helper threads; the loop is its owner's to stop."""
-        self._recoverers.shutdown(wait=False, cancel_futures=True)
+        """Stop the recovery threads; the loop must be stopped separately."""
+        self._recovery_pool.shutdown(wait=False, cancel_futures=True)
 
     def lend(self, stream: Stream) -> None:
-        """Carry a stream from now on.
+        """Start to forward a stream.
 
         :param stream: the stream, with its caller's and engine's sockets
         """
-        self._loop.post(lambda: self._begin(stream))
+        self._loop.post(lambda: self._add_stream(stream))
 
     def resume(self, stream: Stream, source: upstreams.TokenStream) -> None:
-        """Go on with a stream from another engine.
+        """Resume a stream from another engine.
 
         :param stream: the stream that ``recover`` was called for
         :param source: the new engine's stream
@@ -88,51 +89,56 @@
         self._loop.post(lambda: self._resume(stream, source))
 
     def fail(self, stream: Stream, fault: errors.Fault) -> None:
-        """Tell a caller that no engine can go on.
+        """Abort a stream that no engine can resume.
 
         :param stream: the stream
-        :param fault: what to tell
+        :param fault: the fault that is reported to the caller
         """
-        self._loop.post(lambda: self._end_with(stream, fault))
+        self._loop.post(lambda: self._abort(stream, fault))
 
     def try_close_source(self, stream: Stream, offset: int) -> bool:
-        """Close a silent engine's connection unless it has gone on.
+        """Close a stalled engine's connection unless the stream progressed.
 
-        Waits for the loop, so it is not for the loop's own thread.
+        Waits for the loop, so it must not be called on the loop's thread.
 
         :param stream: the stream that ``replace`` was called for
-        :param offset: how far the stream was when the search began
-        :returns: whether the stream may begin elsewhere at this offset
+        :param offset: the stream's offset when the search began, in tokens
+        :returns: whether another engine may resume at this offset
         """
-        left: concurrent.futures.Future[bool] = concurrent.futures.Future()
-        self._loop.post(lambda: self._leave_source(stream, offset, left))
+        is_closed: concurrent.futures.Future[bool] = (
+            concurrent.futures.Future()
+        )
+        self._loop.post(
+            lambda: self._try_close_source(stream, offset, is_closed)
+        )
         try:
-            return left.result(SOURCE_CLOSE_TIMEOUT_S)
+            return is_closed.result(SOURCE_CLOSE_TIMEOUT_S)
         except concurrent.futures.TimeoutError:
-            # If the loop has taken it up, its result is what counts.
-            return not left.cancel() and left.result()
+            # If the callback has started already, wait for its result.
+            return not is_closed.cancel() and is_closed.result()
 
     def keep_source(self, stream: Stream, fault: errors.Fault) -> None:
-        """Go on with a silent engine, because no other takes the stream.
+        """Continue with a stalled engine if no other accepts the stream.
 
         :param stream: the stream that ``replace`` was called for
-        :param fault: what to tell the caller if the engine was left already
+        :param fault: the fault that is reported to the caller if the engine's
+            connection was closed already
         """
-        self._loop.post(lambda: self._stay(stream, fault))
+        self._loop.post(lambda: self._keep_source(stream, fault))
 
     def cut(
         self,
         predicate: collections.abc.Callable[[Stream], bool],
         fault: errors.Fault,
     ) -> None:
-        """End streams at once, visibly.
+        """Abort the selected streams at once.
 
-        :param predicate: tells which streams
-        :param fault: what their callers are told
+        :param predicate: returns whether a stream is to be aborted
+        :param fault: the fault that is reported to their callers
         """
-        self._loop.post(lambda: self._cut(predicate, fault))
+        self._loop.post(lambda: self._abort_matching(predicate, fault))
 
-    def _begin(self, stream: Stream) -> None:
+    def _add_stream(self, stream: Stream) -> None:
         self._streams.add(stream)
         stream.caller.setblocking(False)
         self._loop.register(
@@ -140,9 +146,9 @@
             HANGUP_EVENTS,
             lambda events_: self._on_caller(stream, events_),
         )
-        self._read_from(stream)
+        self._read_source(stream)
 
-    def _read_from(self, stream: Stream) -> None:
+    def _read_source(self, stream: Stream) -> None:
         source = stream.source
         if source is None:
             return
@@ -156,7 +162,7 @@
             lambda events_: self._on_source(stream),
         )
         if source.buffered:
-            self._take(stream, source.buffered)
+            self._on_data(stream, source.buffered)
 
     def _on_source(self, stream: Stream) -> None:
         if stream.source is None or stream.is_closed:
@@ -166,42 +172,42 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._lose_source(
-                stream, f"the connection failed: {error}", has_died=True
+            self._on_source_failure(
+                stream, f"engine connection failed: {error}", has_died=True
             )
             return
         if data:
-            self._take(stream, data)
+            self._on_data(stream, data)
         elif stream.may_end_on_close():
-            self._end_source(stream, b"")
+            self._finish_source(stream, b"")
         else:
-            self._lose_source(
-                stream, "the engine ended in mid-answer", has_died=True
+            self._on_source_failure(
+                stream, "engine closed an incomplete response", has_died=True
             )
 
-    def _take(self, stream: Stream, data: bytes) -> None:
-        before = stream.expected
+    def _on_data(self, stream: Stream, data: bytes) -> None:
+        offset = stream.expected
         try:
             out = stream.take(data)
         except events.InvalidStream as error:
-            self._lose_source(stream, str(error))
+            self._on_source_failure(stream, str(error))
             return
-        if stream.expected > before:
+        if stream.expected > offset:
             stream.token_deadline_ms = (
                 self._loop.now_ms + stream.token_timeout_ms
             )
             stream.record_progress(self._loop.now_ms)
-            if not before:
+            if not offset:
                 stream.owner.on_first_token()
         if stream.is_complete:
-            self._end_source(stream, out)
+            self._finish_source(stream, out)
         elif out:
             self._send(stream, out)
 
-    def _end_source(self, stream: Stream, out: bytes) -> None:
+    def _finish_source(self, stream: Stream, out: bytes) -> None:
         stream.is_complete = True
         stream.owner.on_source_end(stream.expected)
-        self._part(stream)
+        self._drain_last_chunk(stream)
         out += stream.writer.end()
         if out:
             self._send(stream, out)
@@ -217,7 +223,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._lose_caller(stream)
+                self._on_disconnect(stream)
                 return
             if sent == len(out):
                 if stream.is_complete:
@@ -227,13 +233,13 @@
             stream.last_write_ms = self._loop.now_ms
             self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS | WRITE)
         if len(stream.pending) > MAX_WRITE_BUFFER_BYTES:
-            self._pause(stream)
+            self._pause_source(stream)
 
     def _on_caller(self, stream: Stream, events_: int) -> None:
         if stream.is_closed:
             return
         if events_ & HANGUP_EVENTS:
-            self._lose_caller(stream)
+            self._on_disconnect(stream)
         elif stream.pending:
             self._flush(stream)
 
@@ -243,7 +249,7 @@
         except BlockingIOError:
             return
         except OSError:
-            self._lose_caller(stream)
+            self._on_disconnect(stream)
             return
         del stream.pending[:sent]
         stream.last_write_ms = self._loop.now_ms
@@ -254,22 +260,22 @@
             return
         self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS)
         if stream.is_paused:
-            self._unpause(stream)
+            self._resume_source(stream)
 
-    def _pause(self, stream: Stream) -> None:
+    def _pause_source(self, stream: Stream) -> None:
         if stream.source is not None and not stream.is_paused:
             stream.is_paused = True
             self._loop.modify(stream.source.connection.fileno(), 0)
 
-    def _unpause(self, stream: Stream) -> None:
+    def _resume_source(self, stream: Stream) -> None:
         stream.is_paused = False
         stream.token_deadline_ms = self._loop.now_ms + stream.token_timeout_ms
         if stream.source is not None:
             self._loop.modify(stream.source.connection.fileno(), READ)
 
-    def _check_limits(self) -> None:
+    def _check_timeouts(self) -> None:
         now_ms = self._loop.now_ms
-        stall_ms = now_ms - CALLER_WRITE_TIMEOUT_MS
+        min_last_write_ms = now_ms - CALLER_WRITE_TIMEOUT_MS
         for stream in [
             stream
             for stream in self._streams
@@ -278,54 +284,56 @@
             or 0 < stream.deadline_ms <= now_ms
         ]:
             if 0 < stream.deadline_ms <= now_ms:
-                self._end_with(stream, _make_late())
-            elif stream.pending and stream.last_write_ms <= stall_ms:
-                self._lose_caller(stream)
+                self._abort(stream, _make_deadline_fault())
+            elif stream.pending and stream.last_write_ms <= min_last_write_ms:
+                self._on_disconnect(stream)
             elif (
                 stream.token_deadline_ms <= now_ms
                 and stream.source is not None
                 and not stream.is_paused
                 and not stream.is_replacing_source
             ):
-                self._note_silence(stream)
+                self._on_stalled_source(stream)
         for connection in [
             connection
-            for connection, at_ms in self._farewells.items()
+            for connection, at_ms in self._draining.items()
             if at_ms <= now_ms
         ]:
-            self._end_farewell(connection)
+            self._close_drained(connection)
 
-    def _note_silence(self, stream: Stream) -> None:
+    def _on_stalled_source(self, stream: Stream) -> None:
         if not stream.owner.may_replace_source():
             stream.token_deadline_ms = (
                 self._loop.now_ms + stream.token_timeout_ms
             )
             return
-        # The connection is open and silent: new ones may work, so this is the
-        # engine's failure and not the caller's.
-        fault = _make_lost("no token in time", errors.Code.UPSTREAM_TIMEOUT)
+        # The connection is open but no data arrives.  A new connection may
+        # work, so the fault is the engine's and not the caller's.
+        fault = _make_source_fault(
+            "token timeout", errors.Code.UPSTREAM_TIMEOUT
+        )
         stream.is_replacing_source = True
         self._submit(stream.owner.replace, stream, fault)
 
-    def _leave_source(
+    def _try_close_source(
         self,
         stream: Stream,
         offset: int,
-        left: concurrent.futures.Future[bool],
+        is_closed: concurrent.futures.Future[bool],
     ) -> None:
-        if not left.set_running_or_notify_cancel():
+        if not is_closed.set_running_or_notify_cancel():
             return
-        may_leave = not (
+        may_close = not (
             stream.is_closed or stream.is_complete or stream.expected != offset
         )
-        if may_leave:
+        if may_close:
             stream.is_replacing_source = False
             stream.is_paused = False
             stream.broken = None
             self._close_source(stream)
-        left.set_result(may_leave)
+        is_closed.set_result(may_close)
 
-    def _stay(self, stream: Stream, fault: errors.Fault) -> None:
+    def _keep_source(self, stream: Stream, fault: errors.Fault) -> None:
         if stream.is_closed:
             return
         broken, stream.broken = stream.broken, None
@@ -337,83 +345,85 @@
         elif broken is not None:
             self._submit(stream.owner.recover, stream, broken)
         else:
-            self._end_with(stream, fault)
+            self._abort(stream, fault)
 
-    def _tell_tokens(self) -> None:
-        if self._loop.now_ms - self._told_ms < TOKEN_REPORT_INTERVAL_MS:
+    def _report_tokens(self) -> None:
+        if self._loop.now_ms - self._last_report_ms < TOKEN_REPORT_INTERVAL_MS:
             return
-        self._told_ms = self._loop.now_ms
+        self._last_report_ms = self._loop.now_ms
         for stream in self._streams:
             if stream.source is not None and stream.expected:
                 stream.owner.on_tokens(stream.expected)
 
-    def _lose_source(
+    def _on_source_failure(
         self, stream: Stream, message: str, has_died: bool = False
     ) -> None:
         self._close_source(stream)
         stream.is_paused = False
-        fault = _make_lost(message, has_died=has_died)
+        fault = _make_source_fault(message, has_died=has_died)
         if stream.is_replacing_source:
-            # The search for another engine is under way.
+            # A search for another engine is already in progress.
             stream.broken = fault
         else:
             self._submit(stream.owner.recover, stream, fault)
 
     def _submit(
-        self, seek: RecoveryFunction, stream: Stream, fault: errors.Fault
+        self, recover: RecoveryFunction, stream: Stream, fault: errors.Fault
     ) -> None:
         try:
-            self._recoverers.submit(self._seek, seek, stream, fault)
+            self._recovery_pool.submit(
+                self._run_recovery, recover, stream, fault
+            )
         except RuntimeError:
-            self._stay(stream, fault)
+            self._keep_source(stream, fault)
 
-    def _seek(
-        self, seek: RecoveryFunction, stream: Stream, fault: errors.Fault
+    def _run_recovery(
+        self, recover: RecoveryFunction, stream: Stream, fault: errors.Fault
     ) -> None:
-        """Seek another engine; a failure of the search must show.
+        """Find another engine, and handle an exception of the search.
 
-        An exception would be kept by the pool of threads and seen by nobody,
-        while the caller waits on an open connection for ever.
+        The thread pool would store the exception in a future that nobody
+        reads, and the caller would wait forever on an open connection.
         """
         try:
-            seek(stream, fault)
+            recover(stream, fault)
         except Exception:
-            LOG.exception("no other engine could be sought")
+            LOG.exception("search for a replacement engine failed")
             self.keep_source(stream, fault)
 
     def _resume(self, stream: Stream, source: upstreams.TokenStream) -> None:
         if stream.is_closed:
-            # The caller went while another engine was sought.
+            # The caller disconnected during the search.
             source.connection.close()
             stream.owner.cancel_source()
             return
         stream.set_source(source)
-        self._read_from(stream)
+        self._read_source(stream)
 
-    def _lose_caller(self, stream: Stream) -> None:
+    def _on_disconnect(self, stream: Stream) -> None:
         self._close(
             stream,
             errors.Fault(
                 errors.Code.CANCELLED,
                 errors.Step.CALLER,
                 run=errors.ExecutionStatus.MAY_HAVE_RUN,
-                message="the caller has gone",
+                message="caller disconnected",
             ),
         )
 
-    def _cut(
+    def _abort_matching(
         self,
-        chooses: collections.abc.Callable[[Stream], bool],
+        predicate: collections.abc.Callable[[Stream], bool],
         fault: errors.Fault,
     ) -> None:
-        for stream in [s for s in self._streams if chooses(s)]:
-            self._end_with(stream, fault)
+        for stream in [s for s in self._streams if predicate(s)]:
+            self._abort(stream, fault)
 
-    def _end_with(self, stream: Stream, fault: errors.Fault) -> None:
-        """Tell the caller, as far as its connection takes it, and close."""
+    def _abort(self, stream: Stream, fault: errors.Fault) -> None:
+        """Report a fault to the caller without blocking, and close."""
         if stream.is_closed or stream.is_complete:
             return
-        has_begun = stream.writer.is_head_written
+        is_head_written = stream.writer.is_head_written
         out = stream.writer.fail(fault)
         try:
             if stream.pending:
@@ -422,8 +432,8 @@
             else:
                 stream.caller.send(out)
         except OSError:
-            has_begun = True
-        if has_begun:
+            is_head_written = True
+        if is_head_written:
             stream.writer.head.keep = False
         self._close(stream, fault)
 
@@ -447,8 +457,8 @@
             stream.source.connection.close()
             stream.source = None
 
-    def _part(self, stream: Stream) -> None:
-        """Let an engine write its last chunk, so that it sees no reset."""
+    def _drain_last_chunk(self, stream: Stream) -> None:
+        """Wait for an engine's last chunk so that its write is not reset."""
         source = stream.source
         if source is None or not source.chunked or stream.decoder.ended:
             self._close_source(stream)
@@ -456,20 +466,20 @@
         stream.source = None
         connection = source.connection
         self._loop.unregister(connection.fileno())
-        self._farewells[connection] = self._loop.now_ms + LAST_CHUNK_TIMEOUT_MS
+        self._draining[connection] = self._loop.now_ms + LAST_CHUNK_TIMEOUT_MS
         self._loop.register(
             connection.fileno(),
             READ,
-            lambda events_: self._end_farewell(connection),
+            lambda events_: self._close_drained(connection),
         )
 
-    def _end_farewell(self, connection: socket.socket) -> None:
-        if self._farewells.pop(connection, None) is not None:
+    def _close_drained(self, connection: socket.socket) -> None:
+        if self._draining.pop(connection, None) is not None:
             self._loop.unregister(connection.fileno())
             connection.close()
 
 
-def _make_lost(
+def _make_source_fault(
     message: str,
     code: errors.Code = errors.Code.UPSTREAM_FAILED,
     has_died: bool = False,
@@ -483,10 +493,10 @@
     )
 
 
-def _make_late() -> errors.Fault:
+def _make_deadline_fault() -> errors.Fault:
     return errors.Fault(
         errors.Code.DEADLINE_EXCEEDED,
         errors.Step.DECODE,
         run=errors.ExecutionStatus.MAY_HAVE_RUN,
-        message="the answer took longer than its route allows",
+        message="the answer exceeded the deadline of its route",
     )
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -1,4 +1,4 @@
-"""The state of one answer on its way from an engine to a caller."""
+"""State of one token stream from an engine to a caller."""
 
 import abc
 import collections.abc
@@ -16,96 +16,98 @@
 
 
 class StreamOwner(abc.ABC):
-    """The request to which a stream belongs; called on the loop's thread.
+    """Callbacks of the request that a stream belongs to.
 
-    All methods but ``recover`` must return at once.
+    All methods but ``recover`` and ``replace`` run on the loop's thread and
+    must not block.
     """
 
     @abc.abstractmethod
     def on_first_token(self) -> None:
-        """Take notice that the engine's first token has come."""
+        """Handle the arrival of the engine's first token."""
 
     @abc.abstractmethod
     def on_tokens(self, tokens: int) -> None:
-        """Take notice, about once a second, of how far the answer is.
+        """Handle a progress report, sent about once a second.
 
-        :param tokens: how many tokens have come so far
+        :param tokens: number of tokens received so far
         """
 
     @abc.abstractmethod
     def on_source_end(self, tokens: int) -> None:
-        """Take notice that the engine has finished; its slot is free.
+        """Handle the end of the engine's response; its slot is free.
 
-        :param tokens: how many tokens have come in all
+        :param tokens: total number of tokens received
         """
 
     @abc.abstractmethod
     def cancel_source(self) -> None:
-        """Free what the engine holds, because nobody wants the rest.
+        """Cancel the attempt at the engine, which frees its slot and memory.
 
         May be called more than once, also after ``recover`` has found
-        another engine for a caller that has gone meanwhile.
+        another engine for a caller that disconnected during the search.
         """
 
     @abc.abstractmethod
     def recover(self, stream: "Stream", fault: errors.Fault) -> None:
-        """Find another engine; on a thread of its own, may block.
+        """Find another engine; runs on a recovery thread and may block.
 
-        Ends in ``Relay.resume`` or ``Relay.fail`` for the stream.
+        Must end with ``Relay.resume`` or ``Relay.fail`` for the stream.
 
         :param stream: the stream; ``expected`` is the offset to resume at
-        :param fault: what befell the engine
+        :param fault: the fault of the engine
         """
 
     def may_replace_source(self) -> bool:
-        """Tell whether a silent engine may be left for another one.
+        """Return whether another engine may take over from a stalled one.
 
-        Where none can take the stream, the silent one is waited for: what it
-        still sends is better than an answer that is cut.
+        If no engine can accept the stream, the relay keeps waiting for the
+        stalled one, because a late token is better than a truncated answer.
         """
         return True
 
     @abc.abstractmethod
     def replace(self, stream: "Stream", fault: errors.Fault) -> None:
-        """Find another engine for a silent one; on a thread of its own.
+        """Find a replacement for a stalled engine; runs on a recovery thread.
 
-        The silent engine is read from meanwhile.  ``Relay.try_close_source``
-        is called right before the stream begins elsewhere.  Ends in
-        ``Relay.resume`` or ``Relay.keep_source`` for the stream.
+        The stalled engine is still read during the search.  Call
+        ``Relay.try_close_source`` right before the stream starts at another
+        engine.  Must end with ``Relay.resume`` or ``Relay.keep_source`` for
+        the stream.
 
         :param stream: the stream; ``expected`` is the offset to resume at
-        :param fault: what befell the engine
+        :param fault: the fault of the engine
         """
 
     def on_longest_gap(self, gap_ms: int) -> None:
-        """Take notice of the longest pause, right before the end.
+        """Handle the longest inter-token gap, right before ``close``.
 
-        :param gap_ms: the longest time between two pieces
+        :param gap_ms: the longest time between two tokens, in ms
         """
         return
 
     @abc.abstractmethod
     def close(self, tokens: int, fault: errors.Fault | None) -> None:
-        """Take notice of the end; called exactly once.
+        """Handle the end of the stream; called exactly once.
 
-        :param tokens: how many tokens were taken from engines
-        :param fault: why the answer is not whole; none if it is
+        :param tokens: number of tokens received from engines
+        :param fault: why the answer is incomplete; none if it is complete
         """
 
 
 class Stream:
-    """One answer on its way.
+    """One token stream from an engine to a caller.
 
-    :param owner: the request
-    :param writer: makes the reply
+    :param owner: the request that the stream belongs to
+    :param writer: formats the reply
     :param source: the engine's stream
     :param caller: the caller's socket
-    :param release: gets whether the caller's connection can be used again
-    :param first_token_timeout_ms: how long the first token may take from now
-        on
-    :param token_timeout_ms: how long each further token may take
-    :param key_digest: names the key that the request came with
-    :param account: the client account
+    :param release: called at the end with whether the caller's connection can
+        be reused
+    :param first_token_timeout_ms: timeout of the first token, in ms
+    :param token_timeout_ms: timeout of each further token, in ms
+    :param key_digest: digest of the API key of the request
+    :param account: the client account's name
     """
 
     __slots__ = (
@@ -132,7 +134,7 @@
         "broken",
         "decoder",
         "_splitter",
-        "_has_finish",
+        "_has_finish_reason",
         "_first_id",
         "_source_id",
     )
@@ -160,24 +162,24 @@
         self.expected = 0
         self.pending = bytearray()
         self.token_deadline_ms = 0
-        # When the whole answer is over at the latest; 0 for no end.
+        # Deadline of the complete answer; 0 for none.
         self.deadline_ms = 0
-        # When its last piece came, and the longest time between two.
+        # When the answer last grew, and the longest inter-token gap.
         self.last_progress_ms = 0
         self.longest_gap_ms = 0
         self.last_write_ms = 0
         self.is_paused = False
         self.is_complete = False
         self.is_closed = False
-        # Whether another engine is sought while the silent one is read
-        # from, and what broke that one off meanwhile.
+        # Whether a replacement is sought while the stalled engine is still
+        # read, and the fault that ended the stalled engine during the search.
         self.is_replacing_source = False
         self.broken: errors.Fault | None = None
         self._first_id = b""
         self.set_source(source)
 
     def set_source(self, source: upstreams.TokenStream) -> None:
-        """Begin to read from an engine.
+        """Start to read from an engine.
 
         :param source: the engine's stream
         """
@@ -185,12 +187,12 @@
         self.decoder = events.ChunkDecoder()
         self._splitter = events.EventSplitter()
         self._source_id = b""
-        self._has_finish = False
+        self._has_finish_reason = False
 
     def record_progress(self, now_ms: int) -> None:
-        """Take notice that the answer has grown.
+        """Record that the answer has grown, and update the longest gap.
 
-        :param now_ms: the present
+        :param now_ms: the current time
         """
         if self.last_progress_ms:
             gap_ms = now_ms - self.last_progress_ms
@@ -198,57 +200,57 @@
         self.last_progress_ms = now_ms
 
     def may_end_on_close(self) -> bool:
-        """Tell whether an answer may end with its engine's connection."""
+        """Return whether closing the connection may end the response."""
         return False
 
     def take(self, data: bytes) -> bytes:
-        """Take in what an engine sent and return what to send on.
+        """Process bytes from an engine and return the bytes to forward.
 
-        Tokens that the caller has already are left out; a token that is
-        missing breaks the stream, so that nobody takes the rest for whole.
+        Tokens that the caller already has are skipped.  A missing token makes
+        the stream invalid, because the caller could not detect the gap.
 
         :param data: bytes from the engine
         :returns: bytes for the caller, possibly none
-        :raises BrokenStream: if the stream cannot be used any more
+        :raises InvalidStream: if the stream is invalid
         """
         if self.source is not None and self.source.chunked:
             data = self.decoder.feed(data)
         tokens: list[bytes] = []
         for event in self._splitter.feed(data):
             if event == DONE_EVENT:
-                self._check_whole()
+                self._check_complete()
                 self.is_complete = True
                 break
-            if self._accept(event):
-                tokens.append(self._rename(event))
+            if self._accept_event(event):
+                tokens.append(self._replace_id(event))
         return self.writer.add(tokens) if tokens else b""
 
-    def _accept(self, event: bytes) -> bool:
+    def _accept_event(self, event: bytes) -> bool:
         token = events.TokenEvent.read(event)
         if not self._source_id:
             self._source_id = token.id
             self._first_id = self._first_id or token.id
         elif token.id != self._source_id:
-            # An event of somebody else's answer: an engine that crosses
-            # two streams shows itself here, before a foreign byte goes on.
-            raise events.InvalidStream("an event of another answer")
+            # The engine mixed up two streams.  The event belongs to another
+            # request and must not reach this caller.
+            raise events.InvalidStream("event belongs to another completion")
         if token.index is None:
             return True
         if token.index > self.expected:
-            raise events.InvalidStream("a token is missing")
+            raise events.InvalidStream("token is missing")
         if token.index < self.expected:
             return False
         self.expected += 1
-        self._has_finish = FINISH_MEMBER in event
+        self._has_finish_reason = FINISH_MEMBER in event
         return True
 
-    def _rename(self, event: bytes) -> bytes:
+    def _replace_id(self, event: bytes) -> bytes:
         if self._source_id == self._first_id:
             return event
         return event.replace(self._source_id, self._first_id, 1)
 
-    def _check_whole(self) -> None:
-        # An engine that gives a run up may close its stream in good form;
-        # only a reason to finish shows that the answer is whole.
-        if not self._has_finish:
-            raise events.InvalidStream("the answer ends without a reason")
+    def _check_complete(self) -> None:
+        # An engine that aborts a request may still end its stream normally;
+        # only a finish reason shows that the completion is complete.
+        if not self._has_finish_reason:
+            raise events.InvalidStream("stream ended without a finish reason")
--- a/mulberryway/relay/watch.py
+++ b/mulberryway/relay/watch.py
@@ -1,4 +1,4 @@
-"""Notices at once when a caller goes while its request waits."""
+"""Detects callers that disconnect while their request waits."""
 
 import collections.abc
 import select
@@ -12,10 +12,10 @@
 
 
 class DisconnectWatch:
-    """One caller's socket under watch.
+    """Registration of one caller's socket with the monitor.
 
     :param connection: the socket
-    :param on_disconnect: called once, on the loop's thread
+    :param on_disconnect: called at most once, on the loop's thread
     """
 
     __slots__ = ("connection", "on_disconnect", "fd", "is_over")
@@ -32,14 +32,15 @@
 
 
 class DisconnectMonitor:
-    """Watches callers' sockets for the worker threads.
+    """Watches callers' sockets on behalf of the worker threads.
 
     A worker that waits for a queue or an engine reads nothing from its
-    caller, so a caller's going would show only when the answer is written;
-    meanwhile an engine would compute for nobody.  A caller that only ends
-    its sending side counts as gone: callers of this interface do not.
+    caller's socket.  It would detect a disconnect only when it writes the
+    answer, after an engine has done the work in vain.  A caller that shuts
+    down only its sending side also counts as disconnected; callers of this
+    interface do not do that.
 
-    :param loop_: the event loop that does the watching
+    :param loop_: the event loop that watches the sockets
     """
 
     def __init__(self, loop_: loop.EventLoop) -> None:
@@ -48,22 +49,23 @@
     def begin(
         self,
         connection: socket.socket,
-        on_gone: collections.abc.Callable[[], None],
+        on_disconnect: collections.abc.Callable[[], None],
     ) -> DisconnectWatch:
-        """Begin to watch a socket.
+        """Start to watch a socket.
 
         :param connection: the caller's socket
-        :param on_gone: called once when it goes; must not block
-        :returns: the watch, for ``end``
+        :param on_disconnect: called at most once, if the caller disconnects;
+            must not block
+        :returns: the watch, to be passed to ``end``
         """
-        watch = DisconnectWatch(connection, on_gone)
+        watch = DisconnectWatch(connection, on_disconnect)
         self._loop.post(lambda: self._register(watch))
         return watch
 
     def end(self, watch: DisconnectWatch) -> None:
-        """Stop to watch; the socket may be closed or lent afterwards.
+        """Stop watching; the socket may then be closed or handed over.
 
-        :param watch: what ``begin`` returned
+        :param watch: the watch that ``begin`` returned
         """
         watch.is_over = True
         self._loop.post(lambda: self._unregister(watch))
@@ -76,9 +78,9 @@
         )
 
     def _unregister(self, watch: DisconnectWatch) -> None:
-        # A descriptor that was closed has left epoll by itself, and may be
-        # somebody else's by now; posted acts keep their order, so what is
-        # registered under the number is still this watch or nothing.
+        # epoll drops a closed descriptor, whose number may be in use again.
+        # Posted callbacks run in order, so the handler registered under this
+        # number is still this watch's, or there is none.
         self._loop.unregister(watch.fd)
 
     def _on_event(self, watch: DisconnectWatch) -> None:
--- a/mulberryway/relay/writers.py
+++ b/mulberryway/relay/writers.py
@@ -1,4 +1,4 @@
-"""What callers get of a token stream: events, or one whole completion."""
+"""Formats token streams as server-sent events or as one completion."""
 
 import abc
 import json
@@ -39,9 +39,9 @@
     """Writes the heads of HTTP replies for one request.
 
     :param is_http_11: whether the caller speaks HTTP/1.1
-    :param keep: whether the connection stays open after a whole reply
-    :param headers: pairs that every reply to this request carries
-    :param fault_format: how faults are told
+    :param keep: whether the connection stays open after a complete reply
+    :param headers: header pairs of every reply to this request
+    :param fault_format: how faults are encoded
     """
 
     __slots__ = ("is_http_11", "keep", "headers", "fault_format")
@@ -62,7 +62,7 @@
         """Return a reply's head.
 
         :param status: the HTTP status
-        :param headers: pairs of this reply
+        :param headers: header pairs of this reply
         :returns: the bytes up to the body
         """
         lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
@@ -74,7 +74,7 @@
         return "\r\n".join([*lines, "", ""]).encode("latin-1")
 
     def write_reply(self, reply: replies.Reply) -> bytes:
-        """Return a whole reply.
+        """Return a complete reply.
 
         :param reply: the reply
         :returns: head and body
@@ -87,10 +87,10 @@
 
 
 class Writer(abc.ABC):
-    """Turns the events of one answer into the bytes of a reply.
+    """Converts the events of one stream to the bytes of a reply.
 
-    ``is_head_written`` tells whether the caller has seen a head; before that a
-    fault can still become an ordinary error reply.
+    ``is_head_written`` is true once the reply's head was produced; before that
+    a fault can still become an ordinary error reply.
 
     :param head: writes the reply's head
     """
@@ -100,7 +100,7 @@
         self.is_head_written = False
 
     def set_source(self, source: upstreams.TokenStream) -> None:
-        """Take notice of the engine whose answer comes next.
+        """Set the engine whose events follow.
 
         :param source: the engine's stream
         """
@@ -108,21 +108,21 @@
 
     @abc.abstractmethod
     def add(self, tokens: list[bytes]) -> bytes:
-        """Return what to send for some events.
+        """Return the bytes to send for some events.
 
-        :param tokens: whole events in order
-        :returns: bytes, possibly none
+        :param tokens: complete events in order
+        :returns: the bytes, possibly none
         """
 
     @abc.abstractmethod
     def end(self) -> bytes:
-        """Return what closes a whole answer."""
+        """Return the bytes that end a complete reply."""
 
     def fail(self, fault: errors.Fault) -> bytes:
-        """Return what tells a caller that the answer is not whole.
+        """Return the bytes that report a fault to the caller.
 
-        :param fault: what went wrong
-        :returns: bytes; the connection has to be closed after them if
+        :param fault: the fault
+        :returns: the bytes; the connection must be closed after them if
             ``is_head_written`` was true
         """
         return self.head.write_reply(
@@ -131,30 +131,30 @@
 
 
 class EventWriter(Writer):
-    """Passes events on as they are, in the caller's own transfer coding."""
+    """Forwards events unchanged, in the caller's transfer coding."""
 
     def add(self, tokens: list[bytes]) -> bytes:
-        """Return the events as one chunk, after the head at first.
+        """Return events as one chunk, preceded by the head on the first call.
 
-        :param tokens: whole events in order
-        :returns: the bytes
+        :param tokens: complete events in order
+        :returns: the bytes to send
         """
         body = EVENT_END.join(tokens) + EVENT_END
         return self._frame(body)
 
     def end(self) -> bytes:
-        """Return the closing event and the last chunk."""
-        closing = self._frame(DONE)
-        return closing + LAST_CHUNK if self.head.is_http_11 else closing
+        """Return the final event and the last chunk."""
+        final = self._frame(DONE)
+        return final + LAST_CHUNK if self.head.is_http_11 else final
 
     def fail(self, fault: errors.Fault) -> bytes:
-        """Return an error event, or an error reply before the head.
+        """Return an error reply, or an error event once the head was written.
 
-        Neither the closing event nor the last chunk follows an error event:
-        a cut answer must look cut even to a caller that reads no events.
+        Neither the final event nor the last chunk follows an error event, so
+        that a caller that does not parse events also detects the truncation.
 
-        :param fault: what went wrong
-        :returns: the bytes
+        :param fault: the fault
+        :returns: the bytes to send
         """
         if not self.is_head_written:
             return super().fail(fault)
@@ -177,17 +177,17 @@
         if self.head.is_http_11:
             headers.append(("Transfer-Encoding", "chunked"))
         else:
-            # An older caller knows the end of a body of unknown length only
-            # by the connection's end.
+            # HTTP/1.0 marks the end of a body of unknown length only by
+            # final the connection.
             self.head.keep = False
         return self.head.write(200, headers)
 
 
 class CompletionWriter(Writer):
-    """Gathers an answer and replies with it as one JSON object.
+    """Collects the events and replies with one JSON object.
 
     :param head: writes the reply's head
-    :param model: the model's name, for the reply
+    :param model: the model's name in the reply
     """
 
     def __init__(self, head: ReplyHead, model: str) -> None:
@@ -196,26 +196,26 @@
         self._events: list[bytes] = []
 
     def add(self, tokens: list[bytes]) -> bytes:
-        """Keep the events.
+        """Store the events.
 
-        :param tokens: whole events in order
-        :returns: nothing
+        :param tokens: complete events in order
+        :returns: no bytes
         """
         self._events += tokens
         return b""
 
     def end(self) -> bytes:
-        """Return the whole reply."""
+        """Return the complete reply."""
         values = [events.parse_json_event(event) for event in self._events]
         self.is_head_written = True
         reply = replies.Reply(
             200,
             [("Content-Type", replies.JSON_TYPE)],
-            json.dumps(self._assemble(values)).encode(),
+            json.dumps(self._make_completion(values)).encode(),
         )
         return self.head.write_reply(reply)
 
-    def _assemble(
+    def _make_completion(
         self, values: list[dict[str, typing.Any]]
     ) -> dict[str, typing.Any]:
         choices = [value["choices"][0] for value in values]
