--- a/mulberryway/upstreams/__init__.py
+++ b/mulberryway/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines and plain services, behind abstract base classes."""
+"""Clients of model engines and plain services."""
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -1,4 +1,4 @@
-"""Model engines and plain services as the rest of the program sees them."""
+"""Interfaces of model engines and plain services, and their data types."""
 
 import abc
 import collections.abc
@@ -27,11 +27,13 @@
 
 
 class AttemptLabel:
-    """Names one attempt, so that whoever holds its memory can be found.
+    """Identifies one attempt and the VM and incarnation that started it.
+
+    Engines report it with the memory that they hold for the attempt.
 
     :param request_id: unique for each attempt; the engine echoes it
-    :param vm: the VM that runs the request
-    :param incarnation: which life of that VM's router started it
+    :param vm: the VM that handles the request
+    :param incarnation: the incarnation of that VM's router
     :param traceparent: the W3C trace context of the hop; empty for none
     """
 
@@ -51,14 +53,14 @@
 
 
 class PassthroughRequest:
-    """A caller's request that goes to upstreams as it came.
+    """A caller's request that is forwarded to upstreams unchanged.
 
     :param method: the HTTP method
     :param target: path and query
-    :param headers: pairs, without credentials and hop-by-hop ones
-    :param body: the whole body
+    :param headers: header pairs, without credentials and hop-by-hop headers
+    :param body: the complete body
     :param attempt_id: the caller's own id of this attempt; upstreams echo it
-    :param account: the client account's name; empty for anybody
+    :param account: the client account's name; empty for no account
     :param deadline: when the caller stops waiting
     """
 
@@ -92,12 +94,12 @@
 
 
 class PrefillResult:
-    """What a prefill left behind; it lives for less than a second.
+    """The result of a prefill, which expires in less than a second.
 
-    :param transfer: what the decode engine needs to import the KV cache,
-        passed on as it came
-    :param prompt_tokens: the prompt's length as the engine counted it
-    :param cached_tokens: how much of it came from the prefix cache
+    :param transfer: parameters with which the decode engine imports the KV
+        cache, forwarded unchanged
+    :param prompt_tokens: the prompt's length in tokens, as the engine counted
+    :param cached_tokens: number of these tokens found in the prefix cache
     """
 
     __slots__ = ("transfer", "prompt_tokens", "cached_tokens")
@@ -114,14 +116,14 @@
 
 
 class TokenStream:
-    """A decode that has begun: the raw socket from which events come.
+    """A decode whose response head was received, and its raw socket.
 
-    :param connection: the socket; belongs to the receiver from now on
-    :param buffered: bytes that were read along with the reply's head
+    :param connection: the socket; owned by the receiver of this object
+    :param buffered: bytes of the body that were read together with the head
     :param chunked: whether the body uses chunked transfer coding
     :param request_id: the id that the engine echoed
-    :param length: the body's length, where the engine told it
-    :param headers: pairs of the reply's head that go to the caller
+    :param length: the body's length in bytes, if the engine sent it
+    :param headers: header pairs that are forwarded to the caller
     """
 
     __slots__ = (
@@ -151,18 +153,18 @@
 
 
 class EngineLoad:
-    """A load report; always some time old.
-
-    :param running: requests in the batch
-    :param waiting: requests that the engine queues
-    :param slots: how many requests the batch can hold
-    :param free_blocks: KV cache blocks that are free
-    :param total_blocks: KV cache blocks in all
-    :param models: names of the models that are loaded
-    :param orders: how many orders it has accepted since its start; none
-        where it does not tell
-    :param is_executing_order: whether it carries out an order now
-    :param role: the role that it has; empty where it does not tell
+    """An engine's load report, which always lags behind the actual load.
+
+    :param running: number of requests in the batch
+    :param waiting: number of requests in the engine's queue
+    :param slots: maximum number of requests in the batch
+    :param free_blocks: number of free KV cache blocks
+    :param total_blocks: total number of KV cache blocks
+    :param models: names of the loaded models
+    :param orders: number of orders accepted since the engine's start; none if
+        the engine does not report it
+    :param is_executing_order: whether the engine is carrying out an order
+    :param role: the engine's role; empty if it does not report it
     """
 
     __slots__ = (
@@ -201,11 +203,11 @@
 
 
 class CacheEvent:
-    """KV cache blocks that an engine stored or removed.
+    """KV cache blocks that an engine stored or evicted.
 
-    :param sequence: counts up by one; a gap means that events were lost
-    :param stored: hashes of prefix blocks now in the cache
-    :param removed: hashes of prefix blocks evicted
+    :param sequence: increases by one; a gap means that events were lost
+    :param stored: hashes of the prefix blocks added to the cache
+    :param removed: hashes of the evicted prefix blocks
     """
 
     __slots__ = ("sequence", "stored", "removed")
@@ -224,9 +226,9 @@
 class InFlightRequest:
     """A request for which an engine holds memory.
 
-    :param label: who started it
+    :param label: identifies the attempt
     :param phase: ``queued``, ``prefill``, ``transfer`` or ``decode``
-    :param blocks: KV cache blocks held
+    :param blocks: number of KV cache blocks allocated
     """
 
     __slots__ = ("label", "phase", "blocks")
@@ -238,15 +240,15 @@
 
 
 class Order:
-    """An order to an engine: load a model, or change role.
+    """An order to an engine to load or unload a model or to change its role.
 
     :param verb: ``load``, ``unload`` or ``role``
     :param argument: the model's name, or the role
-    :param fencing: grows with each new issuer; some engines refuse an
-        older one, others ignore it
-    :param holder: the VM that gives it
-    :param expected: how many orders the engine must have accepted before;
-        none where it does not matter
+    :param fencing: fencing number, which increases with each new leader; some
+        engines reject an order with an older one, others ignore the number
+    :param holder: the VM that sends the order
+    :param expected: number of orders that the engine must have accepted
+        before; none for any number
     """
 
     __slots__ = ("verb", "argument", "fencing", "holder", "expected")
@@ -267,12 +269,12 @@
 
 
 class ReservationRequest:
-    """What a decode needs at its engine.
+    """KV cache capacity to reserve at a decode engine.
 
-    :param tokens: tokens of KV cache, for the prompt and the answer
-    :param hold_ms: how long it is to be reserved
-    :param is_required: whether the decode may not begin without it, also
-        where the engine does not answer
+    :param tokens: KV cache capacity for the prompt and the answer, in tokens
+    :param hold_ms: duration of the reservation, in ms
+    :param is_required: whether the decode must not start without a
+        reservation, even if the engine does not respond
     """
 
     __slots__ = ("tokens", "hold_ms", "is_required")
@@ -288,26 +290,26 @@
 class Engine(abc.ABC):
     """One model engine, in the role of prefill or decode."""
 
-    # Where it listens, as ``host:port``.
+    # The engine's ``host:port``.
     address: str
-    # Whether a decode without a prefill's result makes the engine read the
-    # prompt itself, more slowly.
+    # Whether the engine prefills the prompt itself, more slowly, if a decode
+    # comes without a prefill result.
     supports_chunked_prefill: bool = False
-    # Whether a caller's request counts as run once its prompt was read.
+    # Whether a request counts as executed once its prompt was prefilled.
     counts_prefill_as_run: bool = True
 
     @abc.abstractmethod
     def prefill(
         self, label: AttemptLabel, body: typing.Any, timeout_ms: int
     ) -> expression.Result[PrefillResult, errors.Fault]:
-        """Compute a prompt's KV cache and keep it for export.
-
-        :param label: names the attempt
-        :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`PassthroughRequest` where engines take requests as
-            they came
-        :param timeout_ms: the longest wait for the result
-        :returns: the result, or a fault that says whether it ran
+        """Compute a prompt's KV cache and retain it for export.
+
+        :param label: identifies the attempt
+        :param body: the caller's request without credentials: a JSON object,
+            or a :class:`PassthroughRequest` for engines that accept requests
+            unchanged
+        :param timeout_ms: timeout of the result, in ms
+        :returns: the result, or a fault with the execution status
         """
 
     def prepare(
@@ -315,21 +317,22 @@
         label: AttemptLabel,
         reservation: ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
-        """Make sure that a decode which comes soon finds the engine there.
+        """Connect to the engine and reserve capacity for a later decode.
 
-        It is cheaper to learn that before a prompt is read than after it.
+        If the engine is unreachable or full, this is detected before the
+        prompt's prefill is wasted.
 
-        :param label: names the attempt
-        :param reservation: what to reserve; none for nothing
-        :returns: nothing, or a fault: nothing of the request was sent.  Its
-            step is ``RESERVE`` where the engine has no room.
+        :param label: identifies the attempt
+        :param reservation: the capacity to reserve; none to connect only
+        :returns: nothing, or a fault, in which case no part of the request
+            was sent; its step is ``RESERVE`` if the engine lacks capacity
         """
         return expression.Ok(None)
 
     def release(self, label: AttemptLabel) -> None:
-        """Let go of what was prepared for a decode that does not come.
+        """Release what was prepared for a decode that is not sent.
 
-        :param label: names the attempt
+        :param label: identifies the attempt
         """
         return
 
@@ -342,26 +345,26 @@
         offset: int,
         timeout_ms: int,
     ) -> expression.Result[TokenStream, errors.Fault]:
-        """Import a KV cache and begin to generate.
-
-        :param label: names the attempt
-        :param body: the caller's request, credentials removed: a JSON object,
-            or a :class:`PassthroughRequest` where engines take requests as
-            they came
-        :param transfer: what the prefill returned
-        :param offset: how many tokens the caller has already; 0 at first
-        :param timeout_ms: the longest wait for the reply's head
-        :returns: the stream, or a fault that says whether it ran
+        """Import a KV cache and start to generate tokens.
+
+        :param label: identifies the attempt
+        :param body: the caller's request without credentials: a JSON object,
+            or a :class:`PassthroughRequest` for engines that accept requests
+            unchanged
+        :param transfer: the transfer parameters that the prefill returned
+        :param offset: number of tokens that the caller already has
+        :param timeout_ms: timeout of the response head, in ms
+        :returns: the stream, or a fault with the execution status
         """
 
     @abc.abstractmethod
     def cancel(
         self, label: AttemptLabel
     ) -> expression.Result[bool, errors.Fault]:
-        """Free what the engine holds for an attempt; idempotent.
+        """Cancel an attempt and free its memory; idempotent.
 
-        :param label: names the attempt
-        :returns: whether anything was held, or a fault
+        :param label: identifies the attempt
+        :returns: whether the engine held memory for it, or a fault
         """
 
     @abc.abstractmethod
@@ -372,15 +375,15 @@
 
     @abc.abstractmethod
     def report_load(self) -> expression.Result[EngineLoad, errors.Fault]:
-        """Return the engine's own, lagging, load report."""
+        """Return the engine's own load report, which may be outdated."""
 
     @abc.abstractmethod
     def read_cache_events(
         self, after: int
     ) -> expression.Result[list[CacheEvent], errors.Fault]:
-        """Return cache events with a sequence above the given one.
+        """Return the cache events after a sequence number.
 
-        :param after: the last sequence seen
+        :param after: the last sequence number received
         :returns: events in order, possibly with gaps, or a fault
         """
 
@@ -388,19 +391,20 @@
     def give_order(
         self, order: Order
     ) -> expression.Result[None, errors.Fault]:
-        """Tell the engine to load a model or to change its role.
+        """Send an order to load or unload a model or to change the role.
 
         :param order: the order with its fencing number
-        :returns: nothing, or a fault; ``UPSTREAM_REFUSED`` if fenced off
+        :returns: nothing, or a fault; ``UPSTREAM_REFUSED`` if the fencing
+            number is outdated
         """
 
 
 class ServiceReply:
-    """The whole reply of a plain service.
+    """The complete reply of a plain service.
 
     :param status: the HTTP status
     :param headers: header pairs without hop-by-hop headers
-    :param body: the whole body
+    :param body: the complete body
     """
 
     __slots__ = ("status", "headers", "body")
@@ -414,7 +418,7 @@
 
 
 class UpstreamService(abc.ABC):
-    """One server of a plain service that stands beside the engines."""
+    """One server of a plain service, which runs no model."""
 
     @abc.abstractmethod
     def call(
@@ -428,16 +432,16 @@
         is_idempotent: bool = False,
         interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[ServiceReply, errors.Fault]:
-        """Pass one call on, exactly once.
+        """Forward one call without retries.
 
         :param request_id: the id that the reply must echo
         :param method: the HTTP method
-        :param target: path and query, credentials removed
-        :param headers: headers, credentials and hop-by-hop ones removed
-        :param body: the whole body
-        :param timeout_ms: the longest wait for the whole reply
-        :param is_idempotent: whether it may run a second time, should this
-            call's outcome stay unknown
-        :param interrupt: ends the call from another thread
-        :returns: the reply, or a fault that says whether it ran
+        :param target: path and query without credentials
+        :param headers: headers without credentials and hop-by-hop headers
+        :param body: the complete body
+        :param timeout_ms: timeout of the complete reply, in ms
+        :param is_idempotent: whether the call may be executed again if its
+            outcome is unknown
+        :param interrupt: cancels the call from another thread
+        :returns: the reply, or a fault with the execution status
         """
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -1,7 +1,8 @@
-"""Calls to one upstream over kept connections, and what their failure means.
+"""HTTP client of one upstream, and classification of failed calls.
 
-No call is repeated here and no redirect is followed: whether a request may
-go to another upstream is decided where its whole history is known.
+The client neither retries calls nor follows redirects, because whether a
+request may go to another upstream depends on all its earlier attempts, which
+only the client's users know.
 """
 
 import http.client
@@ -31,11 +32,11 @@
 
 MS_IN_S = 1_000
 CONNECT_TIMEOUT_MS = 1_000
-# Within a region a connection is made in a few milliseconds.
+# Connecting takes a few milliseconds within a region.
 PROBE_TIMEOUT_S = 0.3
 PROBE_DELAYS_S = (0.0, 0.05)
-# Something between the two ends may lose track of a connection; the longer
-# it lives the likelier that is, and a fresh one costs a millisecond.
+# A middlebox between the two ends may lose the state of a connection, which
+# is more likely the older the connection is.  A new one costs a millisecond.
 MAX_POOL_AGE_MS = 60_000
 MAX_IDLE_CONNECTIONS = 32
 READ_BYTES = 65_536
@@ -56,11 +57,11 @@
 
 
 class Response:
-    """A whole reply.
+    """A complete reply.
 
     :param status: the HTTP status
     :param headers: header pairs
-    :param body: the whole body
+    :param body: the complete body
     """
 
     __slots__ = ("status", "headers", "body")
@@ -76,16 +77,16 @@
 def classify_failure(
     error: Exception, step: errors.Step, peer: str, was_sent: bool = True
 ) -> errors.Fault:
-    """Tell whether a request may have run, by where its call failed.
+    """Map a client exception to a fault with its execution status.
 
-    A connection that was never made carried nothing.  After that the
-    upstream may have had all of the request: what was written is in no
-    way known to have been read, or not read.
+    The request was not executed if the connection was never established.
+    After that the upstream may have received the complete request, because a
+    successful write does not show whether the peer has read the data.
 
-    :param error: what the library raised
+    :param error: the exception that the HTTP library raised
     :param step: the hop
     :param peer: the upstream's address
-    :param was_sent: false if the failure came before anything was written
+    :param was_sent: false if the call failed before anything was written
     :returns: the fault
     """
     if not was_sent or isinstance(error, CONNECT_ERRORS):
@@ -103,26 +104,26 @@
         step,
         peer,
         errors.ExecutionStatus.MAY_HAVE_RUN,
-        f"the call failed: {type(error).__name__}",
+        f"call failed: {type(error).__name__}",
         has_died=code is errors.Code.UPSTREAM_FAILED,
     )
 
 
 def is_accepting_connections(address: str) -> bool:
-    """Tell whether anybody takes connections at an address.
+    """Return whether an address accepts connections, in two probes.
 
-    A connection breaks in the middle because the other end died or because
-    its answer was lost.  What has died does not listen for seconds; what has
-    lost an answer goes on.  A process that dies closes its sockets one after
-    another, so one look right after a broken connection may still find the
-    port open.
+    A connection breaks because the upstream crashed or because its response
+    was lost.  A crashed upstream does not listen again for seconds, while one
+    whose response was lost keeps listening.  A crashing process closes its
+    sockets one after another, so a single probe right after the failure may
+    still find the port open.
 
     :param address: ``host:port``
-    :returns: whether connections can be made, now and a moment later
+    :returns: whether both TCP connects succeed
     """
     host, _, port = address.rpartition(":")
-    for pause_s in PROBE_DELAYS_S:
-        time.sleep(pause_s)
+    for delay_s in PROBE_DELAYS_S:
+        time.sleep(delay_s)
         try:
             socket.create_connection(
                 (host, int(port)), PROBE_TIMEOUT_S
@@ -133,49 +134,49 @@
 
 
 class CallCanceller:
-    """Ends a call that runs on another thread.
+    """Cancels a call that runs on another thread.
 
-    Without it an upstream would go on working for a caller that has gone,
-    until its answer finds nobody.
+    Without it an upstream would continue to work for a caller that has
+    disconnected.
     """
 
-    __slots__ = ("_lock", "_socket", "_is_set")
+    __slots__ = ("_lock", "_socket", "_is_cancelled")
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._socket: socket.socket | None = None
-        self._is_set = False
+        self._is_cancelled = False
 
     def attach(self, connection: socket.socket) -> None:
-        """Take the socket over which the call goes.
+        """Set the socket that carries the call.
 
         :param connection: the socket
         """
         with self._lock:
             self._socket = connection
-            is_set = self._is_set
-        if is_set:
+            is_cancelled = self._is_cancelled
+        if is_cancelled:
             self.set()
 
     def detach(self) -> None:
-        """Let go of the socket: the call has ended."""
+        """Release the socket after the end of the call."""
         with self._lock:
             self._socket = None
 
     def set(self) -> None:
-        """End the call now, or as soon as it begins."""
+        """Cancel the call now, or as soon as it starts."""
         with self._lock:
-            self._is_set = True
+            self._is_cancelled = True
             if self._socket is None:
                 return
             try:
                 self._socket.shutdown(socket.SHUT_RDWR)
             except OSError as error:
-                LOG.debug("an interrupted call had ended: %s", error)
+                LOG.debug("cancelled call had ended already: %s", error)
 
 
 class _Current(threading.local):
-    """The interrupt of the call that runs on this thread."""
+    """Holds the canceller of the call that runs on this thread."""
 
     interrupt: CallCanceller | None = None
 
@@ -184,10 +185,10 @@
 
 
 class _Connection(urllib3.connection.HTTPConnection):
-    """Hands its socket to the interrupt of the call that it carries."""
+    """Attaches its socket to the canceller of the call that it carries."""
 
     def request(self, *arguments: typing.Any, **named: typing.Any) -> None:
-        """Send a request, connecting first if need be."""
+        """Send a request, after connecting if necessary."""
         if self.sock is None:
             self.connect()
         if _CURRENT.interrupt is not None:
@@ -196,16 +197,15 @@
 
 
 class UpstreamClient:
-    """Calls one upstream.
+    """HTTP client of one upstream with a connection pool.
 
-    All connections that are kept for it belong to one generation.  A
-    generation ends by age, and at once when one of its connections fell
-    silent or crossed two answers: its siblings went the same way through
-    the same things in between, so they are suspects.
+    The pool is replaced when it reaches ``MAX_POOL_AGE_MS``, and at once when
+    a call on it timed out or received the response to another request: the
+    other connections took the same network path, so they may be affected too.
 
     :param address: ``host:port``
-    :param clock_: where the time comes from
-    :param echo_header: the header whose value the upstream sends back
+    :param clock_: the clock
+    :param echo_header: the header whose value the upstream echoes
     """
 
     def __init__(
@@ -218,8 +218,8 @@
         self._clock = clock_
         self._echo_header = echo_header
         self._lock = threading.Lock()
-        self._pool = self._make_pool()
-        self._made_ms = clock_.now_ms()
+        self._pool = self._create_pool()
+        self._pool_created_ms = clock_.now_ms()
 
     def call(
         self,
@@ -232,22 +232,24 @@
         needs_new_connection: bool = False,
         interrupt: "CallCanceller | None" = None,
     ) -> expression.Result[Response, errors.Fault]:
-        """Make one call, exactly once.
+        """Make one call without retries.
 
         :param method: the HTTP method
         :param target: path and query
-        :param headers: what to send; the reply must echo a request id
+        :param headers: headers to send; the reply must echo a request id
         :param body: the body, if any
-        :param timeout_ms: the longest wait for the whole reply
+        :param timeout_ms: timeout of the complete reply, in ms
         :param step: the hop, for faults
-        :param needs_new_connection: whether the call needs a connection of its
-            own: one that was kept may be closed by the other end at this
-            moment, and then nobody knows whether the call ran
-        :param interrupt: ends the call from another thread
-        :returns: the reply, or a fault that says whether it ran
+        :param needs_new_connection: whether the call must not use a pooled
+            connection: the peer may close an idle connection at any moment,
+            and then it is unknown whether the call was executed
+        :param interrupt: cancels the call from another thread
+        :returns: the reply, or a fault with the execution status
         """
         deadline_s = time.monotonic() + timeout_ms / MS_IN_S
-        pool = self._make_pool() if needs_new_connection else self._find_pool()
+        pool = (
+            self._create_pool() if needs_new_connection else self._get_pool()
+        )
         response: urllib3.BaseHTTPResponse | None = None
         _CURRENT.interrupt = interrupt
         try:
@@ -263,36 +265,36 @@
                 decode_content=False,
                 timeout=_make_timeout(timeout_ms),
             )
-            whole = _read_whole(response, deadline_s)
+            complete = _read_response(response, deadline_s)
         except CLIENT_ERRORS as error:
-            self._abandon(response)
-            return expression.Error(self._note_failure(error, step))
+            self._close_response(response)
+            return expression.Error(self._make_fault(error, step))
         finally:
             _CURRENT.interrupt = None
             if interrupt is not None:
                 interrupt.detach()
-        checked = self._check_echo(headers, whole, response, step)
+        result = self._check_echo(headers, complete, response, step)
         if needs_new_connection:
             pool.close()
-        return checked
+        return result
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the pooled connections."""
         self._pool.close()
 
     def reset_pool(self) -> None:
-        """Use none of the kept connections again."""
+        """Replace the pool so that no pooled connection is reused."""
         with self._lock:
-            before, self._pool = self._pool, self._make_pool()
-            self._made_ms = self._clock.now_ms()
-        # Calls under way end on their own connections, which are closed
-        # instead of kept, because their pool is.
-        before.close()
+            old_pool, self._pool = self._pool, self._create_pool()
+            self._pool_created_ms = self._clock.now_ms()
+        # Calls in progress finish on their own connections, which are closed
+        # afterwards because their pool is closed.
+        old_pool.close()
 
     def _check_echo(
         self,
         headers: dict[str, str],
-        whole: Response,
+        complete: Response,
         response: urllib3.BaseHTTPResponse,
         step: errors.Step,
     ) -> expression.Result[Response, errors.Fault]:
@@ -300,10 +302,11 @@
         echoed = response.headers.get(self._echo_header)
         if sent is None or echoed == sent:
             response.release_conn()
-            return expression.Ok(whole)
-        # Somebody else's answer, left on the connection or crossed in
-        # between.  Nobody may get it, and this call's own is lost.
-        self._abandon(response)
+            return expression.Ok(complete)
+        # The response belongs to another request: it was left unread on the
+        # connection, or mixed up on the way.  It must not reach this caller,
+        # and the call's own response is lost.
+        self._close_response(response)
         self.reset_pool()
         return expression.Error(
             errors.Fault(
@@ -311,13 +314,11 @@
                 step,
                 self.address,
                 errors.ExecutionStatus.MAY_HAVE_RUN,
-                "the reply belongs to another request",
+                "response belongs to another request",
             )
         )
 
-    def _note_failure(
-        self, error: Exception, step: errors.Step
-    ) -> errors.Fault:
+    def _make_fault(self, error: Exception, step: errors.Step) -> errors.Fault:
         fault = classify_failure(error, step, self.address)
         fault.has_died = fault.has_died and not is_accepting_connections(
             self.address
@@ -327,18 +328,18 @@
         return fault
 
     @staticmethod
-    def _abandon(response: urllib3.BaseHTTPResponse | None) -> None:
-        # A connection whose reply was not read to its end would give the
-        # rest of it to the next request.
+    def _close_response(response: urllib3.BaseHTTPResponse | None) -> None:
+        # A pooled connection with an unread rest of a response would return
+        # that rest to the next request.
         if response is not None:
             response.close()
 
-    def _find_pool(self) -> urllib3.HTTPConnectionPool:
-        if self._clock.now_ms() - self._made_ms > MAX_POOL_AGE_MS:
+    def _get_pool(self) -> urllib3.HTTPConnectionPool:
+        if self._clock.now_ms() - self._pool_created_ms > MAX_POOL_AGE_MS:
             self.reset_pool()
         return self._pool
 
-    def _make_pool(self) -> urllib3.HTTPConnectionPool:
+    def _create_pool(self) -> urllib3.HTTPConnectionPool:
         host, _, port = self.address.rpartition(":")
         pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=MAX_IDLE_CONNECTIONS, retries=False
@@ -354,20 +355,20 @@
     )
 
 
-def _read_whole(
+def _read_response(
     response: urllib3.BaseHTTPResponse, deadline_s: float
 ) -> Response:
-    pieces = []
+    chunks = []
     total = 0
-    for piece in response.stream(READ_BYTES, decode_content=False):
-        pieces.append(piece)
-        total += len(piece)
+    for chunk in response.stream(READ_BYTES, decode_content=False):
+        chunks.append(chunk)
+        total += len(chunk)
         if total > MAX_REPLY_BYTES:
-            raise urllib3.exceptions.ProtocolError("the reply is too large")
+            raise urllib3.exceptions.ProtocolError("response is too large")
         if time.monotonic() > deadline_s:
             raise urllib3.exceptions.ReadTimeoutError(
-                None, "", "the reply takes too long"
+                None, "", "response timed out"
             )
     return Response(
-        response.status, list(response.headers.items()), b"".join(pieces)
+        response.status, list(response.headers.items()), b"".join(chunks)
     )
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -1,4 +1,4 @@
-"""Begins a decode and takes its socket for the relay."""
+"""Starts a decode and detaches its socket for the relay."""
 
 import collections.abc
 import http.client
@@ -24,22 +24,23 @@
 
 MS_IN_S = 1_000
 MAX_ERROR_BYTES = 65_536
-# Within a region a connection takes a few milliseconds, so after so long the
-# engine is not there, or its link is cut.
+# Connecting takes a few milliseconds within a region.  After this time the
+# engine is down, or the network is partitioned.
 CONNECT_TIMEOUT_MS = 300
-# An upstream may drop an idle connection, and resets what comes next on it;
-# then nobody knows whether it ran.  A younger one is still there.
+# An upstream may close an idle connection and reset it when the next request
+# arrives; then it is unknown whether the request was executed.  A connection
+# younger than this has not been closed as idle.
 MAX_UNUSED_AGE_MS = 500
 
 
 class DecodeRequest:
-    """What is sent to begin a decode.
+    """The HTTP request that starts a decode.
 
     :param method: the HTTP method
     :param target: path and query
-    :param headers: what to send
-    :param body: the whole body
-    :param echo_header: the header whose value the engine sends back
+    :param headers: headers to send
+    :param body: the complete body
+    :param echo_header: the header whose value the engine echoes
     """
 
     __slots__ = ("method", "target", "headers", "body", "echo_header")
@@ -71,20 +72,21 @@
         self.connected_s = 0.0
 
     def connect(self) -> None:
-        """Make the connection, within the time that this may take."""
+        """Connect within ``CONNECT_TIMEOUT_MS``."""
         super().connect()
         self.connected_s = time.monotonic()
 
     def is_fresh(self) -> bool:
-        """Tell whether the engine has surely not dropped it as idle."""
+        """Return whether it is too young to have been closed as idle."""
         return (
             time.monotonic() - self.connected_s < MAX_UNUSED_AGE_MS / MS_IN_S
         )
 
     def is_closed(self) -> bool:
-        """Tell whether the engine has closed it, or sent what nobody asked.
+        """Return whether the engine closed it or sent unexpected bytes.
 
-        Nothing was sent yet, so a decode that finds it closed has not run.
+        No request was sent yet, so a decode that finds it closed was not
+        executed.
         """
         self.sock.setblocking(False)
         try:
@@ -92,14 +94,14 @@
         except BlockingIOError:
             return False
         except OSError as failure:
-            LOG.debug("%s closed a connection: %r", self.host, failure)
+            LOG.debug("%s closed an unused connection: %r", self.host, failure)
         finally:
             self.sock.settimeout(self.timeout)
         return True
 
 
-# Turns a reply whose status is not 200 into a fault: gets the status, the
-# headers, the body and the engine's address.
+# Maps a response whose status is not 200 to a fault.  The arguments are the
+# status, the headers, the body and the engine's address.
 RejectionParser = collections.abc.Callable[
     [int, list[tuple[str, str]], bytes, str], errors.Fault
 ]
@@ -108,17 +110,17 @@
 def connect(
     address: str,
 ) -> expression.Result[DecodeConnection, errors.Fault]:
-    """Make a connection for a decode that comes soon.
+    """Open a connection for a later decode.
 
     :param address: the engine's ``host:port``
-    :returns: the connection, or a fault: nothing was sent
+    :returns: the connection, or a fault, in which case nothing was sent
     """
     connection = DecodeConnection(address)
     try:
         connection.connect()
     except OSError as failure:
         connection.close()
-        LOG.debug("no connection to %s: %r", address, failure)
+        LOG.debug("connecting to %s failed: %r", address, failure)
         return expression.Error(
             connections.classify_failure(
                 ConnectionRefusedError(), errors.Step.DECODE, address
@@ -135,23 +137,24 @@
     interrupt: connections.CallCanceller | None = None,
     prepared_connection: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
-    """Send a decode call and return its stream once the head has come.
+    """Send a decode request and return its stream after the response head.
 
-    ``http.client`` is used directly: its connection gives up its socket
-    together with the bytes that were read along with the head, which the
-    event loop needs.  A pool is of no use here, since a decode's connection
-    carries one answer and is closed; so no later answer can get mixed up
-    with the rest of an abandoned one.
+    ``http.client`` is used directly because its socket can be detached
+    together with the bytes that were read with the head, which the event loop
+    needs.  A pool has no benefit, because the connection carries one response
+    and is then closed.  So a response cannot be mixed up with the rest of an
+    aborted one.
 
     :param address: the engine's ``host:port``
-    :param request: what to send
-    :param timeout_ms: the longest wait for the reply's head
-    :param read_refusal: tells what another status than 200 means
-    :param interrupt: ends the call from another thread
-    :param prepared_connection: a connection that was made before; a new one if
-        it is not fresh any more, or if none is given.  An engine that has
-        closed a fresh one counts as not reached.
-    :returns: the stream, or a fault that says whether it ran
+    :param request: the request to send
+    :param timeout_ms: timeout of the response head, in ms
+    :param read_refusal: maps a response with another status than 200 to a
+        fault
+    :param interrupt: cancels the call from another thread
+    :param prepared_connection: a connection that was opened in advance; a new
+        one is opened if it is too old or none is given.  If the engine has
+        closed a recent one, the engine counts as unreachable.
+    :returns: the stream, or a fault with the execution status
     """
     if prepared_connection is None or not prepared_connection.is_fresh():
         if prepared_connection is not None:
@@ -194,24 +197,24 @@
     read_refusal: RejectionParser,
     interrupt: connections.CallCanceller | None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
-    raw = connection.sock
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock = connection.sock
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if interrupt is not None:
-        interrupt.attach(raw)
+        interrupt.attach(sock)
     connection.request(
         request.method, request.target, request.body, request.headers
     )
     response = connection.getresponse()
     echoed = response.getheader(request.echo_header, "")
-    is_own = echoed == request.headers[request.echo_header]
+    is_echo_correct = echoed == request.headers[request.echo_header]
     if response.status != http.client.OK:
         body = response.read(MAX_ERROR_BYTES)
         connection.close()
-        headers = response.getheaders() if is_own else []
+        headers = response.getheaders() if is_echo_correct else []
         return expression.Error(
             read_refusal(response.status, headers, body, address)
         )
-    if not is_own:
+    if not is_echo_correct:
         response.close()
         connection.close()
         return expression.Error(
@@ -220,37 +223,39 @@
                 errors.Step.DECODE,
                 address,
                 errors.ExecutionStatus.MAY_HAVE_RUN,
-                "the reply belongs to another request",
+                "response belongs to another request",
             )
         )
-    return expression.Ok(_take_socket(raw, response, echoed))
+    return expression.Ok(_detach_socket(sock, response, echoed))
 
 
-def _take_socket(
-    raw: socket.socket, response: http.client.HTTPResponse, echoed: str
+def _detach_socket(
+    sock: socket.socket, response: http.client.HTTPResponse, echoed: str
 ) -> base.TokenStream:
-    # Without blocking, a look into the buffer returns what is there and
-    # waits for nothing more.
-    raw.setblocking(False)
+    # On a non-blocking socket, peek returns the buffered bytes without
+    # waiting for more.
+    sock.setblocking(False)
     buffered = bytes(response.fp.peek())
     chunked = bool(response.chunked)
     length = response.length
-    # The library's file object keeps a reference that would hold the
-    # descriptor open; only the descriptor itself is taken along.
-    taken = socket.socket(fileno=raw.detach())
+    # The library's file object keeps a reference to its socket, which would
+    # keep the descriptor open.  Detaching moves the descriptor to a new one.
+    detached = socket.socket(fileno=sock.detach())
     headers = response.getheaders()
     response.close()
-    return base.TokenStream(taken, buffered, chunked, echoed, length, headers)
+    return base.TokenStream(
+        detached, buffered, chunked, echoed, length, headers
+    )
 
 
 def parse_rejection(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
-    """Return what a decode engine's status means.
+    """Map a decode engine's non-200 response to a fault.
 
     :param status: the HTTP status
-    :param headers: pairs of the reply
-    :param body: the reply's body
+    :param headers: header pairs of the response
+    :param body: the response body
     :param address: the engine's address
     :returns: the fault
     """
@@ -260,7 +265,7 @@
             errors.Step.TRANSFER,
             address,
             errors.ExecutionStatus.NOT_RUN,
-            "the prefill's result has expired",
+            "prefill result has expired",
         )
     if status in (
         http.client.TOO_MANY_REQUESTS,
@@ -271,12 +276,12 @@
             errors.Step.DECODE,
             address,
             errors.ExecutionStatus.NOT_RUN,
-            f"the engine refused with status {status}",
+            f"engine rejected the request with status {status}",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         errors.Step.DECODE,
         address,
         errors.ExecutionStatus.MAY_HAVE_RUN,
-        f"the engine answered with status {status}",
+        f"engine responded with status {status}",
     )
--- a/mulberryway/upstreams/directory.py
+++ b/mulberryway/upstreams/directory.py
@@ -1,4 +1,4 @@
-"""Finds the object that stands for an upstream of the tables."""
+"""Maps upstreams of the tables to their client objects."""
 
 import abc
 import threading
@@ -16,7 +16,10 @@
 
 
 class UpstreamDirectory(abc.ABC):
-    """Where engines and services are found; another protocol fits in here."""
+    """Interface that provides the client objects of engines and services.
+
+    Support for another protocol is added by implementing this interface.
+    """
 
     @abc.abstractmethod
     def find_engine(
@@ -24,7 +27,7 @@
     ) -> base.Engine:
         """Return the engine at an upstream's address.
 
-        :param pool: the pool, whose credential is used
+        :param pool: the pool; its credential is used
         :param upstream: the upstream
         :returns: the engine
         """
@@ -35,14 +38,14 @@
     ) -> base.UpstreamService:
         """Return the plain service at an upstream's address.
 
-        :param pool: the pool, whose credential is used
+        :param pool: the pool; its credential is used
         :param upstream: the upstream
         :returns: the service
         """
 
     @abc.abstractmethod
     def update_tables(self, changed: tables.Tables) -> None:
-        """Forget upstreams that the tables no longer hold.
+        """Evict the upstreams that the new tables lack.
 
         :param changed: the new tables
         """
@@ -54,13 +57,13 @@
     pool: str,
     upstream: str,
 ) -> base.Engine | None:
-    """Return the engine that a pool and a name stand for.
+    """Look up an engine by its pool and upstream name.
 
-    :param found: the tables in force, or none
-    :param directory: finds the object for a row
+    :param found: the active tables, or none
+    :param directory: provides the engine object
     :param pool: the pool's name
     :param upstream: the upstream's name
-    :returns: the engine; none if the tables do not hold it
+    :returns: the engine; none if the tables do not contain it
     """
     row = found.pools.get(pool) if found is not None else None
     return next(
@@ -74,22 +77,22 @@
 
 
 class HttpDirectory(UpstreamDirectory):
-    """Keeps one object, with its connections, for each address.
+    """Caches one client object, with its connections, for each address.
 
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self._lock = threading.Lock()
-        self._found: dict[tuple[str, str, type], HttpUpstream] = {}
+        self._upstreams: dict[tuple[str, str, type], HttpUpstream] = {}
 
     def find_engine(
         self, pool: tables.Pool, upstream: tables.Upstream
     ) -> base.Engine:
         """Return the engine at an upstream's address.
 
-        :param pool: the pool, whose credential is used
+        :param pool: the pool; its credential is used
         :param upstream: the upstream
         :returns: the engine
         """
@@ -102,7 +105,7 @@
     ) -> base.UpstreamService:
         """Return the plain service at an upstream's address.
 
-        :param pool: the pool, whose credential is used
+        :param pool: the pool; its credential is used
         :param upstream: the upstream
         :returns: the service
         """
@@ -112,19 +115,21 @@
         )
 
     def update_tables(self, changed: tables.Tables) -> None:
-        """Forget upstreams that the tables no longer hold.
+        """Evict the upstreams that the new tables lack.
 
         :param changed: the new tables
         """
-        wanted = {
+        current_keys = {
             (upstream.address, pool.credential)
             for pool in changed.pools.values()
             for upstream in pool.upstreams
         }
         with self._lock:
-            gone = [key for key in self._found if key[:2] not in wanted]
-            closing = [self._found.pop(key) for key in gone]
-        for found in closing:
+            removed_keys = [
+                key for key in self._upstreams if key[:2] not in current_keys
+            ]
+            removed = [self._upstreams.pop(key) for key in removed_keys]
+        for found in removed:
             found.close()
 
     def _find(
@@ -135,8 +140,8 @@
     ) -> HttpUpstream:
         key = (upstream.address, pool.credential, kind)
         with self._lock:
-            found = self._found.get(key)
+            found = self._upstreams.get(key)
             if found is None:
                 found = kind(upstream.address, pool.credential, self._clock)
-                self._found[key] = found
+                self._upstreams[key] = found
             return found
--- a/mulberryway/upstreams/http_engine.py
+++ b/mulberryway/upstreams/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, as docs/design/interfaces.md describes it."""
+"""HTTP client of a model engine, as specified in docs/design/interfaces.md."""
 
 import http
 import json
@@ -20,8 +20,8 @@
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
 )
-# Members of a body that the router sets itself; a caller's own would let it
-# import another account's KV cache.
+# Body fields that only the router may set.  If callers could set them, they
+# could import another account's KV cache.
 ROUTER_FIELDS = ("kv_transfer_params", "resume_offset", "stream")
 
 Body = dict[str, typing.Any]
@@ -32,7 +32,7 @@
 
     :param address: ``host:port``
     :param credential: the pool's own credential; empty for none
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -40,7 +40,7 @@
     ) -> None:
         self.address = address
         self._credential = credential
-        self._caller = connections.UpstreamClient(address, clock_)
+        self._client = connections.UpstreamClient(address, clock_)
 
     def prefill(
         self,
@@ -48,15 +48,15 @@
         body: Body,
         timeout_ms: int,
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
-        """Compute a prompt's KV cache and keep it for export.
+        """Compute a prompt's KV cache and retain it for export.
 
-        :param label: names the attempt
-        :param body: the caller's request, credentials removed
-        :param timeout_ms: the longest wait for the result
-        :returns: the result, or a fault that says whether it ran
+        :param label: identifies the attempt
+        :param body: the caller's request without credentials
+        :param timeout_ms: timeout of the result, in ms
+        :returns: the result, or a fault with the execution status
         """
         step = errors.Step.PREFILL
-        call = _strip(body) | {
+        call = _strip_router_fields(body) | {
             "stream": False,
             "kv_transfer_params": {"do_remote_decode": True},
         }
@@ -67,7 +67,7 @@
             call,
             timeout_ms,
             step,
-        ).bind(lambda value: self._read(value, _read_prefill, step))
+        ).bind(lambda value: self._parse(value, _parse_prefill, step))
 
     def decode(
         self,
@@ -77,16 +77,16 @@
         offset: int,
         timeout_ms: int,
     ) -> expression.Result[base.TokenStream, errors.Fault]:
-        """Import a KV cache and begin to generate.
-
-        :param label: names the attempt
-        :param body: the caller's request, credentials removed
-        :param transfer: what the prefill returned
-        :param offset: how many tokens the caller has already; 0 at first
-        :param timeout_ms: the longest wait for the reply's head
-        :returns: the stream, or a fault that says whether it ran
+        """Import a KV cache and start to generate tokens.
+
+        :param label: identifies the attempt
+        :param body: the caller's request without credentials
+        :param transfer: the transfer parameters that the prefill returned
+        :param offset: number of tokens that the caller already has
+        :param timeout_ms: timeout of the response head, in ms
+        :returns: the stream, or a fault with the execution status
         """
-        call = _strip(body) | {
+        call = _strip_router_fields(body) | {
             "stream": True,
             "kv_transfer_params": transfer | {"do_remote_prefill": True},
         }
@@ -105,15 +105,15 @@
     def cancel(
         self, label: base.AttemptLabel
     ) -> expression.Result[bool, errors.Fault]:
-        """Free what the engine holds for an attempt; idempotent.
+        """Cancel an attempt and free its memory; idempotent.
 
-        :param label: names the attempt
-        :returns: whether anything was held, or a fault
+        :param label: identifies the attempt
+        :returns: whether the engine held memory for it, or a fault
         """
         name = urllib.parse.quote(label.request_id, safe="")
         return self._control("DELETE", f"/v1/requests/{name}").bind(
-            lambda value: self._read(
-                value, lambda read: bool(read["held"]), errors.Step.DECODE
+            lambda value: self._parse(
+                value, lambda parsed: bool(parsed["held"]), errors.Step.DECODE
             )
         )
 
@@ -122,34 +122,37 @@
     ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
         """Return every request for which the engine holds memory."""
         return self._control("GET", "/v1/requests").bind(
-            lambda value: self._read(value, _read_held, errors.Step.DECODE)
+            lambda value: self._parse(
+                value, _parse_in_flight, errors.Step.DECODE
+            )
         )
 
     def report_load(self) -> expression.Result[base.EngineLoad, errors.Fault]:
-        """Return the engine's own, lagging, load report."""
+        """Return the engine's own load report, which may be outdated."""
         return self._control("GET", "/v1/load").bind(
-            lambda value: self._read(value, _read_load, errors.Step.DECODE)
+            lambda value: self._parse(value, _parse_load, errors.Step.DECODE)
         )
 
     def read_cache_events(
         self, after: int
     ) -> expression.Result[list[base.CacheEvent], errors.Fault]:
-        """Return cache events with a sequence above the given one.
+        """Return the cache events after a sequence number.
 
-        :param after: the last sequence seen
+        :param after: the last sequence number received
         :returns: events in order, possibly with gaps, or a fault
         """
         return self._control("GET", f"/v1/cache_events?after={after}").bind(
-            lambda value: self._read(value, _read_events, errors.Step.DECODE)
+            lambda value: self._parse(value, _parse_events, errors.Step.DECODE)
         )
 
     def give_order(
         self, order: base.Order
     ) -> expression.Result[None, errors.Fault]:
-        """Tell the engine to load a model or to change its role.
+        """Send an order to load or unload a model or to change the role.
 
         :param order: the order with its fencing number
-        :returns: nothing, or a fault; ``UPSTREAM_REFUSED`` if fenced off
+        :returns: nothing, or a fault; ``UPSTREAM_REFUSED`` if the fencing
+            number is outdated
         """
         body = {
             "verb": order.verb,
@@ -159,8 +162,8 @@
         return self._control("POST", "/v1/orders", body).map(lambda _: None)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
-        self._caller.close()
+        """Close the pooled connections."""
+        self._client.close()
 
     def _control(
         self, method: str, target: str, body: Body | None = None
@@ -184,21 +187,23 @@
         step: errors.Step,
     ) -> expression.Result[typing.Any, errors.Fault]:
         data = None if body is None else json.dumps(body).encode()
-        return self._caller.call(
+        return self._client.call(
             method, target, headers, data, timeout_ms, step
-        ).bind(lambda response: self._check(response, step))
+        ).bind(lambda response: self._decode_response(response, step))
 
-    def _check(
+    def _decode_response(
         self, response: connections.Response, step: errors.Step
     ) -> expression.Result[typing.Any, errors.Fault]:
         if response.status != http.HTTPStatus.OK:
-            return expression.Error(self._sort_status(response.status, step))
+            return expression.Error(
+                self._classify_status(response.status, step)
+            )
         try:
             return expression.Ok(json.loads(response.body))
         except ValueError:
-            return expression.Error(self._malformed(step))
+            return expression.Error(self._make_malformed_fault(step))
 
-    def _sort_status(self, status: int, step: errors.Step) -> errors.Fault:
+    def _classify_status(self, status: int, step: errors.Step) -> errors.Fault:
         code, run = (
             errors.Code.UPSTREAM_FAILED,
             errors.ExecutionStatus.MAY_HAVE_RUN,
@@ -213,27 +218,27 @@
             step,
             self.address,
             run,
-            f"the engine answered with status {status}",
+            f"engine responded with status {status}",
         )
 
-    def _read(
+    def _parse(
         self,
         value: typing.Any,
-        read: typing.Callable[[typing.Any], typing.Any],
+        parse: typing.Callable[[typing.Any], typing.Any],
         step: errors.Step,
     ) -> expression.Result[typing.Any, errors.Fault]:
         try:
-            return expression.Ok(read(value))
+            return expression.Ok(parse(value))
         except (KeyError, TypeError, ValueError):
-            return expression.Error(self._malformed(step))
+            return expression.Error(self._make_malformed_fault(step))
 
-    def _malformed(self, step: errors.Step) -> errors.Fault:
+    def _make_malformed_fault(self, step: errors.Step) -> errors.Fault:
         return errors.Fault(
             errors.Code.UPSTREAM_FAILED,
             step,
             self.address,
             errors.ExecutionStatus.RAN,
-            "the engine's reply cannot be read",
+            "engine response is malformed",
         )
 
     def _make_headers(
@@ -250,11 +255,11 @@
         return headers
 
 
-def _strip(body: Body) -> Body:
+def _strip_router_fields(body: Body) -> Body:
     return {k: v for k, v in body.items() if k not in ROUTER_FIELDS}
 
 
-def _read_prefill(value: Body) -> base.PrefillResult:
+def _parse_prefill(value: Body) -> base.PrefillResult:
     usage = value["usage"]
     return base.PrefillResult(
         dict(value["kv_transfer_params"]),
@@ -263,24 +268,24 @@
     )
 
 
-def _read_held(value: Body) -> list[base.InFlightRequest]:
+def _parse_in_flight(value: Body) -> list[base.InFlightRequest]:
     return [
         base.InFlightRequest(
-            _read_label(held), str(held["phase"]), int(held["blocks"])
+            _parse_label(item), str(item["phase"]), int(item["blocks"])
         )
-        for held in value["requests"]
+        for item in value["requests"]
     ]
 
 
-def _read_label(held: Body) -> base.AttemptLabel:
-    vm, _, incarnation = str(held["owner"]).rpartition("/")
-    # An owner in another form is not one of ours; no incarnation is below
-    # zero, so nothing here ever claims to know it.
+def _parse_label(item: Body) -> base.AttemptLabel:
+    vm, _, incarnation = str(item["owner"]).rpartition("/")
+    # An owner in another format was not set by a router of this fleet.
+    # Incarnations are never negative, so -1 matches none.
     number = int(incarnation) if vm and incarnation.isdigit() else -1
-    return base.AttemptLabel(str(held["id"]), vm, number)
+    return base.AttemptLabel(str(item["id"]), vm, number)
 
 
-def _read_load(value: Body) -> base.EngineLoad:
+def _parse_load(value: Body) -> base.EngineLoad:
     return base.EngineLoad(
         int(value["running"]),
         int(value["waiting"]),
@@ -291,7 +296,7 @@
     )
 
 
-def _read_events(value: Body) -> list[base.CacheEvent]:
+def _parse_events(value: Body) -> list[base.CacheEvent]:
     return [
         base.CacheEvent(
             int(event["sequence"]),
--- a/mulberryway/upstreams/http_service.py
+++ b/mulberryway/upstreams/http_service.py
@@ -1,4 +1,4 @@
-"""One server of a plain service over HTTP."""
+"""HTTP client of one server of a plain service."""
 
 import expression
 
@@ -9,7 +9,7 @@
 
 __all__ = ["HttpService", "strip_framing_headers", "strip_hop_by_hop_headers"]
 
-# Headers that speak of one connection only (RFC 9110, 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
@@ -31,33 +31,33 @@
 def strip_hop_by_hop_headers(
     headers: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return headers without those that speak of one connection only.
+    """Remove the headers that apply to a single connection.
 
-    :param headers: pairs
-    :returns: what may go on to the next hop
+    :param headers: header pairs
+    :returns: the pairs that may be forwarded to the next hop
     """
-    named = {
-        part.strip().lower()
+    connection_options = {
+        option.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
-        for part in value.split(",")
+        for option in value.split(",")
     }
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_BY_HOP_HEADERS | named
+        if name.lower() not in HOP_BY_HOP_HEADERS | connection_options
     ]
 
 
 def strip_framing_headers(
     headers: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return a reply's headers without those that tell its body's length.
+    """Remove a reply's hop-by-hop headers and its Content-Length.
 
-    The reply is written anew for the caller, and gets its own.
+    The reply is written again for the caller with headers of its own.
 
-    :param headers: pairs
-    :returns: what goes to the caller
+    :param headers: header pairs
+    :returns: the pairs to forward to the caller
     """
     return [
         (name, value)
@@ -71,7 +71,7 @@
 
     :param address: ``host:port``
     :param credential: the pool's own credential; empty for none
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -79,7 +79,7 @@
     ) -> None:
         self.address = address
         self._credential = credential
-        self._caller = connections.UpstreamClient(address, clock_)
+        self._client = connections.UpstreamClient(address, clock_)
 
     def call(
         self,
@@ -92,17 +92,17 @@
         is_idempotent: bool = False,
         interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
-        """Pass one call on, exactly once.
+        """Forward one call without retries.
 
         :param request_id: the id that the reply must echo
         :param method: the HTTP method
-        :param target: path and query, credentials removed
-        :param headers: headers, credentials and hop-by-hop ones removed
-        :param body: the whole body
-        :param timeout_ms: the longest wait for the whole reply
-        :param is_idempotent: whether it may run a second time
-        :param interrupt: ends the call from another thread
-        :returns: the reply, or a fault that says whether it ran
+        :param target: path and query without credentials
+        :param headers: headers without credentials and hop-by-hop headers
+        :param body: the complete body
+        :param timeout_ms: timeout of the complete reply, in ms
+        :param is_idempotent: whether the call may be executed again
+        :param interrupt: cancels the call from another thread
+        :returns: the reply, or a fault with the execution status
         """
         sent = {
             name: value
@@ -112,9 +112,9 @@
         sent[connections.REQUEST_ID_HEADER] = request_id
         if self._credential:
             sent["Authorization"] = f"Bearer {self._credential}"
-        # The default would name the library to the service.
+        # The default User-Agent would name the HTTP library.
         sent.setdefault("User-Agent", "mulberryway")
-        return self._caller.call(
+        return self._client.call(
             method,
             target,
             sent,
@@ -125,8 +125,8 @@
         ).map(_make_reply)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
-        self._caller.close()
+        """Close the pooled connections."""
+        self._client.close()
 
 
 def _make_reply(response: connections.Response) -> base.ServiceReply:
