--- a/mulberryway/server/__init__.py
+++ b/mulberryway/server/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server, built on cheroot."""
+"""HTTP server for callers, built on cheroot."""
 
 from mulberryway.server import gateway
 from mulberryway.server import http_server
--- a/mulberryway/server/gateway.py
+++ b/mulberryway/server/gateway.py
@@ -1,4 +1,4 @@
-"""Between cheroot and the filter chain."""
+"""Adapter between cheroot and the filter chain."""
 
 import collections.abc
 import itertools
@@ -21,13 +21,13 @@
 
 
 class GatewayFactory:
-    """Makes a gateway for each request.
+    """Creates a gateway for each request.
 
-    :param chain_: answers requests
-    :param clock_: where the time comes from
-    :param owner: names this VM and incarnation, the first part of each
-        request's id
-    :param fault_format: how faults are told
+    :param chain_: the filter chain that handles requests
+    :param clock_: the clock
+    :param owner: identifies this VM and incarnation; prefix of each request's
+        id
+    :param fault_format: how faults are encoded
     """
 
     def __init__(
@@ -41,43 +41,43 @@
         self.clock = clock_
         self.fault_format = fault_format
         self._owner = owner
-        self._numbers = itertools.count(1)
+        self._counter = itertools.count(1)
         self._lock = threading.Lock()
         self._running = 0
 
     @property
     def running(self) -> int:
-        """How many requests have begun and not ended."""
+        """The number of requests in progress."""
         return self._running
 
     def increment_running(self) -> None:
-        """Count a request that has begun."""
+        """Count a started request."""
         with self._lock:
             self._running += 1
 
     def note_end(self) -> None:
-        """Count a request that has ended, its stream included."""
+        """Count a finished request, whose stream has also ended."""
         with self._lock:
             self._running -= 1
 
     def make_id(self) -> str:
-        """Return an id that no other request in the fleet has."""
-        return f"{self._owner}-{next(self._numbers)}"
+        """Return a request id that is unique in the fleet."""
+        return f"{self._owner}-{next(self._counter)}"
 
     def __call__(self, request_: request.Request) -> "Gateway":
-        """Make a gateway.
+        """Create the gateway of a request.
 
         :param request_: the request
-        :returns: what answers it
+        :returns: the gateway
         """
         return Gateway(request_, self)
 
 
 class Gateway:
-    """Answers one request.
+    """Handles one request.
 
     :param request_: the request
-    :param factory: what all gateways share
+    :param factory: the factory, which holds the state shared by all gateways
     """
 
     __slots__ = ("_request", "_factory", "_id", "_head")
@@ -97,22 +97,25 @@
         )
 
     def respond(self) -> None:
-        """Read the body, run the chain, and write or lend the answer."""
+        """Read the body, run the chain, and write the reply.
+
+        A streamed answer is handed over to the relay instead.
+        """
         try:
             body = self._request.read_body()
         except cheroot_errors.MaxSizeExceeded:
-            self._refuse(errors.Code.BODY_TOO_LARGE, "the body is too large")
+            self._reject(errors.Code.BODY_TOO_LARGE, "body is too large")
         except ValueError as error:
-            self._refuse(errors.Code.BAD_REQUEST, str(error))
+            self._reject(errors.Code.BAD_REQUEST, str(error))
         else:
-            self._answer(self._make_exchange(body))
+            self._handle(self._make_exchange(body))
 
-    def _refuse(self, code: errors.Code, message: str) -> None:
+    def _reject(self, code: errors.Code, message: str) -> None:
         fault = errors.Fault(code, errors.Step.CALLER, message=message)
         self._request.conn.has_unread_input = True
         self._write(replies.make_fault_reply(fault, close=True))
 
-    def _answer(self, exchange: base.Exchange) -> None:
+    def _handle(self, exchange: base.Exchange) -> None:
         self._factory.increment_running()
         exchange.add_completion_callback(
             lambda outcome: self._factory.note_end()
--- a/mulberryway/server/http_server.py
+++ b/mulberryway/server/http_server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: cheroot with every limit set on purpose."""
+"""HTTP server for callers: cheroot with explicit limits."""
 
 import collections.abc
 import logging
@@ -19,25 +19,26 @@
 LOG = logging.getLogger(__name__)
 
 MS_IN_S = 1_000
-# Linux ends a connection whose peer confirms nothing for so long; without
-# it a caller whose host has vanished looks alive for fifteen minutes.
+# Value of TCP_USER_TIMEOUT: Linux closes a connection whose peer acknowledges
+# no data for this long.  Without it a caller whose host has vanished appears
+# connected for fifteen minutes.
 USER_TIMEOUT_MS = 20_000
-# How often idle connections are looked at.
+# How often idle connections are checked for expiry.
 IDLE_CHECK_INTERVAL_S = 1.0
-# A queue for a worker thread that is longer than this many per thread only
-# makes callers wait for an answer that comes too late.
+# Maximum number of queued connections per worker thread.  In a longer queue
+# callers would only wait for answers that come too late.
 QUEUE_PER_THREAD = 4
 REJECT_READ_BYTES = 262_144
 
 
 class HttpServer(server.HTTPServer):
-    """Serves callers on worker threads and lends streams to the relay.
+    """Serves callers on worker threads and hands streams over to the relay.
 
-    :param settings_: limits and the address
-    :param gateway: makes an object that answers a request
-    :param relay: carries what the gateway lends
-    :param port: another port than the settings'
-    :param threads: another number of worker threads than the settings'
+    :param settings_: the limits and the address
+    :param gateway: creates the object that handles a request
+    :param relay: forwards the streams that the gateway hands over
+    :param port: overrides the port of the settings
+    :param threads: overrides the number of worker threads of the settings
     """
 
     ConnectionClass = request.Connection
@@ -75,20 +76,21 @@
         )
 
     def start(self) -> None:
-        """Begin to serve on threads of the server's own."""
+        """Start to serve on the server's own threads."""
         self.prepare()
         self._thread.start()
 
     def serve(self) -> None:
-        """Accept and hand out connections until the server stops.
+        """Accept and dispatch connections until the server stops.
 
-        cheroot's own has a thread for refusals besides; see ``_refuse``.
+        cheroot's method also starts a thread for rejections, which ``_reject``
+        makes unnecessary.
         """
         while self.ready:
             try:
                 self._connections.run(self.expiration_interval)
             except Exception:
-                LOG.exception("connections could not be looked at")
+                LOG.exception("processing of connections failed")
 
     def bind(self, family: int, type: int, proto: int = 0) -> socket.socket:
         """Bind the listening socket.
@@ -99,37 +101,38 @@
         :returns: the socket
         """
         bound: socket.socket = super().bind(family, type, proto)
-        # Accepted connections inherit it.
+        # Accepted connections inherit the option.
         bound.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
         return bound
 
     def process_conn(self, conn: request.Connection) -> None:
-        """Give a connection to a worker once it has something to read.
+        """Dispatch a connection to a worker once it is readable.
 
-        cheroot gives a new connection to a worker at once, so callers that
-        connect and send nothing would hold every thread.
+        cheroot dispatches a new connection at once, so callers that connect
+        and send nothing would occupy all worker threads.
 
         :param conn: the connection
         """
         if conn.last_used is None:
             self._connections.put(conn)
         else:
-            self._hand_out(conn)
+            self._dispatch(conn)
 
-    def _hand_out(self, conn: request.Connection) -> None:
+    def _dispatch(self, conn: request.Connection) -> None:
         try:
             self.requests.put(conn)
         except queue.Full:
-            self._refuse(conn)
+            self._reject(conn)
 
-    def _refuse(self, conn: request.Connection) -> None:
-        """Answer for a worker that is not there; on the accepting thread.
+    def _reject(self, conn: request.Connection) -> None:
+        """Reply with 503 on the accepting thread if no worker is available.
 
-        cheroot's own way leaves the connection open until Python collects
-        it, so that a caller waits on it for nothing.  What has come of the
-        request is read first, for a reset would overtake the answer.
+        cheroot leaves the connection open until Python garbage-collects it,
+        so the caller would keep waiting.  The received part of the request is
+        read first, because closing a socket with unread input sends a reset,
+        which may arrive before the reply.
 
         :param conn: the connection
         """
@@ -137,13 +140,13 @@
         try:
             conn.socket.recv(REJECT_READ_BYTES)
         except OSError:
-            LOG.debug("a refused connection had nothing to read")
+            LOG.debug("a rejected connection had no data to read")
         request.Request(self, conn).simple_response("503 Service Unavailable")
         conn.has_unread_input = False
         conn.close()
 
     def put_conn(self, conn: request.Connection) -> None:
-        """Take a connection back from a worker, or from the relay.
+        """Take a connection back from a worker or the relay.
 
         :param conn: the connection
         """
@@ -155,10 +158,10 @@
         super().put_conn(conn)
 
     def release(self, conn: request.Connection, keep: bool) -> None:
-        """Take back a connection whose stream has ended.
+        """Take back or close a connection whose stream has ended.
 
         :param conn: the connection
-        :param keep: whether it can serve another request
+        :param keep: whether the connection can be reused
         """
         if keep:
             self.put_conn(conn)
@@ -168,10 +171,10 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Log what cheroot reports.
+        """Log a message of cheroot.
 
-        :param msg: the report
+        :param msg: the message
         :param level: the logging level
-        :param traceback: whether the current exception is added
+        :param traceback: whether to log the current exception
         """
         LOG.log(level, "%s", msg, exc_info=traceback)
--- a/mulberryway/server/request.py
+++ b/mulberryway/server/request.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests strictly and reports bad ones as JSON."""
+"""Strict HTTP request parser that reports malformed requests as JSON."""
 
 import collections.abc
 import http
@@ -31,22 +31,22 @@
 OVERLOAD_RETRY_AFTER_MS = 1_000
 
 
-class _LimitedReader(socket.SocketIO):
-    """A socket's file that stops at a point in time.
+class _DeadlineReader(socket.SocketIO):
+    """Raw socket reader with a deadline for the whole request.
 
-    The socket's own timeout starts anew with each byte, so a caller that
-    sends one byte now and then would hold a worker thread for ever.
+    The socket's own timeout restarts with each byte, so a caller that sends
+    single bytes slowly could occupy a worker thread forever.
     """
 
     def __init__(self, connection: socket.socket) -> None:
         super().__init__(connection, "rb")
-        self.limit_s = 0.0
+        self.deadline_s = 0.0
 
     def readinto(self, buffer: typing.Any) -> int | None:
-        left_s = self.limit_s - time.monotonic()
-        if left_s <= 0:
+        remaining_s = self.deadline_s - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError("timed out")
-        self._sock.settimeout(left_s)
+        self._sock.settimeout(remaining_s)
         return super().readinto(buffer)
 
 
@@ -54,30 +54,30 @@
     if "w" in mode:
         return makefile.StreamWriter(connection, mode, size)
     reader = makefile.StreamReader(connection, mode, size)
-    # The reader keeps its own buffer; only where bytes come from changes.
-    reader._raw = _LimitedReader(connection)
+    # The reader keeps its buffer; only the underlying raw reader is replaced.
+    reader._raw = _DeadlineReader(connection)
     return reader
 
 
 class HeaderReader(server.HeaderReader):
-    """Refuses heads that two programs could read in two ways.
+    """Header reader that rejects ambiguous heads.
 
-    A body whose length is told twice, or in an unusual form, may be read
-    as one request here and as two at an upstream; the second would then run
-    unchecked, under the pool's own credential.
+    A body whose length is given twice, or in an unusual form, may be parsed
+    as one request here and as two by an upstream (request smuggling).  The
+    second request would be executed unchecked with the pool's credential.
     """
 
     def __call__(
         self, rfile: typing.Any, hdict: dict[bytes, bytes] | None = None
     ) -> dict[bytes, bytes]:
-        """Read a head.
+        """Read the headers of a request.
 
-        :param rfile: where the lines come from
-        :param hdict: the headers by name, filled in
-        :returns: the headers
-        :raises ValueError: if the head is ambiguous; answered with 400
+        :param rfile: the file to read lines from
+        :param hdict: dictionary that the headers are added to
+        :returns: the headers by name
+        :raises ValueError: if the head is ambiguous; the reply is 400
         """
-        lines = _StrictLines(rfile)
+        lines = _StrictLineReader(rfile)
         headers = super().__call__(lines, {} if hdict is None else hdict)
         length = headers.get(CONTENT_LENGTH)
         coding = headers.get(TRANSFER_ENCODING)
@@ -92,11 +92,14 @@
         return headers
 
 
-class _StrictLines:
-    """Lines of a head; refuses folded, nameless and repeated ones."""
+class _StrictLineReader:
+    """Reads header lines; rejects folded, malformed and duplicate ones."""
 
-    # These name the message's end; two of them need not agree.
-    ONCE = frozenset((b"content-length", b"transfer-encoding", b"host"))
+    # Headers that must not be repeated, because duplicates may contradict
+    # each other about the body's length or the target host.
+    UNIQUE_HEADERS = frozenset(
+        (b"content-length", b"transfer-encoding", b"host")
+    )
 
     __slots__ = ("_rfile", "_seen")
 
@@ -107,71 +110,73 @@
     def readline(self, size: int | None = None) -> bytes:
         line: bytes = self._rfile.readline(size)
         if line.startswith(FOLDING):
-            raise ValueError("a header line is folded")
+            raise ValueError("header line is folded")
         name, colon, _ = line.partition(b":")
         if colon and name != name.strip():
-            raise ValueError("a header's name has spaces around it")
+            raise ValueError("header name has spaces around it")
         name = name.lower()
-        if name in self.ONCE and name in self._seen:
-            raise ValueError(f"{name.decode('latin-1')} is given twice")
+        if name in self.UNIQUE_HEADERS and name in self._seen:
+            raise ValueError(f"{name.decode('latin-1')} header is duplicated")
         self._seen.add(name)
         return line
 
 
 class Request(server.HTTPRequest):
-    """One request; errors before the filter chain are JSON too."""
+    """One request; errors before the filter chain are also JSON."""
 
     header_reader = HeaderReader()
 
     def read_request_headers(self) -> bool:
-        """Read the head.
+        """Read the request's headers.
 
-        :returns: whether the request can go on
+        :returns: whether to continue with the request
         """
         if not super().read_request_headers():
             return False
         if TRANSFER_ENCODING in self.inheaders and not self.chunked_read:
-            # An HTTP/1.0 caller: cheroot would leave the body unread on
-            # the connection and take it for the next request.
-            self.simple_response("400 Bad Request", "unexpected coding")
+            # The caller speaks HTTP/1.0.  cheroot would leave the body unread
+            # on the connection and parse it as the next request.
+            self.simple_response(
+                "400 Bad Request", "unexpected Transfer-Encoding"
+            )
             return False
         return True
 
     def read_body(self) -> bytes:
-        """Return the whole body.
+        """Read the complete body.
 
         :returns: the body
-        :raises MaxSizeExceeded: if it is larger than allowed
-        :raises ValueError: if its coding is wrong or it ends early
+        :raises MaxSizeExceeded: if it exceeds the limit
+        :raises ValueError: if its coding is malformed or it is truncated
         """
         if self.chunked_read:
             return self._read_chunks()
         length = int(self.inheaders.get(CONTENT_LENGTH, 0))
         body = self.conn.rfile.read(length) if length else b""
         if len(body) < length:
-            raise ValueError("the body ended early")
+            raise ValueError("body is truncated")
         return body
 
     def _read_chunks(self) -> bytes:
-        most = self.server.max_request_body_size
-        pieces = []
+        max_bytes = self.server.max_request_body_size
+        chunks = []
         total = 0
-        for piece in self._iterate_chunks():
-            total += len(piece)
-            if total > most:
+        for chunk in self._iterate_chunks():
+            total += len(chunk)
+            if total > max_bytes:
                 raise cheroot_errors.MaxSizeExceeded
-            pieces.append(piece)
-        return b"".join(pieces)
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     def _iterate_chunks(self) -> collections.abc.Iterator[bytes]:
-        # cheroot's own reader takes a line of any length, trusts the chunk
-        # sizes and leaves trailers unread.
+        # cheroot's reader accepts lines of any length, trusts the chunk sizes
+        # and leaves trailers unread.
         rfile = self.conn.rfile
         while True:
             line = rfile.readline(READ_BYTES)
             digits = line.partition(b";")[0].strip()
             if not line.endswith(b"\r\n") or not digits.isalnum():
-                raise ValueError("a chunk's size is not a number")
+                raise ValueError("chunk size is not a hexadecimal number")
             size = int(digits, 16)
             if not size:
                 break
@@ -179,27 +184,27 @@
                 raise cheroot_errors.MaxSizeExceeded
             yield rfile.read(size)
             if rfile.read(2) != b"\r\n":
-                raise ValueError("a chunk does not end with CRLF")
-        # Trailers are not kept: none of them can mean anything here.
+                raise ValueError("chunk does not end with CRLF")
+        # Trailers are read and discarded, because none is supported.
         while True:
             line = rfile.readline(READ_BYTES)
             if line == b"\r\n":
                 return
             if not line.endswith(b"\r\n"):
-                raise ValueError("the body ended early")
+                raise ValueError("body is truncated")
 
     def respond(self) -> None:
-        """Let the gateway answer."""
+        """Handle the request with the gateway."""
         self.server.gateway(self).respond()
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer a request that never reached the filter chain.
+        """Reply to a request that did not reach the filter chain.
 
-        What is left of it on the connection is unknown, so the connection
-        is closed.
+        The connection is closed, because an unknown part of the request may
+        still be unread.
 
-        :param status: the HTTP status with its reason
-        :param msg: a sentence for people
+        :param status: the HTTP status with its reason phrase
+        :param msg: human-readable error message
         """
         number = int(str(status)[:3])
         self.close_connection = True
@@ -222,11 +227,11 @@
 
 
 class Connection(server.HTTPConnection):
-    """A caller's connection, which can be lent to the relay.
+    """A caller's connection, which can be handed over to the relay.
 
-    ``relayed_stream`` is set by the gateway and taken by the server when the
-    worker thread puts the connection back; from then on no worker touches
-    it.
+    The gateway sets ``relayed_stream``, and the server hands it over when the
+    worker thread returns the connection.  No worker uses the connection after
+    that.
     """
 
     RequestHandlerClass = Request
@@ -239,35 +244,35 @@
     ) -> None:
         super().__init__(server_, sock, _make_file)
         self.relayed_stream: typing.Any = None
-        # Set when a request was answered before all of it was read.
+        # Whether a reply was written before the request was read completely.
         self.has_unread_input = False
 
     def communicate(self) -> bool:
-        """Read one request and answer it.
+        """Read one request and reply to it.
 
         :returns: whether the connection stays open
         """
-        limit_s = time.monotonic() + self.server.request_timeout_s
-        self.rfile._raw.limit_s = limit_s
+        deadline_s = time.monotonic() + self.server.request_timeout_s
+        self.rfile._raw.deadline_s = deadline_s
         return super().communicate()
 
     def close(self) -> None:
-        """Close the connection, after what the caller is still sending.
+        """Close the connection, after a lingering close if input is unread.
 
-        A socket that is closed with unread bytes resets the connection,
-        and the reset overtakes the answer: the caller of an oversized
-        request would see a broken connection instead of the reason.
+        Closing a socket with unread input resets the connection, and the
+        reset may arrive before the reply: the caller of an oversized request
+        would see a connection error instead of the reason.
         """
         if self.has_unread_input:
-            self._discard_rest()
+            self._discard_input()
         super().close()
 
-    def _discard_rest(self) -> None:
-        until_s = time.monotonic() + LINGER_TIMEOUT_S
+    def _discard_input(self) -> None:
+        deadline_s = time.monotonic() + LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            while (left_s := until_s - time.monotonic()) > 0:
-                self.socket.settimeout(left_s)
+            while (remaining_s := deadline_s - time.monotonic()) > 0:
+                self.socket.settimeout(remaining_s)
                 if not self.socket.recv(READ_BYTES):
                     return
         except OSError:
--- a/mulberryway/server/workers.py
+++ b/mulberryway/server/workers.py
@@ -1,4 +1,4 @@
-"""Worker threads that are made when connections wait, and end when idle."""
+"""Pool of worker threads that start on demand and exit when idle."""
 
 import collections
 import logging
@@ -12,89 +12,90 @@
 
 LOG = logging.getLogger(__name__)
 
-# How long a worker waits for its next connection before it ends.
+# Idle time after which a worker thread exits.
 IDLE_TIMEOUT_S = 2.0
-# The longest wait for a worker whose connection was closed under it.
+# Timeout of joining a worker whose connection was shut down by ``end``.
 JOIN_TIMEOUT_S = 1.0
 
 
 class WorkerPool:
-    """Serves connections on at most so many threads.
+    """Serves connections on a limited number of threads.
 
-    The worker that became idle last is used first, so that a burst's other
-    workers end after it.
+    The worker that became idle last is used first, so the extra workers of a
+    burst stay idle and exit.
 
-    :param server: the HTTP server whose connections these are
-    :param max_workers: how many threads there are at most
-    :param max_queued: connections that wait for one at most
+    :param server: the HTTP server that the connections belong to
+    :param max_workers: maximum number of threads
+    :param max_queued: maximum number of connections that wait for a thread
     """
 
-    # cheroot asks for the number of threads that a pool always keeps.
+    # cheroot reads this attribute: the number of threads that always exist.
     min = 0
 
     def __init__(
         self, server: typing.Any, max_workers: int, max_queued: int
     ) -> None:
         self._server = server
-        self._most = max_workers
-        self._most_waiting = max_queued
+        self._max_workers = max_workers
+        self._max_queued = max_queued
         self._lock = threading.Lock()
         self._workers: set[_Worker] = set()
         self._idle: list[_Worker] = []
-        self._waiting: collections.deque[typing.Any] = collections.deque()
+        self._queue: collections.deque[typing.Any] = collections.deque()
         self._is_stopping = False
 
     @property
     def qsize(self) -> int:
-        """How many connections wait for a worker."""
-        return len(self._waiting)
+        """The number of connections that wait for a worker."""
+        return len(self._queue)
 
     @property
     def idle(self) -> int:
-        """How many workers wait for a connection."""
+        """The number of idle workers."""
         return len(self._idle)
 
     def count(self) -> int:
-        """Return how many workers there are."""
+        """Return the number of workers."""
         return len(self._workers)
 
     def start(self) -> None:
-        """Make no thread yet."""
+        """Do nothing; threads start with the first connections."""
 
     def put(self, connection: typing.Any) -> None:
-        """Hand a connection to a worker.
+        """Assign a connection to a worker, or queue it.
 
-        :param connection: it has something to read
-        :raises queue.Full: if no worker can take it within its turn
+        :param connection: a readable connection
+        :raises queue.Full: if the queue is full, the pool is stopping, or no
+            thread can be started
         """
         with self._lock:
             if self._is_stopping:
                 raise queue.Full
             if self._idle:
-                self._idle.pop().hand(connection)
+                self._idle.pop().assign(connection)
             elif not self._add_worker(connection):
-                if len(self._waiting) >= self._most_waiting:
+                if len(self._queue) >= self._max_queued:
                     raise queue.Full
-                self._waiting.append(connection)
+                self._queue.append(connection)
 
     def release(self, worker: "_Worker") -> None:
-        """Give a worker that has served one connection the next.
+        """Assign the next connection to a worker that has served one.
 
-        :param worker: it is idle from now on if none waits
+        :param worker: the worker; it becomes idle if no connection is queued
         """
         with self._lock:
-            if self._waiting:
-                worker.hand(self._waiting.popleft())
+            if self._queue:
+                worker.assign(self._queue.popleft())
             elif self._is_stopping:
-                worker.hand(None)
+                worker.assign(None)
             else:
                 self._idle.append(worker)
 
     def leave(self, worker: "_Worker") -> bool:
-        """Let a worker end unless it was just handed a connection.
+        """Remove an idle worker unless it was just assigned a connection.
 
-        :param worker: it has been idle for long
-        :returns: whether it has left
+        :param worker: the worker
+        :returns: whether it was removed and may exit
         """
         with self._lock:
             if worker not in self._idle:
@@ -104,35 +105,35 @@
             return True
 
     def stop(self, timeout: float = 5) -> None:
-        """End all workers; connections that wait are closed.
+        """Stop all workers and close the queued connections.
 
-        :param timeout: the longest wait for what runs, in seconds
+        :param timeout: maximum wait for running requests, in seconds
         """
         with self._lock:
             self._is_stopping = True
             workers = list(self._workers)
-            waiting, self._waiting = self._waiting, collections.deque()
+            waiting, self._queue = self._queue, collections.deque()
             for worker in self._idle:
-                worker.hand(None)
+                worker.assign(None)
             self._idle.clear()
         for connection in waiting:
             connection.close()
-        end_s = time.monotonic() + max(timeout, 0)
+        deadline_s = time.monotonic() + max(timeout, 0)
         for worker in workers:
-            worker.end(end_s)
+            worker.end(deadline_s)
 
     def _add_worker(self, connection: typing.Any) -> bool:
-        """Make a thread for a connection, with the lock held.
+        """Start a worker for a connection; the lock must be held.
 
-        :returns: whether it has one
+        :returns: whether a worker was started
         """
-        if len(self._workers) >= self._most:
+        if len(self._workers) >= self._max_workers:
             return False
         worker = _Worker(self._server, self, connection)
         try:
             worker.start()
         except RuntimeError as failure:
-            LOG.warning("no thread for a caller's connection: %s", failure)
+            LOG.warning("starting a worker thread failed: %s", failure)
             if not self._workers:
                 raise queue.Full from failure
             return False
@@ -141,11 +142,11 @@
 
 
 class _Worker(threading.Thread):
-    """Serves one connection after another.
+    """Worker thread that serves one connection after another.
 
     :param server: the HTTP server
-    :param pool: the pool that it belongs to
-    :param connection: the first one
+    :param pool: the worker's pool
+    :param connection: the first connection
     """
 
     def __init__(
@@ -155,46 +156,47 @@
         self._server = server
         self._pool = pool
         self._connection = connection
-        self._handed = threading.Event()
-        self._handed.set()
+        self._assigned = threading.Event()
+        self._assigned.set()
 
-    def hand(self, connection: typing.Any) -> None:
-        """Let it serve a connection, or end.
+    def assign(self, connection: typing.Any) -> None:
+        """Assign a connection, or make the worker exit.
 
-        :param connection: the connection; none to end
+        :param connection: the connection; none to exit
         """
         self._connection = connection
-        self._handed.set()
+        self._assigned.set()
 
     def run(self) -> None:
-        """Serve until there is nothing to do for long."""
+        """Serve connections until the idle timeout or the pool's stop."""
         while self._wait():
             try:
                 self._serve(self._connection)
             except Exception:
-                LOG.exception("a connection could not be given back")
-            # Nobody hands it another connection before its release.
-            self._handed.clear()
+                LOG.exception("returning a connection to the server failed")
+            # The pool assigns no other connection before ``release``, so the
+            # event can be cleared here.
+            self._assigned.clear()
             self._connection = None
             self._pool.release(self)
 
-    def end(self, end_s: float) -> None:
-        """Wait for the end, and bring it about if it does not come.
+    def end(self, deadline_s: float) -> None:
+        """Join the thread, and shut its connection down after a deadline.
 
-        :param end_s: the steady time at which its connection is closed
+        :param deadline_s: the deadline, in seconds of the monotonic clock
         """
-        self.join(max(end_s - time.monotonic(), 0))
+        self.join(max(deadline_s - time.monotonic(), 0))
         connection = self._connection
         if self.is_alive() and connection is not None:
             try:
                 connection.socket.shutdown(socket.SHUT_RD)
             except OSError as error:
-                LOG.debug("a connection was closed already: %r", error)
+                LOG.debug("connection was already closed: %r", error)
             self.join(JOIN_TIMEOUT_S)
 
     def _wait(self) -> bool:
-        """Wait for a connection; tell whether there is one."""
-        while not self._handed.wait(IDLE_TIMEOUT_S):
+        """Wait for a connection and return whether one was assigned."""
+        while not self._assigned.wait(IDLE_TIMEOUT_S):
             if self._pool.leave(self):
                 return False
         return self._connection is not None
@@ -204,9 +206,9 @@
         try:
             is_kept = connection.communicate()
         except ConnectionError as error:
-            LOG.info("a caller's connection failed: %r", error)
+            LOG.info("caller connection failed: %r", error)
         except Exception:
-            LOG.exception("a request ended the work on its connection")
+            LOG.exception("unexpected error while serving a connection")
         if is_kept:
             self._server.put_conn(connection)
         else:
