--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -101,13 +101,13 @@
 
         :returns: the stream, or a fault
         """
-        watch_ = self._parts.callers.begin(
+        watch_ = self._parts.callers.add(
             self._exchange.connection, self.cancel_source
         )
         try:
             return self._find_source(0, self._exchange.deadline)
         finally:
-            self._parts.callers.end(watch_)
+            self._parts.callers.remove(watch_)
 
     def on_first_token(self) -> None:
         """Tell the scheduler and the metrics."""
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -96,11 +96,11 @@
             exchange.has_gone.set()
             interrupt.set()
 
-        watched = self._callers.begin(exchange.connection, give_up)
+        watched = self._callers.add(exchange.connection, give_up)
         try:
             return self._forward(exchange, interrupt)
         finally:
-            self._callers.end(watched)
+            self._callers.remove(watched)
 
     def _forward(
         self, exchange: base.Exchange, interrupt: connections.CallCanceller
--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -43,7 +43,7 @@
             for name, value in source.headers
             if name.lower() not in FRAMING_HEADERS
         ]
-        # The reply is chunked even if the engine ends its response by head
+        # The reply is chunked even if the engine ends its response by closing
         # the connection: the caller can then detect a truncated reply.
         self._is_chunked = self.head.is_http_11
 
@@ -101,12 +101,12 @@
         :param source: the engine's stream
         """
         super().set_source(source)
-        self._remaining = None if source.chunked else source.length
+        self._remaining = None if source.is_chunked else source.length
         self._partial_event = b""
         self.writer.set_source(source)
 
     def may_end_on_close(self) -> bool:
-        """Return whether head the connection may end the response.
+        """Return whether closing the connection may end the response.
 
         A response with neither chunks nor a length ends in no other way.  It
         is truncated if an incomplete event is still buffered.
@@ -114,7 +114,7 @@
         source = self.source
         return (
             source is not None
-            and not source.chunked
+            and not source.is_chunked
             and self._remaining is None
             and not self._partial_event
         )
@@ -143,7 +143,7 @@
         return self.writer.add(out) if out else b""
 
     def _decode_payload(self, data: bytes) -> bytes:
-        if self.source is not None and self.source.chunked:
+        if self.source is not None and self.source.is_chunked:
             payload = self.decoder.feed(data)
             self.is_complete = self.decoder.ended
             return payload
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -43,9 +43,9 @@
 class Relay:
     """Forwards the streams handed over to it until they end.
 
-    ``lend``, ``resume``, ``fail``, ``try_close_source``, ``keep_source`` and
-    ``cut`` may be called on any thread; everything else runs on the loop's
-    thread.
+    ``add_stream``, ``resume``, ``fail``, ``try_close_source``,
+    ``keep_source`` and ``cut`` may be called on any thread; everything else
+    runs on the loop's thread.
 
     :param loop_: the event loop
     """
@@ -73,12 +73,12 @@
         """Stop the recovery threads; the loop must be stopped separately."""
         self._recovery_pool.shutdown(wait=False, cancel_futures=True)
 
-    def lend(self, stream: Stream) -> None:
+    def add_stream(self, stream: Stream) -> None:
         """Start to forward a stream.
 
         :param stream: the stream, with its caller's and engine's sockets
         """
-        self._loop.post(lambda: self._add_stream(stream))
+        self._loop.post(lambda: self._start_stream(stream))
 
     def resume(self, stream: Stream, source: upstreams.TokenStream) -> None:
         """Resume a stream from another engine.
@@ -138,7 +138,7 @@
         """
         self._loop.post(lambda: self._abort_matching(predicate, fault))
 
-    def _add_stream(self, stream: Stream) -> None:
+    def _start_stream(self, stream: Stream) -> None:
         self._streams.add(stream)
         stream.caller.setblocking(False)
         self._loop.register(
@@ -215,8 +215,8 @@
             self._close(stream, None)
 
     def _send(self, stream: Stream, out: bytes) -> None:
-        if stream.pending:
-            stream.pending += out
+        if stream.write_buffer:
+            stream.write_buffer += out
         else:
             try:
                 sent = stream.caller.send(out)
@@ -229,10 +229,10 @@
                 if stream.is_complete:
                     self._close(stream, None)
                 return
-            stream.pending += out[sent:]
+            stream.write_buffer += out[sent:]
             stream.last_write_ms = self._loop.now_ms
             self._loop.modify(stream.caller.fileno(), HANGUP_EVENTS | WRITE)
-        if len(stream.pending) > MAX_WRITE_BUFFER_BYTES:
+        if len(stream.write_buffer) > MAX_WRITE_BUFFER_BYTES:
             self._pause_source(stream)
 
     def _on_caller(self, stream: Stream, events_: int) -> None:
@@ -240,20 +240,20 @@
             return
         if events_ & HANGUP_EVENTS:
             self._on_disconnect(stream)
-        elif stream.pending:
+        elif stream.write_buffer:
             self._flush(stream)
 
     def _flush(self, stream: Stream) -> None:
         try:
-            sent = stream.caller.send(stream.pending)
+            sent = stream.caller.send(stream.write_buffer)
         except BlockingIOError:
             return
         except OSError:
             self._on_disconnect(stream)
             return
-        del stream.pending[:sent]
+        del stream.write_buffer[:sent]
         stream.last_write_ms = self._loop.now_ms
-        if stream.pending:
+        if stream.write_buffer:
             return
         if stream.is_complete:
             self._close(stream, None)
@@ -280,12 +280,15 @@
             stream
             for stream in self._streams
             if stream.token_deadline_ms <= now_ms
-            or stream.pending
+            or stream.write_buffer
             or 0 < stream.deadline_ms <= now_ms
         ]:
             if 0 < stream.deadline_ms <= now_ms:
                 self._abort(stream, _make_deadline_fault())
-            elif stream.pending and stream.last_write_ms <= min_last_write_ms:
+            elif (
+                stream.write_buffer
+                and stream.last_write_ms <= min_last_write_ms
+            ):
                 self._on_disconnect(stream)
             elif (
                 stream.token_deadline_ms <= now_ms
@@ -329,21 +332,21 @@
         if may_close:
             stream.is_replacing_source = False
             stream.is_paused = False
-            stream.broken = None
+            stream.source_fault = None
             self._close_source(stream)
         is_closed.set_result(may_close)
 
     def _keep_source(self, stream: Stream, fault: errors.Fault) -> None:
         if stream.is_closed:
             return
-        broken, stream.broken = stream.broken, None
+        source_fault, stream.source_fault = stream.source_fault, None
         stream.is_replacing_source = False
         if stream.source is not None:
             stream.token_deadline_ms = (
                 self._loop.now_ms + stream.token_timeout_ms
             )
-        elif broken is not None:
-            self._submit(stream.owner.recover, stream, broken)
+        elif source_fault is not None:
+            self._submit(stream.owner.recover, stream, source_fault)
         else:
             self._abort(stream, fault)
 
@@ -363,7 +366,7 @@
         fault = _make_source_fault(message, has_died=has_died)
         if stream.is_replacing_source:
             # A search for another engine is already in progress.
-            stream.broken = fault
+            stream.source_fault = fault
         else:
             self._submit(stream.owner.recover, stream, fault)
 
@@ -426,9 +429,9 @@
         is_head_written = stream.writer.is_head_written
         out = stream.writer.fail(fault)
         try:
-            if stream.pending:
-                stream.pending += out
-                stream.caller.send(stream.pending)
+            if stream.write_buffer:
+                stream.write_buffer += out
+                stream.caller.send(stream.write_buffer)
             else:
                 stream.caller.send(out)
         except OSError:
@@ -460,7 +463,7 @@
     def _drain_last_chunk(self, stream: Stream) -> None:
         """Wait for an engine's last chunk so that its write is not reset."""
         source = stream.source
-        if source is None or not source.chunked or stream.decoder.ended:
+        if source is None or not source.is_chunked or stream.decoder.ended:
             self._close_source(stream)
             return
         stream.source = None
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -121,7 +121,7 @@
         "key_digest",
         "account",
         "expected",
-        "pending",
+        "write_buffer",
         "token_deadline_ms",
         "deadline_ms",
         "last_progress_ms",
@@ -131,7 +131,7 @@
         "is_complete",
         "is_closed",
         "is_replacing_source",
-        "broken",
+        "source_fault",
         "decoder",
         "_splitter",
         "_has_finish_reason",
@@ -160,7 +160,7 @@
         self.key_digest = key_digest
         self.account = account
         self.expected = 0
-        self.pending = bytearray()
+        self.write_buffer = bytearray()
         self.token_deadline_ms = 0
         # Deadline of the complete answer; 0 for none.
         self.deadline_ms = 0
@@ -174,7 +174,7 @@
         # Whether a replacement is sought while the stalled engine is still
         # read, and the fault that ended the stalled engine during the search.
         self.is_replacing_source = False
-        self.broken: errors.Fault | None = None
+        self.source_fault: errors.Fault | None = None
         self._first_id = b""
         self.set_source(source)
 
@@ -213,7 +213,7 @@
         :returns: bytes for the caller, possibly none
         :raises InvalidStream: if the stream is invalid
         """
-        if self.source is not None and self.source.chunked:
+        if self.source is not None and self.source.is_chunked:
             data = self.decoder.feed(data)
         tokens: list[bytes] = []
         for event in self._splitter.feed(data):
--- a/mulberryway/relay/watch.py
+++ b/mulberryway/relay/watch.py
@@ -18,7 +18,7 @@
     :param on_disconnect: called at most once, on the loop's thread
     """
 
-    __slots__ = ("connection", "on_disconnect", "fd", "is_over")
+    __slots__ = ("connection", "on_disconnect", "fd", "is_cancelled")
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self.connection = connection
         self.on_disconnect = on_disconnect
         self.fd = connection.fileno()
-        self.is_over = False
+        self.is_cancelled = False
 
 
 class DisconnectMonitor:
@@ -46,7 +46,7 @@
     def __init__(self, loop_: loop.EventLoop) -> None:
         self._loop = loop_
 
-    def begin(
+    def add(
         self,
         connection: socket.socket,
         on_disconnect: collections.abc.Callable[[], None],
@@ -56,22 +56,22 @@
         :param connection: the caller's socket
         :param on_disconnect: called at most once, if the caller disconnects;
             must not block
-        :returns: the watch, to be passed to ``end``
+        :returns: the watch, to be passed to ``remove``
         """
         watch = DisconnectWatch(connection, on_disconnect)
         self._loop.post(lambda: self._register(watch))
         return watch
 
-    def end(self, watch: DisconnectWatch) -> None:
+    def remove(self, watch: DisconnectWatch) -> None:
         """Stop watching; the socket may then be closed or handed over.
 
-        :param watch: the watch that ``begin`` returned
+        :param watch: the watch that ``add`` returned
         """
-        watch.is_over = True
+        watch.is_cancelled = True
         self._loop.post(lambda: self._unregister(watch))
 
     def _register(self, watch: DisconnectWatch) -> None:
-        if watch.is_over or watch.connection.fileno() != watch.fd:
+        if watch.is_cancelled or watch.connection.fileno() != watch.fd:
             return
         self._loop.register(
             watch.fd, HANGUP_EVENTS, lambda events: self._on_event(watch)
@@ -85,6 +85,6 @@
 
     def _on_event(self, watch: DisconnectWatch) -> None:
         self._loop.unregister(watch.fd)
-        if not watch.is_over:
-            watch.is_over = True
+        if not watch.is_cancelled:
+            watch.is_cancelled = True
             watch.on_disconnect()
--- a/mulberryway/relay/writers.py
+++ b/mulberryway/relay/writers.py
@@ -178,7 +178,7 @@
             headers.append(("Transfer-Encoding", "chunked"))
         else:
             # HTTP/1.0 marks the end of a body of unknown length only by
-            # final the connection.
+            # closing the connection.
             self.head.keep = False
         return self.head.write(200, headers)
 
--- a/mulberryway/server/gateway.py
+++ b/mulberryway/server/gateway.py
@@ -55,7 +55,7 @@
         with self._lock:
             self._running += 1
 
-    def note_end(self) -> None:
+    def decrement_running(self) -> None:
         """Count a finished request, whose stream has also ended."""
         with self._lock:
             self._running -= 1
@@ -118,7 +118,7 @@
     def _handle(self, exchange: base.Exchange) -> None:
         self._factory.increment_running()
         exchange.add_completion_callback(
-            lambda outcome: self._factory.note_end()
+            lambda outcome: self._factory.decrement_running()
         )
         answer = self._factory.chain.handle(exchange)
         if answer.is_ok() and isinstance(answer.ok, base.StreamedAnswer):
--- a/mulberryway/server/http_server.py
+++ b/mulberryway/server/http_server.py
@@ -152,7 +152,7 @@
         """
         stream, conn.relayed_stream = conn.relayed_stream, None
         if stream is not None:
-            self._relay.lend(stream)
+            self._relay.add_stream(stream)
             return
         conn.socket.settimeout(self.timeout)
         super().put_conn(conn)
--- a/mulberryway/server/workers.py
+++ b/mulberryway/server/workers.py
@@ -91,7 +91,7 @@
             else:
                 self._idle.append(worker)
 
-    def leave(self, worker: "_Worker") -> bool:
+    def try_remove(self, worker: "_Worker") -> bool:
         """Remove an idle worker unless it was just assigned a connection.
 
         :param worker: the worker
@@ -197,7 +197,7 @@
     def _wait(self) -> bool:
         """Wait for a connection and return whether one was assigned."""
         while not self._assigned.wait(IDLE_TIMEOUT_S):
-            if self._pool.leave(self):
+            if self._pool.try_remove(self):
                 return False
         return self._connection is not None
 
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -120,7 +120,7 @@
 
     :param connection: the socket; owned by the receiver of this object
     :param buffered: bytes of the body that were read together with the head
-    :param chunked: whether the body uses chunked transfer coding
+    :param is_chunked: whether the body uses chunked transfer coding
     :param request_id: the id that the engine echoed
     :param length: the body's length in bytes, if the engine sent it
     :param headers: header pairs that are forwarded to the caller
@@ -129,7 +129,7 @@
     __slots__ = (
         "connection",
         "buffered",
-        "chunked",
+        "is_chunked",
         "request_id",
         "length",
         "headers",
@@ -139,14 +139,14 @@
         self,
         connection: socket.socket,
         buffered: bytes,
-        chunked: bool,
+        is_chunked: bool,
         request_id: str,
         length: int | None = None,
         headers: collections.abc.Sequence[tuple[str, str]] = (),
     ) -> None:
         self.connection = connection
         self.buffered = buffered
-        self.chunked = chunked
+        self.is_chunked = is_chunked
         self.request_id = request_id
         self.length = length
         self.headers = headers
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -76,13 +76,13 @@
         super().connect()
         self.connected_s = time.monotonic()
 
-    def is_fresh(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether it is too young to have been closed as idle."""
         return (
             time.monotonic() - self.connected_s < MAX_UNUSED_AGE_MS / MS_IN_S
         )
 
-    def is_closed(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Return whether the engine closed it or sent unexpected bytes.
 
         No request was sent yet, so a decode that finds it closed was not
@@ -133,7 +133,7 @@
     address: str,
     request: DecodeRequest,
     timeout_ms: int,
-    read_refusal: RejectionParser,
+    rejection_parser: RejectionParser,
     interrupt: connections.CallCanceller | None = None,
     prepared_connection: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
@@ -148,7 +148,7 @@
     :param address: the engine's ``host:port``
     :param request: the request to send
     :param timeout_ms: timeout of the response head, in ms
-    :param read_refusal: maps a response with another status than 200 to a
+    :param rejection_parser: maps a response with another status than 200 to a
         fault
     :param interrupt: cancels the call from another thread
     :param prepared_connection: a connection that was opened in advance; a new
@@ -156,14 +156,14 @@
         closed a recent one, the engine counts as unreachable.
     :returns: the stream, or a fault with the execution status
     """
-    if prepared_connection is None or not prepared_connection.is_fresh():
+    if prepared_connection is None or not prepared_connection.is_reusable():
         if prepared_connection is not None:
             prepared_connection.close()
         connected = connect(address)
         if connected.is_error():
             return expression.Error(connected.error)
         prepared_connection = connected.ok
-    elif prepared_connection.is_closed():
+    elif prepared_connection.is_closed_by_peer():
         prepared_connection.close()
         return expression.Error(
             connections.classify_failure(
@@ -173,7 +173,7 @@
     prepared_connection.sock.settimeout(timeout_ms / MS_IN_S)
     try:
         return _exchange(
-            prepared_connection, address, request, read_refusal, interrupt
+            prepared_connection, address, request, rejection_parser, interrupt
         )
     except (OSError, http.client.HTTPException) as failure:
         prepared_connection.close()
@@ -194,7 +194,7 @@
     connection: DecodeConnection,
     address: str,
     request: DecodeRequest,
-    read_refusal: RejectionParser,
+    rejection_parser: RejectionParser,
     interrupt: connections.CallCanceller | None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     sock = connection.sock
@@ -212,7 +212,7 @@
         connection.close()
         headers = response.getheaders() if is_echo_correct else []
         return expression.Error(
-            read_refusal(response.status, headers, body, address)
+            rejection_parser(response.status, headers, body, address)
         )
     if not is_echo_correct:
         response.close()
@@ -236,7 +236,7 @@
     # waiting for more.
     sock.setblocking(False)
     buffered = bytes(response.fp.peek())
-    chunked = bool(response.chunked)
+    is_chunked = bool(response.chunked)
     length = response.length
     # The library's file object keeps a reference to its socket, which would
     # keep the descriptor open.  Detaching moves the descriptor to a new one.
@@ -244,7 +244,7 @@
     headers = response.getheaders()
     response.close()
     return base.TokenStream(
-        detached, buffered, chunked, echoed, length, headers
+        detached, buffered, is_chunked, echoed, length, headers
     )
 
 
--- a/tests/test_decode_call.py
+++ b/tests/test_decode_call.py
@@ -1,4 +1,4 @@
-"""A decode call whose engine goes away before its reply."""
+"""Tests of decode calls to engines that fail before they respond."""
 
 import socket
 import threading
@@ -14,25 +14,26 @@
 
 
 class DecodeCallTest(unittest.TestCase):
-    def call(self, port, timeout_ms=TIMEOUT_MS, made=None):
+    def call(self, port, timeout_ms=TIMEOUT_MS, prepared=None):
         request = decode_call.DecodeRequest(
             "POST",
             "/v1/completions",
             {connections.REQUEST_ID_HEADER: "r-1"},
             b"{}",
         )
-        found = decode_call.begin_decode(
+        result = decode_call.begin_decode(
             f"{HOST}:{port}",
             request,
             timeout_ms,
             decode_call.parse_rejection,
-            prepared_connection=made,
+            prepared_connection=prepared,
         )
-        return found.error
+        return result.error
 
     def test_engine_closes_without_a_reply(self):
-        """An engine dies after it took the request.  The caller must hear
-        that it may have run; an untold error became an internal one.
+        """An engine crashes after it received the request.  The fault must
+        say that the request may have been executed; an unhandled exception
+        was reported as an internal error.
         """
         listener = socket.create_server((HOST, 0))
         self.addCleanup(listener.close)
@@ -49,31 +50,31 @@
         self.assertIs(fault.code, errors.Code.UPSTREAM_FAILED)
         self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
 
-    def test_engine_stays_silent(self):
-        """A connection holds and nothing ever comes over it."""
+    def test_engine_does_not_respond(self):
+        """The engine accepts the connection and never responds."""
         listener = socket.create_server((HOST, 0))
         self.addCleanup(listener.close)
         fault = self.call(listener.getsockname()[1])
         self.assertIs(fault.code, errors.Code.UPSTREAM_TIMEOUT)
         self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
 
-    def test_nobody_listens(self):
-        """The engine is down: nothing can have run there."""
+    def test_connection_is_refused(self):
+        """The engine is down, so the request was not executed."""
         with socket.create_server((HOST, 0)) as listener:
             port = listener.getsockname()[1]
         fault = self.call(port)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
-    def test_engine_that_went_dark(self):
-        """An engine's machine is there no more, and nothing says so.  Whoever
-        waits for the connection as long as for an answer has no time left for
-        another engine.
+    def test_engine_is_unreachable(self):
+        """An engine's machine is unreachable and sends no reset.  If the
+        connect timeout were as long as the response timeout, no time would be
+        left to try another engine.
         """
         listener = socket.create_server((HOST, 0), backlog=0)
         self.addCleanup(listener.close)
         address = listener.getsockname()
-        # With its queue full the port behaves as if nobody were there.
+        # With a full accept queue the port does not respond to connects.
         for _ in range(4):
             filler = socket.socket()
             self.addCleanup(filler.close)
@@ -85,50 +86,50 @@
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
-    def test_connection_that_was_idle_is_not_used(self):
-        """A prompt takes long to read, and its decode's engine drops the idle
-        connection meanwhile.  What is sent over it is reset, and nobody knows
-        whether it ran.
+    def test_old_connection_is_not_used(self):
+        """A prefill takes long, and the decode engine closes the idle
+        connection meanwhile.  A request sent over it would be reset, and it
+        would be unknown whether it was executed.
         """
         with socket.create_server((HOST, 0)) as listener:
             host, port = listener.getsockname()
-            made = decode_call.connect(f"{host}:{port}").ok
+            prepared = decode_call.connect(f"{host}:{port}").ok
             listener.accept()[0].close()
-            self.assertTrue(made.is_fresh())
-            made.connected_s -= 1.0
-            self.assertFalse(made.is_fresh())
-            fault = self.call(port, TIMEOUT_MS, made)
+            self.assertTrue(prepared.is_reusable())
+            prepared.connected_s -= 1.0
+            self.assertFalse(prepared.is_reusable())
+            fault = self.call(port, TIMEOUT_MS, prepared)
             self.assertIs(fault.code, errors.Code.UPSTREAM_TIMEOUT)
 
-    def test_fresh_connection_that_the_engine_has_closed(self):
-        """Guards against a stream that fails as one that may have run, though
-        its engine died before anything was sent to it.
+    def test_recent_connection_closed_by_the_engine(self):
+        """Guards against reporting that a request may have been executed
+        although its engine crashed before anything was sent.
         """
         with socket.create_server((HOST, 0)) as listener:
             host, port = listener.getsockname()
-            made = decode_call.connect(f"{host}:{port}").ok
-            self.assertFalse(made.is_closed())
+            prepared = decode_call.connect(f"{host}:{port}").ok
+            self.assertFalse(prepared.is_closed_by_peer())
             listener.accept()[0].close()
             time.sleep(0.05)
-            fault = self.call(port, TIMEOUT_MS, made)
+            fault = self.call(port, TIMEOUT_MS, prepared)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
 
-class ListensTest(unittest.TestCase):
+class PortProbeTest(unittest.TestCase):
     def test_port_that_closes_a_moment_later(self):
-        """A process dies, and closes its connection to a caller a moment
-        before the port on which it listens.  Taken for alive, it would not
-        be counted as killed by the request that it ran.
+        """A crashing process closes its connection to a caller a moment
+        before its listening port.  If it were taken for alive, the crash
+        would not be attributed to the request that caused it.
         """
         listener = socket.create_server((HOST, 0))
         port = listener.getsockname()[1]
 
-        def die():
+        def crash():
             listener.accept()[0].close()
             listener.close()
 
-        thread = threading.Thread(target=die)
+        thread = threading.Thread(target=crash)
         thread.start()
         self.assertFalse(
             connections.is_accepting_connections(f"{HOST}:{port}")
--- a/tests/test_hosted_upstreams.py
+++ b/tests/test_hosted_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail under the requests of entry VMs."""
+"""Tests of upstream failures during requests of entry VMs."""
 
 import concurrent.futures
 import time
@@ -7,25 +7,25 @@
 from tests import hosted_fleet
 from tests import processes
 
-ALL = list(range(1, 21))
+ALL_IDS = list(range(1, 21))
 STREAM = hosted_fleet.STREAM
-# Tokens of an engine that holds two of these streams.
+# KV cache capacity, in tokens, that fits two of these streams.
 SMALL_KV_TOKENS = 300
 
 
 class HostedUpstreamTest(unittest.TestCase):
-    def test_stream_goes_on_at_another_engine(self):
-        """An engine breaks a stream off in the middle.  A stream that may
-        be resumed goes on elsewhere within the same answer, and no event is
-        missing or comes twice; one that may not looks cut.
+    def test_stream_fails_over_to_another_engine(self):
+        """An engine aborts a stream in the middle.  A resumable stream must
+        fail over to another engine within the same reply, without missing or
+        duplicate events; another stream must end visibly truncated.
         """
         phases = ("prefill", "decode", "decode")
         with hosted_fleet.Fleet(1, phases=phases) as fleet:
             for name in ("e1", "e2"):
                 fleet.set_fault(name, cut_after=7)
-            cut = fleet.send(0, "/talk/a", "d-1", headers=STREAM)
-            self.assertTrue(cut.is_cut)
-            first = _find_first(fleet, "d-1")
+            truncated = fleet.send(0, "/talk/a", "d-1", headers=STREAM)
+            self.assertTrue(truncated.is_cut)
+            first = _find_executing_engine(fleet, "d-1")
             other = {"e1": "e2", "e2": "e1"}[first]
             fleet.set_fault(other, cut_after=0)
             fleet.set_fault(first, cut_after=0)
@@ -45,28 +45,29 @@
                     "d-2",
                     headers=STREAM,
                 )
-                processes.wait_until(lambda: _find_first(fleet, "d-2"))
-                begun = _find_first(fleet, "d-2")
-                rest = {"e1": "e2", "e2": "e1"}[begun]
-                fleet.set_fault(rest, cut_after=0)
-                whole = answer.result()
-            self.assertEqual(hosted_fleet.list_ids(whole.body), ALL)
-            self.assertFalse(whole.is_cut)
-
-    def test_handle_that_has_lapsed_is_made_good(self):
-        """KV caches lapse at once.  The decode engine then reads the prompt
-        itself, and the caller notices nothing.
+                processes.wait_until(
+                    lambda: _find_executing_engine(fleet, "d-2")
+                )
+                current = _find_executing_engine(fleet, "d-2")
+                replacement = {"e1": "e2", "e2": "e1"}[current]
+                fleet.set_fault(replacement, cut_after=0)
+                complete = answer.result()
+            self.assertEqual(hosted_fleet.list_ids(complete.body), ALL_IDS)
+            self.assertFalse(complete.is_cut)
+
+    def test_expired_handle_is_prefilled_again(self):
+        """Prefill results expire at once.  The decode engine must prefill the
+        prompt itself, and the caller must receive the complete answer.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e0", lapse=1)
             reply = fleet.send(0, "/talk/a", "h-1", headers=STREAM)
             self.assertEqual(reply.status, 200)
-            self.assertEqual(hosted_fleet.list_ids(reply.body), ALL)
+            self.assertEqual(hosted_fleet.list_ids(reply.body), ALL_IDS)
 
-    def test_no_prompt_is_read_for_an_engine_that_is_gone(self):
-        """A decode engine goes down while its entry is still there.  Prompts
-        that were read for it would be work for nobody, and their callers would
-        wait for the next read.
+    def test_no_prefill_for_a_crashed_engine(self):
+        """A decode engine crashes while it is still listed.  Prefills for it
+        would be wasted, and their callers would wait for another prefill.
         """
         phases = ("prefill", "decode", "decode")
         with hosted_fleet.Fleet(1, phases=phases) as fleet:
@@ -78,9 +79,9 @@
                 self.assertEqual(reply.status, 200)
             self.assertEqual(fleet.read_state("e0")["prompts"], 6)
 
-    def test_decode_engine_dies_while_the_prompt_is_read(self):
-        """Guards against streams that fail, and prompts that are read twice,
-        because an engine died before its decode was sent.
+    def test_decode_engine_crashes_during_prefill(self):
+        """Guards against failed streams and repeated prefills if a decode
+        engine crashes before the decode is sent.
         """
         phases = ("prefill", "decode", "decode")
         with (
@@ -96,14 +97,16 @@
             ]
             time.sleep(0.15)
             fleet.kill_upstream("e1")
-            for one in sent:
-                self.assertEqual(one.result().status, 200)
-                self.assertEqual(hosted_fleet.list_ids(one.result().body), ALL)
+            for future in sent:
+                self.assertEqual(future.result().status, 200)
+                self.assertEqual(
+                    hosted_fleet.list_ids(future.result().body), ALL_IDS
+                )
             self.assertEqual(fleet.read_state("e0")["prompts"], 6)
 
-    def test_no_prompt_is_read_for_an_engine_without_room(self):
-        """Guards against prompts that are read in vain because several VMs
-        chose the same engine before they heard of each other.
+    def test_no_prefill_for_a_full_engine(self):
+        """Guards against wasted prefills if several VMs choose the same
+        engine before they receive each other's gossip messages.
         """
         phases = ("prefill", "decode", "decode")
         with hosted_fleet.Fleet(
@@ -115,13 +118,15 @@
                     0, f"/talk/{number}", f"n-{number}", headers=STREAM
                 )
                 self.assertEqual(reply.status, 200)
-                self.assertEqual(hosted_fleet.list_ids(reply.body), ALL)
+                self.assertEqual(hosted_fleet.list_ids(reply.body), ALL_IDS)
             self.assertEqual(fleet.read_state("e0")["prompts"], 6)
             self.assertGreater(fleet.read_state("e1")["refused_holds"], 0)
             self.assertEqual(fleet.read_state("e2")["held_decodes"], 6)
 
-    def test_room_is_given_back_when_the_prefill_is_refused(self):
-        """Guards engines against memory that stays reserved for nobody."""
+    def test_reservation_is_released_if_the_prefill_is_rejected(self):
+        """Guards against reservations that are not released if the prefill
+        is rejected.
+        """
         with hosted_fleet.Fleet(1, engine_tokens=SMALL_KV_TOKENS) as fleet:
             fleet.set_fault("e0", full=1)
             reply = fleet.send(0, "/talk/a", "b-1", headers=STREAM)
@@ -132,9 +137,9 @@
                 )
             )
 
-    def test_refusal_by_all_engines_promises_truly(self):
-        """Every engine is full.  The caller hears that its request has not
-        run and when to come again, and nothing runs afterwards.
+    def test_rejection_by_all_engines(self):
+        """Every engine is full.  The caller must receive 503 with
+        Retry-After, and its request must not be executed afterwards.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e1", full=1)
@@ -148,9 +153,9 @@
                 )
             )
 
-    def test_failed_booking_is_passed_on_and_not_repeated(self):
-        """A service fails a booking with an answer of its own.  Repeated at
-        another server, it could run twice.
+    def test_failed_booking_is_forwarded_and_not_retried(self):
+        """A service responds to a booking with status 500.  A retry at
+        another server could execute the booking twice.
         """
         with hosted_fleet.Fleet(1) as fleet:
             for name in ("s0", "s1"):
@@ -161,10 +166,10 @@
             self.assertTrue(reply.headers["Server-Seal"])
             self.assertEqual(fleet.count_seen("b-1"), 1)
 
-    def test_call_that_kills_servers_is_kept_back(self):
-        """One call crashes each server that runs it, and its caller sends it
-        again at any VM.  Without a register of such calls the whole service
-        would go down with it.
+    def test_call_that_crashes_servers_is_rejected(self):
+        """A call crashes each server that executes it, and its caller retries
+        it at any VM.  Unless such calls are recorded and rejected, all servers
+        of the service crash.
         """
         with hosted_fleet.Fleet() as fleet:
             fleet.start_upstream("s2", "app")
@@ -185,9 +190,10 @@
             self.assertEqual(statuses[-3:], [503] * 3)
             self.assertEqual(fleet.send(1, "/book/z", "k-9").status, 200)
 
-    def test_lost_answers_are_no_deaths(self):
-        """Servers run a call and lose its answer, again and again.  Taken
-        for deaths, the call would be kept back from servers that live.
+    def test_lost_responses_do_not_count_as_crashes(self):
+        """Servers execute a call and its response is lost, repeatedly.  If
+        this counted as crashes, the call would be rejected although the
+        servers are running.
         """
         with hosted_fleet.Fleet(1) as fleet:
             for name in ("s0", "s1"):
@@ -207,35 +213,35 @@
             if name.startswith("s")
         )
 
-    def test_read_is_repeated_at_another_server(self):
-        """One server fails every call with an answer of its own.  A call
-        that may be repeated is served by another one.
+    def test_idempotent_call_is_retried(self):
+        """One server responds to every call with status 500.  A call that may
+        be retried must be served by another server.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("s0", fail_status=500)
-            found = [
+            statuses = [
                 fleet.send(0, "/plain/a", f"i-{n}", method="GET").status
                 for n in range(8)
             ]
-            self.assertEqual(found, [200] * 8)
+            self.assertEqual(statuses, [200] * 8)
 
-    def test_prefill_whose_answer_is_lost(self):
-        """A prefill engine reads the prompt and its answer never comes.  The
-        caller waited for two seconds and was refused, though a decode engine
-        held a slot for it and can read the prompt itself.
+    def test_prefill_whose_response_is_lost(self):
+        """A prefill engine computes the prompt but its response never
+        arrives.  The caller waited for two seconds and was rejected, although
+        a decode engine had a slot reserved and can prefill the prompt itself.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e0", mute=1)
-            began = time.monotonic()
+            start_s = time.monotonic()
             reply = fleet.send(0, "/talk/m", "m-1", headers=STREAM)
-            took_s = time.monotonic() - began
+            took_s = time.monotonic() - start_s
             self.assertEqual(reply.status, 200)
-            self.assertEqual(hosted_fleet.list_ids(reply.body), ALL)
+            self.assertEqual(hosted_fleet.list_ids(reply.body), ALL_IDS)
             self.assertLess(took_s, 1.5)
             self.assertEqual(len(fleet.list_runs("e1")), 1)
 
 
-def _find_first(fleet, attempt):
+def _find_executing_engine(fleet, attempt):
     return next(
         (
             name
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -1,4 +1,4 @@
-"""The relay's loop, with sockets of the test's own."""
+"""Tests of the relay with socket pairs for the caller and the engine."""
 
 import json
 import logging
@@ -16,13 +16,13 @@
 from mulberryway.upstreams import base as upstreams
 from tests import processes
 
-GUARD_S = 20
-GUARD_MS = 20_000
+TEST_TIMEOUT_S = 20
+TEST_TIMEOUT_MS = 20_000
 EVENT = b'data: {"id": "x", "index": 0, "choices": []}\n\n'
 
 
 class FailingOwner(streams.StreamOwner):
-    """Fails while it seeks another engine."""
+    """Raises while it searches for a replacement engine."""
 
     def __init__(self):
         self.closed = threading.Event()
@@ -40,47 +40,47 @@
         pass
 
     def recover(self, stream, fault):
-        raise ValueError("a broken search")
+        raise ValueError("search failed")
 
     def replace(self, stream, fault):
-        raise ValueError("a broken search")
+        raise ValueError("search failed")
 
     def close(self, tokens, fault):
         self.closed.set()
 
 
-class StayingOwner(FailingOwner):
-    """Knows of no other engine, and counts how often it is asked."""
+class SingleEngineOwner(FailingOwner):
+    """Has no other engine, and counts the calls of may_replace_source."""
 
     def __init__(self):
         super().__init__()
-        self.asked = 0
+        self.calls = 0
 
     def may_replace_source(self):
-        self.asked += 1
+        self.calls += 1
         return False
 
 
-class SeekingOwner(FailingOwner):
-    """Leaves a silent engine when the test says so.
+class SearchingOwner(FailingOwner):
+    """Closes a stalled engine's connection when the test allows it.
 
-    :param relay: returns the relay
+    ``relay`` is set by the test.
     """
 
     def __init__(self):
         super().__init__()
         self.relay = None
-        self.is_head_written = threading.Event()
-        self.may_go_on = threading.Event()
-        self.has_disconnected = queue.Queue()
+        self.search_started = threading.Event()
+        self.may_continue = threading.Event()
+        self.close_results = queue.Queue()
         self.recovered = threading.Event()
 
     def replace(self, stream, fault):
         offset = stream.expected
-        self.is_head_written.set()
-        self.may_go_on.wait(GUARD_S)
-        has_left = self.relay.try_close_source(stream, offset)
-        self.has_disconnected.put(has_left)
+        self.search_started.set()
+        self.may_continue.wait(TEST_TIMEOUT_S)
+        is_closed = self.relay.try_close_source(stream, offset)
+        self.close_results.put(is_closed)
         self.relay.keep_source(stream, fault)
 
     def recover(self, stream, fault):
@@ -89,8 +89,8 @@
 
 
 class PumpTest(unittest.TestCase):
-    def lend(self, owner, limit_ms):
-        """Begin a stream, and return the caller's and the engine's ends."""
+    def start_stream(self, owner, timeout_ms):
+        """Start a stream and return the caller's and the engine's sockets."""
         loop_ = loop.EventLoop("test", clock.SystemClock())
         relay = pump.Relay(loop_)
         owner.relay = relay
@@ -101,88 +101,94 @@
         engine, source = socket.socketpair()
         self.addCleanup(caller.close)
         self.addCleanup(engine.close)
-        caller.settimeout(GUARD_S)
-        relay.lend(
+        caller.settimeout(TEST_TIMEOUT_S)
+        relay.add_stream(
             streams.Stream(
                 owner,
                 writers.EventWriter(writers.ReplyHead(True, True, [])),
                 upstreams.TokenStream(source, b"", False, "x"),
                 served,
                 lambda keep: None if keep else served.close(),
-                limit_ms,
-                limit_ms,
+                timeout_ms,
+                timeout_ms,
             )
         )
         return caller, engine
 
-    def test_a_silent_engine_is_kept_where_no_other_takes_the_stream(self):
-        """Guards against answers that are cut because their engine paused."""
-        owner = StayingOwner()
-        caller, engine = self.lend(owner, 50)
+    def test_stalled_engine_is_kept_without_a_replacement(self):
+        """Guards against aborting a stream whose engine is stalled although
+        no other engine can take over.
+        """
+        owner = SingleEngineOwner()
+        caller, engine = self.start_stream(owner, 50)
         engine.sendall(EVENT)
         data = caller.recv(65_536)
-        self.assertTrue(processes.wait_until(lambda: owner.asked >= 2))
+        self.assertTrue(processes.wait_until(lambda: owner.calls >= 2))
         engine.sendall(EVENT.replace(b'"index": 0', b'"index": 1'))
         while data.count(b'"index"') < 2:
-            piece = caller.recv(65_536)
-            self.assertTrue(piece, "the answer was cut")
-            data += piece
+            chunk = caller.recv(65_536)
+            self.assertTrue(chunk, "the stream was aborted")
+            data += chunk
         self.assertFalse(owner.closed.is_set())
 
-    def test_an_engine_that_goes_on_is_not_left(self):
-        """Guards against closing streams that move while others are sought."""
-        owner = SeekingOwner()
-        caller, engine = self.lend(owner, 50)
+    def test_engine_that_progresses_is_not_closed(self):
+        """Guards against closing the connection of an engine that sends a
+        token during the search for a replacement.
+        """
+        owner = SearchingOwner()
+        caller, engine = self.start_stream(owner, 50)
         engine.sendall(EVENT)
         caller.recv(65_536)
-        self.assertTrue(owner.is_head_written.wait(GUARD_S))
+        self.assertTrue(owner.search_started.wait(TEST_TIMEOUT_S))
         engine.sendall(EVENT.replace(b'"index": 0', b'"index": 1'))
         self.assertIn(b'"index": 1', caller.recv(65_536))
-        owner.may_go_on.set()
-        self.assertFalse(owner.has_disconnected.get(timeout=GUARD_S))
+        owner.may_continue.set()
+        self.assertFalse(owner.close_results.get(timeout=TEST_TIMEOUT_S))
         engine.sendall(EVENT.replace(b'"index": 0', b'"index": 2'))
         self.assertIn(b'"index": 2', caller.recv(65_536))
 
-    def test_a_silent_engine_is_closed_before_another_begins(self):
-        """Guards against one request running at two engines at once."""
-        owner = SeekingOwner()
-        caller, engine = self.lend(owner, 50)
+    def test_stalled_engine_is_closed_before_failover(self):
+        """Guards against executing a request at two engines at once."""
+        owner = SearchingOwner()
+        caller, engine = self.start_stream(owner, 50)
         engine.sendall(EVENT)
         caller.recv(65_536)
-        owner.may_go_on.set()
-        self.assertTrue(owner.has_disconnected.get(timeout=GUARD_S))
-        engine.settimeout(GUARD_S)
+        owner.may_continue.set()
+        self.assertTrue(owner.close_results.get(timeout=TEST_TIMEOUT_S))
+        engine.settimeout(TEST_TIMEOUT_S)
         self.assertEqual(engine.recv(1), b"")
 
-    def test_an_engine_that_breaks_off_during_a_search_is_recovered(self):
-        """Guards against streams that nobody goes on with after a search."""
-        owner = SeekingOwner()
-        caller, engine = self.lend(owner, 50)
+    def test_engine_failure_during_a_search_is_recovered(self):
+        """Guards against streams that are neither resumed nor aborted if the
+        stalled engine's connection fails during the search.
+        """
+        owner = SearchingOwner()
+        caller, engine = self.start_stream(owner, 50)
         engine.sendall(EVENT)
         caller.recv(65_536)
-        self.assertTrue(owner.is_head_written.wait(GUARD_S))
+        self.assertTrue(owner.search_started.wait(TEST_TIMEOUT_S))
         owner.relay.try_close_source = lambda stream, offset: False
         engine.close()
         time.sleep(0.1)
-        owner.may_go_on.set()
-        self.assertTrue(owner.recovered.wait(GUARD_S))
-        self.assertTrue(owner.closed.wait(GUARD_S))
-
-    def test_a_search_that_fails_ends_the_answer(self):
-        """An engine dies in mid-answer, and the search for another one
-        raises.  The caller waited for ever on a connection that stayed
-        open, and its slot in the router was lost.
+        owner.may_continue.set()
+        self.assertTrue(owner.recovered.wait(TEST_TIMEOUT_S))
+        self.assertTrue(owner.closed.wait(TEST_TIMEOUT_S))
+
+    def test_failed_search_aborts_the_stream(self):
+        """An engine fails in mid-stream and the search for a replacement
+        raises.  The caller waited forever on an open connection, and its
+        slot in the router was never released.
         """
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         owner = FailingOwner()
-        caller, engine = self.lend(owner, GUARD_MS)
+        caller, engine = self.start_stream(owner, TEST_TIMEOUT_MS)
         engine.sendall(EVENT)
         data = caller.recv(65_536)
         engine.close()
-        while piece := caller.recv(65_536):
-            data += piece
+        while chunk := caller.recv(65_536):
+            data += chunk
         caller.close()
-        self.assertTrue(owner.closed.wait(GUARD_S))
+        self.assertTrue(owner.closed.wait(TEST_TIMEOUT_S))
         last = data.rpartition(b"data: ")[2].partition(b"\n")[0]
         self.assertIn("error", json.loads(last))
--- a/tests/test_raw_stream.py
+++ b/tests/test_raw_stream.py
@@ -1,4 +1,4 @@
-"""Answers that pass byte for byte, and what their breaking off shows."""
+"""Tests of streams that are forwarded byte for byte, also truncated ones."""
 
 import unittest
 
@@ -20,12 +20,12 @@
     return b"%x\r\n%b\r\n" % (len(payload), payload)
 
 
-class RawStreamTest(unittest.TestCase):
-    def make(self, chunked=True, length=None, headers=HEADERS):
+class PassthroughStreamTest(unittest.TestCase):
+    def make(self, is_chunked=True, length=None, headers=HEADERS):
         head = writers.ReplyHead(True, True, [])
         self.writer = passthrough_stream.PassthroughWriter(head)
         source = upstreams.TokenStream(
-            None, b"", chunked, "r", length, headers
+            None, b"", is_chunked, "r", length, headers
         )
         return passthrough_stream.PassthroughStream(
             None, self.writer, source, None, None, 1_000, 1_000
@@ -35,7 +35,7 @@
         head, _, body = out.partition(b"\r\n\r\n")
         return head, events.ChunkDecoder().feed(body)
 
-    def test_bytes_and_seal_pass_unchanged(self):
+    def test_bytes_and_seal_are_forwarded_unchanged(self):
         stream = self.make()
         out = stream.take(make_chunk(b"".join(EVENTS)) + b"0\r\n\r\n")
         head, payload = self.read_payload(out + self.writer.end())
@@ -45,9 +45,9 @@
         self.assertTrue(stream.is_complete)
         self.assertEqual(stream.expected, 4)
 
-    def test_event_in_pieces_waits_until_it_is_whole(self):
-        """An engine dies in the middle of an event.  Half of it, already at
-        the caller, could not be taken back when another engine goes on.
+    def test_partial_event_is_buffered(self):
+        """An engine crashes in the middle of an event.  If the first half had
+        been sent to the caller, another engine could not resume the stream.
         """
         stream = self.make()
         out = stream.take(make_chunk(EVENTS[0] + EVENTS[1][:7]))
@@ -55,7 +55,7 @@
         self.assertEqual(payload, EVENTS[0])
         self.assertEqual(stream.expected, 1)
 
-    def test_another_engine_goes_on(self):
+    def test_another_engine_resumes(self):
         stream = self.make()
         out = stream.take(make_chunk(EVENTS[0] + EVENTS[1] + b"id: 3"))
         source = upstreams.TokenStream(
@@ -68,9 +68,9 @@
         self.assertIn(b"s-1", head)
         self.assertNotIn(b"s-2", head)
 
-    def test_event_that_comes_again_breaks_the_stream(self):
-        """Another engine begins too early.  Its caller would get an event a
-        second time.
+    def test_duplicate_event_is_rejected(self):
+        """Another engine resumes at too low an offset.  The caller would
+        receive an event twice.
         """
         stream = self.make()
         stream.take(make_chunk(EVENTS[0] + EVENTS[1]))
@@ -79,27 +79,27 @@
 
     def test_end_by_length(self):
         body = b"".join(EVENTS)
-        stream = self.make(chunked=False, length=len(body))
+        stream = self.make(is_chunked=False, length=len(body))
         out = stream.take(body + b"not of this answer")
         self.assertTrue(stream.is_complete)
         _, payload = self.read_payload(out + self.writer.end())
         self.assertEqual(payload, body)
 
-    def test_end_by_the_connection(self):
-        stream = self.make(chunked=False)
+    def test_end_by_connection_close(self):
+        stream = self.make(is_chunked=False)
         stream.take(EVENTS[0])
         self.assertTrue(stream.may_end_on_close())
         stream.take(EVENTS[1][:5])
         self.assertFalse(stream.may_end_on_close())
 
-    def test_chunked_answer_does_not_end_with_the_connection(self):
+    def test_chunked_stream_does_not_end_by_connection_close(self):
         stream = self.make()
         stream.take(make_chunk(EVENTS[0]))
         self.assertFalse(stream.may_end_on_close())
 
-    def test_cut_answer_looks_cut(self):
-        """The last engine is gone and none can go on.  An answer that ended
-        in good form would be taken for whole.
+    def test_aborted_stream_is_truncated(self):
+        """The engine has failed and no other can resume the stream.  A reply
+        with a regular end would be taken for a complete one.
         """
         stream = self.make()
         stream.take(make_chunk(EVENTS[0]))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Bad HTTP: a clear answer, and a connection in a known state."""
+"""Tests of malformed requests and of overload of the callers' HTTP server."""
 
 import json
 import socket
@@ -24,17 +24,17 @@
         cls.rig.__enter__()
         cls.addClassCleanup(cls.rig.__exit__)
 
-    def exchange(self, *pieces):
-        """Send raw bytes and return all that comes until the close."""
+    def exchange(self, *chunks):
+        """Send raw bytes and return everything received until the close."""
         with socket.create_connection(
             ("127.0.0.1", self.rig.port), router_fixture.TEST_TIMEOUT_S
         ) as connection:
-            for piece in pieces:
-                connection.sendall(piece.encode())
+            for chunk in chunks:
+                connection.sendall(chunk.encode())
             return b"".join(iter(lambda: connection.recv(65_536), b""))
 
-    def check_error(self, status, code, *pieces):
-        answer = self.exchange(*pieces)
+    def check_error(self, status, code, *chunks):
+        answer = self.exchange(*chunks)
         head, _, body = answer.partition(b"\r\n\r\n")
         self.assertIn(f"HTTP/1.1 {status} ".encode(), head)
         self.assertIn(b"Connection: close", head)
@@ -48,8 +48,8 @@
         return head + "".join(f"{line}\r\n" for line in lines) + "\r\n" + body
 
     def test_ambiguous_bodies(self):
-        """Two programs that read a body's end differently take the rest for
-        another request; that one would run without any check of its key.
+        """Two programs that disagree about a body's length parse the rest as
+        another request, which would be executed without an API key check.
         """
         for lines in (
             ("Content-Length: 4", "Transfer-Encoding: chunked"),
@@ -84,8 +84,8 @@
         self.assertIn(b"unknown_model", self.exchange(raw))
 
     def test_oversized(self):
-        """A caller sends more than is taken.  It must get the reason and
-        not a reset, which would overtake the answer.
+        """A caller sends a request larger than the limit.  It must receive
+        the error reply and not a reset, which may arrive before the reply.
         """
         self.check_error(
             413,
@@ -97,8 +97,8 @@
         )
 
     def test_slow_body(self):
-        """A caller sends a byte now and then; it must not hold a worker
-        thread for longer than the limit on the whole request.
+        """A caller sends its body slowly.  It must not occupy a worker thread
+        for longer than the timeout of the complete request.
         """
         error = self.check_error(
             408, "bad_request", self.post("Content-Length: 100", body="{")
@@ -118,11 +118,11 @@
         reply = self.rig.call("POST", "/v1/completions", body.encode())
         self.assertEqual(reply.status, 400)
 
-    def test_silent_connections_hold_no_thread(self):
-        """Callers connect and send nothing, more of them than there are
-        threads.  Everybody else must be served all the same.
+    def test_idle_connections_occupy_no_thread(self):
+        """More callers than worker threads connect and send nothing.  All
+        other callers must still be served.
         """
-        silent = [
+        idle = [
             socket.create_connection(("127.0.0.1", self.rig.port))
             for _ in range(12)
         ]
@@ -131,14 +131,14 @@
                 reply = self.rig.call("GET", "/healthz", key="")
                 self.assertEqual(reply.status, 200)
         finally:
-            for connection in silent:
+            for connection in idle:
                 connection.close()
 
 
 class NoTablesTest(unittest.TestCase):
-    def test_says_so(self):
-        """A VM starts while the platform is down and has met no other VM.
-        It must say that it knows nothing and not guess.
+    def test_reply_without_configuration(self):
+        """A VM starts while the platform is down and no other VM is
+        reachable.  It must reply that it has no configuration.
         """
         with router_fixture.RouterFixture() as rig:
             self.assertEqual(rig.call("GET", "/readyz", key="").status, 503)
@@ -148,10 +148,10 @@
             self.assertIsNotNone(reply.headers["Retry-After"])
 
 
-class FullTest(unittest.TestCase):
+class OverloadTest(unittest.TestCase):
     def test_more_callers_than_workers(self):
-        """Many callers send at once while all workers wait on a slow
-        service.  Those that cannot be queued must be refused at once.
+        """Many callers send requests while all workers wait for a slow
+        service.  Requests that cannot be queued must be rejected at once.
         """
         settings_ = router_fixture.make_settings()
         settings_.router_threads = 1
