--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -180,7 +180,7 @@
             order.row.checks_fencing, self.clock.now_ms()
         ):
             return
-        result = engine.give_order(sent)
+        result = engine.send_order(sent)
         now_ms = self.clock.now_ms()
         LOG.info(
             "an order was given",
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -243,7 +243,7 @@
         """
         return expression.Ok([])
 
-    def give_order(
+    def send_order(
         self, order: base.Order
     ) -> expression.Result[None, errors.Fault]:
         """Tell the engine to change its role.
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -388,7 +388,7 @@
         """
 
     @abc.abstractmethod
-    def give_order(
+    def send_order(
         self, order: Order
     ) -> expression.Result[None, errors.Fault]:
         """Send an order to load or unload a model or to change the role.
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -178,7 +178,7 @@
 class _Current(threading.local):
     """Holds the canceller of the call that runs on this thread."""
 
-    interrupt: CallCanceller | None = None
+    canceller: CallCanceller | None = None
 
 
 _CURRENT = _Current()
@@ -191,8 +191,8 @@
         """Send a request, after connecting if necessary."""
         if self.sock is None:
             self.connect()
-        if _CURRENT.interrupt is not None:
-            _CURRENT.interrupt.attach(self.sock)
+        if _CURRENT.canceller is not None:
+            _CURRENT.canceller.attach(self.sock)
         super().request(*arguments, **named)
 
 
@@ -251,7 +251,7 @@
             self._create_pool() if needs_new_connection else self._get_pool()
         )
         response: urllib3.BaseHTTPResponse | None = None
-        _CURRENT.interrupt = interrupt
+        _CURRENT.canceller = interrupt
         try:
             response = pool.urlopen(
                 method,
@@ -270,7 +270,7 @@
             self._close_response(response)
             return expression.Error(self._make_fault(error, step))
         finally:
-            _CURRENT.interrupt = None
+            _CURRENT.canceller = None
             if interrupt is not None:
                 interrupt.detach()
         result = self._check_echo(headers, complete, response, step)
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -134,7 +134,7 @@
     request: DecodeRequest,
     timeout_ms: int,
     rejection_parser: RejectionParser,
-    interrupt: connections.CallCanceller | None = None,
+    canceller: connections.CallCanceller | None = None,
     prepared_connection: DecodeConnection | None = None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     """Send a decode request and return its stream after the response head.
@@ -150,7 +150,7 @@
     :param timeout_ms: timeout of the response head, in ms
     :param rejection_parser: maps a response with another status than 200 to a
         fault
-    :param interrupt: cancels the call from another thread
+    :param canceller: cancels the call from another thread
     :param prepared_connection: a connection that was opened in advance; a new
         one is opened if it is too old or none is given.  If the engine has
         closed a recent one, the engine counts as unreachable.
@@ -173,7 +173,7 @@
     prepared_connection.sock.settimeout(timeout_ms / MS_IN_S)
     try:
         return _exchange(
-            prepared_connection, address, request, rejection_parser, interrupt
+            prepared_connection, address, request, rejection_parser, canceller
         )
     except (OSError, http.client.HTTPException) as failure:
         prepared_connection.close()
@@ -186,8 +186,8 @@
         )
         return expression.Error(fault)
     finally:
-        if interrupt is not None:
-            interrupt.detach()
+        if canceller is not None:
+            canceller.detach()
 
 
 def _exchange(
@@ -195,12 +195,12 @@
     address: str,
     request: DecodeRequest,
     rejection_parser: RejectionParser,
-    interrupt: connections.CallCanceller | None,
+    canceller: connections.CallCanceller | None,
 ) -> expression.Result[base.TokenStream, errors.Fault]:
     sock = connection.sock
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    if interrupt is not None:
-        interrupt.attach(sock)
+    if canceller is not None:
+        canceller.attach(sock)
     connection.request(
         request.method, request.target, request.body, request.headers
     )
--- a/mulberryway/upstreams/http_engine.py
+++ b/mulberryway/upstreams/http_engine.py
@@ -145,7 +145,7 @@
             lambda value: self._parse(value, _parse_events, errors.Step.DECODE)
         )
 
-    def give_order(
+    def send_order(
         self, order: base.Order
     ) -> expression.Result[None, errors.Fault]:
         """Send an order to load or unload a model or to change the role.
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -179,7 +179,7 @@
         self.world = world
         self.name = name
 
-    def give_order(self, order):
+    def send_order(self, order):
         world = self.world
         flight_ms = world.random.randint(0, leader_lease.MAX_IN_FLIGHT_MS)
         at_ms = world.clock.now_ms() + flight_ms
@@ -229,8 +229,8 @@
         world.store.on_call = lambda: None
         refused = errors.Fault(errors.Code.UPSTREAM_REFUSED, errors.Step.ADMIN)
         engine = unittest.mock.Mock()
-        engine.give_order.return_value = expression.Error(refused)
+        engine.send_order.return_value = expression.Error(refused)
         vm = world.vms[0]
         vm._find_engine = lambda pool, upstream: engine
         vm.step()
-        self.assertEqual(engine.give_order.call_count, 1)
+        self.assertEqual(engine.send_order.call_count, 1)
