--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -177,9 +177,7 @@
         else:
             self._parts.relay.fail(stream, self._word_last(result.error))
 
-    def replace_source(
-        self, stream: streams.Stream, fault: errors.Fault
-    ) -> None:
+    def replace(self, stream: streams.Stream, fault: errors.Fault) -> None:
         """Go on at another engine where the last one is silent.
 
         The silent one is left only when all that the other needs is there:
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -101,7 +101,7 @@
 
         Waits for the loop, so it must not be called on the loop's thread.
 
-        :param stream: the stream that ``replace_source`` was called for
+        :param stream: the stream that ``replace`` was called for
         :param offset: the stream's offset when the search began, in tokens
         :returns: whether another engine may resume at this offset
         """
@@ -120,7 +120,7 @@
     def keep_source(self, stream: Stream, fault: errors.Fault) -> None:
         """Continue with a stalled engine if no other accepts the stream.
 
-        :param stream: the stream that ``replace_source`` was called for
+        :param stream: the stream that ``replace`` was called for
         :param fault: the fault that is reported to the caller if the engine's
             connection was closed already
         """
@@ -316,7 +316,7 @@
             "token timeout", errors.Code.UPSTREAM_TIMEOUT
         )
         stream.is_replacing_source = True
-        self._submit(stream.owner.replace_source, stream, fault)
+        self._submit(stream.owner.replace, stream, fault)
 
     def _try_close_source(
         self,
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -18,7 +18,7 @@
 class StreamOwner(abc.ABC):
     """Callbacks of the request that a stream belongs to.
 
-    All methods but ``recover`` and ``replace_source`` run on the loop's
+    All methods but ``recover`` and ``replace`` run on the loop's
     thread and must not block.
     """
 
@@ -67,7 +67,7 @@
         return True
 
     @abc.abstractmethod
-    def replace_source(self, stream: "Stream", fault: errors.Fault) -> None:
+    def replace(self, stream: "Stream", fault: errors.Fault) -> None:
         """Find a replacement for a stalled engine; runs on a recovery thread.
 
         The stalled engine is still read during the search.  Call
