--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -9,8 +9,8 @@
 from tests import hosted_fleet
 from tests import processes
 
-# Thread limit of an idle VM.  At this limit two fleets of 195 VMs use about
-# half of the threads that a machine allows.
+# Thread limit of an idle VM.  Two fleets of 195 VMs may use at most half of
+# the threads that a machine allows.
 MAX_IDLE_THREADS = 30
 TEST_TIMEOUT_S = 10
 
