--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; ``python -m benchmarks`` runs them all."""
+"""Benchmarks; run them with ``python -m benchmarks``."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the measurements, prints them beside the last run, and keeps them."""
+"""Runs benchmarks, compares them with the previous run and stores them."""
 
 import collections.abc
 import importlib
@@ -17,8 +17,8 @@
 
 FLAGS = flags.FLAGS
 OUT = pathlib.Path("out")
-# The decisions give the brief's four measures; the others take processes,
-# minutes, and a machine that does nothing else.
+# "decisions" reports the four main metrics.  The other benchmarks start
+# processes, run for minutes and need an otherwise idle machine.
 DEFAULT_BENCHMARKS = ("decisions",)
 ALL_BENCHMARKS = (
     *DEFAULT_BENCHMARKS,
@@ -45,9 +45,9 @@
 
 
 def main(arguments: collections.abc.Sequence[str]) -> None:
-    """Run what the flags name.
+    """Run the benchmarks that the flags select.
 
-    :param arguments: what is left of the command line
+    :param arguments: the remaining command-line arguments
     """
     names = ALL_BENCHMARKS if FLAGS.only == ["every"] else FLAGS.only
     results = {
@@ -56,8 +56,8 @@
         )
         for name in names
     }
-    kept = report.read_runs()
-    before = kept[-1] if kept else None
+    previous_runs = report.read_runs()
+    before = previous_runs[-1] if previous_runs else None
     after = report.keep_run(results, clock.SystemClock())
     OUT.mkdir(exist_ok=True)
     (OUT / "bench.json").write_text(json.dumps(results, indent=1))
@@ -70,7 +70,7 @@
 
 
 def _name_rows(result: typing.Any) -> typing.Any:
-    """Turn a list of rows into a dictionary, so that figures have names."""
+    """Index a result's rows by their key columns, to give figures a name."""
     if not isinstance(result, dict) or "rows" not in result:
         return result
     rows = {
--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -1,9 +1,9 @@
-"""Refusals within the rate, messages and platform calls of allowances.
+"""Wrong rejections, messages and platform calls of allowances.
 
 ``python -m benchmarks.allowances`` runs the real controllers in one process
-on a turned clock, against a platform and a network that work.  Each request
-is also put to one bucket for the whole fleet: what that grants and the VMs
-refuse is a wrongful refusal.
+on a manual clock, with a platform and a network without faults.  Each request
+is also checked against one token bucket for the whole fleet: a request that
+this bucket grants and the VMs reject counts as wrongly rejected.
 """
 
 import collections
@@ -24,19 +24,19 @@
 RATE = 4_000
 BURST = 40_000
 PROMPT = 200
-MOST_TOKENS = 1_024
+MAX_TOKENS = 1_024
 MEAN_TOKENS = 292
 TOKEN_MS = 37
-# Callers ask for this part of the rate on average.
+# Average demand as a fraction of the accounts' rate.
 LOAD = 0.85
-WARM_MS = 40_000
+WARMUP_MS = 40_000
 COMMAND = "python -m benchmarks.allowances"
 RUN_MS = 120_000
 STEP_MS = 250
 
 
 class AllowanceSimulation:
-    """One run of callers against one way of counting."""
+    """Simulates callers of a fleet with shared or statically split limits."""
 
     def __init__(
         self,
@@ -65,12 +65,12 @@
         self.counts: collections.Counter[str] = collections.Counter()
 
     def run(self) -> dict[str, typing.Any]:
-        arrivals = [(WARM_MS, n) for n in range(len(self.accounts))]
+        arrivals = [(WARMUP_MS, n) for n in range(len(self.accounts))]
         heapq.heapify(arrivals)
         self.warm_up()
         calls = collections.Counter(self.fleet.store.calls)
         start = (self.fleet.count_messages(), time.process_time())
-        for now_ms in range(WARM_MS, WARM_MS + RUN_MS, STEP_MS):
+        for now_ms in range(WARMUP_MS, WARMUP_MS + RUN_MS, STEP_MS):
             self.fleet.step(now_ms)
             while arrivals[0][0] < now_ms + STEP_MS:
                 at_ms, number = heapq.heappop(arrivals)
@@ -80,7 +80,7 @@
         return self.report(calls, start)
 
     def warm_up(self) -> None:
-        for now_ms in range(1_000, WARM_MS, STEP_MS):
+        for now_ms in range(1_000, WARMUP_MS, STEP_MS):
             self.fleet.step(now_ms)
 
     def wait(self) -> int:
@@ -94,20 +94,20 @@
         is_home = self.random.random() < self.skew
         vm = number if is_home else self.random.randrange(self.vms)
         drawn = round(self.random.expovariate(1 / MEAN_TOKENS))
-        generated = min(max(drawn, 1), MOST_TOKENS)
-        wanted, used = PROMPT + MOST_TOKENS, PROMPT + generated
+        generated = min(max(drawn, 1), MAX_TOKENS)
+        requested, used = PROMPT + MAX_TOKENS, PROMPT + generated
         end_ms = at_ms + generated * TOKEN_MS
-        ideal = self.ideal.reserve(account, wanted)
+        ideal = self.ideal.reserve(account, requested)
         if ideal.is_ok():
             self.push(end_ms, self.ideal, ideal.ok, used)
-        book = self.fleet.books[vm % self.vms]
-        result = book.reserve(account, wanted)
+        allowances = self.fleet.books[vm % self.vms]
+        result = allowances.reserve(account, requested)
         self.counts["asked"] += 1
         self.counts["ideal refused"] += not ideal.is_ok()
         if result.is_ok():
-            book.is_usable(result.ok)
+            allowances.is_usable(result.ok)
             self.grants.append((at_ms, account, used))
-            self.push(end_ms, book, result.ok, used)
+            self.push(end_ms, allowances, result.ok, used)
         else:
             self.counts["refused"] += 1
             self.counts["wrongly refused"] += ideal.is_ok()
@@ -115,18 +115,20 @@
     def push(
         self,
         end_ms: int,
-        book: allowance.Allowances,
+        allowances: allowance.Allowances,
         reservation: typing.Any,
         used: int,
     ) -> None:
         entry = (end_ms, len(self.grants), self.random.random())
-        heapq.heappush(self.ends, (*entry, book, reservation, used))
+        heapq.heappush(self.ends, (*entry, allowances, reservation, used))
 
     def finish(self, now_ms: int) -> None:
         while self.ends and self.ends[0][0] <= now_ms:
-            end_ms, _, _, book, reservation, used = heapq.heappop(self.ends)
+            end_ms, _, _, allowances, reservation, used = heapq.heappop(
+                self.ends
+            )
             self.set_clock(end_ms)
-            book.settle(reservation, used)
+            allowances.settle(reservation, used)
 
     def set_clock(self, at_ms: int) -> None:
         self.fleet.clock.advance_ms(max(at_ms - self.fleet.clock.now_ms(), 0))
@@ -170,7 +172,10 @@
 
 
 def measure() -> dict[str, typing.Any]:
-    """Return the runs by name."""
+    """Run all configurations.
+
+    :returns: reports by configuration name
+    """
     runs = {
         "split, even, 9 VMs": AllowanceSimulation(9, 5, 0.0, is_split=True),
         "shares, even, 9 VMs": AllowanceSimulation(9, 5, 0.0),
@@ -183,15 +188,15 @@
             81, 45, 0.9
         ),
     }
-    found = {name: run.run() for name, run in runs.items()}
-    _keep(found)
-    return found
+    reports = {name: run.run() for name, run in runs.items()}
+    _write_series(reports)
+    return reports
 
 
-def _keep(found: dict[str, typing.Any]) -> None:
-    """Keep what grows with the fleet, for even callers."""
+def _write_series(reports: dict[str, typing.Any]) -> None:
+    """Store the figures that depend on fleet size, for even load only."""
     rows = [
-        row for name, row in found.items() if name.startswith("shares, even")
+        row for name, row in reports.items() if name.startswith("shares, even")
     ]
     for name, key, unit in (
         ("allowances-bytes", "bytes_per_vm_s", "bytes a second, each VM"),
--- a/benchmarks/baseline_relay.py
+++ b/benchmarks/baseline_relay.py
@@ -1,7 +1,8 @@
-"""A bare relay, one thread for each stream, to measure the router against.
+"""A minimal reverse proxy, the baseline for the router's data path.
 
 ``python -m benchmarks.baseline_relay --port P --upstream HOST:PORT,...``
-passes each body to the next upstream and its reply back, and no more.
+forwards request bodies to its upstreams in turn and streams the responses
+back, with one thread for each stream.
 """
 
 import collections.abc
@@ -27,10 +28,10 @@
 
 
 class Relay:
-    """A WSGI application that uses its upstreams in turn.
+    """A WSGI application that forwards to its upstreams in round-robin order.
 
     :param upstreams: ``host:port`` of each
-    :param connections: the most that the pool keeps
+    :param connections: maximum number of pooled connections per upstream
     """
 
     def __init__(self, upstreams: list[str], connections: int) -> None:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Works out docs/CAPACITY.md's tables from the kept measurements."""
+"""Generates the tables of docs/CAPACITY.md from the stored measurements."""
 
 import pathlib
 import sys
@@ -15,35 +15,35 @@
 
 
 def render_table(
-    lines: list[capacity_rows.Row], folder: pathlib.Path = series.FOLDER
+    rows: list[capacity_rows.Row], folder: pathlib.Path = series.FOLDER
 ) -> str:
     """Return a table in Markdown.
 
-    :param lines: its rows
-    :param folder: where the measurements are kept
+    :param rows: its rows
+    :param folder: directory with the stored measurements
     :returns: the table's text
     """
     head = (
         "| role | quantity | at the target | limit | measured | slope "
         "| stretched | mechanism |\n|---|---|---|---|---|---|---|---|"
     )
-    return "\n".join([head, *(_render_line(line, folder) for line in lines)])
+    return "\n".join([head, *(_render_line(row, folder) for row in rows)])
 
 
-def _render_line(line: capacity_rows.Row, folder: pathlib.Path) -> str:
-    measured = [series.read_series(name, folder) for name in line.names]
+def _render_line(row: capacity_rows.Row, folder: pathlib.Path) -> str:
+    measured = [series.read_series(name, folder) for name in row.names]
     fits = [series.fit_line(one) for one in measured]
     first = measured[0]
     sizes = [x for x, _ in first.points]
     return (
-        f"| {line.role} | {line.quantity} "
-        f"| {_round(line.compute(*fits))} | {line.limit} "
-        f"| {', '.join(line.names)}: {_round(min(sizes))} to "
+        f"| {row.role} | {row.quantity} "
+        f"| {_round(row.compute(*fits))} | {row.limit} "
+        f"| {', '.join(row.names)}: {_round(min(sizes))} to "
         f"{_round(max(sizes))} {first.x_unit} "
         f"| {_round(fits[0].slope)} ± {_round(fits[0].slope_error)} "
         f"{first.y_unit} for each of {first.x_unit} "
-        f"| {_round(fits[0].extrapolation_factor(line.size))} times "
-        f"| {line.mechanism} |"
+        f"| {_round(fits[0].extrapolation_factor(row.size))} times "
+        f"| {row.mechanism} |"
     )
 
 
@@ -56,30 +56,30 @@
     tables: dict[str, list[capacity_rows.Row]],
     folder: pathlib.Path,
 ) -> str:
-    """Put freshly worked out tables into the page's text.
+    """Replace the tables between the markers of a page.
 
-    :param page: the page's text with its marks
+    :param page: the page's text with its markers
     :param tables: rows by the table's name
-    :param folder: where the measurements are kept
+    :param folder: directory with the stored measurements
     :returns: the page's new text
-    :raises ValueError: if a table's marks are not in the page
+    :raises ValueError: if a table's markers are not in the page
     """
-    for name, lines in tables.items():
+    for name, rows in tables.items():
         begin, end = BEGIN.format(name=name), END.format(name=name)
         if begin not in page or end not in page:
-            raise ValueError(f"no marks for the table {name}")
+            raise ValueError(f"the page has no markers for table {name}")
         before, _, rest = page.partition(begin)
         _, _, after = rest.partition(end)
-        table = render_table(lines, folder)
+        table = render_table(rows, folder)
         page = f"{before}{begin}\n{table}\n{end}{after}"
     return page
 
 
 def main(write: bool) -> int:
-    """Work the page's tables out anew.
+    """Regenerate the page's tables.
 
-    :param write: put them into the page; otherwise only compare
-    :returns: 0 if the page was already as the measurements say, else 1
+    :param write: update the page; otherwise only compare
+    :returns: 0 if the page was up to date, else 1
     """
     old = PAGE.read_text(encoding="utf-8")
     new = render_page(old, capacity_tables.TABLES, series.FOLDER)
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -1,4 +1,4 @@
-"""What a row of docs/CAPACITY.md's tables holds, and the size it is for."""
+"""Row type and target size of the tables in docs/CAPACITY.md."""
 
 import collections.abc
 
@@ -6,7 +6,7 @@
 
 
 class Target:
-    """The size of two years on, from the users' letter."""
+    """The required size two years from now, as stated by the users."""
 
     VMS = 410
     SERVERS = 600
@@ -26,16 +26,16 @@
 
 
 class Row:
-    """One row of a table: a quantity at the target's size.
+    """One row of a table: a quantity extrapolated to the target size.
 
-    :param role: which process or part
-    :param quantity: what is told, with its unit
-    :param names: the measurements behind it
-    :param size: the size, in the first measurement's unit, it is worked
-        out at
-    :param compute: turns the fits into the figure
-    :param limit: what the letter or the platform allows, in words
-    :param mechanism: what carries it
+    :param role: the process or component
+    :param quantity: description of the quantity, with its unit
+    :param names: names of the measured series it is computed from
+    :param size: the size at which it is evaluated, in the x unit of the
+        first series
+    :param compute: computes the quantity from the fitted lines
+    :param limit: the limit set by the users or the platform, as text
+    :param mechanism: the mechanism that bounds the quantity
     """
 
     __slots__ = (
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md, worked out at the users' target."""
+"""The rows of docs/CAPACITY.md, computed for the users' target size."""
 
 import math
 
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""What at-most-once costs: platform calls a booking, and added latency.
+"""Platform calls and added latency of at-most-once execution.
 
-``python -m benchmarks.claims`` lets VMs claim calls through a real platform
-stand-in and compares the batched log with the simplest version, one object
-for each call: a conditional create before the run, an update after it.
+``python -m benchmarks.claims`` claims calls from several VMs through the
+platform stand-in.  It compares the batched log with the simplest version, one
+object for each call: a conditional create before the call, an update after.
 """
 
 import concurrent.futures
@@ -30,7 +30,7 @@
 SERVICE_MS = 5
 SECRET = "bench"
 TIMEOUT_MS = 2_000
-# VMs, and callers at each of them who book without a pause.
+# Number of VMs, and of callers per VM that book in a closed loop.
 CASES = ((1, 1), (1, 8), (1, 32), (3, 8), (9, 1), (9, 8))
 CLOCK = clock.SystemClock()
 REPLY = claim_records.CachedReply(
@@ -39,14 +39,14 @@
 
 
 class Fleet:
-    """The VMs of one case."""
+    """The member list that all VMs of one case share."""
 
     def __init__(self) -> None:
         self.members: list[member.Member] = []
 
 
 class Vm:
-    """One VM's way to make calls run at most once."""
+    """A VM that executes calls at most once; subclasses choose the method."""
 
     def __init__(self, name: str, port: int, fleet: Fleet) -> None:
         self.name = name
@@ -59,15 +59,19 @@
         )
 
     def book(self, key: str) -> float:
-        """Claim, run and end one call; return what was added, in ms."""
+        """Claim, execute and complete one call.
+
+        :param key: the call's idempotency key
+        :returns: latency added by the claim in ms
+        """
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Write what is left."""
+        """Flush pending writes and stop."""
 
 
 class LogVm(Vm):
-    """The batched log."""
+    """A VM that claims calls in the batched log."""
 
     def __init__(self, name: str, port: int, fleet: "Fleet") -> None:
         super().__init__(name, port, fleet)
@@ -99,7 +103,7 @@
         self.claims.start()
 
     def list_candidates(self) -> list[member.Member]:
-        """Return the VMs that may be keepers."""
+        """Return the VMs that may be chosen as coordinator."""
         return self.fleet.members
 
     def book(self, key: str) -> float:
@@ -120,14 +124,14 @@
 
 
 class LocalWriterVm(LogVm):
-    """The batched log, each VM writing for itself."""
+    """A VM that writes the batched log itself, without a coordinator."""
 
     def list_candidates(self) -> list[member.Member]:
         return [self.own]
 
 
 class ObjectVm(Vm):
-    """One object for each call."""
+    """A VM that creates one object for each call."""
 
     def book(self, key: str) -> float:
         began_ms = CLOCK.now_ms()
@@ -141,7 +145,12 @@
 
 
 def run_callers(vms: list[Vm], callers: int) -> list[float]:
-    """Book without a pause for a while; return each call's added time."""
+    """Book in a closed loop for ``RUN_MS``.
+
+    :param vms: the VMs
+    :param callers: number of concurrent callers per VM
+    :returns: added latency of each call in ms
+    """
     end_ms = CLOCK.now_ms() + RUN_MS
     numbers = itertools.count(CLOCK.wall_ms())
 
@@ -160,11 +169,13 @@
 def measure_case(
     make_vm: typing.Callable[[str, int, Fleet], Vm], vms: int, callers: int
 ) -> dict[str, float]:
-    """Return the figures of one case, on a platform of its own.
+    """Measure one case with its own platform stand-in.
 
-    :param make_vm: makes a VM of a name for the platform's port
-    :param vms: how many VMs
-    :param callers: callers at each
+    :param make_vm: creates a VM from its name, the platform's port and the
+        fleet
+    :param vms: number of VMs
+    :param callers: number of callers per VM
+    :returns: figures by name
     """
     with processes.Group() as group:
         platform, port = processes.start_standin(
@@ -195,7 +206,7 @@
 
 
 def measure() -> dict[str, typing.Any]:
-    """Return the figures of all cases of both ways."""
+    """Return the figures of every case and method."""
     return {
         f"{name}_{vms}_vms_{callers}_callers": measure_case(
             make_vm, vms, callers
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,8 +1,8 @@
-"""How long edits take until they are in force, and what the tables cost.
+"""Propagation time of table edits and the cost of distributing the tables.
 
 ``python -m benchmarks.configuration`` starts real processes on loopback: the
 platform stand-in and 3, 9, 27 and 81 VMs without routers.  The administration
-runs in the measuring process.
+API runs in the measuring process.
 """
 
 import json
@@ -87,9 +87,9 @@
 
 
 class Vm:
-    """A process of ``benchmarks.configuration_vm``.
+    """A child process that runs ``benchmarks.configuration_vm``.
 
-    :param file: its settings
+    :param file: its settings file
     """
 
     def __init__(self, file: pathlib.Path) -> None:
@@ -108,7 +108,7 @@
         self.usages: list[Report] = []
 
     def stop(self) -> None:
-        """End it and read what it has printed."""
+        """Stop the process and parse its output."""
         self.popen.send_signal(signal.SIGTERM)
         output, _ = self.popen.communicate(timeout=START_S)
         for line in output.splitlines():
@@ -120,10 +120,10 @@
 
 
 class VmFleet:
-    """One fleet of a size.
+    """The platform stand-in and a number of VMs.
 
-    :param count: how many VMs
-    :param folder: where settings are written
+    :param count: number of VMs
+    :param folder: directory for the VMs' settings files
     """
 
     def __init__(self, count: int, folder: pathlib.Path) -> None:
@@ -167,8 +167,9 @@
     def write(self, folder: pathlib.Path, number: int) -> pathlib.Path:
         """Write the settings of one VM.
 
-        :param folder: where to
-        :param number: which VM
+        :param folder: directory of the file
+        :param number: index of the VM
+        :returns: path of the file
         """
         port = FIRST_PORT + 1 + number
         sections = {
@@ -190,7 +191,7 @@
         return file
 
     def stop(self) -> None:
-        """End the VMs and the platform."""
+        """Stop the VMs and the platform."""
         for vm in self.vms:
             vm.popen.send_signal(signal.SIGTERM)
         for vm in self.vms:
@@ -201,22 +202,22 @@
         self.client.close()
 
     def wait_for_vms(self) -> None:
-        """Wait until every VM knows all others."""
+        """Wait until all VMs are reachable through the administration."""
         end = time.monotonic() + START_S
         while time.monotonic() < end:
             states = self.fleet.fetch_vm_states()
             if sum(state.is_reached for state in states) == self.count:
                 return
             time.sleep(0.2)
-        raise RuntimeError("the VMs did not find one another")
+        raise RuntimeError("some VMs were unreachable until the timeout")
 
     def print_usage(self) -> None:
-        """Let each VM print what it has used so far."""
+        """Make each VM print its resource usage so far."""
         for vm in self.vms:
             vm.popen.send_signal(signal.SIGUSR1)
 
     def read_platform_calls(self) -> int:
-        """Return how many calls the platform has had."""
+        """Return the number of calls that the platform has received."""
         url = f"http://127.0.0.1:{FIRST_PORT}/standin/calls"
         with urllib.request.urlopen(url, timeout=5) as reply:
             return _sum_numbers(json.load(reply))
@@ -231,7 +232,7 @@
 
 
 def make_text() -> str:
-    """Return tables with the target's number of client accounts."""
+    """Return tables with the target size's number of client accounts."""
     accounts = {
         f"account-{number}": {
             "key_digests": [
@@ -246,10 +247,10 @@
 
 
 def measure_size(count: int) -> Report:
-    """Measure one size of the fleet.
+    """Measure one fleet size.
 
-    :param count: how many VMs
-    :returns: times in milliseconds, calls, bytes, processor time
+    :param count: number of VMs
+    :returns: times in ms, calls, bytes and CPU time by name
     """
     with tempfile.TemporaryDirectory() as folder:
         run = VmFleet(count, pathlib.Path(folder))
@@ -267,7 +268,7 @@
     run.admin.wait(1, 30_000)
     time.sleep(2)
     run.print_usage()
-    at_rest = _measure_rest(run)
+    idle = _measure_idle(run)
     run.print_usage()
     written = sum(c.sent for c in run.counts.get_counts().values())
     calls = sum(c.calls for c in run.counts.get_counts().values())
@@ -276,7 +277,7 @@
     time.sleep(1)
     report = {
         "vms": run.count,
-        **at_rest,
+        **idle,
         "edit_bytes_written": (
             sum(c.sent for c in run.counts.get_counts().values()) - written
         )
@@ -287,10 +288,10 @@
         / EDITS,
     }
     run.stop()
-    return report | _read_times(run, sent, accepted)
+    return report | _collect_times(run, sent, accepted)
 
 
-def _measure_rest(run: VmFleet) -> Report:
+def _measure_idle(run: VmFleet) -> Report:
     before = run.read_platform_calls()
     time.sleep(IDLE_S)
     calls = run.read_platform_calls() - before
@@ -298,40 +299,48 @@
 
 
 def _make_edits(run: VmFleet) -> tuple[dict[int, int], dict[int, int]]:
-    """Make edits one after another; every third withdraws a key."""
+    """Make edits one after another; every third one revokes a key.
+
+    :param run: the fleet
+    :returns: wall-clock times in ms when each revision's edit was sent and
+        when it was accepted
+    """
     sent: dict[int, int] = {}
     accepted: dict[int, int] = {}
     for number in range(EDITS):
         began_ms = run.clock.wall_ms()
         if number % 3 == 0:
             digest = tables.digest_key(f"{number}-0")
-            answer = run.admin.revoke_key(
+            response = run.admin.revoke_key(
                 "bench", f"account-{number}", digest[:12], f"e{number}"
             )
         else:
             values = {"key_digests": [], "rate": number + 1, "burst": 1}
-            answer = run.admin.put_row(
+            response = run.admin.put_row(
                 "bench", "accounts", "edited", values, None, f"e{number}"
             )
-        if answer.is_error():
-            raise RuntimeError(answer.error.message)
-        sent[answer.ok.revision] = began_ms
-        accepted[answer.ok.revision] = run.clock.wall_ms()
-        run.admin.wait(answer.ok.revision, 20_000)
+        if response.is_error():
+            raise RuntimeError(response.error.message)
+        sent[response.ok.revision] = began_ms
+        accepted[response.ok.revision] = run.clock.wall_ms()
+        run.admin.wait(response.ok.revision, 20_000)
         time.sleep(0.3)
     return sent, accepted
 
 
-def _read_times(
+def _collect_times(
     run: VmFleet, sent: dict[int, int], accepted: dict[int, int]
 ) -> Report:
-    """A VM that skipped a revision has it from its next one on."""
+    """Return how long the edits took, and the VMs' usage.
+
+    A VM may skip a revision; it then has the edit from the next revision on.
+    """
     everywhere = {
         revision: max(
             min(
                 at_ms
-                for taken, at_ms in vm.in_force_ms.items()
-                if taken >= revision
+                for revision_in_force, at_ms in vm.in_force_ms.items()
+                if revision_in_force >= revision
             )
             for vm in run.vms
         )
@@ -339,32 +348,46 @@
     }
     times = [everywhere[one] - sent[one] for one in sorted(sent)]
     return {
-        "edit_in_force_ms": _describe(times),
-        "key_withdrawn_ms": _describe(times[::3]),
-        "accepted_ms": _describe([accepted[one] - sent[one] for one in sent]),
-        **_read_usages([vm.usages for vm in run.vms]),
+        "edit_in_force_ms": _summarize(times),
+        "key_withdrawn_ms": _summarize(times[::3]),
+        "accepted_ms": _summarize([accepted[one] - sent[one] for one in sent]),
+        **_summarize_usages([vm.usages for vm in run.vms]),
     }
 
 
-def _read_usages(usages: list[list[Report]]) -> Report:
-    """Each VM printed before and after the rest, and after the edits."""
+def _summarize_usages(usages: list[list[Report]]) -> Report:
+    """Return mean usage per VM while idle and per edit.
+
+    Each VM printed its usage before and after the idle period, and after the
+    edits.
+    """
 
-    def grow(key: str, first: int) -> float:
+    def mean_increase(key: str, first: int) -> float:
         return statistics.mean(
             one[first + 1][key] - one[first][key] for one in usages
         )
 
     return {
-        "rest_cpu_ms_per_s_per_vm": grow("cpu_s", 0) * MS_IN_S / IDLE_S,
-        "rest_configuration_bytes_per_s_per_vm": grow("configuration_bytes", 0)
+        "rest_cpu_ms_per_s_per_vm": mean_increase("cpu_s", 0)
+        * MS_IN_S
         / IDLE_S,
-        "rest_membership_bytes_per_s_per_vm": grow("membership_bytes", 0)
+        "rest_configuration_bytes_per_s_per_vm": mean_increase(
+            "configuration_bytes", 0
+        )
+        / IDLE_S,
+        "rest_membership_bytes_per_s_per_vm": mean_increase(
+            "membership_bytes", 0
+        )
         / IDLE_S,
-        "rest_platform_bytes_per_s_per_vm": grow("platform_bytes", 0) / IDLE_S,
-        "edit_cpu_ms_per_vm": grow("cpu_s", 1) * MS_IN_S / EDITS,
-        "edit_configuration_bytes_per_vm": grow("configuration_bytes", 1)
+        "rest_platform_bytes_per_s_per_vm": mean_increase("platform_bytes", 0)
+        / IDLE_S,
+        "edit_cpu_ms_per_vm": mean_increase("cpu_s", 1) * MS_IN_S / EDITS,
+        "edit_configuration_bytes_per_vm": mean_increase(
+            "configuration_bytes", 1
+        )
+        / EDITS,
+        "edit_platform_bytes_per_vm": mean_increase("platform_bytes", 1)
         / EDITS,
-        "edit_platform_bytes_per_vm": grow("platform_bytes", 1) / EDITS,
         "memory_mb_per_vm": statistics.mean(
             one[-1]["memory_kb"] for one in usages
         )
@@ -372,24 +395,24 @@
     }
 
 
-def _describe(times: list[int]) -> Report:
+def _summarize(times: list[int]) -> Report:
     return {"median": statistics.median(times), "max": max(times)}
 
 
-def _find(report: Report, key: str) -> float:
+def _get_figure(report: Report, key: str) -> float:
     value = report[key]
     return value["max"] if isinstance(value, dict) else value
 
 
 def measure() -> Report:
-    """Measure all sizes and keep the series.
+    """Measure all fleet sizes and store the series.
 
-    :returns: reports by size
+    :returns: reports by fleet size
     """
     reports = {str(count): measure_size(count) for count in SIZES}
     for name, unit, key in SERIES:
         points = [
-            (int(size), _find(one, key)) for size, one in reports.items()
+            (int(size), _get_figure(one, key)) for size, one in reports.items()
         ]
         series.write_series(series.Series(name, COMMAND, "VMs", unit, points))
     return reports
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -1,7 +1,7 @@
-"""One VM's share of the tables without a router, for measurements.
+"""Runs one VM's table distribution without a router, for benchmarks.
 
 It prints a line ``REVISION WALL_MS`` for each revision that comes into force
-and, on SIGUSR1 and SIGTERM, one JSON line with what it has used so far.
+and, on SIGUSR1 and SIGTERM, one JSON line with its resource usage so far.
 """
 
 import collections.abc
@@ -32,7 +32,7 @@
 
 
 class ConfigurationVm:
-    """Membership, peers and tables of one VM.
+    """Membership, peer server and table distribution of one VM.
 
     :param settings_: its settings
     """
@@ -83,7 +83,7 @@
         self.client.close()
 
     def read_usage(self) -> dict[str, typing.Any]:
-        """Return calls, bytes, processor time and memory so far."""
+        """Return calls, bytes, CPU time and memory used so far."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         calls = self.counts.get_counts()
         return {
@@ -101,11 +101,15 @@
         }
 
     def count_bytes(self, service: str) -> int:
-        """Return the bytes of one service, both ways."""
+        """Return one service's bytes, sent and received.
+
+        :param service: name of the service
+        :returns: payload bytes of requests and responses
+        """
         return sum(
             count.payload_bytes
-            for end in (self.client, self.server)
-            for count in end.traffic.get_counts()
+            for endpoint in (self.client, self.server)
+            for count in endpoint.traffic.get_counts()
             if count.kind.startswith(service)
         )
 
@@ -129,7 +133,7 @@
     logs.set_up(settings_.vm_name, settings_.telemetry_log_level)
     vm = ConfigurationVm(settings_)
     vm.service.source.subscribe(
-        lambda taken: print(taken.revision, vm.clock.wall_ms(), flush=True)
+        lambda tables: print(tables.revision, vm.clock.wall_ms(), flush=True)
     )
     stopping = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: stopping.set())
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,7 @@
-"""What whole routers cost at rest, and for each request, by fleet size.
+"""CPU, memory and platform calls of routers, idle and by request rate.
 
-``python -m benchmarks.control`` starts real processes: 3, 9 and 27 VMs at
-rest, then three rates of requests on 3 VMs.
+``python -m benchmarks.control`` starts real processes: 3, 9 and 27 idle VMs,
+then 3 VMs at several request rates.
 """
 
 import asyncio
@@ -34,9 +34,9 @@
 
 
 def measure() -> dict[str, typing.Any]:
-    """Measure all sizes and rates, and keep the series.
+    """Measure all fleet sizes and request rates, and store the series.
 
-    :returns: figures by fleet size and by requests a second and VM
+    :returns: figures by fleet size and by requests per second and VM
     """
     at_rest = {str(size): measure_idle(size) for size in SIZES}
     loaded = measure_rates()
@@ -46,14 +46,14 @@
         ("platform_calls_per_s", "calls to the platform a second, all VMs"),
     ):
         points = [(int(size), row[name]) for size, row in at_rest.items()]
-        _keep(f"control-{name}", "VMs", unit, points)
+        _write_series(f"control-{name}", "VMs", unit, points)
     points = [(int(rate), row["cpu_ms_per_s"]) for rate, row in loaded.items()]
     unit = f"ms of processor a second, answers of {MAX_TOKENS} tokens"
-    _keep("request-cpu", "requests a second and VM", unit, points)
+    _write_series("request-cpu", "requests a second and VM", unit, points)
     return {"at_rest": at_rest, "requests_per_s_and_vm": loaded}
 
 
-def _keep(
+def _write_series(
     name: str, x_unit: str, y_unit: str, points: list[tuple[float, float]]
 ) -> None:
     series.write_series(
@@ -62,9 +62,9 @@
 
 
 def measure_idle(size: int) -> Figures:
-    """Return what a router takes while no request comes.
+    """Measure the resource usage of routers without requests.
 
-    :param size: how many VMs
+    :param size: number of VMs
     :returns: means over all VMs
     """
     with deployment.Deployment(size, 1, accounts=KEYS) as running:
@@ -73,14 +73,15 @@
 
 
 def measure_rates() -> dict[str, Figures]:
-    """Return what a router takes at each rate of requests."""
+    """Return the resource usage of a router by request rate."""
     with deployment.Deployment(
         3, 1, accounts=KEYS, engine_flags=("--token_ms=10",)
     ) as running:
         time.sleep(SETTLE_S)
         return {
             str(rate): _observe(
-                running, lambda rate=rate: asyncio.run(_call(running, rate))
+                running,
+                lambda rate=rate: asyncio.run(_send_requests(running, rate)),
             )
             for rate in RATES
         }
@@ -111,8 +112,8 @@
     return sum(shown["calls"].values())
 
 
-async def _call(running: deployment.Deployment, rate: int) -> None:
-    """Send prompts evenly to each VM for a while."""
+async def _send_requests(running: deployment.Deployment, rate: int) -> None:
+    """Send prompts to each VM at a constant rate for ``LOAD_S``."""
     total = int(rate * LOAD_S)
     async with aiohttp.ClientSession() as session:
         tasks = []
@@ -122,8 +123,8 @@
                 asyncio.create_task(_complete(session, port, number))
                 for port in running.router_ports
             ]
-            due = began + (number + 1) / rate
-            await asyncio.sleep(max(due - time.monotonic(), 0))
+            scheduled_at = began + (number + 1) / rate
+            await asyncio.sleep(max(scheduled_at - time.monotonic(), 0))
         await asyncio.gather(*tasks)
         await asyncio.sleep(max(began + LOAD_S - time.monotonic(), 0))
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,7 +1,7 @@
-"""Goodput, waste, fairness and refusals of the decisions under load.
+"""Goodput, wasted prefill, fairness and rejections of scheduling under load.
 
-Both deployments, 3 and 9 routers, seven loads; the scheduler with either
-weighing against two baselines, all on the same arrivals.
+Runs both deployments with 3 and 9 routers under seven workloads.  The
+scheduler in both fairness modes and two baselines get the same arrivals.
 """
 
 import concurrent.futures
@@ -22,14 +22,14 @@
 __all__ = ["measure"]
 
 LENGTH_MS = 140_000
-WARM_MS = 20_000
+WARMUP_MS = 20_000
 FIRST_TOKEN_MS = 1_100
 GAP_MS = 63
 SEED = 1
 ROUTERS = (3, 9)
 SCHEDULERS = ("worst_served", "goodput", "first_come", "random_of_two")
 BASELINES = SCHEDULERS[2:]
-# Others may use the machine, so only some of its cores are taken.
+# Less than the number of cores, because the machine may be shared.
 WORKERS = 4
 OUT = pathlib.Path("out/decisions.json")
 TARGETS = {
@@ -41,7 +41,7 @@
 
 
 class Case(typing.NamedTuple):
-    """One run: a rival, a load, a deployment and a number of routers."""
+    """One run: a deployment, a number of routers, a workload, a scheduler."""
 
     deployment: str
     routers: int
@@ -52,7 +52,7 @@
 def measure() -> dict[str, typing.Any]:
     """Run every case.
 
-    :returns: rows, and what each weighing costs
+    :returns: parameters, rows, baseline wins and missed targets
     """
     cases = [
         Case(deployment.name, routers, load.name, rival)
@@ -76,7 +76,7 @@
     """Run one case.
 
     :param case: the case
-    :param length_ms: for how long requests come
+    :param length_ms: duration of the arrivals in ms
     :returns: its row
     """
     deployment = next(
@@ -98,7 +98,7 @@
     """Return one router's scheduler.
 
     :param rival: one of ``SCHEDULERS``
-    :param number: which router
+    :param number: index of the router
     :returns: the scheduler
     """
     if rival == "first_come":
@@ -111,13 +111,13 @@
 
 
 @functools.cache
-def _read_capacity(deployment: str, load: str, length_ms: int) -> float:
+def _measure_capacity(deployment: str, load: str, length_ms: int) -> float:
     owner = next(o for o in workloads.DEPLOYMENTS if o.name == deployment)
-    kind = next(o for o in workloads.WORKLOADS if o.name == load)
-    arrivals = workloads.generate_arrivals(owner, kind, length_ms, SEED)
+    workload = next(o for o in workloads.WORKLOADS if o.name == load)
+    arrivals = workloads.generate_arrivals(owner, workload, length_ms, SEED)
     engine = limits.measure_decode_limit(arrivals, False, length_ms)
     # No token of the slow engine meets the target between tokens.
-    return engine * (owner.decodes - kind.slow)
+    return engine * (owner.decodes - workload.slow)
 
 
 def compute_metrics(
@@ -126,17 +126,17 @@
     outcomes: list[fleet.Outcome],
     length_ms: int,
 ) -> dict[str, typing.Any]:
-    """Work out the measures of one run.
+    """Compute the metrics of one run.
 
-    :param deployment: the firm
-    :param load: the kind of demand
-    :param outcomes: what each caller got
-    :param length_ms: for how long requests came
-    :returns: the measures, of requests that came after the warming up
+    :param deployment: the deployment
+    :param load: the workload
+    :param outcomes: outcomes of all requests
+    :param length_ms: duration of the arrivals in ms
+    :returns: metrics of the requests that arrived after the warm-up
     """
-    everything = outcomes
-    outcomes = [o for o in everything if o.arrival.at_ms >= WARM_MS]
-    seconds = (length_ms - WARM_MS) / 1_000
+    all_outcomes = outcomes
+    outcomes = [o for o in all_outcomes if o.arrival.at_ms >= WARMUP_MS]
+    seconds = (length_ms - WARMUP_MS) / 1_000
     demands: dict[str, float] = {}
     served: dict[str, float] = {}
     for outcome in outcomes:
@@ -147,19 +147,21 @@
         served.setdefault(account, 0.0)
         if outcome.meets_targets(FIRST_TOKEN_MS, GAP_MS):
             served[account] += outcome.tokens / seconds
-    capacity = _read_capacity(deployment.name, load.name, length_ms)
+    capacity = _measure_capacity(deployment.name, load.name, length_ms)
     limit = min(capacity, sum(demands.values()))
-    dues = limits.compute_max_min_shares(demands, capacity)
-    within = {a for a in demands if demands[a] <= dues[a] + 1e-6}
-    good = [o for o in outcomes if o.meets_targets(FIRST_TOKEN_MS, GAP_MS)]
-    # Below the engines' limit what counts is which requests were served well;
-    # above it, how much good work the engines did within the time.
+    fair_shares = limits.compute_max_min_shares(demands, capacity)
+    within = {a for a in demands if demands[a] <= fair_shares[a] + 1e-6}
+    met_targets = [
+        o for o in outcomes if o.meets_targets(FIRST_TOKEN_MS, GAP_MS)
+    ]
+    # Below the engines' capacity, goodput is the output of the requests that
+    # met their targets; above it, the part of it within the measured period.
     goodput = sum(served.values())
     if sum(demands.values()) > capacity:
         goodput = (
             sum(
-                count_within(o, WARM_MS, length_ms)
-                for o in everything
+                count_within(o, WARMUP_MS, length_ms)
+                for o in all_outcomes
                 if o.meets_targets(FIRST_TOKEN_MS, GAP_MS)
             )
             / seconds
@@ -167,14 +169,16 @@
     prefilled = sum(outcome.prefilled for outcome in outcomes)
     return {
         "requests": len(outcomes),
-        "good_requests": len(good),
+        "good_requests": len(met_targets),
         "goodput_tokens_per_s": round(goodput, 1),
         "limit_tokens_per_s": round(limit, 1),
         "goodput_part": round(goodput / limit, 4),
         "wasted_part": round(
             sum(o.wasted for o in outcomes) / max(prefilled, 1), 5
         ),
-        "worst_served_part": round(min(served[a] / dues[a] for a in dues), 4),
+        "worst_served_part": round(
+            min(served[a] / fair_shares[a] for a in fair_shares), 4
+        ),
         "late": sum(
             o.first_ms is not None
             and o.first_ms - o.arrival.at_ms > FIRST_TOKEN_MS
@@ -191,12 +195,12 @@
 def count_within(
     outcome: fleet.Outcome, begin_ms: float, end_ms: float
 ) -> float:
-    """Return how many of an answer's tokens came within a time.
+    """Return how many of a response's tokens arrived within a period.
 
-    :param outcome: a whole answer, its tokens evenly spaced
-    :param begin_ms: the time's begin
-    :param end_ms: the time's end
-    :returns: tokens
+    :param outcome: a complete response, its tokens taken as evenly spaced
+    :param begin_ms: start of the period in ms
+    :param end_ms: end of the period in ms
+    :returns: number of tokens
     """
     assert outcome.first_ms is not None
     length_ms = max(outcome.last_ms - outcome.first_ms, 1.0)
@@ -204,7 +208,7 @@
     return outcome.tokens * max(within_ms, 0.0) / length_ms
 
 
-def _is_own(row: dict[str, typing.Any]) -> bool:
+def _uses_configured_mode(row: dict[str, typing.Any]) -> bool:
     owner = next(
         o for o in workloads.DEPLOYMENTS if o.name == row["deployment"]
     )
@@ -223,16 +227,16 @@
 
 
 def list_baseline_wins(rows: list[dict[str, typing.Any]]) -> list[str]:
-    """Return where a baseline does better than the deployment's scheduler.
+    """Return where a baseline beats the scheduler in the configured mode.
 
     :param rows: all rows
-    :returns: one line for each measure that is behind
+    :returns: one line for each metric that is worse than a baseline's
     """
     higher = {"goodput_part", "worst_served_part"}
     return [
         f"{own['deployment']} r{own['routers']} {own['load']}: {measure}"
         f" {own[measure]} against {row[measure]} ({row['rival']})"
-        for own in filter(_is_own, rows)
+        for own in filter(_uses_configured_mode, rows)
         for row in _find_baselines(rows, own)
         for measure in TARGETS
         if (
@@ -244,13 +248,13 @@
 
 
 def list_missed_targets(rows: list[dict[str, typing.Any]]) -> list[str]:
-    """Return where the deployment's scheduler falls short of an aim.
+    """Return where the scheduler in the configured mode misses a target.
 
     :param rows: all rows
-    :returns: one line for each aim missed
+    :returns: one line for each missed target
     """
     found = []
-    for own in filter(_is_own, rows):
+    for own in filter(_uses_configured_mode, rows):
         name = f"{own['deployment']} r{own['routers']} {own['load']}"
         if own["goodput_part"] < TARGETS["goodput_part"]:
             found.append(f"{name}: goodput {own['goodput_part']}")
@@ -264,9 +268,9 @@
 
 
 def print_table(found: dict[str, typing.Any]) -> None:
-    """Print the rows, and where they fall short.
+    """Print the rows, the missed targets and the baseline wins.
 
-    :param found: what :func:`measure` returned
+    :param found: the result of :func:`measure`
     """
     print(
         f"{'deployment':10} {'vms':>3} {'load':15} {'scheduler':14}"
@@ -274,7 +278,7 @@
         f" {'refused':>8} {'within':>7}"
     )
     for row in found["rows"]:
-        mark = "*" if _is_own(row) else " "
+        mark = "*" if _uses_configured_mode(row) else " "
         print(
             f"{row['deployment']:10} {row['routers']:3} {row['load']:15}"
             f" {row['rival']:13}{mark} {row['goodput_part']:8.3f}"
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -1,7 +1,7 @@
-"""Processor time for a decision, against what it might grow with.
+"""CPU time of a scheduling decision by queue length, engines and accounts.
 
-Each line holds all but one size fixed and takes the slope of the time over
-the logarithm of that size, as a power: 1 is linear, 0 does not grow.
+Each measurement varies one size and keeps the others fixed.  Growth is given
+as the exponent of a power law: 1 is linear, 0 is constant.
 """
 
 import json
@@ -28,18 +28,18 @@
 
 
 def measure() -> dict[str, typing.Any]:
-    """Measure the three growths.
+    """Measure the growth with each of the three sizes.
 
-    :returns: microseconds of processor time for each size, and the power
+    :returns: CPU time in microseconds for each size, and the exponent
     """
     found = {
-        "queue_length": _read_growth(
+        "queue_length": _measure_growth(
             QUEUE_LENGTHS, lambda size: measure_one(size, 64, 50)
         ),
-        "engines": _read_growth(
+        "engines": _measure_growth(
             ENGINES, lambda size: measure_one(64, size, 50)
         ),
-        "accounts": _read_growth(
+        "accounts": _measure_growth(
             ACCOUNTS, lambda size: measure_one(900, 64, size)
         ),
     }
@@ -60,7 +60,7 @@
     return found
 
 
-def _read_growth(
+def _measure_growth(
     sizes: tuple[int, ...], run: typing.Callable[[int], dict[str, float]]
 ) -> dict[str, typing.Any]:
     rows = {size: run(size) for size in sizes}
@@ -77,14 +77,14 @@
 
 
 def measure_one(waiting: int, engines: int, accounts: int) -> dict[str, float]:
-    """Return what one job costs while others wait.
+    """Measure the CPU time of scheduling one job while others are queued.
 
-    :param waiting: jobs that wait
+    :param waiting: number of queued jobs
     :param engines: engines in the pool, a quarter of them for prefill
-    :param accounts: client accounts among which the jobs are spread
-    :returns: processor microseconds for a submit; for a dispatch that
-        starts one job, its finish and the note to peers included; and for a
-        dispatch that can start none
+    :param accounts: number of client accounts that submit jobs
+    :returns: CPU time in microseconds of a submit; of a start, which is a
+        finish, a dispatch that starts one job, and the gossip message for
+        it; and of an idle dispatch, which can start none
     """
     router = make_router(engines)
     number = 0
@@ -94,18 +94,18 @@
         running += [a.job_id for a in router.dispatch(0).assignments]
     for _ in range(waiting):
         number = _submit(router, number, accounts)
-    idle = _time(lambda: router.dispatch(1))
+    idle = _measure_mean_s(lambda: router.dispatch(1))
     submits, starts = 0.0, 0.0
     for round_ in range(ROUNDS):
         now_ms = 10 + round_ * 10
-        begun = time.process_time()
+        began = time.process_time()
         number = _submit(router, number, accounts, now_ms)
-        submits += time.process_time() - begun
-        begun = time.process_time()
+        submits += time.process_time() - began
+        began = time.process_time()
         router.finish(running.pop(0), jobs.JobOutcome.DONE, "", now_ms)
         found = router.dispatch(now_ms).assignments
         router.drain_hints(now_ms)
-        starts += time.process_time() - begun
+        starts += time.process_time() - began
         running += [one.job_id for one in found]
     return {
         "submit": round(submits / ROUNDS * 1e6, 1),
@@ -114,23 +114,23 @@
     }
 
 
-def _time(act: typing.Callable[[], object]) -> float:
-    begun = time.process_time()
+def _measure_mean_s(act: typing.Callable[[], object]) -> float:
+    began = time.process_time()
     for _ in range(ROUNDS):
         act()
-    return (time.process_time() - begun) / ROUNDS
+    return (time.process_time() - began) / ROUNDS
 
 
 def _count_slots(router: scheduler.FairScheduler) -> int:
-    # Some slots stay free, so that no job is refused early while the queue
-    # is filled; the queue is held back by the account's own limit.
+    # The scheduler leaves some slots free, so that no job is rejected early
+    # while the queue fills; the accounts' own limits hold the queue back.
     return router._pools["lm"].placer.count_slots()
 
 
 def make_router(engines: int) -> scheduler.FairScheduler:
-    """Return a router before a pool.
+    """Return the scheduler of one router with a single pool.
 
-    :param engines: how many engines the pool has
+    :param engines: number of engines in the pool
     :returns: the scheduler
     """
     router = scheduler.FairScheduler("vm7", seed=1)
@@ -172,14 +172,14 @@
     )
     result = router.submit(job, now_ms)
     if result.is_error():
-        raise RuntimeError(f"refused: {result.error}")
+        raise RuntimeError(f"the scheduler rejected a job: {result.error}")
     return number + 1
 
 
 def print_table(found: dict[str, typing.Any]) -> None:
-    """Print the growths.
+    """Print the CPU times and exponents.
 
-    :param found: what :func:`measure` returned
+    :param found: the result of :func:`measure`
     """
     for name, growth in found.items():
         for size, row in growth["us"].items():
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -1,4 +1,4 @@
-"""The engines' own limit under an ideal feed, and each account's due."""
+"""Engine throughput under ideal load, and max-min fair shares."""
 
 import itertools
 
@@ -13,23 +13,23 @@
 def measure_decode_limit(
     arrivals: list[workloads.Arrival], slow: bool, length_ms: int
 ) -> float:
-    """Return what one decode engine does if a request always waits for it.
+    """Measure the throughput of one decode engine whose queue never empties.
 
-    Prefill and transfer take no time in the ideal feed, and each slot that
-    comes free is taken at once by the next request in order of arrival.
+    Prefill and KV transfer take no time, and the next request in order of
+    arrival starts as soon as a slot becomes free.
 
-    :param arrivals: whose requests are fed, again and again
-    :param slow: whether the engine is the slow one
-    :param length_ms: for how long it is fed
-    :returns: tokens a second
+    :param arrivals: the requests, repeated in a cycle
+    :param slow: whether the engine is slowed down
+    :param length_ms: simulated duration in ms
+    :returns: tokens per second
     """
-    shape = engine_types.EngineParameters()
+    parameters = engine_types.EngineParameters()
     if slow:
-        shape.slow_factor = fleet.SLOW_FACTOR
-    engine = engine_model.EngineModel(shape, "decode", ("m",))
+        parameters.slow_factor = fleet.SLOW_FACTOR
+    engine = engine_model.EngineModel(parameters, "decode", ("m",))
     source = itertools.cycle(arrivals)
     numbers = itertools.count()
-    for _ in range(shape.slots):
+    for _ in range(parameters.slots):
         _feed(engine, next(source), next(numbers), 0.0)
     tokens = 0
     while (now_ms := engine.get_next_event_ms()) < length_ms:
@@ -46,27 +46,27 @@
     number: int,
     now_ms: float,
 ) -> None:
-    run = engine_types.EngineRequest(
+    request = engine_types.EngineRequest(
         str(number), "ideal", "m", (), 1, arrival.output_tokens
     )
-    if engine.submit_decode(run, now_ms) is not None:
-        raise RuntimeError("the ideal feed was refused")
+    if engine.submit_decode(request, now_ms) is not None:
+        raise RuntimeError("the engine rejected a request of the ideal load")
 
 
 def compute_max_min_shares(
     demands: dict[str, float], capacity: float
 ) -> dict[str, float]:
-    """Return each account's due: its demand, or an equal part of what is left.
+    """Compute the max-min fair share of each account, with equal weights.
 
-    :param demands: tokens a second by account
-    :param capacity: tokens a second in all
-    :returns: tokens a second by account; weights are all one here
+    :param demands: tokens per second by account
+    :param capacity: total tokens per second
+    :returns: tokens per second by account
     """
-    dues: dict[str, float] = {}
-    left = capacity
+    shares: dict[str, float] = {}
+    remaining = capacity
     for count, (account, demand) in enumerate(
         sorted(demands.items(), key=lambda item: item[1])
     ):
-        dues[account] = min(demand, left / (len(demands) - count))
-        left -= dues[account]
-    return dues
+        shares[account] = min(demand, remaining / (len(demands) - count))
+        remaining -= shares[account]
+    return shares
--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -1,8 +1,9 @@
-"""Routers and engines in virtual time, for the decisions' benchmark.
+"""Discrete-event simulation of routers and engines for benchmarks.decisions.
 
-Each router has its own scheduler and sees engines only by late reports, late
-cache events and what its own requests meet.  Calls and notes take a
-millisecond or two; nothing else stands between the decisions and the engines.
+Each router has its own scheduler.  It learns the engines' state from delayed
+load reports, delayed cache events and the results of its own requests.  Calls
+and gossip messages take one or two milliseconds; no other component of the
+router is simulated.
 """
 
 import collections.abc
@@ -26,9 +27,9 @@
 GOSSIP_DELAY_MS = 2
 REPORT_MS = 500
 TOKEN_COUNT_INTERVAL_MS = 1_000
-MOST_ATTEMPTS = 3
-# A refused decode may look for another slot while the prefill's result
-# lives (800 ms).
+MAX_ATTEMPTS = 3
+# A rejected decode is retried while the prefill engine keeps the KV cache
+# handle, 800 ms.
 DECODE_RETRY_TIMEOUT_MS = 650
 DECODE_RETRY_DELAY_MS = 30
 FIRST_TOKEN_MS = 1_100
@@ -40,7 +41,7 @@
 
 
 class Outcome:
-    """What one caller got.
+    """The outcome of one request, as its caller sees it.
 
     :param arrival: the request
     """
@@ -67,11 +68,11 @@
         self.wasted = 0
 
     def meets_targets(self, first_token_ms: int, gap_ms: int) -> bool:
-        """Tell whether both latency targets were met by a whole answer.
+        """Return whether a complete response met both latency targets.
 
-        :param first_token_ms: the target for the first token
-        :param gap_ms: the target for the mean gap between tokens
-        :returns: whether
+        :param first_token_ms: target for the time to first token in ms
+        :param gap_ms: target for the mean inter-token gap in ms
+        :returns: whether the response is complete and met both
         """
         if not self.is_whole or self.first_ms is None:
             return False
@@ -82,7 +83,7 @@
         )
 
 
-class _Flight:
+class _Attempt:
     """One attempt of a request at one router."""
 
     __slots__ = (
@@ -108,12 +109,12 @@
 
 
 class Simulation:
-    """Some routers before one pool.
+    """Simulates several routers that share one pool.
 
-    :param deployment: sizes
+    :param deployment: numbers of engines, and zones
     :param schedulers: one for each router
     :param slow: whether one decode engine becomes slow
-    :param notes: whether the routers' notes are carried
+    :param notes: whether gossip messages between routers are delivered
     """
 
     def __init__(
@@ -128,7 +129,7 @@
         self._pool = make_pool(deployment)
         self._engines = {
             row.name: engine_model.EngineModel(
-                _make_shape(), row.role.value, ("m",), seed=index
+                _make_parameters(), row.role.value, ("m",), seed=index
             )
             for index, row in enumerate(self._pool.upstreams)
         }
@@ -137,68 +138,70 @@
         ] = []
         self._numbers = itertools.count()
         self._engine_due = dict.fromkeys(self._engines, float("inf"))
-        self._wakes: list[float | None] = [None] * len(schedulers)
-        self._flights: dict[str, _Flight] = {}
+        self._planned_dispatches: list[float | None] = [None] * len(schedulers)
+        self._attempts: dict[str, _Attempt] = {}
         self._sequences: dict[tuple[int, str], int] = {}
         self.now_ms = 0.0
         self.last_start_ms: dict[str, float] = {}
         for scheduler in schedulers:
             scheduler.change_pools({"lm": self._pool}, 0)
         if slow:
-            self._at(SLOW_FROM_MS, self._slow_down)
+            self._schedule(SLOW_FROM_MS, self._slow_down)
 
     def plan_leaving(self, name: str, at_ms: float, lag_ms: float) -> None:
-        """Let an upstream leave; each router hears of it some time later.
+        """Schedule the draining of an upstream.
 
         :param name: the upstream
-        :param at_ms: when the first router hears of it
-        :param lag_ms: by how much later each further router does
+        :param at_ms: simulated time in ms at which the first router gets the
+            changed pool
+        :param lag_ms: additional delay of each further router in ms
         """
-        self._pool = _mark_leaving(self._pool, name)
+        self._pool = _mark_draining(self._pool, name)
         for router in range(len(self._schedulers)):
-            self._at(
+            self._schedule(
                 at_ms + router * lag_ms,
-                lambda router=router, pool=self._pool: self._change(
+                lambda router=router, pool=self._pool: self._change_pool(
                     router, pool
                 ),
             )
 
-    def _change(self, router: int, pool: tables.Pool) -> None:
+    def _change_pool(self, router: int, pool: tables.Pool) -> None:
         self._schedulers[router].change_pools({"lm": pool}, int(self.now_ms))
-        self._pump(router)
+        self._dispatch(router)
 
     def run(
         self, arrivals: list[workloads.Arrival], length_ms: int
     ) -> list[Outcome]:
-        """Play arrivals to the end of all they set off.
+        """Simulate all arrivals until no event is left.
 
         :param arrivals: the requests
-        :param length_ms: reports are made up to this time and a minute more
-        :returns: what each caller got
+        :param length_ms: duration of the arrivals in ms; load reports go on
+            for a minute longer
+        :returns: outcomes of all requests
         """
         outcomes = [Outcome(arrival) for arrival in arrivals]
         for outcome in outcomes:
-            self._at(
+            self._schedule(
                 outcome.arrival.at_ms, lambda one=outcome: self._arrive(one)
             )
-        self._plan_reports(length_ms + 60_000)
+        self._schedule_reports(length_ms + 60_000)
         while self._events:
-            at_ms, _, act = heapq.heappop(self._events)
+            at_ms, _, callback = heapq.heappop(self._events)
             self.now_ms = max(self.now_ms, at_ms)
-            act()
+            callback()
         return outcomes
 
-    def _at(
-        self, at_ms: float, act: collections.abc.Callable[[], None]
+    def _schedule(
+        self, at_ms: float, callback: collections.abc.Callable[[], None]
     ) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._numbers), act))
+        heapq.heappush(self._events, (at_ms, next(self._numbers), callback))
 
-    def _plan_reports(self, until_ms: int) -> None:
+    def _schedule_reports(self, until_ms: int) -> None:
         random_ = random.Random(7)
         for router in range(len(self._schedulers)):
             offset = random_.uniform(0, REPORT_MS)
             for number in range(int(until_ms // REPORT_MS)):
-                self._at(
+                self._schedule(
                     offset + number * REPORT_MS,
                     lambda router=router: self._report(router),
                 )
@@ -207,16 +210,16 @@
         scheduler, now_ms = self._schedulers[router], int(self.now_ms)
         for name, engine in self._engines.items():
             load = engine.report_load(self.now_ms)
-            shape = engine.shape
+            parameters = engine.parameters
             scheduler.record_load(
                 "lm",
                 name,
                 upstreams.EngineLoad(
                     load.running,
                     load.waiting,
-                    shape.slots,
+                    parameters.slots,
                     load.free_blocks,
-                    shape.total_blocks,
+                    parameters.total_blocks,
                     ("m",),
                 ),
                 now_ms,
@@ -236,7 +239,7 @@
                     ],
                     now_ms,
                 )
-        self._pump(router)
+        self._dispatch(router)
 
     def _arrive(self, outcome: Outcome) -> None:
         arrival = outcome.arrival
@@ -254,144 +257,146 @@
             int(arrival.at_ms),
             clock.Deadline(int(arrival.at_ms) + FIRST_TOKEN_MS),
         )
-        self._submit(_Flight(router, job, outcome))
+        self._submit(_Attempt(router, job, outcome))
 
-    def _submit(self, flight: _Flight) -> None:
-        scheduler = self._schedulers[flight.router]
-        taken = scheduler.submit(flight.job, int(self.now_ms))
-        if taken.is_error():
-            flight.outcome.refused_ms = self.now_ms
+    def _submit(self, attempt: _Attempt) -> None:
+        scheduler = self._schedulers[attempt.router]
+        submitted = scheduler.submit(attempt.job, int(self.now_ms))
+        if submitted.is_error():
+            attempt.outcome.refused_ms = self.now_ms
         else:
-            self._flights[flight.job.job_id] = flight
-        self._pump(flight.router)
+            self._attempts[attempt.job.job_id] = attempt
+        self._dispatch(attempt.router)
 
-    def _pump(self, router: int) -> None:
+    def _dispatch(self, router: int) -> None:
         scheduler, now_ms = self._schedulers[router], int(self.now_ms)
-        decided = scheduler.dispatch(now_ms)
-        for refusal in decided.refusals:
-            flight = self._flights.pop(refusal.job_id)
-            flight.outcome.refused_ms = self.now_ms
-        for assignment in decided.assignments:
-            flight = self._flights[assignment.job_id]
-            flight.assignment = assignment
+        decisions = scheduler.dispatch(now_ms)
+        for rejection in decisions.refusals:
+            attempt = self._attempts.pop(rejection.job_id)
+            attempt.outcome.refused_ms = self.now_ms
+        for assignment in decisions.assignments:
+            attempt = self._attempts[assignment.job_id]
+            attempt.assignment = assignment
             for name in (assignment.prefill, assignment.decode):
                 self.last_start_ms[name] = self.now_ms
-            self._at(
+            self._schedule(
                 self.now_ms + NETWORK_DELAY_MS,
-                lambda one=flight: self._start_prefill(one),
+                lambda one=attempt: self._start_prefill(one),
             )
-        self._tell(router)
-        self._wake(router, decided.wake_ms)
+        self._send_gossip(router)
+        self._schedule_dispatch(router, decisions.wake_ms)
 
-    def _wake(self, router: int, wake_ms: int | None) -> None:
+    def _schedule_dispatch(self, router: int, wake_ms: int | None) -> None:
         if wake_ms is None:
             return
         at_ms = max(float(wake_ms), self.now_ms + 1)
-        planned = self._wakes[router]
+        planned = self._planned_dispatches[router]
         if planned is not None and self.now_ms < planned <= at_ms:
             return
-        self._wakes[router] = at_ms
-        self._at(at_ms, lambda: self._pump(router))
+        self._planned_dispatches[router] = at_ms
+        self._schedule(at_ms, lambda: self._dispatch(router))
 
-    def _tell(self, router: int) -> None:
-        note = self._schedulers[router].drain_hints(int(self.now_ms))
-        if note is None or not self._notes:
+    def _send_gossip(self, router: int) -> None:
+        message = self._schedulers[router].drain_hints(int(self.now_ms))
+        if message is None or not self._notes:
             return
         for peer in range(len(self._schedulers)):
             if peer != router:
-                self._at(
+                self._schedule(
                     self.now_ms + GOSSIP_DELAY_MS,
-                    lambda peer=peer, note=note: self._hear(peer, note),
+                    lambda peer=peer, message=message: self._receive_gossip(
+                        peer, message
+                    ),
                 )
 
-    def _hear(self, router: int, note: hints.Note) -> None:
-        self._schedulers[router].apply_hints(note, int(self.now_ms))
-        self._pump(router)
+    def _receive_gossip(self, router: int, message: hints.Note) -> None:
+        self._schedulers[router].apply_hints(message, int(self.now_ms))
+        self._dispatch(router)
 
-    def _start_prefill(self, flight: _Flight) -> None:
-        assert flight.assignment is not None
-        name = flight.assignment.prefill
-        run = self._make_run(flight, flight.job.job_id)
-        run.priority = flight.assignment.priority
+    def _start_prefill(self, attempt: _Attempt) -> None:
+        assert attempt.assignment is not None
+        name = attempt.assignment.prefill
+        run = self._make_engine_request(attempt, attempt.job.job_id)
+        run.priority = attempt.assignment.priority
         engine = self._advance(name)
         refused = engine.submit_prefill(run, self.now_ms)
-        self._follow(name)
+        self._schedule_engine(name)
         if refused is not None:
-            self._retry(flight, name)
+            self._retry(attempt, name)
 
-    def _make_run(
-        self, flight: _Flight, name: str
+    def _make_engine_request(
+        self, attempt: _Attempt, name: str
     ) -> engine_types.EngineRequest:
         run = engine_types.EngineRequest(
             name,
-            f"vm{flight.router}",
+            f"vm{attempt.router}",
             "m",
-            flight.job.prefix_hashes,
-            flight.job.prompt_tokens,
-            flight.outcome.arrival.output_tokens,
+            attempt.job.prefix_hashes,
+            attempt.job.prompt_tokens,
+            attempt.outcome.arrival.output_tokens,
         )
-        run.context = flight
+        run.context = attempt
         return run
 
-    def _start_decode(self, flight: _Flight, prefill: str) -> None:
-        assert flight.assignment is not None
-        name = flight.assignment.decode
-        scheduler = self._schedulers[flight.router]
-        if not flight.is_prefilled:
-            flight.is_prefilled = True
-            scheduler.record_prefilled(flight.job.job_id, int(self.now_ms))
+    def _start_decode(self, attempt: _Attempt, prefill: str) -> None:
+        assert attempt.assignment is not None
+        name = attempt.assignment.decode
+        scheduler = self._schedulers[attempt.router]
+        if not attempt.is_prefilled:
+            attempt.is_prefilled = True
+            scheduler.record_prefilled(attempt.job.job_id, int(self.now_ms))
         source = self._advance(prefill)
-        if source.pin_handle(flight.handle, self.now_ms) is None:
-            self._waste(flight)
-            self._retry(flight, "")
+        if source.pin_handle(attempt.handle, self.now_ms) is None:
+            self._record_waste(attempt)
+            self._retry(attempt, "")
             return
         engine = self._advance(name)
-        run = self._make_run(flight, flight.job.job_id)
+        run = self._make_engine_request(attempt, attempt.job.job_id)
         refused = engine.submit_decode(run, self.now_ms)
-        self._follow(name)
+        self._schedule_engine(name)
         if refused is None:
             return
-        if self.now_ms - flight.prefilled_ms < DECODE_RETRY_TIMEOUT_MS:
-            self._move_decode(flight, prefill, name)
+        if self.now_ms - attempt.prefilled_ms < DECODE_RETRY_TIMEOUT_MS:
+            self._move_decode(attempt, prefill, name)
             return
-        source.release_handle(flight.handle, self.now_ms)
-        self._follow(prefill)
-        self._waste(flight)
-        self._retry(flight, name)
+        source.release_handle(attempt.handle, self.now_ms)
+        self._schedule_engine(prefill)
+        self._record_waste(attempt)
+        self._retry(attempt, name)
 
     def _move_decode(
-        self, flight: _Flight, prefill: str, refused: str
+        self, attempt: _Attempt, prefill: str, refused: str
     ) -> None:
-        assert flight.assignment is not None
-        scheduler = self._schedulers[flight.router]
+        assert attempt.assignment is not None
+        scheduler = self._schedulers[attempt.router]
         other = scheduler.reassign_decode(
-            flight.job.job_id, refused, int(self.now_ms)
+            attempt.job.job_id, refused, int(self.now_ms)
         )
-        pause_ms = DECODE_RETRY_DELAY_MS
+        delay_ms = DECODE_RETRY_DELAY_MS
         if other is not None:
-            flight.assignment.decode = other
-            pause_ms = NETWORK_DELAY_MS
-        self._tell(flight.router)
-        self._at(
-            self.now_ms + pause_ms,
-            lambda: self._start_decode(flight, prefill),
+            attempt.assignment.decode = other
+            delay_ms = NETWORK_DELAY_MS
+        self._send_gossip(attempt.router)
+        self._schedule(
+            self.now_ms + delay_ms,
+            lambda: self._start_decode(attempt, prefill),
         )
 
-    def _waste(self, flight: _Flight) -> None:
-        flight.outcome.wasted += int(flight.announced)
+    def _record_waste(self, attempt: _Attempt) -> None:
+        attempt.outcome.wasted += int(attempt.announced)
 
-    def _retry(self, flight: _Flight, blamed: str) -> None:
-        end = jobs.JobOutcome.REFUSED_BY_ENGINE
-        job = flight.job
-        self._schedulers[flight.router].finish(
-            job.job_id, end, blamed, int(self.now_ms)
+    def _retry(self, attempt: _Attempt, excluded: str) -> None:
+        outcome = jobs.JobOutcome.REFUSED_BY_ENGINE
+        job = attempt.job
+        self._schedulers[attempt.router].finish(
+            job.job_id, outcome, excluded, int(self.now_ms)
         )
-        self._flights.pop(job.job_id, None)
-        if job.attempt + 1 >= MOST_ATTEMPTS:
-            flight.outcome.refused_ms = self.now_ms
+        self._attempts.pop(job.job_id, None)
+        if job.attempt + 1 >= MAX_ATTEMPTS:
+            attempt.outcome.refused_ms = self.now_ms
             return
-        again = jobs.Job(
-            f"{flight.outcome.arrival.number}.{job.attempt + 1}",
+        retry = jobs.Job(
+            f"{attempt.outcome.arrival.number}.{job.attempt + 1}",
             job.account,
             job.weight,
             job.pool,
@@ -403,82 +408,82 @@
             job.arrived_ms,
             job.deadline,
             job.attempt + 1,
-            job.excluded_upstreams | frozenset((blamed,)),
+            job.excluded_upstreams | frozenset((excluded,)),
         )
-        self._submit(_Flight(flight.router, again, flight.outcome))
+        self._submit(_Attempt(attempt.router, retry, attempt.outcome))
 
     def _advance(self, name: str) -> engine_model.EngineModel:
         engine = self._engines[name]
         for event in engine.advance(self.now_ms):
-            self._take(name, event)
+            self._handle_event(name, event)
         return engine
 
-    def _follow(self, name: str) -> None:
+    def _schedule_engine(self, name: str) -> None:
         due = self._engines[name].get_next_event_ms()
         if due < self._engine_due[name] or (
             self._engine_due[name] <= self.now_ms
         ):
             self._engine_due[name] = due
             if due != float("inf"):
-                self._at(due, lambda: self._step(name, due))
+                self._schedule(due, lambda: self._step(name, due))
 
     def _step(self, name: str, due: float) -> None:
         self._advance(name)
         if self._engine_due[name] <= self.now_ms:
             self._engine_due[name] = float("inf")
-        self._follow(name)
+        self._schedule_engine(name)
 
-    def _take(self, name: str, event: engine_types.ModelEvent) -> None:
-        flight = event.run.context
-        assert isinstance(flight, _Flight)
+    def _handle_event(self, name: str, event: engine_types.ModelEvent) -> None:
+        attempt = event.run.context
+        assert isinstance(attempt, _Attempt)
         if event.kind is Kind.TOKEN:
-            self._take_token(flight, event)
+            self._record_token(attempt, event)
         elif event.kind is Kind.PREFILLED:
-            flight.handle = event.run.handle
-            flight.prefilled_ms = event.at_ms
+            attempt.handle = event.run.handle
+            attempt.prefilled_ms = event.at_ms
             computed = event.run.prompt_tokens - event.run.cached_tokens
-            flight.announced = computed
-            flight.outcome.prefilled += computed
-            self._at(
+            attempt.announced = computed
+            attempt.outcome.prefilled += computed
+            self._schedule(
                 self.now_ms + 2 * NETWORK_DELAY_MS,
-                lambda: self._start_decode(flight, name),
+                lambda: self._start_decode(attempt, name),
             )
         elif event.kind is Kind.IMPORTED:
-            assert flight.assignment is not None
-            source = flight.assignment.prefill
-            self._advance(source).release_handle(flight.handle, self.now_ms)
-            self._follow(source)
+            assert attempt.assignment is not None
+            source = attempt.assignment.prefill
+            self._advance(source).release_handle(attempt.handle, self.now_ms)
+            self._schedule_engine(source)
         elif event.kind is Kind.FINISHED:
-            self._at(
+            self._schedule(
                 self.now_ms + NETWORK_DELAY_MS,
-                lambda: self._finish(flight, event.at_ms),
+                lambda: self._finish(attempt, event.at_ms),
             )
 
-    def _take_token(
-        self, flight: _Flight, event: engine_types.ModelEvent
+    def _record_token(
+        self, attempt: _Attempt, event: engine_types.ModelEvent
     ) -> None:
-        outcome = flight.outcome
+        outcome = attempt.outcome
         outcome.tokens += 1
         outcome.last_ms = event.at_ms + NETWORK_DELAY_MS
-        scheduler = self._schedulers[flight.router]
+        scheduler = self._schedulers[attempt.router]
         if outcome.first_ms is None:
             outcome.first_ms = outcome.last_ms
-            flight.announced = event.at_ms
-            scheduler.record_first_token(flight.job.job_id, int(self.now_ms))
-        elif event.at_ms - flight.announced >= TOKEN_COUNT_INTERVAL_MS:
-            flight.announced = event.at_ms
+            attempt.announced = event.at_ms
+            scheduler.record_first_token(attempt.job.job_id, int(self.now_ms))
+        elif event.at_ms - attempt.announced >= TOKEN_COUNT_INTERVAL_MS:
+            attempt.announced = event.at_ms
             scheduler.record_tokens(
-                flight.job.job_id, outcome.tokens, int(self.now_ms)
+                attempt.job.job_id, outcome.tokens, int(self.now_ms)
             )
 
-    def _finish(self, flight: _Flight, at_ms: float) -> None:
-        flight.outcome.is_whole = True
-        job_id, now_ms = flight.job.job_id, int(self.now_ms)
-        scheduler = self._schedulers[flight.router]
-        scheduler.record_tokens(job_id, flight.outcome.tokens, now_ms)
+    def _finish(self, attempt: _Attempt, at_ms: float) -> None:
+        attempt.outcome.is_whole = True
+        job_id, now_ms = attempt.job.job_id, int(self.now_ms)
+        scheduler = self._schedulers[attempt.router]
+        scheduler.record_tokens(job_id, attempt.outcome.tokens, now_ms)
         scheduler.finish(job_id, jobs.JobOutcome.DONE, "", now_ms)
-        del self._flights[job_id]
-        self._pump(flight.router)
+        del self._attempts[job_id]
+        self._dispatch(attempt.router)
 
     def _slow_down(self) -> None:
         name = next(n for n in self._engines if n.startswith("d"))
@@ -487,10 +492,11 @@
 
 
 def make_pool(deployment: workloads.Deployment) -> tables.Pool:
-    """Return a deployment's row in the table of pools.
+    """Return the pool of a deployment.
 
-    :param deployment: sizes
-    :returns: the row; prefill upstreams p0.., decode upstreams d0..
+    :param deployment: numbers of engines, and zones
+    :returns: a pool with prefill upstreams p0, p1, ... and decode upstreams
+        d0, d1, ...
     """
     roles = [tables.UpstreamRole.PREFILL] * deployment.prefills
     roles += [tables.UpstreamRole.DECODE] * deployment.decodes
@@ -510,7 +516,7 @@
     )
 
 
-def _mark_leaving(pool: tables.Pool, name: str) -> tables.Pool:
+def _mark_draining(pool: tables.Pool, name: str) -> tables.Pool:
     rows = tuple(
         tables.Upstream(
             row.name,
@@ -524,7 +530,7 @@
     return tables.Pool(pool.name, pool.kind, rows, pool.models)
 
 
-def _make_shape() -> engine_types.EngineParameters:
-    shape = engine_types.EngineParameters()
-    shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
-    return shape
+def _make_parameters() -> engine_types.EngineParameters:
+    parameters = engine_types.EngineParameters()
+    parameters.prefill_token_ms = PREFILL_MS_PER_TOKEN
+    return parameters
--- a/benchmarks/decisions_workloads.py
+++ b/benchmarks/decisions_workloads.py
@@ -1,4 +1,4 @@
-"""Seeded arrivals for the decisions' benchmark, the same for every rival."""
+"""Seeded workloads for benchmarks.decisions, equal for every scheduler."""
 
 import bisect
 import itertools
@@ -24,22 +24,22 @@
 MAX_TOKENS = 2_048
 BLOCK_TOKENS = 1_024
 BYTES_PER_TOKEN = 4
-# Part of the requests that go on with a session: a station's or crew's log
-# which grows from question to question.
-SESSION_PART = 0.3
+# Fraction of the requests that continue a session, such as a station's or a
+# crew's log: each prompt of a session extends the previous one.
+SESSION_FRACTION = 0.3
 SESSIONS = 12
 SESSION_LIMIT = 24_000
 WINDOW_MS = 30_000
 
 
 class Deployment:
-    """How large a firm's model pool is.
+    """Size and fairness mode of one deployment's model pool.
 
-    :param name: the firm's name
-    :param prefills: servers that prefill
-    :param decodes: servers that decode
+    :param name: the deployment's name
+    :param prefills: number of prefill engines
+    :param decodes: number of decode engines
     :param zones: its availability zones
-    :param weighing: what it weighs more
+    :param weighing: its fairness mode
     """
 
     __slots__ = ("name", "prefills", "decodes", "zones", "weighing")
@@ -59,7 +59,7 @@
         self.weighing = weighing
 
     def read_request_rate(self) -> float:
-        """Return the requests a second that full decode slots can take."""
+        """Return the requests per second that saturate the decode slots."""
         mean = OUTPUT_MEDIAN * math.exp(OUTPUT_SIGMA**2 / 2)
         return self.decodes * 20 * 1_000 / TOKEN_MS / mean
 
@@ -73,16 +73,17 @@
 
 
 class Workload:
-    """One kind of demand.
-
-    :param name: what it is called in the table
-    :param factor: mean demand against what the decode slots can take
-    :param shares: how the demand is divided among the accounts
-    :param bursts: five seconds of each twenty have 2.8 times the demand of
-        the others
-    :param slow: one decode engine works at less than half its speed
-    :param long_part: part of the prompts that have 4,000 to 9,000 tokens
-    :param has_vm_affinity: an account's callers all use one VM for a while
+    """Parameters of one workload.
+
+    :param name: its name in the results
+    :param factor: mean demand as a fraction of the decode slots' capacity
+    :param shares: each account's fraction of the demand
+    :param bursts: whether five of every twenty seconds have 2.8 times the
+        demand of the others
+    :param slow: whether one decode engine runs at less than half its speed
+    :param long_part: fraction of the prompts with 4,000 to 9,000 tokens
+    :param has_vm_affinity: whether an account's callers all use the same VM
+        during each window of ``WINDOW_MS``
     """
 
     __slots__ = (
@@ -131,12 +132,13 @@
     """One request as a caller sends it.
 
     :param number: unique, in order of arrival
-    :param at_ms: when
+    :param at_ms: simulated arrival time in ms
     :param account: the client account
-    :param router: which VM the caller uses, as a number from 0 to 1
-    :param prompt_tokens: the prompt's length
-    :param output_tokens: the answer's length, unknown to the router
-    :param hashes: the prompt's blocks
+    :param router: position of the VM used, from 0 to 1 over all VMs
+    :param prompt_tokens: length of the prompt in tokens
+    :param output_tokens: length of the response in tokens, unknown to the
+        router
+    :param hashes: hashes of the prompt's blocks
     """
 
     __slots__ = (
@@ -179,30 +181,30 @@
 def generate_arrivals(
     deployment: Deployment, load: Workload, length_ms: int, seed: int
 ) -> list[Arrival]:
-    """Return all arrivals of one load.
+    """Generate all arrivals of one workload.
 
-    :param deployment: the firm
-    :param load: the kind of demand
-    :param length_ms: for how long requests come
-    :param seed: the seed
-    :returns: arrivals in order
+    :param deployment: the deployment
+    :param load: the workload
+    :param length_ms: duration of the arrivals in ms
+    :param seed: seed of the random generator
+    :returns: arrivals ordered by time
     """
     random_ = random.Random(f"{deployment.name}/{load.name}/{seed}")
     rate = deployment.read_request_rate() * load.factor / 1_000
-    maker = _Maker(load, random_)
-    found = []
+    generator = _ArrivalGenerator(load, random_)
+    arrivals = []
     at_ms = 0.0
     while True:
-        at_ms += random_.expovariate(rate * _read_burst(load, at_ms))
+        at_ms += random_.expovariate(rate * _compute_burst_factor(load, at_ms))
         if at_ms >= length_ms:
-            return found
-        found.append(maker.make(len(found), at_ms))
+            return arrivals
+        arrivals.append(generator.make(len(arrivals), at_ms))
 
 
-def _read_burst(load: Workload, at_ms: float) -> float:
+def _compute_burst_factor(load: Workload, at_ms: float) -> float:
     if not load.bursts:
         return 1.0
-    # 5 s of 20 at 2.8 times the rest keep the mean at one.
+    # 5 s of every 20 s have 2.8 times the base rate; the mean factor is 1.
     base = 20 / (5 * 2.8 + 15)
     return base * 2.8 if at_ms % 20_000 < 5_000 else base
 
@@ -217,7 +219,7 @@
     return int(min(max(drawn, limits[0]), limits[1]))
 
 
-class _Maker:
+class _ArrivalGenerator:
     def __init__(self, load: Workload, random_: random.Random) -> None:
         self._load = load
         self._random = random_
@@ -226,7 +228,12 @@
         self._numbers = itertools.count()
 
     def make(self, number: int, at_ms: float) -> Arrival:
-        """Draw one request."""
+        """Generate one request.
+
+        :param number: the request's number
+        :param at_ms: simulated arrival time in ms
+        :returns: the request
+        """
         random_ = self._random
         index = bisect.bisect(self._bounds, random_.random())
         account = f"account{min(index, len(self._bounds) - 1)}"
@@ -243,32 +250,34 @@
     def _draw_prompt(self, account: str) -> tuple[int, tuple[str, ...]]:
         random_ = self._random
         if random_.random() < self._load.long_part:
-            return self._name_blocks(
-                random_.randint(4_000, 9_000), self._new_name()
+            return self._make_block_names(
+                random_.randint(4_000, 9_000), self._make_name()
             )
-        if random_.random() < SESSION_PART:
+        if random_.random() < SESSION_FRACTION:
             return self._grow_session(account)
         tokens = _clip_lognormal(
             random_, PROMPT_MEDIAN, PROMPT_SIGMA, PROMPT_LIMITS
         )
-        return self._name_blocks(tokens, self._new_name())
+        return self._make_block_names(tokens, self._make_name())
 
     def _grow_session(self, account: str) -> tuple[int, tuple[str, ...]]:
         sessions = self._sessions.setdefault(
-            account, [_Session(self._new_name()) for _ in range(SESSIONS)]
+            account, [_Session(self._make_name()) for _ in range(SESSIONS)]
         )
         index = self._random.randrange(len(sessions))
         session = sessions[index]
         session.tokens += self._random.randint(300, 2_500)
         if session.tokens > SESSION_LIMIT:
-            session = sessions[index] = _Session(self._new_name())
+            session = sessions[index] = _Session(self._make_name())
             session.tokens = self._random.randint(300, 2_500)
-        return self._name_blocks(session.tokens, session.name)
+        return self._make_block_names(session.tokens, session.name)
 
-    def _new_name(self) -> str:
+    def _make_name(self) -> str:
         return f"s{next(self._numbers)}"
 
     @staticmethod
-    def _name_blocks(tokens: int, name: str) -> tuple[int, tuple[str, ...]]:
+    def _make_block_names(
+        tokens: int, name: str
+    ) -> tuple[int, tuple[str, ...]]:
         blocks = tokens // BLOCK_TOKENS
         return tokens, tuple(f"{name}.{block}" for block in range(blocks))
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -1,4 +1,4 @@
-"""The demo: three entry VMs, callers, an edit and a withdrawn key."""
+"""The demo: three entry VMs, callers, a table edit and a revoked key."""
 
 import collections
 import concurrent.futures
@@ -21,21 +21,21 @@
     "surveyors": ("key-of-the-surveyors",),
     "planters": ("key-of-the-planters",),
 }
-WITHDRAWN = KEYS["tea-estate"][1]
+REVOKED = KEYS["tea-estate"][1]
 CALLERS = 12
-LAST_S = 15.0
+DURATION_S = 15.0
 EDIT_AFTER_S = 4.0
-WITHDRAW_AFTER_S = 8.0
+REVOKE_AFTER_S = 8.0
 MAX_TOKENS = 40
 FAILED = 1
 
 
 class ResponseCounts:
-    """What one sort of call got.
+    """Counts of the responses to one type of call.
 
-    :param whole: answers that were complete and right
-    :param wrong: answers with a byte that should not be there
-    :param refused: refusals, by code
+    :param whole: complete and correct responses
+    :param wrong: responses with unexpected content
+    :param refused: error responses by code
     """
 
     __slots__ = ("whole", "wrong", "refused")
@@ -47,7 +47,7 @@
 
 
 class Demo:
-    """Callers of all sorts against one deployment.
+    """Runs callers and an operator against one deployment.
 
     :param running: the deployment
     """
@@ -56,45 +56,45 @@
         self._running = running
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self.seen: dict[tuple[str, str], ResponseCounts] = (
+        self.stats: dict[tuple[str, str], ResponseCounts] = (
             collections.defaultdict(ResponseCounts)
         )
-        self.after_withdrawal: collections.Counter[str] = collections.Counter()
+        self.after_revocation: collections.Counter[str] = collections.Counter()
 
     def run(self) -> list[str]:
-        """Send calls while an operator edits and withdraws a key.
+        """Send calls while an operator edits a route and revokes a key.
 
-        :returns: what the operator saw
+        :returns: the operator's observations as lines of text
         """
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as callers:
-            calling = [
-                callers.submit(self._call_on, number)
+            futures = [
+                callers.submit(self._run_caller, number)
                 for number in range(CALLERS)
             ]
             try:
-                notes = self._operate()
+                observations = self._run_operator()
             finally:
                 self._stopping.set()
-            for one in calling:
+            for one in futures:
                 one.result()
-        return notes
+        return observations
 
     def check(self) -> list[str]:
-        """Return what went against the promises."""
+        """Return the violated invariants as lines of text."""
         with self._lock:
             wrong = [
-                f"{account}, {kind}: {seen.wrong} wrong answers"
-                for (account, kind), seen in self.seen.items()
-                if seen.wrong
+                f"{account}, {kind}: {stats.wrong} wrong answers"
+                for (account, kind), stats in self.stats.items()
+                if stats.wrong
             ]
             if not all(
-                seen.whole
-                for (account, _), seen in self.seen.items()
+                stats.whole
+                for (account, _), stats in self.stats.items()
                 if account != "withdrawn key"
             ):
-                wrong.append("a sort of call got no answer at all")
-            if set(self.after_withdrawal) - {"unauthenticated"}:
-                wrong.append(f"withdrawn key: {dict(self.after_withdrawal)}")
+                wrong.append("a type of call got no correct response")
+            if set(self.after_revocation) - {"unauthenticated"}:
+                wrong.append(f"withdrawn key: {dict(self.after_revocation)}")
         ports = self._running.engine_ports + self._running.service_ports
         leaked = sum(
             processes.call(port, "GET", f"/standin/seen?needle={key}").json()[
@@ -108,48 +108,48 @@
             wrong.append(f"upstreams saw callers' keys {leaked} times")
         return wrong
 
-    def _operate(self) -> list[str]:
+    def _run_operator(self) -> list[str]:
         began = time.monotonic()
         time.sleep(EDIT_AFTER_S)
         route = {"path_prefix": "/status", "pool": "member-api"}
         file = self._running.write("route.toml", route)
         self._running.run_admin_command("put", "routes.status", file)
-        edited = time.monotonic()
+        edited_at = time.monotonic()
         self._running.run_admin_command("wait")
-        notes = [
+        observations = [
             "a new route was in force on all VMs after "
-            f"{time.monotonic() - edited:.2f} s, the command included"
+            f"{time.monotonic() - edited_at:.2f} s, the command included"
         ]
-        time.sleep(max(WITHDRAW_AFTER_S - (time.monotonic() - began), 0))
-        digest = deployment.tables.digest_key(WITHDRAWN)
+        time.sleep(max(REVOKE_AFTER_S - (time.monotonic() - began), 0))
+        digest = deployment.tables.digest_key(REVOKED)
         self._running.run_admin_command(
             "withdraw-key", "tea-estate", digest[:12]
         )
-        withdrawn = time.monotonic()
+        revoked_at = time.monotonic()
         self._running.run_admin_command("wait")
-        notes.append(
-            "a withdrawn key was refused everywhere after "
-            f"{time.monotonic() - withdrawn:.2f} s, the command included"
+        observations.append(
+            "a revoked key was rejected everywhere after "
+            f"{time.monotonic() - revoked_at:.2f} s, the command included"
         )
         for port in self._running.router_ports:
-            code = self._call_with_withdrawn(port)
+            code = self._call_with_revoked(port)
             with self._lock:
-                self.after_withdrawal[code] += 1
-        time.sleep(max(LAST_S - (time.monotonic() - began), 0))
-        return notes
+                self.after_revocation[code] += 1
+        time.sleep(max(DURATION_S - (time.monotonic() - began), 0))
+        return observations
 
-    def _call_with_withdrawn(self, port: int) -> str:
+    def _call_with_revoked(self, port: int) -> str:
         reply = processes.call(
-            port, "GET", "/member/1", headers=_authorize(WITHDRAWN)
+            port, "GET", "/member/1", headers=_authorize(REVOKED)
         )
         if reply.status == 200:
             return "answered"
         return str(reply.json()["error"]["code"])
 
-    def _call_on(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         accounts = [*KEYS, "withdrawn key"]
         account = accounts[number % len(accounts)]
-        key = KEYS[account][0] if account in KEYS else WITHDRAWN
+        key = KEYS[account][0] if account in KEYS else REVOKED
         kinds = ("stream", "plain", "booking")
         counter = 0
         while not self._stopping.is_set():
@@ -164,7 +164,11 @@
             counter += 1
 
     def _pick_entry(self, counter: int) -> int:
-        """Ask for an address, as callers do; each asks another VM first."""
+        """Return the port of an entry VM, as callers look it up.
+
+        :param counter: selects the VM to query and the address to use
+        :returns: the port
+        """
         ports = self._running.router_ports
         asked = ports[counter % len(ports)]
         found = processes.call(asked, "GET", "/v1/entry").json()
@@ -188,13 +192,13 @@
             _authorize(key),
             timeout_s=30,
         )
-        right = False
+        is_correct = False
         if reply.status == 200:
-            right = (
+            is_correct = (
                 _join(reply.body)
                 == answers.Answer(deployment.MODEL, prompt, MAX_TOKENS).text()
             )
-        self._note(account, "stream", reply, right)
+        self._record(account, "stream", reply, is_correct)
 
     def _read_status(
         self, port: int, account: str, key: str, name: str
@@ -202,35 +206,37 @@
         reply = processes.call(
             port, "GET", f"/member/{name}?full=1", headers=_authorize(key)
         )
-        right = reply.status == 200 and (
+        is_correct = reply.status == 200 and (
             reply.json()["target"] == f"/member/{name}?full=1"
         )
-        self._note(account, "plain call", reply, right)
+        self._record(account, "plain call", reply, is_correct)
 
     def _book(self, port: int, account: str, key: str, name: str) -> None:
         now_ms = clock.SystemClock().wall_ms()
-        once = claim_records.make_uuid7(now_ms, secrets.randbits(74))
-        headers = {**_authorize(key), "Idempotency-Key": once}
-        first, repeat = (
+        idempotency_key = claim_records.make_uuid7(
+            now_ms, secrets.randbits(74)
+        )
+        headers = {**_authorize(key), "Idempotency-Key": idempotency_key}
+        first, retry = (
             processes.call(port, "POST", "/bookings", {"pen": name}, headers)
             for _ in range(2)
         )
-        right = first.status == repeat.status and first.body == repeat.body
-        self._note(account, "booking, sent twice", first, right)
+        is_correct = first.status == retry.status and first.body == retry.body
+        self._record(account, "booking, sent twice", first, is_correct)
 
-    def _note(
-        self, account: str, kind: str, reply: processes.Reply, right: bool
+    def _record(
+        self, account: str, kind: str, reply: processes.Reply, is_correct: bool
     ) -> None:
         with self._lock:
-            seen = self.seen[account, kind]
+            stats = self.stats[account, kind]
             if reply.is_cut:
-                seen.refused[_read_cut(reply.body)] += 1
+                stats.refused[_read_error_code(reply.body)] += 1
             elif reply.status >= 400:
-                seen.refused[reply.json()["error"]["code"]] += 1
-            elif right:
-                seen.whole += 1
+                stats.refused[reply.json()["error"]["code"]] += 1
+            elif is_correct:
+                stats.whole += 1
             else:
-                seen.wrong += 1
+                stats.wrong += 1
 
 
 def _authorize(key: str) -> dict[str, str]:
@@ -253,28 +259,28 @@
     )
 
 
-def _read_cut(body: bytes) -> str:
-    """Return the code in the event that ends a cut stream."""
+def _read_error_code(body: bytes) -> str:
+    """Return the error code in the last event of a truncated stream."""
     last = body.rstrip().rpartition(b"data: ")[2]
     return f"cut by {json.loads(last)['error']['code']}"
 
 
 def main() -> int:
-    """Run the demo and print what each caller got.
+    """Run the demo and print the responses of each account.
 
-    :returns: the exit status; 0 if every promise that it looks at held
+    :returns: the exit status; 0 if no checked invariant was violated
     """
     with deployment.Deployment(accounts=KEYS) as running:
         demo = Demo(running)
-        notes = demo.run()
+        observations = demo.run()
         wrong = demo.check()
     print(f"{'account':15} {'call':20} {'whole':>6} {'wrong':>6}  refused")
-    for (account, kind), seen in sorted(demo.seen.items()):
-        refused = ", ".join(f"{n} {code}" for code, n in seen.refused.items())
+    for (account, kind), stats in sorted(demo.stats.items()):
+        codes = ", ".join(f"{n} {code}" for code, n in stats.refused.items())
         print(
-            f"{account:15} {kind:20} {seen.whole:6} {seen.wrong:6}  {refused}"
+            f"{account:15} {kind:20} {stats.whole:6} {stats.wrong:6}  {codes}"
         )
-    print(*notes, sep="\n")
+    print(*observations, sep="\n")
     print(*(f"WRONG: {one}" for one in wrong), sep="\n")
     return FAILED if wrong else 0
 
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: stand-ins, entry VMs, administration."""
+"""A complete deployment on loopback: stand-ins, entry VMs, administration."""
 
 import collections.abc
 import json
@@ -33,14 +33,14 @@
 
 
 class Deployment(processes.Group):
-    """Starts everything; use it as a context manager.
+    """Context manager that starts and stops all processes of a deployment.
 
-    :param vms: how many entry VMs
-    :param admins: on how many of them an administration API runs
+    :param vms: number of entry VMs
+    :param admins: number of these VMs with an administration API
     :param roles: each model engine's role
     :param accounts: each client account's keys
-    :param engine_flags: further flags of the engine stand-in
-    :param sections: settings besides the usual, by section
+    :param engine_flags: additional flags of the engine stand-in
+    :param sections: settings that override the defaults, by section
     """
 
     def __init__(
@@ -74,7 +74,8 @@
         try:
             self._start_all()
         except BaseException:
-            # Without this a failed start leaves processes behind.
+            # __exit__ is not called when __enter__ fails, so stop the
+            # processes started so far.
             self.__exit__()
             raise
         return self
@@ -89,7 +90,7 @@
             processes.start_standin(self, "service", credential)[1]
             for _ in range(SERVICES)
         ]
-        # All at once: each takes a second or two to start.
+        # Start all before waiting: each needs a second or two.
         self.routers = list(map(self.start_router, range(self._vms)))
         self.admins = list(map(self.start_admin, range(self._admins)))
         for process in self.routers + self.admins:
@@ -97,7 +98,7 @@
         self.apply(self.make_tables(), 0)
 
     def __exit__(self, *_: object) -> None:
-        # A planned stop takes seconds; nobody calls any more.
+        # A graceful shutdown takes seconds and has no callers to protect.
         for router in self.routers:
             router.kill()
         self.stop()
@@ -106,8 +107,8 @@
     def start_router(self, number: int) -> processes.Process:
         """Start one VM's router.
 
-        :param number: which VM
-        :returns: the process, which may not listen yet
+        :param number: index of the VM
+        :returns: the process, which may not be listening yet
         """
         ports = [self.router_ports[number], self.peer_ports[number]]
         return self._start("mulberryway.commands.router", number, ports)
@@ -115,8 +116,8 @@
     def start_admin(self, number: int) -> processes.Process:
         """Start one VM's administration API.
 
-        :param number: which VM
-        :returns: the process, which may not listen yet
+        :param number: index of the VM
+        :returns: the process, which may not be listening yet
         """
         ports = [self.admin_ports[number]]
         return self._start("mulberryway.commands.admin", number, ports)
@@ -130,7 +131,7 @@
         return process
 
     def make_tables(self) -> dict[str, typing.Any]:
-        """Return the tables that are applied at the start."""
+        """Return the initial tables."""
         engines = zip(self._roles, self.engine_ports, strict=True)
         model_pool = {
             "kind": "model",
@@ -162,19 +163,19 @@
         }
 
     def apply(self, values: dict[str, typing.Any], revision: int) -> None:
-        """Replace all tables, and wait until they are in force.
+        """Replace all tables and wait until they are in force.
 
-        :param values: the tables' plain values
-        :param revision: what they were made from
+        :param values: content of the tables
+        :param revision: the revision that they are based on
         """
         file = self.write("tables.toml", values)
         self.run_admin_command(f"--revision={revision}", "apply", file)
         self.run_admin_command("wait")
-        # A VM that has tables serves as soon as the platform confirms them.
+        # A VM with tables is ready only once the platform has confirmed them.
         processes.wait_until(lambda: all(map(is_ready, self.router_ports)))
 
     def write(self, name: str, values: dict[str, typing.Any]) -> str:
-        """Write a TOML file into the deployment's own folder.
+        """Write a TOML file to the deployment's temporary directory.
 
         :param name: the file's name
         :param values: its content
@@ -185,10 +186,10 @@
         return str(file)
 
     def run_admin_command(self, *words: str) -> dict[str, typing.Any]:
-        """Run the operators' command.
+        """Run the operators' command-line tool.
 
         :param words: the command and its arguments
-        :returns: its answer
+        :returns: its decoded output
         :raises RuntimeError: if it fails
         """
         ports = self.admin_ports[: self._admins]
@@ -213,7 +214,7 @@
         return json.loads(done.stdout)
 
     def _write_settings(self, number: int) -> str:
-        usual: dict[str, dict[str, typing.Any]] = {
+        defaults: dict[str, dict[str, typing.Any]] = {
             "vm": {
                 "name": f"vm{number}",
                 "zone": ZONES[number % len(ZONES)],
@@ -237,17 +238,17 @@
             },
         }
         values = {
-            name: {**usual.get(name, {}), **self.sections.get(name, {})}
-            for name in {**usual, **self.sections}
+            name: {**defaults.get(name, {}), **self.sections.get(name, {})}
+            for name in {**defaults, **self.sections}
         }
         return self.write(f"vm{number}.toml", values)
 
 
 def is_ready(port: int) -> bool:
-    """Tell whether a router takes new callers.
+    """Return whether a router accepts new callers.
 
     :param port: the router's port
-    :returns: what it answers itself
+    :returns: whether its readiness endpoint reports it as ready
     """
     return processes.call(port, "GET", "/readyz").status == 200
 
--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -1,4 +1,4 @@
-"""Compares ways by which hints reach all VMs, by fleet size and under faults.
+"""Compares gossip dissemination methods by fleet size and under faults.
 
 ``python -m benchmarks --only=dissemination`` prints the rows.
 """
@@ -18,14 +18,14 @@
 }
 SMALL_ZONES, LARGE_ZONES = 3, 5
 LARGE_VMS = 20
-ITEMS_PER_S_A_VM = 1.3
+UPDATES_PER_VM_S = 1.3
 DURATION_MS = 2_000
 SETTLE_MS = 300
 FAULTS = ("none", "frozen", "one_way", "burst")
 
 
 def measure() -> dict[str, typing.Any]:
-    """Return the figures of each way, size and fault."""
+    """Return the figures of each method, fleet size and fault."""
     rows = [
         _run(name, vms, fault)
         for vms, fault in itertools.product(SIZES, FAULTS)
@@ -37,28 +37,28 @@
 
 def _run(name: str, vms: int, fault: str) -> dict[str, typing.Any]:
     zones = LARGE_ZONES if vms >= LARGE_VMS else SMALL_ZONES
-    fleet = model.SimulatedNetwork(vms, zones, KINDS[name])
+    network = model.SimulatedNetwork(vms, zones, KINDS[name])
     if fault == "frozen":
-        # The first VM of each zone has the fast link that makes a relay.
-        fleet.frozen |= set(fleet.names[:zones])
+        # The first VM of each zone has a fast link and so becomes a relay.
+        network.frozen |= set(network.names[:zones])
     elif fault == "one_way":
-        fleet.cut |= {
+        network.cut |= {
             (other, relay)
-            for relay in fleet.names[:zones]
-            for other in fleet.names
+            for relay in network.names[:zones]
+            for other in network.names
         }
     elif fault == "burst":
-        for one in fleet.names:
-            fleet.publish(one)
-    fleet.run(DURATION_MS, ITEMS_PER_S_A_VM * vms)
-    fleet.run(DURATION_MS + SETTLE_MS)
-    found = fleet.summarize(DURATION_MS + SETTLE_MS)
+        for one in network.names:
+            network.publish(one)
+    network.run(DURATION_MS, UPDATES_PER_VM_S * vms)
+    network.run(DURATION_MS + SETTLE_MS)
+    summary = network.summarize(DURATION_MS + SETTLE_MS)
     return {
         "deployment": f"{vms} VMs",
         "load": fault,
         "rival": name,
         **{
-            key: round(getattr(found, key), 3)
+            key: round(getattr(summary, key), 3)
             for key in model.Summary.__slots__
         },
     }
