--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -386,10 +386,10 @@
         attempt.outcome.wasted += int(attempt.announced)
 
     def _retry(self, attempt: _Attempt, excluded: str) -> None:
-        outcome = jobs.JobOutcome.REFUSED_BY_ENGINE
+        job_outcome = jobs.JobOutcome.REFUSED_BY_ENGINE
         job = attempt.job
         self._schedulers[attempt.router].finish(
-            job.job_id, outcome, excluded, int(self.now_ms)
+            job.job_id, job_outcome, excluded, int(self.now_ms)
         )
         self._attempts.pop(job.job_id, None)
         if job.attempt + 1 >= MAX_ATTEMPTS:
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -56,7 +56,7 @@
         self._running = running
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self.stats: dict[tuple[str, str], ResponseCounts] = (
+        self.seen: dict[tuple[str, str], ResponseCounts] = (
             collections.defaultdict(ResponseCounts)
         )
         self.after_revocation: collections.Counter[str] = collections.Counter()
@@ -67,7 +67,7 @@
         :returns: the operator's observations as lines of text
         """
         with concurrent.futures.ThreadPoolExecutor(CALLERS) as callers:
-            futures = [
+            tasks = [
                 callers.submit(self._run_caller, number)
                 for number in range(CALLERS)
             ]
@@ -75,7 +75,7 @@
                 observations = self._run_operator()
             finally:
                 self._stopping.set()
-            for one in futures:
+            for one in tasks:
                 one.result()
         return observations
 
@@ -83,13 +83,13 @@
         """Return the violated invariants as lines of text."""
         with self._lock:
             wrong = [
-                f"{account}, {kind}: {stats.wrong} wrong answers"
-                for (account, kind), stats in self.stats.items()
-                if stats.wrong
+                f"{account}, {kind}: {seen.wrong} wrong answers"
+                for (account, kind), seen in self.seen.items()
+                if seen.wrong
             ]
             if not all(
-                stats.whole
-                for (account, _), stats in self.stats.items()
+                seen.whole
+                for (account, _), seen in self.seen.items()
                 if account != "withdrawn key"
             ):
                 wrong.append("a type of call got no correct response")
@@ -228,15 +228,15 @@
         self, account: str, kind: str, reply: processes.Reply, is_correct: bool
     ) -> None:
         with self._lock:
-            stats = self.stats[account, kind]
+            seen = self.seen[account, kind]
             if reply.is_cut:
-                stats.refused[_read_error_code(reply.body)] += 1
+                seen.refused[_read_error_code(reply.body)] += 1
             elif reply.status >= 400:
-                stats.refused[reply.json()["error"]["code"]] += 1
+                seen.refused[reply.json()["error"]["code"]] += 1
             elif is_correct:
-                stats.whole += 1
+                seen.whole += 1
             else:
-                stats.wrong += 1
+                seen.wrong += 1
 
 
 def _authorize(key: str) -> dict[str, str]:
@@ -275,10 +275,10 @@
         observations = demo.run()
         wrong = demo.check()
     print(f"{'account':15} {'call':20} {'whole':>6} {'wrong':>6}  refused")
-    for (account, kind), stats in sorted(demo.stats.items()):
-        codes = ", ".join(f"{n} {code}" for code, n in stats.refused.items())
+    for (account, kind), seen in sorted(demo.seen.items()):
+        refused = ", ".join(f"{n} {code}" for code, n in seen.refused.items())
         print(
-            f"{account:15} {kind:20} {stats.whole:6} {stats.wrong:6}  {codes}"
+            f"{account:15} {kind:20} {seen.whole:6} {seen.wrong:6}  {refused}"
         )
     print(*observations, sep="\n")
     print(*(f"WRONG: {one}" for one in wrong), sep="\n")
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -1,4 +1,4 @@
-"""A network of VMs in which items spread, on a clock of its own."""
+"""Simulates gossip dissemination between VMs in virtual time."""
 
 import abc
 import collections
@@ -19,138 +19,145 @@
     "Summary",
 ]
 
-# One way, in milliseconds; SPREAD_MS more by chance.
+# One-way network latency; up to JITTER_MS is added at random.
 SAME_ZONE_MS = 0.3
 OTHER_ZONE_MS = 0.9
-SPREAD_MS = 0.4
-LOST_PART = 0.001
-# IP, UDP and our signature.
+JITTER_MS = 0.4
+LOSS_PROBABILITY = 0.001
+# IP and UDP headers and the datagram's signature.
 OVERHEAD_BYTES = 44
-ITEM_OVERHEAD_BYTES = 3
+UPDATE_OVERHEAD_BYTES = 3
 GOSSIP_FAN_OUT = 3
 GOSSIP_HOPS = 8
-# The content of an event that is no datagram.
+# Content that marks a poll event; all other events are datagrams.
 POLL = object()
 
 
 class Node(abc.ABC):
-    """One VM.
+    """One VM; subclasses implement a dissemination method.
 
-    :param fleet: the network
-    :param own: the VM
+    :param network: the network
+    :param own: this VM as a receiver
     """
 
     def __init__(
-        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+        self, network: "SimulatedNetwork", own: dissemination.Receiver
     ) -> None:
-        self.fleet = fleet
+        self.network = network
         self.own = own
         self.seen: set[bytes] = set()
 
     @abc.abstractmethod
-    def publish(self, item: bytes) -> None:
-        """Bring an item to all other VMs."""
+    def publish(self, update: bytes) -> None:
+        """Send an update to all other VMs."""
 
     @abc.abstractmethod
     def take(self, content: object, sender: str) -> list[bytes]:
-        """Take in what came, and return the items in it."""
+        """Handle a received datagram.
+
+        :param content: content of the datagram
+        :param sender: name of the VM that sent it
+        :returns: the updates in it
+        """
 
     def poll(self) -> None:
-        """Do what is due by time."""
+        """Perform the work that is scheduled for the current time."""
         return
 
     def read_due_ms(self) -> float | None:
-        """Return when to poll again; none while nothing is due."""
+        """Return the simulated time of the next poll, or none if idle."""
         return None
 
 
 class DirectNode(Node):
-    """Sends each item to each other VM."""
+    """Sends each update to every other VM."""
 
-    def publish(self, item: bytes) -> None:
-        """Bring an item to all other VMs."""
-        for name in self.fleet.nodes:
+    def publish(self, update: bytes) -> None:
+        """Send an update to all other VMs."""
+        for name in self.network.nodes:
             if name != self.own.name:
-                self.fleet.send(self.own.name, name, [item], len(item))
+                self.network.send(self.own.name, name, [update], len(update))
 
     def take(self, content: list[bytes], sender: str) -> list[bytes]:
-        """Return the items that came."""
+        """Return the updates of a datagram."""
         return content
 
 
 class GossipNode(Node):
-    """Sends each new item on to a few random VMs."""
+    """Forwards each new update to a few random VMs."""
 
-    def publish(self, item: bytes) -> None:
-        """Bring an item to some VMs, which pass it on."""
-        self._pass_on(item, GOSSIP_HOPS)
+    def publish(self, update: bytes) -> None:
+        """Send an update to random VMs, which forward it."""
+        self._forward(update, GOSSIP_HOPS)
 
     def take(self, content: tuple[bytes, int], sender: str) -> list[bytes]:
-        """Pass a new item on, and return it."""
-        item, hops = content
-        if item not in self.seen and hops:
-            self._pass_on(item, hops - 1)
-        return [item]
-
-    def _pass_on(self, item: bytes, hops: int) -> None:
-        others = self.fleet.random.sample(
-            self.fleet.names, min(GOSSIP_FAN_OUT, len(self.fleet.names))
+        """Forward a new update and return it."""
+        update, hops = content
+        if update not in self.seen and hops:
+            self._forward(update, hops - 1)
+        return [update]
+
+    def _forward(self, update: bytes, hops: int) -> None:
+        others = self.network.random.sample(
+            self.network.names, min(GOSSIP_FAN_OUT, len(self.network.names))
         )
         for name in others:
             if name != self.own.name:
-                self.fleet.send(
-                    self.own.name, name, (item, hops), len(item) + 1
+                self.network.send(
+                    self.own.name, name, (update, hops), len(update) + 1
                 )
 
 
 class RelayNode(Node):
-    """Runs the product's own disseminator."""
+    """Uses the router's disseminator, which sends through relays."""
 
     def __init__(
-        self, fleet: "SimulatedNetwork", own: dissemination.Receiver
+        self, network: "SimulatedNetwork", own: dissemination.Receiver
     ) -> None:
-        super().__init__(fleet, own)
+        super().__init__(network, own)
         self.disseminator = dissemination.Disseminator(own)
 
-    def publish(self, item: bytes) -> None:
-        """Bring an item to all other VMs by way of relays."""
-        self._send(self.disseminator.publish(item, self.fleet.now_ms))
+    def publish(self, update: bytes) -> None:
+        """Send an update to all other VMs through relays."""
+        self._send(self.disseminator.publish(update, self.network.now_ms))
 
     def take(
         self, content: dissemination.Envelope, sender: str
     ) -> list[bytes]:
-        """Relay what is to be relayed, and return the items."""
-        self._send(self.disseminator.take(content, sender, self.fleet.now_ms))
+        """Forward an envelope if this VM is a relay; return its updates."""
+        self._send(
+            self.disseminator.take(content, sender, self.network.now_ms)
+        )
         return content.items
 
     def poll(self) -> None:
-        """Send what is due by time."""
-        self._send(self.disseminator.poll(self.fleet.now_ms))
+        """Send the packets that are scheduled for the current time."""
+        self._send(self.disseminator.poll(self.network.now_ms))
 
     def read_due_ms(self) -> float | None:
-        """Return when to poll again; none while nothing is due."""
+        """Return the simulated time of the next poll, or none if idle."""
         return self.disseminator.read_due_ms()
 
     def _send(self, packets: list[dissemination.Packet]) -> None:
         for packet in packets:
             items = packet.envelope.items
-            size = sum(map(len, items)) + ITEM_OVERHEAD_BYTES * len(items)
-            self.fleet.send(
+            size = sum(map(len, items)) + UPDATE_OVERHEAD_BYTES * len(items)
+            self.network.send(
                 self.own.name, packet.address, packet.envelope, size
             )
 
 
 class Summary:
-    """What a run came to.
-
-    :param sent: datagrams that a VM sent a second, in the mean
-    :param most_sent: datagrams of the VM that sent most
-    :param received: datagrams that a VM received a second, in the mean
-    :param bytes_sent: bytes that a VM sent a second, in the mean
-    :param zone_bytes: bytes a second between zones, all VMs together
-    :param age_ms: median time from an item's publication to its arrival
-    :param worst_age_ms: the same for 99 in 100
-    :param missed: part of all arrivals that never came
+    """Metrics of one run.
+
+    :param sent: datagrams sent per second and VM, on average
+    :param most_sent: datagrams sent per second by the VM that sent most
+    :param received: datagrams received per second and VM, on average
+    :param bytes_sent: bytes sent per second and VM, on average
+    :param zone_bytes: bytes per second between zones, of all VMs together
+    :param age_ms: median delay from publication to arrival in ms
+    :param worst_age_ms: 99th percentile of the same delay in ms
+    :param missed: fraction of the expected arrivals that did not happen
     """
 
     __slots__ = (
@@ -186,16 +193,16 @@
 
 
 class SimulatedNetwork:
-    """VMs in zones, and the datagrams between them.
+    """Simulates VMs in availability zones and the datagrams between them.
 
-    :param vms: how many
-    :param zones: in how many zones
-    :param kind: what each VM runs
-    :param seed: makes a run repeatable
+    :param vms: number of VMs
+    :param zones: number of zones
+    :param node_class: implementation of each VM
+    :param seed: seed of the random generator
     """
 
     def __init__(
-        self, vms: int, zones: int, kind: type[Node], seed: int = 1
+        self, vms: int, zones: int, node_class: type[Node], seed: int = 1
     ) -> None:
         self.now_ms = 0
         self.random = random.Random(seed)
@@ -210,11 +217,14 @@
         ]
         self.names = [one.name for one in self.receivers]
         self.zone_of = {one.name: one.zone for one in self.receivers}
-        self.nodes = {one.name: kind(self, one) for one in self.receivers}
+        self.nodes = {
+            one.name: node_class(self, one) for one in self.receivers
+        }
         for node in self.nodes.values():
             if isinstance(node, RelayNode):
                 node.disseminator.set_receivers(self.receivers)
-        # VMs that neither send nor receive, and pairs cut one way.
+        # VMs that neither send nor receive, and pairs of sender and receiver
+        # that are partitioned in this direction.
         self.frozen: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
         self.sent: collections.Counter[str] = collections.Counter()
@@ -227,51 +237,51 @@
         self._order = itertools.count()
         self._events: list[tuple[float, int, str, object, str]] = []
         self._numbers = itertools.count()
-        # When each VM's next poll is planned.
-        self._planned: dict[str, float] = {}
+        # Simulated time of each VM's scheduled poll.
+        self._scheduled_polls: dict[str, float] = {}
 
     def send(
         self, source: str, target: str, content: object, size: int
     ) -> None:
-        """Put a datagram on its way.
+        """Send a datagram, which may be lost.
 
-        :param source: the VM that sends
-        :param target: the VM that may receive it
-        :param content: what it holds
-        :param size: its payload's bytes
+        :param source: name of the sending VM
+        :param target: name of the receiving VM
+        :param content: content of the datagram
+        :param size: size of the payload in bytes
         """
         same = self.zone_of[source] == self.zone_of[target]
         self.sent[source] += 1
         self.bytes_sent += size + OVERHEAD_BYTES
         self.zone_bytes += 0 if same else size + OVERHEAD_BYTES
-        is_lost = self.random.random() < LOST_PART
+        is_lost = self.random.random() < LOSS_PROBABILITY
         if is_lost or (source, target) in self.cut:
             return
-        way_ms = SAME_ZONE_MS if same else OTHER_ZONE_MS
-        way_ms += self.random.random() * SPREAD_MS
-        self._push(self.now_ms + way_ms, target, content, source)
+        latency_ms = SAME_ZONE_MS if same else OTHER_ZONE_MS
+        latency_ms += self.random.random() * JITTER_MS
+        self._push(self.now_ms + latency_ms, target, content, source)
 
     def publish(self, name: str, size: int = 100) -> bytes:
-        """Let a VM publish a new item.
+        """Publish a new update from a VM.
 
         :param name: the VM
-        :param size: the item's bytes
-        :returns: the item
+        :param size: size of the update in bytes
+        :returns: the update
         """
-        item = next(self._numbers).to_bytes(8, "big").ljust(size, b".")
-        self.published[item] = (self.now_ms, name)
-        self.nodes[name].publish(item)
-        self._plan_poll(name)
-        return item
+        update = next(self._numbers).to_bytes(8, "big").ljust(size, b".")
+        self.published[update] = (self.now_ms, name)
+        self.nodes[name].publish(update)
+        self._schedule_poll(name)
+        return update
 
     def run(self, until_ms: int, per_s: float = 0.0, size: int = 100) -> None:
-        """Let time pass.
+        """Advance the simulation.
 
-        :param until_ms: until when
-        :param per_s: items that all VMs together publish a second
-        :param size: bytes of an item
+        :param until_ms: simulated time in ms at which to stop
+        :param per_s: updates published per second by all VMs together
+        :param size: size of an update in bytes
         """
-        next_ms = self._draw_next(per_s)
+        next_ms = self._draw_next_publication(per_s)
         while self.now_ms < until_ms:
             self.now_ms += 1
             while next_ms is not None and next_ms <= self.now_ms:
@@ -282,9 +292,10 @@
             self._deliver()
 
     def summarize(self, duration_ms: int) -> Summary:
-        """Return what the run came to.
+        """Compute the metrics of the run.
 
-        :param duration_ms: how long it lasted
+        :param duration_ms: simulated duration of the run in ms
+        :returns: the metrics
         """
         count, seconds = len(self.names), duration_ms / 1_000
         ages = sorted(self.ages_ms) or [0.0]
@@ -300,7 +311,7 @@
             1.0 - sum(self.arrivals.values()) / max(expected, 1),
         )
 
-    def _draw_next(self, per_s: float) -> float | None:
+    def _draw_next_publication(self, per_s: float) -> float | None:
         if not per_s:
             return None
         return self.now_ms + self.random.expovariate(per_s / 1_000)
@@ -319,25 +330,28 @@
                 continue
             node = self.nodes[target]
             if content is POLL:
-                self._planned.pop(target, None)
+                self._scheduled_polls.pop(target, None)
                 node.poll()
             else:
                 self.received[target] += 1
-                for item in node.take(content, source):
-                    self._note_arrival(node, item, at_ms)
-            self._plan_poll(target)
-
-    def _plan_poll(self, name: str) -> None:
-        due_ms = self.nodes[name].read_due_ms()
-        if due_ms is None or self._planned.get(name, math.inf) <= due_ms:
+                for update in node.take(content, source):
+                    self._record_arrival(node, update, at_ms)
+            self._schedule_poll(target)
+
+    def _schedule_poll(self, name: str) -> None:
+        poll_ms = self.nodes[name].read_due_ms()
+        if (
+            poll_ms is None
+            or self._scheduled_polls.get(name, math.inf) <= poll_ms
+        ):
             return
-        self._planned[name] = due_ms
-        self._push(max(due_ms, self.now_ms), name, POLL, name)
+        self._scheduled_polls[name] = poll_ms
+        self._push(max(poll_ms, self.now_ms), name, POLL, name)
 
-    def _note_arrival(self, node: Node, item: bytes, at_ms: float) -> None:
-        published_ms, publisher = self.published[item]
-        if item in node.seen or node.own.name == publisher:
+    def _record_arrival(self, node: Node, update: bytes, at_ms: float) -> None:
+        published_ms, publisher = self.published[update]
+        if update in node.seen or node.own.name == publisher:
             return
-        node.seen.add(item)
-        self.arrivals[item] += 1
+        node.seen.add(update)
+        self.arrivals[update] += 1
         self.ages_ms.append(at_ms - published_ms)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,7 +1,8 @@
-"""What knowing the other VMs costs a VM, by the number of VMs.
+"""Cost and propagation time of the membership protocol by fleet size.
 
 ``python -m benchmarks.membership`` steps the real controllers in one process
-on a turned clock; messages are encoded and counted, sockets are left out.
+on a manual clock.  Messages are encoded and counted, but not sent over
+sockets.
 """
 
 import json
@@ -15,22 +16,22 @@
 
 COMMAND = "python -m benchmarks.membership"
 SIZES = (3, 9, 27, 81, 243)
-# The news of all joins have to run out first.
+# Wait until the updates about the VMs' joining are no longer gossiped.
 SETTLE_PERIODS = 240
 PERIODS = 30
-MOST_PERIODS = 60
+MAX_PERIODS = 60
 
 
 def measure() -> dict[str, typing.Any]:
-    """Return bytes, processor time and spreading times by fleet size."""
-    found = {str(size): _measure_size(size) for size in SIZES}
+    """Return bytes, CPU time and propagation time by fleet size."""
+    figures = {str(size): _measure_size(size) for size in SIZES}
     for name, key, unit in (
         ("membership-bytes", "bytes_per_vm_s", "bytes a second, each VM"),
         ("membership-cpu", "cpu_ms_per_vm_s", "ms of processor a second"),
     ):
-        points = [(int(size), row[key]) for size, row in found.items()]
+        points = [(int(size), row[key]) for size, row in figures.items()]
         series.write_series(series.Series(name, COMMAND, "VMs", unit, points))
-    return found
+    return figures
 
 
 def _measure_size(size: int) -> dict[str, typing.Any]:
@@ -48,7 +49,7 @@
         "cpu_ms_per_vm_s": round(
             1_000 * (time.process_time() - cpu_s) / per_vm_s, 3
         ),
-        "stop_seen_by_all_periods": _count_spread(fleet),
+        "stop_seen_by_all_periods": _count_periods_to_spread(fleet),
     }
 
 
@@ -60,10 +61,14 @@
     )
 
 
-def _count_spread(fleet: membership_fleet.Fleet) -> int | None:
-    """Return the periods until all VMs know that one is stopping."""
+def _count_periods_to_spread(fleet: membership_fleet.Fleet) -> int | None:
+    """Count the periods until all VMs know that one of them is stopping.
+
+    :param fleet: the fleet
+    :returns: the number of periods, or none if ``MAX_PERIODS`` pass first
+    """
     fleet.vms[1].update_local(is_stopping=True)
-    for period in range(1, MOST_PERIODS):
+    for period in range(1, MAX_PERIODS):
         fleet.run(1)
         seen = (fleet.see(vm, "vm1") for vm in fleet.vms)
         if all(one is not None and one.is_stopping for one in seen):
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Draws the brief's four measures, before and after, as one picture."""
+"""Plots the four main metrics of two benchmark runs."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 
 __all__ = ["draw_runs"]
 
-# How each measure's figures end, and which way is better.
+# Panel titles by metric, the last part of a figure's dotted name.
 MEASURES = {
     "goodput_part": "goodput, part of the limit (more is better)",
     "wasted_part": "wasted prefill, part of all (less is better)",
@@ -16,7 +16,7 @@
     "refused_within_rate": "refused within the rate (less is better)",
 }
 COLUMNS = 2
-# Tall enough that each of some hundred rows has a readable name.
+# Tall enough for about a hundred rows with readable names.
 SIZE_INCHES = (16, 44)
 PREFIX = "decisions.rows."
 BAR_HEIGHT = 0.4
@@ -25,22 +25,22 @@
 def draw_runs(
     before: report.Run | None, after: report.Run, file: pathlib.Path
 ) -> None:
-    """Write a picture with one panel for each measure.
+    """Write a PNG file with one panel for each metric.
 
     :param before: the earlier run, if there is one
     :param after: the later run
-    :param file: where the PNG goes
+    :param file: path of the PNG file
     """
     figure, panels = pyplot.subplots(
         len(MEASURES) // COLUMNS, COLUMNS, figsize=SIZE_INCHES
     )
-    for panel, (ending, title) in zip(
+    for panel, (metric, title) in zip(
         panels.flat, MEASURES.items(), strict=True
     ):
         names = sorted(
             name
             for name in after.figures
-            if name.startswith(PREFIX) and name.endswith(f".{ending}")
+            if name.startswith(PREFIX) and name.endswith(f".{metric}")
         )
         rows = range(len(names))
         if before is not None:
@@ -60,7 +60,7 @@
         panel.set_yticks(
             list(rows),
             [
-                name.removeprefix(PREFIX).removesuffix(f".{ending}")
+                name.removeprefix(PREFIX).removesuffix(f".{metric}")
                 for name in names
             ],
             fontsize=6,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,10 +1,10 @@
-"""The relay's cost for each token, and what it adds to callers' waits.
+"""CPU cost per relayed token, and the latency that relaying adds.
 
-``python -m benchmarks.relay`` runs the same streams straight from the engine
-stand-in, through a bare relay with one thread for each stream, and through
-the router, one after another.  An engine stamps each event when it sends it,
-so what a relay adds to a gap is the change of the lag between two tokens; the
-straight run shows how much of that is the measurement's own.
+``python -m benchmarks.relay`` runs the same streams directly against the
+engine stand-in, through a minimal reverse proxy with one thread per stream,
+and through the router.  The engine puts a timestamp on each event, so the
+latency added to an inter-token gap is the change in lag between two tokens.
+The direct run shows the error of the measurement itself.
 """
 
 import itertools
@@ -26,9 +26,9 @@
 SPREAD_MS = 1_000
 BURST_CALLERS = 100
 BURST_TOKENS = 3
-# Many engines, as behind a VM: one engine of 240 slots would send its events
-# all at once, and the measurement's own reading of them would take longer
-# than what is measured.
+# Several engines, as in production.  A single engine with 240 slots would
+# send all its events at once, and reading them in the benchmark would take
+# longer than the latency to be measured.
 ENGINES = 12
 SLOTS = 128
 ENGINE_FLAGS = (
@@ -43,11 +43,12 @@
 
 
 class SystemUnderTest:
-    """Something that streams are asked of.
+    """A server that the streams are requested from.
 
-    :param name: for the report
-    :param addresses: ``host:port``, one or several
-    :param pid: the process whose use is measured; none for the straight run
+    :param name: name in the report
+    :param addresses: one or more ``host:port``
+    :param pid: the process whose resource usage is measured; none for the
+        direct run
     :param key: the caller's key
     """
 
@@ -67,13 +68,13 @@
 def run_streams(
     target: SystemUnderTest, count: int, tokens: int, spread_ms: int = 0
 ) -> tuple[list[outcome.Outcome], float]:
-    """Run streams.
+    """Run concurrent streams.
 
-    :param target: whom to ask
-    :param count: how many
-    :param tokens: how long each is
-    :param spread_ms: over how long they begin, in milliseconds
-    :returns: what callers got, and how long it took in milliseconds
+    :param target: the server under test
+    :param count: number of streams
+    :param tokens: length of each stream in tokens
+    :param spread_ms: period in ms over which the streams start
+    :returns: outcomes of the streams, and the elapsed time in ms
     """
     row = plan.ClientProfile(
         "bench",
@@ -83,17 +84,17 @@
         prompt_tokens=(20, 20),
         output_tokens=(tokens, tokens),
     )
-    plan_ = plan.LoadPlan(target.addresses, (row,), repeats=0)
-    return caller.run_plan(plan_)
+    load_plan = plan.LoadPlan(target.addresses, (row,), repeats=0)
+    return caller.run_plan(load_plan)
 
 
 def measure_streams(
     target: SystemUnderTest, count: int
 ) -> dict[str, typing.Any]:
-    """Return tokens a second, cores and the added gaps of many streams.
+    """Measure throughput, CPU usage and added latency of many streams.
 
-    :param target: whom to ask
-    :param count: how many streams
+    :param target: the server under test
+    :param count: number of streams
     :returns: figures by name
     """
     before_s = usage.read_cpu_s(target.pid) if target.pid else 0.0
@@ -118,9 +119,9 @@
 
 
 def measure_burst(target: SystemUnderTest) -> dict[str, typing.Any]:
-    """Return the first tokens of callers who all come at once.
+    """Measure the time to first token of callers that start together.
 
-    :param target: whom to ask
+    :param target: the server under test
     :returns: figures by name
     """
     outcomes, _ = run_streams(target, BURST_CALLERS, BURST_TOKENS)
@@ -134,9 +135,9 @@
 
 
 def measure_target(target: SystemUnderTest) -> dict[str, typing.Any]:
-    """Return all figures of one target; a small run warms it up.
+    """Measure one server, after a short warm-up run.
 
-    :param target: whom to ask
+    :param target: the server under test
     :returns: figures by name
     """
     run_streams(target, BURST_CALLERS, 1)
@@ -149,13 +150,13 @@
 def start_relay(
     group: processes.Group, name: str, module: str, engines: tuple[str, ...]
 ) -> SystemUnderTest:
-    """Start a relay.
+    """Start a proxy in front of the engines.
 
-    :param group: the processes to add it to
-    :param name: for the report
-    :param module: the program
+    :param group: the process group to add it to
+    :param name: name in the report
+    :param module: Python module to run
     :param engines: each engine's ``host:port``
-    :returns: it, as a target
+    :returns: the proxy as a server under test
     """
     (port,) = processes.pick_ports(1)
     process = group.start(
@@ -169,7 +170,10 @@
 
 
 def measure() -> dict[str, typing.Any]:
-    """Return the figures of all targets, one after another."""
+    """Measure all servers one after another.
+
+    :returns: figures by the server's name
+    """
     with processes.Group() as group:
         _, ports = processes.start_engines(
             group, ("both",) * ENGINES, *ENGINE_FLAGS
@@ -183,12 +187,12 @@
             start_relay(group, "router", "benchmarks.static_router", engines),
         ]
         found = {target.name: measure_target(target) for target in targets}
-    _keep(found["router"])
+    _write_series(found["router"])
     return found
 
 
-def _keep(router: dict[str, typing.Any]) -> None:
-    """Keep the router's growth with its load."""
+def _write_series(router: dict[str, typing.Any]) -> None:
+    """Store the router's CPU and memory usage by load."""
     rows = [router[f"streams_{count}"] for count in STREAMS]
     tokens = [(row["tokens_per_s"], row["cores"] * 1_000) for row in rows]
     memory = [
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Keeps the runs of ``make bench`` and shows them before and after."""
+"""Stores the results of ``make bench`` and compares two runs."""
 
 import collections.abc
 import json
@@ -15,7 +15,7 @@
 class Run:
     """The figures of one run.
 
-    :param at_ms: when it was made, in milliseconds since 1970
+    :param at_ms: wall-clock time of the run in ms since the Unix epoch
     :param figures: numbers by dotted name, such as
         ``decisions.kandurata.saturation.goodput``
     """
@@ -30,11 +30,11 @@
 def flatten(
     values: typing.Any, prefix: str = ""
 ) -> collections.abc.Iterator[tuple[str, float]]:
-    """Yield every number of nested dictionaries by its dotted name.
+    """Yield every number in nested dictionaries with its dotted name.
 
     :param values: a dictionary of dictionaries and numbers
-    :param prefix: the name so far
-    :returns: pairs of name and number; anything else is passed over
+    :param prefix: dotted name of ``values`` itself
+    :returns: pairs of name and number; other values are ignored
     """
     if isinstance(values, dict):
         for key, value in values.items():
@@ -48,11 +48,11 @@
     clock_: clock.Clock,
     folder: pathlib.Path = RUNS,
 ) -> Run:
-    """Write a run's figures beside those of earlier runs.
+    """Write the figures of a run to a new file.
 
-    :param results: what each benchmark measured, by its name
-    :param clock_: where the time of the run comes from
-    :param folder: where runs are kept
+    :param results: results by benchmark name
+    :param clock_: clock for the time of the run
+    :param folder: directory of the stored runs
     :returns: the run
     """
     run = Run(clock_.wall_ms(), dict(flatten(results)))
@@ -63,9 +63,9 @@
 
 
 def read_runs(folder: pathlib.Path = RUNS) -> list[Run]:
-    """Return the kept runs, oldest first.
+    """Return the stored runs, oldest first.
 
-    :param folder: where runs are kept
+    :param folder: directory of the stored runs
     :returns: the runs
     """
     files = sorted(folder.glob("*.json"), key=lambda file: int(file.stem))
@@ -76,7 +76,7 @@
 
 
 def compare_runs(before: Run | None, after: Run) -> list[str]:
-    """Return a plain table with one line for each figure.
+    """Return a plain-text table with one line for each figure.
 
     :param before: the earlier run, if there is one
     :param after: the later run
@@ -86,11 +86,11 @@
     names = sorted(set(old) | set(after.figures))
     width = max(map(len, names), default=0)
     return [
-        f"{name:{width}}  {_show(old.get(name)):>12}"
-        f"  {_show(after.figures.get(name)):>12}"
+        f"{name:{width}}  {_format(old.get(name)):>12}"
+        f"  {_format(after.figures.get(name)):>12}"
         for name in names
     ]
 
 
-def _show(value: float | None) -> str:
+def _format(value: float | None) -> str:
     return "-" if value is None else f"{value:.6g}"
--- a/benchmarks/series.py
+++ b/benchmarks/series.py
@@ -1,4 +1,4 @@
-"""Measured points, a straight line through them, and files that keep them."""
+"""Series of measured points: storage in files, and linear fits."""
 
 import json
 import math
@@ -14,18 +14,19 @@
 ]
 
 FOLDER = pathlib.Path(__file__).parent / "measurements"
-FEWEST_POINTS = 3
+MIN_POINTS = 3
 
 
 class Series:
     """One quantity measured at several sizes.
 
     :param name: unique; the file's name in ``benchmarks/measurements``
-    :param command: what repeats the measurement
-    :param x_unit: what was varied
-    :param y_unit: what was measured
+    :param command: the command that repeats the measurement
+    :param x_unit: the varied quantity and its unit
+    :param y_unit: the measured quantity and its unit
     :param points: pairs of size and measured value, at least three sizes
-    :param note: how it was measured, in a sentence
+    :param note: one sentence about how it was measured
+    :raises ValueError: if there are fewer than three sizes
     """
 
     __slots__ = ("name", "command", "x_unit", "y_unit", "points", "note")
@@ -39,8 +40,10 @@
         points: list[tuple[float, float]],
         note: str = "",
     ) -> None:
-        if len({x for x, _ in points}) < FEWEST_POINTS:
-            raise ValueError(f"{name}: fewer than {FEWEST_POINTS} sizes")
+        if len({x for x, _ in points}) < MIN_POINTS:
+            raise ValueError(
+                f"{name}: measured at fewer than {MIN_POINTS} sizes"
+            )
         self.name = name
         self.command = command
         self.x_unit = x_unit
@@ -50,12 +53,12 @@
 
 
 class Fit:
-    """A straight line, how sure its slope is, and where it was measured.
+    """A fitted line with the standard error of its slope.
 
     :param intercept: the value at size zero
-    :param slope: the growth for each unit of size
+    :param slope: the change in value per unit of size
     :param slope_error: the slope's standard error
-    :param most_measured: the largest size measured
+    :param max_measured: the largest measured size
     """
 
     __slots__ = ("intercept", "slope", "slope_error", "most_measured")
@@ -65,28 +68,28 @@
         intercept: float,
         slope: float,
         slope_error: float,
-        most_measured: float,
+        max_measured: float,
     ) -> None:
         self.intercept = intercept
         self.slope = slope
         self.slope_error = slope_error
-        self.most_measured = most_measured
+        self.max_measured = max_measured
 
     def predict(self, size: float) -> float:
         """Return the line's value at a size.
 
-        :param size: in the series' unit of size
-        :returns: in the series' unit of value
+        :param size: the size, in the series' x unit
+        :returns: the value, in the series' y unit
         """
         return self.intercept + self.slope * size
 
     def extrapolation_factor(self, size: float) -> float:
-        """Tell how far beyond the measured range a size lies.
+        """Return how far a size lies beyond the measured range.
 
-        :param size: in the series' unit of size
-        :returns: 1.0 inside the range, otherwise the size over its end
+        :param size: the size, in the series' x unit
+        :returns: the size divided by the largest measured size, at least 1.0
         """
-        return max(size / self.most_measured, 1.0)
+        return max(size / self.max_measured, 1.0)
 
 
 def fit_line(series: Series) -> Fit:
@@ -98,19 +101,24 @@
     count = len(series.points)
     mean_x = sum(x for x, _ in series.points) / count
     mean_y = sum(y for _, y in series.points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in series.points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in series.points) / spread
+    squared_deviation = sum((x - mean_x) ** 2 for x, _ in series.points)
+    slope = (
+        sum((x - mean_x) * (y - mean_y) for x, y in series.points)
+        / squared_deviation
+    )
     intercept = mean_y - slope * mean_x
-    squares = sum((y - intercept - slope * x) ** 2 for x, y in series.points)
-    error = math.sqrt(squares / (count - 2) / spread)
+    squared_error = sum(
+        (y - intercept - slope * x) ** 2 for x, y in series.points
+    )
+    error = math.sqrt(squared_error / (count - 2) / squared_deviation)
     return Fit(intercept, slope, error, max(x for x, _ in series.points))
 
 
 def write_series(series: Series, folder: pathlib.Path = FOLDER) -> None:
-    """Keep a measurement, in place of an older one of the same name.
+    """Write a series to its file, replacing an older one of the same name.
 
-    :param series: the measurement
-    :param folder: where measurements are kept
+    :param series: the series
+    :param folder: directory of the stored series
     """
     folder.mkdir(parents=True, exist_ok=True)
     fields = {name: getattr(series, name) for name in Series.__slots__}
@@ -119,11 +127,11 @@
 
 
 def read_series(name: str, folder: pathlib.Path = FOLDER) -> Series:
-    """Read a measurement back.
+    """Read a series from its file.
 
-    :param name: the measurement's name
-    :param folder: where measurements are kept
-    :returns: the measurement
+    :param name: the series' name
+    :param folder: directory of the stored series
+    :returns: the series
     """
     text = (folder / f"{name}.json").read_text(encoding="utf-8")
     fields = json.loads(text)
--- a/benchmarks/static_router.py
+++ b/benchmarks/static_router.py
@@ -1,4 +1,4 @@
-"""A router whose tables never change, for the relay's measurement."""
+"""Runs a router with static tables, for ``benchmarks.relay``."""
 
 import collections.abc
 import signal
@@ -28,7 +28,7 @@
 
 
 class FixedTables(tables.TableSource):
-    """Tables that never change."""
+    """A table source whose tables never change."""
 
     def __init__(self, current: tables.Tables) -> None:
         self._current = current
@@ -43,7 +43,7 @@
 
 
 class UnlimitedAllowances(allowance.Allowances):
-    """Grants all: allowances have a measurement of their own."""
+    """Grants every request; ``benchmarks.allowances`` measures allowances."""
 
     def reserve(
         self, account: str, tokens: int
@@ -54,15 +54,15 @@
         pass
 
 
-class NoEntry(endpoints.EndpointDirectory):
-    """Names nobody."""
+class EmptyDirectory(endpoints.EndpointDirectory):
+    """Lists no entry addresses."""
 
     def list_addresses(self, caller_zone: str) -> list[endpoints.Endpoint]:
         return []
 
 
 def make_tables() -> tables.Tables:
-    """Return one route to all engines for one account."""
+    """Return tables with one route to all engines and one account."""
     engines = tuple(
         tables.Upstream(
             f"e{number}", address, "kandy-a", tables.UpstreamRole.BOTH
@@ -85,20 +85,20 @@
     settings_.vm_name = "bench"
     settings_.vm_zone = "kandy-a"
     settings_.router_port = FLAGS.port
-    served = router.Router(
+    router_ = router.Router(
         settings_,
         clock.SystemClock(),
         1,
         FixedTables(make_tables()),
         scheduler.FairScheduler("bench"),
         UnlimitedAllowances(),
-        NoEntry(),
+        EmptyDirectory(),
     )
     stopping = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: stopping.set())
-    served.start()
+    router_.start()
     stopping.wait()
-    served.stop(graceful=False)
+    router_.stop(graceful=False)
 
 
 def run() -> None:
