--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; one module for each module of the package."""
+"""Tests of the package and of the benchmarks, stand-ins and tools."""
--- a/tests/allowance_simulation.py
+++ b/tests/allowance_simulation.py
@@ -1,8 +1,9 @@
-"""Runs allowances under seeded faults and checks what accounts received.
+"""Simulates allowances under seeded faults and checks for overruns.
 
-The real controllers run against a platform, a network and clocks that fail
-as a seed says.  Whenever a VM reads its clock it may be paused, and the
-other VMs go on meanwhile: so a pause can fall between any check and act.
+The real controllers run against a simulated platform, network and clocks,
+which fail at random from a seed.  A VM may be paused at every read of its
+clock while the other VMs continue, so a pause can fall between any check and
+the action that depends on it.
 """
 
 import random
@@ -20,7 +21,7 @@
 from mulberryway.policy import member
 
 GROUPS = 2
-PARTS = 4
+PARTITIONS = 4
 VMS = 4
 TICKS = 80
 ACCOUNTS = {"tea": (400, 600), "carp": (250, 400)}
@@ -29,16 +30,18 @@
 
 
 class FaultProfile:
-    """What fails most in a schedule.
-
-    :param lost: part of the messages of which request or answer is lost
-    :param doubled: part of the messages that come twice, at once or later
-    :param crash: how often a process dies in a tick
-    :param pause: how often a VM is paused at a look at its clock
-    :param platform: how often the platform goes down or up in a tick
-    :param rates: how often rates and bursts change in a tick
-    :param wish: the most that borrowers ask for beyond their need; leaves
-        unused tokens on loan
+    """Fault probabilities of one schedule.
+
+    :param lost: fraction of the messages whose request or response is lost
+        or whose request is delayed
+    :param doubled: fraction of the messages that are delivered twice, at
+        once or later
+    :param crash: probability per tick that a process crashes
+    :param pause: probability per clock read that a VM is paused
+    :param platform: probability per tick that the platform goes down or up
+    :param rates: probability per tick that rates and bursts change
+    :param wish: maximum number of tokens that borrowers request beyond their
+        need, which leaves unused tokens on loan
     """
 
     def __init__(
@@ -89,7 +92,7 @@
 
 
 class SimClock(clock.Clock):
-    """A VM's clock: off, running apart, and a place to be paused at."""
+    """A VM's clock with offset and drift, whose reads may pause the VM."""
 
     def __init__(self, world, name):
         self.world = world
@@ -104,18 +107,18 @@
         value = self.last_ms = self.offset_ms + int(
             self.world.now_ms * (1 + self.drift)
         )
-        self.world.perhaps_pause(self.name)
+        self.world.maybe_pause(self.name)
         return value
 
     def wall_ms(self):
         return self.world.now_ms
 
     def sleep_ms(self, duration_ms):
-        raise AssertionError("nothing may sleep here")
+        raise AssertionError("sleep_ms was called in the simulation")
 
 
 class SimStore(platform.ObjectStore):
-    """The platform, as one VM meets it."""
+    """The platform's object store as seen by one VM."""
 
     def __init__(self, world, name):
         self.world = world
@@ -143,7 +146,7 @@
         versions = self.world.objects.get(name)
         if not versions:
             return self.conflict(errors.Code.NOT_FOUND)
-        # Now and then a replica answers with an old version.
+        # Some reads go to a replica that still has the previous version.
         back = 2 if self.world.chance(0.05) else 1
         return expression.Ok(versions[-min(back, len(versions))])
 
@@ -169,10 +172,10 @@
         return expression.Ok(stored)
 
     def delete(self, kind, name, version, purpose):
-        raise AssertionError("nothing is deleted")
+        raise AssertionError("delete was called in the simulation")
 
     def watch(self, kind, from_version, idle_timeout_ms, purpose):
-        raise AssertionError("nothing is watched")
+        raise AssertionError("watch was called in the simulation")
 
     def list_vms(self, purpose):
         if self.is_down():
@@ -182,7 +185,7 @@
 
 
 class SimPeers:
-    """The network, as one VM meets it."""
+    """The network between peers as seen by one VM."""
 
     def __init__(self, world, name):
         self.world = world
@@ -196,12 +199,13 @@
             (1 - 3 * lost - 2 * doubled, lost, lost, lost, doubled, doubled),
         )[0]
         if method == "borrow":
-            # Any wish is allowed; a large one leaves more unused on loan.
+            # Any wish is valid; a large one leaves more unused tokens on
+            # loan.
             arguments[0].wish += world.random.randint(0, world.mode.wish)
         world.take_time(2)
         send = (peer, method, arguments)
         if fault == "late":
-            world.send_later(*send)
+            world.deliver_later(*send)
         if fault in ("lost", "late") or not world.is_reachable(peer):
             world.take_time(50)
             return self.fail(peer)
@@ -209,7 +213,7 @@
         if fault == "doubled":
             answer = world.deliver(*send)
         if fault == "copy late":
-            world.send_later(*send)
+            world.deliver_later(*send)
         world.take_time(2)
         if fault == "lost reply":
             return self.fail(peer)
@@ -234,12 +238,12 @@
 
     def put(self, current):
         self.current = current
-        for tell in self.on_change:
-            tell(current)
+        for notify in self.on_change:
+            notify(current)
 
 
 class SimVm:
-    """One life of one VM's process, and its view of the other VMs."""
+    """One incarnation of a VM's process, with its view of the other VMs."""
 
     def __init__(self, world, name, incarnation):
         self.world = world
@@ -247,7 +251,7 @@
         self.own = member.Member(name, name, 1, 2, "z", "r", incarnation)
         self.clock = SimClock(world, name)
         self.state = allowance_state.AllowanceState(
-            self.own, make_times(), GROUPS, PARTS
+            self.own, make_times(), GROUPS, PARTITIONS
         )
         self.source = SimSource(world.tables)
         self.service = allowances.AllowanceService(self.state, self.clock)
@@ -261,7 +265,7 @@
         self.is_reserving = False
 
     def list_members(self):
-        """Return what membership tells; now and then it is wrong."""
+        """Return the members; live ones are sometimes reported as dead."""
         members = [vm.own.copy() for vm in self.world.vms.values()]
         for one in members:
             is_paused = one.name in self.world.paused
@@ -280,14 +284,15 @@
         tokens = self.world.random.choice(choices)
         is_greedy = self.world.is_rush and self.world.chance(0.3)
         if is_greedy:
-            # All that is at hand, so that a token too many shows.
+            # Reserve all available tokens, so that one token too many is
+            # detected.
             tokens = max(
                 self.state.book.read_available(account, self.clock.last_ms), 1
             )
         self.is_reserving = True
         result = self.allowances.reserve(account, tokens)
         if result.is_ok():
-            self.world.perhaps_pause(self.name)
+            self.world.maybe_pause(self.name)
         self.is_reserving = False
         after_ms = self.world.now_ms
         if not result.is_ok():
@@ -295,7 +300,8 @@
         if not self.allowances.is_usable(result.ok):
             self.allowances.settle(result.ok, 0)
             return
-        # The act follows the last check, however long the pause after it.
+        # The tokens count as used at the last check, however long the pause
+        # after it.
         at_ms = max(after_ms, self.clock.read_ms)
         used = tokens if is_greedy or self.world.chance(0.75) else 0
         self.world.grants.append((at_ms, account, used))
@@ -339,7 +345,7 @@
         self.is_reusable = False
 
     def warm_up(self):
-        """Let the VMs take all shares, and fill them."""
+        """Let the VMs acquire all slots and fill their buckets."""
         for _ in range(8):
             self.now_ms += 400
             for vm in self.vms.values():
@@ -348,12 +354,12 @@
     def chance(self, probability):
         return self.random.random() < probability
 
-    def put_tables(self, besides=()):
+    def put_tables(self, without=()):
         self.revision += 1
         accounts = tuple(
             tables.ClientAccount(name, (), rate, burst)
             for name, (rate, burst) in self.rates.items()
-            if name not in besides
+            if name not in without
         )
         self.tables = tables.Tables(self.revision, (), (), accounts)
 
@@ -361,8 +367,8 @@
         self.vms[name] = SimVm(self, name, incarnation)
         self.update_vm_list()
 
-    def update_vm_list(self, gone=()):
-        listed = {vm for vm in self.vms if vm not in gone}
+    def update_vm_list(self, removed=()):
+        listed = {vm for vm in self.vms if vm not in removed}
         self.lists.append((self.now_ms, listed))
 
     def list_at(self, at_ms):
@@ -373,9 +379,9 @@
         )[1]
         return [platform.ListedVm(n, n, "z", False) for n in sorted(listed)]
 
-    def take_time(self, most_ms):
+    def take_time(self, max_ms):
         slow = 20 if self.chance(0.02) else 1
-        self.now_ms += self.random.randint(0, most_ms * slow)
+        self.now_ms += self.random.randint(0, max_ms * slow)
 
     def is_reachable(self, peer):
         name = peer.partition(":")[0]
@@ -385,14 +391,14 @@
         vm = self.vms[peer.partition(":")[0]]
         return getattr(vm.service, method)(*arguments)
 
-    def send_later(self, *message):
+    def deliver_later(self, *message):
         delay_ms = self.random.choice((50, 400, 2_000))
         self.late.append((self.now_ms + delay_ms, message))
 
-    def perhaps_pause(self, name):
+    def maybe_pause(self, name):
         if self.depth or self.is_reusable:
             return
-        # Between a check and its act a pause does the most harm.
+        # A pause is most harmful between a check and the dependent action.
         vm = self.vms.get(name)
         factor = 20 if vm is not None and vm.is_reserving else 0.3
         if not self.chance(self.mode.pause * factor):
@@ -411,12 +417,12 @@
         return self
 
     def tick(self):
-        # Callers pause, and then come all at once: most can go wrong when
-        # full buckets are emptied.
+        # Callers alternate between idle and rush periods: overruns are most
+        # likely while full buckets are emptied.
         if self.chance(0.06 if self.is_rush else 0.15):
             self.is_rush = not self.is_rush
-        most_ms = 10 + 20 * self.depth if self.is_rush else 300
-        self.now_ms += self.random.randint(0, most_ms)
+        max_ms = 10 + 20 * self.depth if self.is_rush else 300
+        self.now_ms += self.random.randint(0, max_ms)
         self.deliver_late()
         awake = [vm for n, vm in self.vms.items() if n not in self.paused]
         if not awake:
@@ -433,12 +439,12 @@
         for one in awake:
             self.act(one, SimVm.settle)
         if not self.is_reusable:
-            self.perhaps_change(vm)
+            self.maybe_inject_fault(vm)
 
-    def act(self, vm, do):
-        """Let a VM do something, unless it has died or is paused."""
+    def act(self, vm, action):
+        """Run an action on a VM unless it has crashed or is paused."""
         if self.vms.get(vm.name) is vm and vm.name not in self.paused:
-            do(vm)
+            action(vm)
 
     def deliver_late(self):
         due = [one for one in self.late if one[0] <= self.now_ms]
@@ -447,15 +453,15 @@
             if self.is_reachable(message[0]):
                 self.deliver(*message)
 
-    def perhaps_change(self, vm):
+    def maybe_inject_fault(self, vm):
         mode = self.mode
         if self.vms.get(vm.name) is not vm or vm.name in self.paused:
             return
         if self.chance(mode.crash):
-            # The process dies and starts again on its VM at once.
+            # The process crashes and restarts on its VM at once.
             self.start(vm.name, vm.own.incarnation + 1)
         elif self.chance(mode.crash / 2) and len(self.vms) > 2:
-            # The VM dies; the platform drops it from its list.
+            # The VM crashes; the platform removes it from its list.
             del self.vms[vm.name]
             self.update_vm_list()
         elif self.chance(mode.crash) and len(self.vms) < VMS:
@@ -479,25 +485,26 @@
         rate, burst = ACCOUNTS[name]
         factor = self.random.choice((1, 2))
         self.rates[name] = (rate * factor, burst * factor)
-        most_rate, most_burst = self.maximum[name]
+        max_rate, max_burst = self.maximum[name]
         self.maximum[name] = (
-            max(most_rate, rate * factor),
-            max(most_burst, burst * factor),
+            max(max_rate, rate * factor),
+            max(max_burst, burst * factor),
         )
-        self.put_tables(besides=(name,) if self.chance(0.3) else ())
+        self.put_tables(without=(name,) if self.chance(0.3) else ())
 
 
 def find_overrun(grants, limits):
-    """Return the most tokens that any account got beyond its allowance.
+    """Return the largest overrun of any account.
 
-    In any window an account may receive its rate times the window's length
-    and its burst.  That holds if and only if a queue that gets the grants
-    and drains at the rate never holds more than the burst; so one pass over
-    the grants judges all windows exactly, in thousandths of tokens.
+    In any window an account may receive at most its rate times the window's
+    length, plus its burst.  This holds if and only if a leaky bucket that is
+    filled by the grants and drains at the rate never exceeds the burst.  So
+    one pass over the grants checks all windows exactly, in thousandths of
+    tokens.
 
-    :param grants: time in milliseconds, account, tokens
-    :param limits: rate and burst by account
-    :returns: thousandths of tokens; at most 0 if the promise was kept
+    :param grants: tuples of time in ms, account and tokens
+    :param limits: pairs of rate and burst by account
+    :returns: thousandths of tokens; at most 0 if no limit was exceeded
     """
     worst = -(10**9)
     for name, (rate, burst) in limits.items():
--- a/tests/configuration_fleet.py
+++ b/tests/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""Processes: a platform stand-in, routers and administration APIs."""
+"""Starts a platform stand-in, routers and administration APIs as processes."""
 
 import json
 import os
@@ -14,15 +14,15 @@
 
 CREDENTIAL = "operator-credential"
 ZONES = ("kandy-a", "matale-b", "nuwara-c")
-GUARD_S = 60
+TIMEOUT_S = 60
 
 
 class ConfigurationFleet(processes.Group):
-    """Use it as a context manager.
+    """Context manager that starts and stops the processes of a fleet.
 
-    :param vms: how many VMs
-    :param admins: on how many of them an administration API runs
-    :param options: further settings by section
+    :param vms: number of VMs
+    :param admins: number of these VMs with an administration API
+    :param options: additional settings by section
     """
 
     def __init__(self, vms, admins=1, **options):
@@ -44,7 +44,7 @@
         return self
 
     def __exit__(self, *_):
-        # A graceful shutdown is not what these tests are about.
+        # Kill the processes: these tests do not cover graceful shutdown.
         for process in self.processes:
             process.kill()
         self.folder.cleanup()
@@ -95,8 +95,8 @@
         return str(file)
 
     def run_admin_command(self, *words, admin=0, credential=CREDENTIAL):
-        """Run the operators' command; return its status and its answer."""
-        done = subprocess.run(
+        """Run the operators' tool; return its exit status and output."""
+        completed = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -109,36 +109,40 @@
             env={**os.environ, "MULBERRYWAY_CREDENTIAL": credential},
             capture_output=True,
             text=True,
-            timeout=GUARD_S,
+            timeout=TIMEOUT_S,
         )
-        answer = json.loads(done.stdout) if done.stdout else done.stderr
-        return done.returncode, answer
+        output = (
+            json.loads(completed.stdout)
+            if completed.stdout
+            else completed.stderr
+        )
+        return completed.returncode, output
 
     def call_admin(self, method, path, body=None, admin=0):
-        """Call an administration API directly."""
+        """Send a request to an administration API."""
         return processes.call(
             self.admin_ports[admin],
             method,
             path,
             body,
             {"Authorization": f"Bearer {CREDENTIAL}"},
-            timeout_s=GUARD_S,
+            timeout_s=TIMEOUT_S,
         )
 
     def call_router(self, number, key):
-        """Make a plain call with a key at one VM; return its status."""
+        """Send a plain call with a key to one VM; return the status."""
         return processes.call(
             self.router_ports[number],
             "GET",
             "/member/renewals",
             headers={"Authorization": f"Bearer {key}"},
-            timeout_s=GUARD_S,
+            timeout_s=TIMEOUT_S,
         ).status
 
     def call_platform(self, method, path, body=None):
-        """Call the platform stand-in as its operators do."""
+        """Send a request to the platform stand-in."""
         return processes.call(self.platform_port, method, path, body)
 
     def fault(self, **faults):
-        """Switch the platform stand-in's faults."""
+        """Set faults of the platform stand-in."""
         processes.call(self.platform_port, "POST", "/standin/faults", faults)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment of real processes on loopback, for tests."""
+"""Runs a complete deployment of real processes on loopback, for tests."""
 
 import hashlib
 import pathlib
@@ -18,9 +18,13 @@
 
 
 class Deployment:
-    """A platform, engines, a service, routers and an administration API.
+    """Runs a platform, engines, a service, routers and an administration API.
 
-    Use it as a context manager; ``ports`` are the routers' ports.
+    Use it as a context manager; ``ports`` holds the routers' ports.
+
+    :param vms: number of VMs
+    :param router: settings that override those of the ``router`` section
+    :param engine_flags: additional flags of the engine stand-in
     """
 
     def __init__(self, vms=3, router=None, engine_flags=("--token_ms=5",)):
@@ -46,7 +50,7 @@
         self.routers = [None] * vms
 
     def __enter__(self):
-        # All at once: each takes a second or two to start.
+        # Start all before waiting: each needs a second or two.
         for number in range(len(self.files)):
             self.start_router(number)
         admin = processes.Process(
@@ -61,20 +65,20 @@
         processes.wait_until(
             lambda: all(self.is_ready(port) for port in self.ports)
         )
-        # A new account's tokens come only after loans to an earlier account
-        # of its name would have ended, some four seconds.
+        # A new account gets tokens only after any loans to a previous account
+        # of the same name have expired, which takes about four seconds.
         processes.wait_until(lambda: all(map(self.has_tokens, self.ports)))
         return self
 
     def __exit__(self, *_):
-        # A planned stop takes seconds, and has a test of its own.
+        # A graceful shutdown takes seconds and has its own test.
         for router in filter(None, self.routers):
             router.kill()
         self.group.stop()
         self.folder.cleanup()
 
     def start_router(self, number):
-        """Start a router and return it; it may not listen yet."""
+        """Start a router; return its process, which may not listen yet."""
         self.routers[number] = processes.Process(
             "mulberryway.commands.router",
             [f"--settings={self.files[number]}"],
@@ -91,7 +95,7 @@
         return reply.status == 200
 
     def make_rows(self):
-        """Return the tables as plain values."""
+        """Return the initial tables as nested dictionaries."""
         engines = {
             f"e{number}": {
                 "address": f"127.0.0.1:{port}",
@@ -146,17 +150,17 @@
         }
 
     def apply(self, rows):
-        """Replace all tables, as an operator does."""
+        """Replace all tables through the administration API."""
         headers = {
             "Authorization": f"Bearer {OPERATOR}",
             "Content-Type": "application/json",
         }
-        shown = processes.call(
+        response = processes.call(
             self.admin_port, "GET", "/v1/tables", None, headers
         )
         body = {
             "text": tomli_w.dumps(rows),
-            "revision": shown.json()["revision"],
+            "revision": response.json()["revision"],
         }
         reply = processes.call(
             self.admin_port, "PUT", "/v1/tables", body, headers
@@ -197,7 +201,7 @@
 
 
 class RemoteRouter:
-    """What :class:`router_rig.OpenStream` needs of a router elsewhere."""
+    """Client of a router in another process, for ``OpenStream`` and calls."""
 
     def __init__(self, port):
         self.port = port
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""An object store in memory whose faults a test switches on and off."""
+"""In-memory object store with faults that tests can enable."""
 
 import collections
 import copy
@@ -19,12 +19,13 @@
 
 
 class MemoryStore(base.ObjectStore):
-    """Keeps every version of every object, so that reads can be stale.
+    """Stores all versions of all objects, to allow stale reads.
 
-    ``outage`` refuses all calls.  ``lose_reply`` is the part of writes that
-    take effect but whose reply is lost; ``lose_write`` the part that is
-    lost on its way; ``stale`` the part of reads that are answered from an
-    old version.  ``counts`` holds calls by purpose.
+    While ``outage`` is set, all calls fail.  ``lose_reply`` is the fraction
+    of writes that take effect but whose response is lost, ``lose_write`` the
+    fraction of writes that are lost before they take effect, and ``stale``
+    the fraction of reads that return an old version.  ``counts`` holds the
+    number of calls by purpose.
     """
 
     def __init__(self, seed=0):
@@ -40,16 +41,16 @@
         self.lose_reply = 0.0
         self.lose_write = 0.0
         self.stale = 0.0
-        # Called before each call, so that others act in between.
+        # Hook that runs before each call, for concurrent changes.
         self.on_call = lambda: None
-        # The time of each version, for checkers.
+        # Time of each version, for checks in tests.
         self.now_ms = lambda: 0
         self.written_ms = {}
 
     def read(self, kind, name, purpose):
         self.on_call()
         with self.lock:
-            if self._refuses(purpose):
+            if self._is_rejected(purpose):
                 return self._unavailable()
             versions = self.history.get((kind, name), [])
             if versions and self.random.random() < self.stale:
@@ -61,7 +62,7 @@
     def read_all(self, kind, purpose):
         self.on_call()
         with self.lock:
-            if self._refuses(purpose):
+            if self._is_rejected(purpose):
                 return self._unavailable()
             return expression.Ok(
                 [
@@ -83,7 +84,7 @@
 
     def watch(self, kind, from_version, idle_timeout_ms, purpose):
         self.counts[purpose] += 1
-        seen = from_version
+        last_version = from_version
         while True:
             with self.lock:
                 if self.outage:
@@ -93,33 +94,33 @@
                     event
                     for event in self.events
                     if event.object.kind == kind
-                    and event.object.version > seen
+                    and event.object.version > last_version
                 ]
                 if not events:
                     self.lock.wait(0.05)
             for event in events:
-                seen = event.object.version
+                last_version = event.object.version
                 yield expression.Ok(event)
             if not events:
-                mark = base.StoredObject(kind, "", self.version, {})
+                bookmark = base.StoredObject(kind, "", self.version, {})
                 yield expression.Ok(
-                    base.WatchEvent(base.EventType.BOOKMARK, mark)
+                    base.WatchEvent(base.EventType.BOOKMARK, bookmark)
                 )
 
     def list_vms(self, purpose):
-        if self._refuses(purpose):
+        if self._is_rejected(purpose):
             return self._unavailable()
         return expression.Ok(list(self.vms))
 
     def names(self, kind):
-        """Return the names of all objects of a kind that exist."""
+        """Return the names of all existing objects of a kind."""
         return {
             name
             for (of_kind, name), versions in self.history.items()
             if of_kind == kind and versions[-1].value is not None
         }
 
-    def _refuses(self, purpose):
+    def _is_rejected(self, purpose):
         self.counts[purpose] += 1
         return self.outage
 
@@ -130,7 +131,7 @@
     def _write(self, kind, name, value, version, purpose):
         self.on_call()
         with self.lock:
-            if self._refuses(purpose):
+            if self._is_rejected(purpose):
                 return self._unavailable()
             if self.random.random() < self.lose_write:
                 return self._unavailable(errors.ExecutionStatus.MAY_HAVE_RUN)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts real processes for tests, and ends exactly those."""
+"""Starts processes for tests and stops only the processes it started."""
 
 import contextlib
 import http.client
@@ -21,47 +21,51 @@
 POLL_S = 0.02
 WORKER = int(os.environ.get("MULBERRYWAY_TEST_WORKER", "0"))
 FIRST_PORT = 10_000
-# Below the ports that the kernel picks for outgoing connections.
+# All ranges lie below the kernel's ephemeral ports.
 PORTS = 2_000
 RANGES = 11
-NUMBERS = itertools.count()
-# Straight to loopback, whatever proxy the environment names.
+PORT_OFFSETS = itertools.count()
+# Connects directly, even if the environment configures a proxy.
 OPENER = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
 
 def reserve_port_range():
-    """Return the first port of a range that no other process uses.
+    """Reserve a range of ports for this process.
 
-    Two runs at once, such as a soak beside the tests, would else pick the
-    same ports, each between the other's look and its use; fleets then got
-    the other's servers or did not start.  The last port of a range is kept
-    bound for as long as the process lives, which claims the range.
+    Without it, concurrent runs, such as a soak and the tests, could pick the
+    same ports, because a port may be taken between the check and its use.
+    Fleets then connected to the other run's servers or did not start.  The
+    last port of the range stays bound until the process ends, which reserves
+    the range.
+
+    :returns: the first port of the range, and the bound socket
+    :raises RuntimeError: if all ranges are in use
     """
     others = [number for number in reversed(range(RANGES)) if number != WORKER]
     for number in (WORKER, *others):
         first = FIRST_PORT + number * PORTS
-        guard = socket.socket()
+        lock = socket.socket()
         try:
-            guard.bind((HOST, first + PORTS - 1))
+            lock.bind((HOST, first + PORTS - 1))
         except OSError:
-            guard.close()
+            lock.close()
             continue
-        return first, guard
+        return first, lock
     raise RuntimeError("all ranges of ports are in use")
 
 
-FIRST_OWN_PORT, RANGE_GUARD = reserve_port_range()
+FIRST_OWN_PORT, RANGE_LOCK = reserve_port_range()
 
 
 def pick_ports(count):
-    """Return ports that are free now, from this process's own range.
+    """Return currently free ports from the range of this process.
 
-    Ports that the kernel picks lie above all ranges, so that neither another
-    process nor an outgoing connection takes one between here and its use.
+    The kernel's ephemeral ports lie above all ranges, so neither another
+    process nor an outgoing connection can take a port before it is used.
     """
     found = []
     while len(found) < count:
-        port = FIRST_OWN_PORT + next(NUMBERS) % (PORTS - 1)
+        port = FIRST_OWN_PORT + next(PORT_OFFSETS) % (PORTS - 1)
         with contextlib.closing(socket.socket()) as sock:
             try:
                 sock.bind((HOST, port))
@@ -72,10 +76,12 @@
 
 
 def wait_until(condition, timeout_s=START_S, poll_s=POLL_S):
-    """Wait for a condition; the time limit is only a guard.
+    """Poll a condition until it is true or the timeout expires.
 
-    :param condition: called until it returns something true
-    :returns: what it returned, or its last answer at the limit
+    :param condition: called until it returns a true value
+    :param timeout_s: timeout in seconds
+    :param poll_s: interval between calls in seconds
+    :returns: the last value that the condition returned
     """
     end = time.monotonic() + timeout_s
     while not (found := condition()) and time.monotonic() < end:
@@ -84,7 +90,7 @@
 
 
 def is_open(port):
-    """Tell whether something listens on a port."""
+    """Return whether a server listens on a port."""
     try:
         socket.create_connection((HOST, port), 1).close()
     except OSError:
@@ -93,12 +99,16 @@
 
 
 def count_threads(pid):
-    """Return how many threads a process has, by the kernel's list."""
+    """Return the number of threads of a process, as listed in /proc."""
     return len(list(pathlib.Path(f"/proc/{pid}/task").iterdir()))
 
 
 class Reply:
-    """An HTTP reply; a cut one has less body than its head announced."""
+    """An HTTP response.
+
+    ``is_cut`` is set if the body ended before the length or the last chunk
+    that its header or framing promised.
+    """
 
     def __init__(self, status, headers, body, is_cut=False):
         self.status = status
@@ -111,7 +121,7 @@
 
 
 def call(port, method, path, body=None, headers=None, timeout_s=10):
-    """Make one HTTP call and return its reply, whatever its status."""
+    """Send an HTTP request; return the response, whatever its status."""
     data = body
     if body is not None and not isinstance(body, bytes):
         data = json.dumps(body).encode()
@@ -130,12 +140,12 @@
 
 
 class Process:
-    """A running program of the project.
+    """A child process that runs a program of the project.
 
-    :param module: what follows ``python -m``
-    :param arguments: the command line
-    :param ports: where it listens once it is ready
-    :param log: a file that its standard output is added to
+    :param module: Python module to run
+    :param arguments: command-line arguments
+    :param ports: ports that it listens on once it is ready
+    :param log: file to which its standard output is appended
     """
 
     def __init__(self, module, arguments=(), ports=(), log=None):
@@ -150,7 +160,7 @@
         self.ports = list(ports)
 
     def wait_ready(self):
-        """Wait until it listens on all its ports."""
+        """Wait until the process listens on all its ports."""
         wait_until(
             lambda: (
                 self.popen.poll() is not None or all(map(is_open, self.ports))
@@ -158,11 +168,11 @@
         )
         if not all(map(is_open, self.ports)):
             self.stop()
-            raise RuntimeError(f"{self.popen.args} did not start")
+            raise RuntimeError(f"{self.popen.args} did not open all its ports")
         return self
 
     def stop(self):
-        """End it by SIGTERM, and by SIGKILL if that does not help."""
+        """Stop the process with SIGTERM, then SIGKILL after a timeout."""
         self.terminate()
         try:
             return self.popen.wait(STOP_S)
@@ -170,22 +180,22 @@
             return self.kill()
 
     def terminate(self):
-        """Send SIGTERM without waiting for the end."""
+        """Send SIGTERM without waiting for the process to exit."""
         if self.popen.poll() is None:
             self.popen.terminate()
 
     def kill(self):
-        """End it at once, as a VM's failure does."""
+        """Kill the process, which simulates a crash of its VM."""
         self.popen.kill()
         return self.popen.wait(STOP_S)
 
     def send_signal(self, number):
-        """Send a signal, such as SIGSTOP and SIGCONT."""
+        """Send a signal, for example SIGSTOP or SIGCONT."""
         self.popen.send_signal(number)
 
 
 class Group:
-    """Processes that end together; use it as a context manager."""
+    """Context manager that stops all its processes together."""
 
     def __init__(self):
         self.processes = []
@@ -199,38 +209,40 @@
     def start(self, module, *arguments, ports=()):
         """Start a program and wait until it listens.
 
-        :param module: what follows ``python -m``
-        :param arguments: its command line
-        :param ports: where it will listen
+        :param module: Python module to run
+        :param arguments: command-line arguments
+        :param ports: ports that it will listen on
+        :returns: the process
         """
         process = Process(module, arguments, ports)
         self.processes.append(process)
         return process.wait_ready()
 
     def stop(self):
-        """End all: the project's programs together, then the stand-ins.
+        """Stop all programs of the project, then the stand-ins.
 
-        A router that stops still needs its platform.  Each gets a second
-        signal, at which a router no longer waits for what runs: no test
-        has anything running that matters by then.
+        The stand-ins are last because a router needs the platform to shut
+        down.  Each process gets a second SIGTERM, which makes a router exit
+        without waiting for running requests; no test needs them any more.
         """
         for is_standin in (False, True):
-            ending = [
+            selected = [
                 process
                 for process in self.processes
                 if process.is_standin is is_standin
             ]
-            for process in ending:
+            for process in selected:
                 process.terminate()
-            for process in ending:
+            for process in selected:
                 process.stop()
 
 
 def start_engines(group, roles, *arguments):
-    """Start one process of several engines.
+    """Start one process that runs several engine stand-ins.
 
+    :param group: the group to add the process to
     :param roles: each engine's role
-    :param arguments: further flags
+    :param arguments: additional flags
     :returns: the process and the engines' ports
     """
     ports = pick_ports(len(roles))
@@ -246,6 +258,9 @@
 def start_standin(group, name, *arguments):
     """Start ``standins.NAME`` on a free port.
 
+    :param group: the group to add the process to
+    :param name: name of the stand-in's module
+    :param arguments: additional flags
     :returns: the process and its port
     """
     (port,) = pick_ports(1)
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -1,4 +1,4 @@
-"""A router in the test's own process, before real stand-in processes."""
+"""Runs a router in the test's process against stand-in processes."""
 
 import http.client
 import json
@@ -29,7 +29,7 @@
 
 
 class StaticTables(tables.TableSource):
-    """Tables that a test sets."""
+    """A table source whose tables are set by the test."""
 
     def __init__(self, current=None):
         self.current = current
@@ -48,7 +48,7 @@
 
 
 class CountingAllowances(allowance.Allowances):
-    """Grants all, and keeps what was reserved and settled."""
+    """Grants every request and records reservations and settlements."""
 
     def __init__(self):
         self.open = []
@@ -91,7 +91,7 @@
 
 
 def make_tables(engines=(), services=(), accounts=None, revision=1, **route):
-    """Return tables with a model route and two plain ones."""
+    """Return tables with one model route and two plain routes."""
     accounts = accounts or (
         make_account("tea-estate", KEY),
         make_account("surveyors", OTHER_KEY),
@@ -132,7 +132,7 @@
 
 
 class RouterFixture:
-    """One router; use it as a context manager."""
+    """Context manager that starts and stops one router."""
 
     def __init__(
         self,
@@ -176,7 +176,7 @@
         )
 
     def call(self, method, path, body=None, key=KEY, **headers):
-        """Make one call on a connection of its own."""
+        """Send a request on a new connection."""
         headers = {k.replace("_", "-"): v for k, v in headers.items()}
         if key:
             headers["Authorization"] = f"Bearer {key}"
@@ -189,7 +189,7 @@
         return self.call("POST", "/v1/completions", body, key)
 
     def is_idle(self, cancels=True):
-        """Tell whether nothing is held for any request."""
+        """Return whether no resources are held for any request."""
         return (
             not self.router.running
             and not self.router.relay.count
@@ -204,7 +204,7 @@
 
 
 class OpenStream:
-    """A caller that reads a stream as it comes."""
+    """A caller that reads the events of a stream as they arrive."""
 
     def __init__(self, rig, prompt, max_tokens, key=KEY, model="m"):
         self.connection = rig.connect()
@@ -227,10 +227,10 @@
         )
 
     def begin(self):
-        """Wait for the reply's head, and come again when told to.
+        """Wait for the response headers, retrying as told by the router.
 
-        A router that has just begun has an empty allowance, and says when
-        to come again; callers do so.
+        A router that has just started has no tokens yet; it rejects requests
+        with status 429 and the time after which to retry.
         """
         self.reply = self.connection.getresponse()
         until = time.monotonic() + TEST_TIMEOUT_S
@@ -242,7 +242,7 @@
             self.reply = self.connection.getresponse()
 
     def read_event(self):
-        """Return the next event's JSON, ``[DONE]``, or none at the end."""
+        """Return the next event's JSON, ``[DONE]``, or None at the end."""
         if self.reply is None:
             self.begin()
         while line := self.reply.readline():
@@ -252,7 +252,7 @@
         return None
 
     def read_all(self):
-        """Return all events up to the end of the stream."""
+        """Return all remaining events of the stream."""
         events = []
         while (event := self.read_event()) is not None:
             events.append(event)
@@ -265,7 +265,7 @@
 
 
 def join_text(events):
-    """Return the text that a stream's events carry."""
+    """Return the concatenated text of a stream's events."""
     return "".join(
         event["choices"][0]["text"]
         for event in events
@@ -278,7 +278,7 @@
 
 
 def list_held(port):
-    """Return what an engine stand-in holds memory for."""
+    """Return the requests that hold memory in an engine stand-in."""
     return processes.call(port, "GET", "/v1/requests").json()["requests"]
 
 
