--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -210,16 +210,16 @@
         scheduler, now_ms = self._schedulers[router], int(self.now_ms)
         for name, engine in self._engines.items():
             load = engine.report_load(self.now_ms)
-            parameters = engine.parameters
+            shape = engine.shape
             scheduler.record_load(
                 "lm",
                 name,
                 upstreams.EngineLoad(
                     load.running,
                     load.waiting,
-                    parameters.slots,
+                    shape.slots,
                     load.free_blocks,
-                    parameters.total_blocks,
+                    shape.total_blocks,
                     ("m",),
                 ),
                 now_ms,
@@ -531,6 +531,6 @@
 
 
 def _make_parameters() -> engine_types.EngineParameters:
-    parameters = engine_types.EngineParameters()
-    parameters.prefill_token_ms = PREFILL_MS_PER_TOKEN
-    return parameters
+    shape = engine_types.EngineParameters()
+    shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
+    return shape
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -83,7 +83,7 @@
         """Return the violated invariants as lines of text."""
         with self._lock:
             wrong = [
-                f"{account}, {kind}: {seen.wrong} wrong answers"
+                f"{account}, {kind}: {seen.wrong} wrong responses"
                 for (account, kind), seen in self.seen.items()
                 if seen.wrong
             ]
@@ -105,7 +105,7 @@
             for key in keys
         )
         if leaked:
-            wrong.append(f"upstreams saw callers' keys {leaked} times")
+            wrong.append(f"upstreams received callers' keys {leaked} times")
         return wrong
 
     def _run_operator(self) -> list[str]:
--- a/benchmarks/series.py
+++ b/benchmarks/series.py
@@ -58,7 +58,7 @@
     :param intercept: the value at size zero
     :param slope: the change in value per unit of size
     :param slope_error: the slope's standard error
-    :param max_measured: the largest measured size
+    :param most_measured: the largest measured size
     """
 
     __slots__ = ("intercept", "slope", "slope_error", "most_measured")
@@ -68,12 +68,12 @@
         intercept: float,
         slope: float,
         slope_error: float,
-        max_measured: float,
+        most_measured: float,
     ) -> None:
         self.intercept = intercept
         self.slope = slope
         self.slope_error = slope_error
-        self.max_measured = max_measured
+        self.most_measured = most_measured
 
     def predict(self, size: float) -> float:
         """Return the line's value at a size.
@@ -89,7 +89,7 @@
         :param size: the size, in the series' x unit
         :returns: the size divided by the largest measured size, at least 1.0
         """
-        return max(size / self.max_measured, 1.0)
+        return max(size / self.most_measured, 1.0)
 
 
 def fit_line(series: Series) -> Fit:
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -227,10 +227,10 @@
         )
 
     def begin(self):
-        """Wait for the response headers, retrying as told by the router.
+        """Wait for the response headers, retrying on status 429.
 
         A router that has just started has no tokens yet; it rejects requests
-        with status 429 and the time after which to retry.
+        and states after what time to retry.
         """
         self.reply = self.connection.getresponse()
         until = time.monotonic() + TEST_TIMEOUT_S
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the measured series say."""
+"""Tests that docs/CAPACITY.md matches the stored measurements."""
 
 import pathlib
 import shutil
@@ -18,8 +18,9 @@
         return capacity.render_page(self.page, capacity_tables.TABLES, folder)
 
     def test_the_page_is_up_to_date(self):
-        """Somebody measures anew and forgets the page: run
-        ``python -m benchmarks.capacity``.
+        """Fails if a series changed and the page was not regenerated.
+
+        To fix it, run ``python -m benchmarks.capacity``.
         """
         self.assertEqual(self.render(series.FOLDER), self.page)
 
@@ -32,12 +33,12 @@
             series.write_series(changed, folder)
             self.assertNotEqual(self.render(folder), self.page)
 
-    def test_every_series_is_used_or_told(self):
+    def test_every_used_series_is_stored(self):
         used = {
             name
-            for lines in capacity_tables.TABLES.values()
-            for line in lines
-            for name in line.names
+            for rows in capacity_tables.TABLES.values()
+            for row in rows
+            for name in row.names
         }
-        kept = {file.stem for file in series.FOLDER.glob("*.json")}
-        self.assertEqual(used - kept, set())
+        stored = {file.stem for file in series.FOLDER.glob("*.json")}
+        self.assertEqual(used - stored, set())
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Operators, VMs and the platform as processes, under seeded faults."""
+"""Tests of table edits with real processes, under seeded faults."""
 
 import random
 import threading
@@ -17,21 +17,22 @@
 VMS = 3
 EDITS = 12
 OPERATORS = 3
-GUARD_MS = 30_000
+TIMEOUT_MS = 30_000
 
 
 class Sampler(threading.Thread):
-    """Asks each VM again and again for its revision.
+    """Polls the revision of each VM.
 
-    ``incarnation_counts`` counts up with each restart of a VM, so that a
-    sample belongs to one life; a sample around a restart is thrown away.
+    ``incarnation_counts`` is incremented at each restart of a VM, to assign
+    each sample to one incarnation.  A sample is discarded if the VM restarted
+    while it was taken.
     """
 
     def __init__(self, fleet):
         super().__init__(daemon=True)
         self.fleet = fleet
         self.client = peers.PeerClient(
-            "fleet secret", clock.SystemClock(), GUARD_MS
+            "fleet secret", clock.SystemClock(), TIMEOUT_MS
         )
         self.incarnation_counts = [0] * VMS
         self.samples = []
@@ -40,16 +41,16 @@
     def run(self):
         while not self.stopping.wait(0.05):
             for number in range(VMS):
-                life = self.incarnation_counts[number]
+                incarnation = self.incarnation_counts[number]
                 revision = self.read(number)
                 if (
                     revision is not None
-                    and life == self.incarnation_counts[number]
+                    and incarnation == self.incarnation_counts[number]
                 ):
-                    self.samples.append(((number, life), revision))
+                    self.samples.append(((number, incarnation), revision))
 
     def read(self, number):
-        answer: expression.Result = self.client.call(
+        response: expression.Result = self.client.call(
             f"127.0.0.1:{self.fleet.peer_ports[number]}",
             Configuration.Client,
             "read_root",
@@ -57,7 +58,7 @@
             timeout_ms=1_000,
             is_idempotent=True,
         )
-        return answer.ok.revision if answer.is_ok() else None
+        return response.ok.revision if response.is_ok() else None
 
     def stop(self):
         self.stopping.set()
@@ -66,7 +67,7 @@
 
 
 class Operator(threading.Thread):
-    """Edits a row of its own again and again, and keeps what it is told."""
+    """Edits its own row repeatedly and records the responses."""
 
     def __init__(self, fleet, number):
         super().__init__(daemon=True)
@@ -98,11 +99,13 @@
         reply = self.fleet.call_admin("PUT", "/v1/tables", body)
         self.assertEqual(reply.status, 200, reply.body)
 
-    def test_edits_stay(self):
-        """Three operators edit through two administration APIs while VMs
-        are killed and started, the platform's replies are lost, its watches
-        go silent, and it is down now and then.  What an operator was told
-        must be true, and no VM may go back to older tables.
+    def test_edits_are_not_lost(self):
+        """Edits are reported correctly and never rolled back under faults.
+
+        Three operators edit through two administration APIs.  Meanwhile a VM
+        is killed and restarted, and the platform loses responses, stalls
+        watches and has outages.  Each response must match the history, and
+        no VM may return to older tables.
         """
         sampler = Sampler(self.fleet)
         sampler.start()
@@ -113,8 +116,8 @@
         for operator in operators:
             operator.join()
         self.fleet.fault(outage=False, lost_share=0.0)
-        status, answer = self.fleet.run_admin_command("wait")
-        self.assertEqual(status, 0, answer)
+        status, response = self.fleet.run_admin_command("wait")
+        self.assertEqual(status, 0, response)
         sampler.stop()
         self.check_answers(operators)
         self.check_samples(sampler)
@@ -132,7 +135,7 @@
             elif kind == 2:
                 self.fleet.fault(lost_share=rng.choice((0.0, 0.3)))
             else:
-                # The first two carry the administration APIs' own routers.
+                # The first two VMs also run the administration APIs.
                 number = VMS - 1
                 self.fleet.vms[number].kill()
                 sampler.incarnation_counts[number] += 1
@@ -147,26 +150,28 @@
         self.assertEqual(
             sorted(accepted.values()), list(range(1, len(accepted) + 1))
         )
-        shown = self.fleet.call_admin("GET", "/v1/tables").json()["text"]
-        rows = tomllib.loads(shown)["accounts"]
-        told = 0
+        text = self.fleet.call_admin("GET", "/v1/tables").json()["text"]
+        rows = tomllib.loads(text)["accounts"]
+        confirmed = 0
         for operator in operators:
-            for edit_id, answer in operator.answers.items():
-                body = answer.json()
-                if answer.status == 200:
-                    told += 1
+            for edit_id, response in operator.answers.items():
+                body = response.json()
+                if response.status == 200:
+                    confirmed += 1
                     self.assertEqual(accepted.get(edit_id), body["revision"])
                 elif body["error"]["run"] == "not_run":
                     self.assertNotIn(edit_id, accepted)
-            mine = [one for one in accepted if one in operator.answers]
-            last = max(mine, key=accepted.get)
+            own_edits = [one for one in accepted if one in operator.answers]
+            last = max(own_edits, key=accepted.get)
             number = int(last.rpartition("-")[2])
             self.assertEqual(rows[operator.name_]["rate"], 1 + number)
-        self.assertGreater(told, 0)
+        self.assertGreater(confirmed, 0)
 
     def check_samples(self, sampler):
-        newest = {}
-        for life, revision in sampler.samples:
-            self.assertGreaterEqual(revision, newest.get(life, 0), life)
-            newest[life] = revision
+        newest_revisions = {}
+        for incarnation, revision in sampler.samples:
+            self.assertGreaterEqual(
+                revision, newest_revisions.get(incarnation, 0), incarnation
+            )
+            newest_revisions[incarnation] = revision
         self.assertGreater(len(sampler.samples), VMS)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,7 +1,7 @@
-"""What callers get under load, from several routers before real queues.
+"""Tests of goodput, waste and fairness under load, with several routers.
 
-Engines are the timing model of the stand-ins, in virtual time; each test
-compares with a plain scheduler on the same arrivals, or states a bound.
+The engines are the timing model of the stand-ins, in virtual time.  Each test
+compares with a baseline scheduler on the same arrivals, or checks a bound.
 """
 
 import functools
@@ -23,14 +23,14 @@
 
 class DecisionsTest(unittest.TestCase):
     def check(self, row, **bounds):
-        low = {"goodput_part", "worst_served_part"}
+        lower_bounded = {"goodput_part", "worst_served_part"}
         for name, bound in bounds.items():
             check = self.assertGreaterEqual
-            if name not in low:
+            if name not in lower_bounded:
                 check = self.assertLessEqual
             check(row[name], bound, (name, row))
 
-    def test_below_saturation_nobody_is_refused(self):
+    def test_below_saturation_no_request_is_rejected(self):
         for routers in (3, 9):
             self.check(
                 run("below", routers=routers),
@@ -41,9 +41,11 @@
             )
 
     def test_saturation(self):
-        """Demand just fills the engines.  A router that sends prefills for
-        which no slot is left loses a tenth of them, and callers wait for
-        answers that could have been refused at once.
+        """Demand equals the engines' capacity.
+
+        A router that starts prefills without a free decode slot wastes a
+        tenth of them, and callers wait for requests that could have been
+        rejected at once.
         """
         for routers in (3, 9):
             self.check(
@@ -52,30 +54,34 @@
                 wasted_part=0.01,
             )
 
-    def test_half_as_much_again(self):
-        """Half more is asked than the engines can do.  In order of arrival
-        every caller waits until it is too late, and goodput collapses
-        although all engines are busy.
+    def test_overload(self):
+        """Demand is 1.5 times the engines' capacity.
+
+        In order of arrival every request waits until it misses its targets,
+        and goodput collapses although all engines are busy.
         """
-        own = run("1.5 saturation")
-        self.check(own, goodput_part=0.94, wasted_part=0.04, late=8)
-        plain = run("1.5 saturation", "first_come")
-        self.assertGreater(own["goodput_part"], plain["goodput_part"] + 0.1)
+        fair = run("1.5 saturation")
+        self.check(fair, goodput_part=0.94, wasted_part=0.04, late=8)
+        baseline = run("1.5 saturation", "first_come")
         self.assertGreater(
-            own["worst_served_part"], plain["worst_served_part"] + 0.1
+            fair["goodput_part"], baseline["goodput_part"] + 0.1
         )
+        self.assertGreater(
+            fair["worst_served_part"], baseline["worst_served_part"] + 0.1
+        )
+
+    def test_one_account_exceeds_its_share(self):
+        """One account sends several times its fair share.
 
-    def test_one_account_floods(self):
-        """One account sends several times its due, and each account's
-        callers all use one VM for a while.  In order of arrival the small
-        accounts are served no better than the flood.
+        Each account's callers all use the same VM for a while.  In order of
+        arrival the small accounts are served no better than the large one.
         """
         for routers in (3, 9):
-            own = run("skewed", routers=routers)
-            plain = run("skewed", "first_come", routers)
-            self.check(own, worst_served_part=0.85, goodput_part=0.9)
+            fair = run("skewed", routers=routers)
+            baseline = run("skewed", "first_come", routers)
+            self.check(fair, worst_served_part=0.85, goodput_part=0.9)
             self.assertGreater(
-                own["worst_served_part"], plain["worst_served_part"] + 0.2
+                fair["worst_served_part"], baseline["worst_served_part"] + 0.2
             )
 
     def test_bursts(self):
@@ -88,56 +94,62 @@
             )
 
     def test_one_slow_upstream(self):
-        """A decode engine drops to less than half its speed and reports
-        nothing of it.  With least connections a quarter of all callers go
-        on to get slow answers.
+        """A decode engine slows to less than half its speed, unreported.
+
+        With least connections a quarter of all callers still get slow
+        responses.
         """
         for routers in (3, 9):
-            own = run("slow upstream", routers=routers)
-            plain = run("slow upstream", "first_come", routers)
-            self.check(own, goodput_part=0.94)
+            fair = run("slow upstream", routers=routers)
+            baseline = run("slow upstream", "first_come", routers)
+            self.check(fair, goodput_part=0.94)
             self.assertGreater(
-                own["goodput_part"], plain["goodput_part"] + 0.04
+                fair["goodput_part"], baseline["goodput_part"] + 0.04
             )
 
     def test_long_and_short(self):
-        """Long logs and short questions come mixed.  A short question that
-        waits behind a long prefill gets its first token too late.
+        """Long and short prompts are mixed.
+
+        A short prompt that waits behind a long prefill gets its first token
+        too late.
         """
         for routers in (3, 9):
-            own = run("long and short", routers=routers)
-            self.check(own, goodput_part=0.95, late=4)
+            fair = run("long and short", routers=routers)
+            self.check(fair, goodput_part=0.95, late=4)
 
-    def test_blind_routers_do_not_run_together(self):
-        """Notes between routers are lost for the whole time, so all they
-        see of one another are stale reports.  If all then choose what looks
-        best, most decodes are refused after their prefill.
+    def test_lost_gossip(self):
+        """All gossip messages between routers are lost.
+
+        The routers then know each other's load only from stale engine
+        reports.  If all choose the engine that looks best, most decodes are
+        rejected after their prefill.
         """
         load = next(o for o in workloads.WORKLOADS if o.name == "saturation")
         arrivals = workloads.generate_arrivals(KANDURATA, load, LENGTH_MS, 1)
         routers = [
             decisions.make_scheduler("worst_served", n) for n in range(9)
         ]
-        blind = fleet.Simulation(KANDURATA, routers, notes=False)
-        outcomes = blind.run(arrivals, LENGTH_MS)
+        isolated = fleet.Simulation(KANDURATA, routers, notes=False)
+        outcomes = isolated.run(arrivals, LENGTH_MS)
         row = decisions.compute_metrics(KANDURATA, load, outcomes, LENGTH_MS)
         self.check(row, goodput_part=0.7, wasted_part=0.2)
 
-    def test_a_leaving_engine_gets_nothing_and_cuts_nothing(self):
-        """An engine leaves at the peak, and the routers hear of it one
-        after another within two seconds.  What is sent there later would be
-        cut when it stops.
+    def test_draining_engine_gets_no_requests(self):
+        """An engine starts draining at the peak of the load.
+
+        The routers learn of it one after another within two seconds.  A
+        request sent there later would be truncated when the engine stops.
         """
         load = next(o for o in workloads.WORKLOADS if o.name == "saturation")
         arrivals = workloads.generate_arrivals(KANDURATA, load, 60_000, 1)
         routers = [
             decisions.make_scheduler("worst_served", n) for n in range(3)
         ]
-        leaving = fleet.Simulation(KANDURATA, routers)
-        leaving.plan_leaving("d2", 30_000, 1_000)
-        outcomes = leaving.run(arrivals, 60_000)
-        self.assertLessEqual(leaving.last_start_ms["d2"], 32_000)
-        self.assertGreater(leaving.last_start_ms["d3"], 50_000)
+        simulation = fleet.Simulation(KANDURATA, routers)
+        simulation.plan_leaving("d2", 30_000, 1_000)
+        outcomes = simulation.run(arrivals, 60_000)
+        self.assertLessEqual(simulation.last_start_ms["d2"], 32_000)
+        self.assertGreater(simulation.last_start_ms["d3"], 50_000)
         for outcome in outcomes:
             is_refused = outcome.refused_ms is not None
             self.assertNotEqual(outcome.is_whole, is_refused)
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Reports: runs are kept in order and compared figure by figure."""
+"""Tests of stored benchmark runs and their comparison."""
 
 import pathlib
 import tempfile
--- a/tests/test_series.py
+++ b/tests/test_series.py
@@ -1,4 +1,4 @@
-"""Measured series: the fitted line and the files."""
+"""Tests of series: fitted lines and stored files."""
 
 import pathlib
 import tempfile
@@ -21,17 +21,17 @@
         self.assertEqual(fit.extrapolation_factor(2), 1.0)
         self.assertEqual(fit.extrapolation_factor(40), 10.0)
 
-    def test_scatter_shows_in_the_error(self):
+    def test_scatter_increases_the_slope_error(self):
         fit = series.fit_line(make_series([(1, 1), (2, 4), (3, 2), (4, 5)]))
         self.assertGreater(fit.slope_error, 0.3)
 
-    def test_two_sizes_are_too_few(self):
+    def test_two_sizes_are_rejected(self):
         with self.assertRaises(ValueError):
             make_series([(1, 3), (2, 5), (2, 6)])
 
-    def test_files(self):
+    def test_write_and_read(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder)
             series.write_series(make_series([(1, 3), (2, 5), (4, 9)]), path)
-            back = series.read_series("s", path)
-        self.assertEqual(back.points, [(1, 3), (2, 5), (4, 9)])
+            read = series.read_series("s", path)
+        self.assertEqual(read.points, [(1, 3), (2, 5), (4, 9)])
