--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -11,7 +11,7 @@
 __all__ = ["measure"]
 
 SIZES = (6, 20, 80, 195, 400)
-KINDS: dict[str, type[model.Node]] = {
+NODE_CLASSES: dict[str, type[model.Node]] = {
     "direct": model.DirectNode,
     "gossip": model.GossipNode,
     "relays": model.RelayNode,
@@ -29,7 +29,7 @@
     rows = [
         _run(name, vms, fault)
         for vms, fault in itertools.product(SIZES, FAULTS)
-        for name in KINDS
+        for name in NODE_CLASSES
         if fault == "none" or vms == 195
     ]
     return {"rows": rows}
@@ -37,7 +37,7 @@
 
 def _run(name: str, vms: int, fault: str) -> dict[str, typing.Any]:
     zones = LARGE_ZONES if vms >= LARGE_VMS else SMALL_ZONES
-    network = model.SimulatedNetwork(vms, zones, KINDS[name])
+    network = model.SimulatedNetwork(vms, zones, NODE_CLASSES[name])
     if fault == "frozen":
         # The first VM of each zone has a fast link and so becomes a relay.
         network.frozen |= set(network.names[:zones])
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -107,7 +107,7 @@
     """An HTTP response.
 
     ``is_cut`` is set if the body ended before the length or the last chunk
-    that its header or framing promised.
+    that its header or framing announced.
     """
 
     def __init__(self, status, headers, body, is_cut=False):
