--- a/mulberryway/platform/__init__.py
+++ b/mulberryway/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' platform as it speaks: names, formats and calls.
+"""The platform's protocol: its names, message formats and calls.
 
-Nothing here decides.  Names are decoded once, into types of the rest of the
-program, and nothing outside this folder knows them.
+This package makes no routing decisions.  It decodes the platform's names
+into the types of the other packages, which do not depend on those names.
 """
--- a/mulberryway/platform/callers.py
+++ b/mulberryway/platform/callers.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and answers the platform's own questions."""
+"""Parses callers' requests and serves the platform's own endpoints."""
 
 import json
 import urllib.parse
@@ -19,16 +19,16 @@
 __all__ = ["PlatformEndpoints", "RequestParser"]
 
 MS_IN_S = 1_000
-# Of a longer id only its beginning is of use in logs.
+# Longer ids are truncated; their beginning is sufficient in logs.
 MAX_ID_LENGTH = 64
 
 
 class PlatformEndpoints(base.Filter):
-    """Answers whether callers may come here, and which VMs they may use.
+    """Serves the readiness and address resolution endpoints.
 
-    :param lifecycle: tells whether callers should come
-    :param entries: knows the VMs that take callers
-    :param ttl_ms: how long callers may keep the addresses
+    :param lifecycle: holds whether this VM is ready for requests
+    :param entries: the directory of VMs that accept requests
+    :param ttl_ms: how long callers may cache the addresses, in ms
     """
 
     def __init__(
@@ -44,11 +44,11 @@
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Answer the platform's questions, and let all else go on.
+        """Answer a request to a platform endpoint; forward any other.
 
         :param exchange: the request
-        :param proceed: the rest of the chain
-        :returns: a reply, or what the chain answers
+        :param proceed: calls the next filter
+        :returns: the reply, or the result of the next filter
         """
         if exchange.path == wire.READY:
             is_ready = self._lifecycle.is_ready
@@ -65,7 +65,7 @@
         )
         zone = next(iter(query.get("zone", [])), "")
         addresses = [
-            found.address for found in self._entries.list_addresses(zone)
+            endpoint.address for endpoint in self._entries.list_addresses(zone)
         ]
         value = {"addrs": addresses, "ttl_s": self._ttl_ms / MS_IN_S}
         return replies.Reply(
@@ -76,21 +76,23 @@
 
 
 class RequestParser(base.Filter):
-    """Reads what a caller's headers say of its request."""
+    """Parses the request headers that the platform defines."""
 
     def handle(
         self, exchange: base.Exchange, proceed: base.NextHandler
     ) -> base.Answer:
-        """Let a well-formed request go on.
+        """Parse the headers of a request and pass it to the next filter.
 
         :param exchange: the request
-        :param proceed: the rest of the chain
-        :returns: what the chain answers, or a fault
+        :param proceed: calls the next filter
+        :returns: the result of the next filter, or a fault for a
+            malformed header
         """
         attempt_id = exchange.find_header(wire.ATTEMPT_ID.lower())
         if not attempt_id:
-            return _refuse(f"{wire.ATTEMPT_ID}: expected an id")
-        # Callers may give one id to two requests, so the own id stays in.
+            return _reject(f"{wire.ATTEMPT_ID}: expected a non-empty id")
+        # Two requests may carry the same attempt id, so the generated id is
+        # appended to keep request ids unique.
         own = exchange.request_id.rpartition("-")[2]
         exchange.request_id = f"{attempt_id[:MAX_ID_LENGTH]}.{own}"
         exchange.headers = [
@@ -101,10 +103,10 @@
         if exchange.account.name:
             exchange.headers.append((wire.TENANT, exchange.account.name))
         try:
-            self._read_deadline(exchange)
-            self._read_tokens(exchange)
+            self._parse_deadline(exchange)
+            self._parse_token_counts(exchange)
         except ValueError as error:
-            return _refuse(str(error))
+            return _reject(str(error))
         exchange.call = upstreams.PassthroughRequest(
             exchange.method,
             exchange.target,
@@ -117,17 +119,19 @@
         return proceed(exchange)
 
     @staticmethod
-    def _read_deadline(exchange: base.Exchange) -> None:
+    def _parse_deadline(exchange: base.Exchange) -> None:
         text = exchange.find_header(wire.DEADLINE.lower())
         if text is None:
             return
         if not text.isdecimal():
-            raise ValueError(f"{wire.DEADLINE}: expected milliseconds")
+            raise ValueError(
+                f"{wire.DEADLINE}: expected a decimal number of ms"
+            )
         own = clock.Deadline(exchange.arrived_ms + int(text))
         exchange.deadline.at_ms = min(exchange.deadline.at_ms, own.at_ms)
 
     @staticmethod
-    def _read_tokens(exchange: base.Exchange) -> None:
+    def _parse_token_counts(exchange: base.Exchange) -> None:
         text = exchange.find_header(wire.TOKEN_COUNTS.lower())
         exchange.model = exchange.find_header(wire.MODEL.lower()) or ""
         if text is None:
@@ -135,7 +139,9 @@
             return
         prompt, comma, most = text.partition(",")
         if not comma or not (prompt + most).isdecimal():
-            raise ValueError(f"{wire.TOKEN_COUNTS}: expected two numbers")
+            raise ValueError(
+                f"{wire.TOKEN_COUNTS}: expected two decimal numbers"
+            )
         exchange.estimate = int(prompt)
         exchange.max_tokens = int(most)
         hint = exchange.find_header(wire.LENGTH_HINT.lower()) or ""
@@ -149,7 +155,7 @@
             )
 
 
-def _refuse(message: str) -> base.Answer:
+def _reject(message: str) -> base.Answer:
     return expression.Error(
         errors.Fault(
             errors.Code.BAD_REQUEST, errors.Step.CALLER, message=message
--- a/mulberryway/platform/directory.py
+++ b/mulberryway/platform/directory.py
@@ -1,4 +1,4 @@
-"""Finds the object that stands for one of the platform's upstreams."""
+"""Holds the client object of each of the platform's upstreams."""
 
 import threading
 import typing
@@ -16,22 +16,25 @@
 
 
 class PlatformDirectory(directory.UpstreamDirectory):
-    """Keeps one object, with its connections, for each incarnation.
+    """Holds one client object, with its connections, per incarnation.
 
-    An address may pass to another server, so the address alone names none.
+    An address can be reused by another server, so an address alone does not
+    identify an incarnation.
 
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self._lock = threading.Lock()
-        self._found: dict[tuple[str, str, type], PlatformUpstream] = {}
+        self._upstreams_by_key: dict[
+            tuple[str, str, type], PlatformUpstream
+        ] = {}
 
     def find_engine(
         self, pool: tables.Pool, upstream: tables.Upstream
     ) -> base.Engine:
-        """Return the engine that an upstream's row names.
+        """Return the engine for an upstream.
 
         :param pool: the pool
         :param upstream: the upstream
@@ -44,7 +47,7 @@
     def find_service(
         self, pool: tables.Pool, upstream: tables.Upstream
     ) -> base.UpstreamService:
-        """Return the plain service that an upstream's row names.
+        """Return the plain service for an upstream.
 
         :param pool: the pool
         :param upstream: the upstream
@@ -55,18 +58,20 @@
         )
 
     def update_tables(self, changed: tables.Tables) -> None:
-        """Forget upstreams that the tables no longer hold.
+        """Close and remove upstreams that are missing from new tables.
 
         :param changed: the new tables
         """
-        wanted = {
+        current = {
             (upstream.name, upstream.address)
             for pool in changed.pools.values()
             for upstream in pool.upstreams
         }
         with self._lock:
-            gone = [key for key in self._found if key[:2] not in wanted]
-            closing = [self._found.pop(key) for key in gone]
+            removed = [
+                key for key in self._upstreams_by_key if key[:2] not in current
+            ]
+            closing = [self._upstreams_by_key.pop(key) for key in removed]
         for found in closing:
             found.close()
 
@@ -75,8 +80,8 @@
     ) -> PlatformUpstream:
         key = (upstream.name, upstream.address, kind)
         with self._lock:
-            found = self._found.get(key)
+            found = self._upstreams_by_key.get(key)
             if found is None:
                 found = kind(upstream.name, upstream.address, self._clock)
-                self._found[key] = found
+                self._upstreams_by_key[key] = found
             return found
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -1,4 +1,4 @@
-"""Model engines as the platform's upstreams speak."""
+"""The client for model engines that use the platform's protocol."""
 
 import collections.abc
 import http
@@ -24,46 +24,47 @@
 
 CONTROL_TIMEOUT_MS = 1_000
 BLOCK_TOKENS = 16
-# Within a region the answer takes a few milliseconds, and the request waits.
+# A response takes a few milliseconds within a region, and the request is
+# blocked until it arrives.
 RESERVE_TIMEOUT_MS = 100
 
 
-class _Hold:
-    """A reservation of a slot and memory for one decode.
+class _Reservation:
+    """A reservation of a slot and KV blocks for one decode.
 
     :param name: its name at the engine
-    :param until_ms: when it lapses
+    :param expires_ms: when it expires, in ms of the clock
     """
 
-    __slots__ = ("name", "until_ms")
+    __slots__ = ("name", "expires_ms")
 
-    def __init__(self, name: str, until_ms: int) -> None:
+    def __init__(self, name: str, expires_ms: int) -> None:
         self.name = name
-        self.until_ms = until_ms
+        self.expires_ms = expires_ms
 
 
-class _Handle:
-    """A KV cache that waits at the engine which read the prompt.
+class _KvHandle:
+    """A handle to a KV cache held by the engine that ran the prefill.
 
-    :param name: the handle's name; it is good for one use
-    :param on_spent: called when another engine has taken the KV cache
+    :param name: the handle's name, which is valid for one use
+    :param on_used: called when another engine has fetched the KV cache
     """
 
-    __slots__ = ("name", "spend")
+    __slots__ = ("name", "mark_used")
 
     def __init__(
-        self, name: str, on_spent: collections.abc.Callable[[], None]
+        self, name: str, on_used: collections.abc.Callable[[], None]
     ) -> None:
         self.name = name
-        self.spend = on_spent
+        self.mark_used = on_used
 
 
 class PlatformEngine(base.Engine):
-    """One engine at one address.
+    """A model engine at one address.
 
-    :param instance: the incarnation that is expected there
+    :param instance: the id of the incarnation expected at the address
     :param address: ``host:port``
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     supports_chunked_prefill = True
@@ -75,14 +76,14 @@
         self.instance = instance
         self.address = address
         self._clock = clock_
-        self._caller = connections.UpstreamClient(
+        self._client = connections.UpstreamClient(
             address, clock_, wire.ATTEMPT_ID
         )
         self._lock = threading.Lock()
         self._calls: dict[str, connections.CallCanceller] = {}
-        self._handles: dict[str, _Handle] = {}
-        self._made: dict[str, decode_call.DecodeConnection] = {}
-        self._holds: dict[str, _Hold] = {}
+        self._handles: dict[str, _KvHandle] = {}
+        self._prepared: dict[str, decode_call.DecodeConnection] = {}
+        self._reservations: dict[str, _Reservation] = {}
 
     def prefill(
         self,
@@ -90,18 +91,18 @@
         body: base.PassthroughRequest,
         timeout_ms: int,
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
-        """Read a prompt and keep its KV cache for another engine.
+        """Prefill a prompt and hold its KV cache for another engine.
 
-        :param label: names the attempt
+        :param label: identifies the attempt
         :param body: the caller's request
-        :param timeout_ms: the longest wait for the result
-        :returns: the result, or a fault; nothing of the request itself runs
+        :param timeout_ms: the maximum wait for the result, in ms
+        :returns: the result, or a fault, always with ``NOT_RUN``
         """
         headers = self._make_headers(body)
         headers[wire.PHASE] = "prefill"
-        interrupt = self._begin(label)
+        interrupt = self._register_call(label)
         try:
-            result = self._caller.call(
+            result = self._client.call(
                 body.method,
                 body.target,
                 headers,
@@ -109,11 +110,12 @@
                 timeout_ms,
                 errors.Step.PREFILL,
                 interrupt=interrupt,
-            ).bind(lambda found: self._read_prefill(label, found))
+            ).bind(lambda response: self._parse_prefill(label, response))
         finally:
-            self._end(label)
+            self._unregister_call(label)
         if result.is_error():
-            # Reading a prompt runs nothing, whatever became of the call.
+            # A prefill generates no output, so the request can be retried
+            # whatever the outcome of the call.
             result.error.run = errors.ExecutionStatus.NOT_RUN
         return result
 
@@ -122,16 +124,16 @@
         label: base.AttemptLabel,
         reservation: base.ReservationRequest | None = None,
     ) -> expression.Result[None, errors.Fault]:
-        """Make the connection for a decode that comes soon, and reserve.
+        """Open the connection for an upcoming decode and reserve capacity.
 
-        :param label: names the attempt
-        :param reservation: what to reserve; none for nothing
-        :returns: nothing, or a fault: nothing of the request was sent
+        :param label: identifies the attempt
+        :param reservation: the capacity to reserve, or None
+        :returns: None, or a fault; no part of the request was sent
         """
         connected = decode_call.connect(self.address)
         if connected.is_error():
-            return connected.map(lambda made: None)
-        self._keep(label, connected.ok)
+            return connected.map(lambda connection: None)
+        self._store_prepared(label, connected.ok)
         return (
             expression.Ok(None)
             if reservation is None
@@ -139,18 +141,20 @@
         )
 
     def release(self, label: base.AttemptLabel) -> None:
-        """Close the connection that was made for a decode; idempotent.
+        """Close the prepared connection and cancel the reservation.
 
-        :param label: names the attempt
+        The call is idempotent.
+
+        :param label: identifies the attempt
         """
-        made = self._take_made(label)
-        if made is not None:
-            made.close()
-        hold = self._take_hold(label)
-        if hold is not None:
-            # Else the memory would stay reserved until the hold lapses.
-            self._control(
-                "DELETE", f"{wire.CANCEL_RESERVATION_PATH}/{hold.name}"
+        connection = self._pop_prepared(label)
+        if connection is not None:
+            connection.close()
+        reservation = self._pop_reservation(label)
+        if reservation is not None:
+            # Otherwise the KV blocks stay reserved until it expires.
+            self._call_control(
+                "DELETE", f"{wire.CANCEL_RESERVATION_PATH}/{reservation.name}"
             )
 
     def decode(
@@ -161,15 +165,16 @@
         offset: int,
         timeout_ms: int,
     ) -> expression.Result[base.TokenStream, errors.Fault]:
-        """Fetch a KV cache and begin to generate.
+        """Start a decode, fetching its KV cache from the prefill engine.
 
-        :param label: names the attempt
+        :param label: identifies the attempt
         :param body: the caller's request
-        :param transfer: what the prefill returned; empty where this engine
-            is to read the prompt itself
-        :param offset: the last event that the caller has; 0 at first
-        :param timeout_ms: the longest wait for the reply's head
-        :returns: the stream, or a fault that says whether it ran
+        :param transfer: the prefill's transfer parameters; empty if this
+            engine prefills the prompt itself
+        :param offset: the number of the last event that the caller has
+            received; 0 for a new stream
+        :param timeout_ms: the maximum wait for the response head, in ms
+        :returns: the stream, or a fault with the execution status
         """
         headers = self._make_headers(body)
         if transfer:
@@ -178,39 +183,44 @@
             )
         if offset:
             headers[wire.LAST_EVENT] = str(offset)
-        hold = self._take_hold(label)
-        if hold is not None and self._clock.now_ms() < hold.until_ms:
-            headers[wire.RESERVATION] = hold.name
+        reservation = self._pop_reservation(label)
+        if (
+            reservation is not None
+            and self._clock.now_ms() < reservation.expires_ms
+        ):
+            headers[wire.RESERVATION] = reservation.name
         request = decode_call.DecodeRequest(
             body.method, body.target, headers, body.body, wire.ATTEMPT_ID
         )
-        interrupt = self._begin(label)
+        interrupt = self._register_call(label)
         try:
             result = decode_call.begin_decode(
                 self.address,
                 request,
                 timeout_ms,
-                _read_decode_refusal,
+                _make_decode_fault,
                 interrupt,
-                self._take_made(label),
+                self._pop_prepared(label),
             )
         finally:
-            self._end(label)
+            self._unregister_call(label)
         if result.is_ok() and transfer:
-            # There is nothing left to free at the other engine.
-            transfer["handle"].spend()
+            # The handle is used up, so the prefill engine has nothing to
+            # release.
+            transfer["handle"].mark_used()
         return result
 
     def cancel(
         self, label: base.AttemptLabel
     ) -> expression.Result[bool, errors.Fault]:
-        """Free what the engine holds for an attempt; idempotent.
+        """Release all that the engine holds for an attempt; idempotent.
 
-        A running call ends with its connection; a KV cache that nobody has
-        fetched would fill the engine until it lapses.
+        The engine stops a running call when its connection closes.  A KV
+        cache that was not fetched occupies memory until it expires, so its
+        handle is deleted.
 
-        :param label: names the attempt
-        :returns: whether anything was held, or a fault
+        :param label: identifies the attempt
+        :returns: whether the engine held anything, or a fault
         """
         with self._lock:
             call = self._calls.get(label.request_id)
@@ -220,36 +230,37 @@
             call.set()
         if handle is None:
             return expression.Ok(call is not None)
-        return self._control(
+        return self._call_control(
             "DELETE", f"{wire.KV_HANDLE_PATH}/{handle.name}"
-        ).map(lambda found: True)
+        ).map(lambda response: True)
 
     def list_in_flight(
         self,
     ) -> expression.Result[list[base.InFlightRequest], errors.Fault]:
-        """Return nothing: an engine drops a run with its connection."""
+        """Return an empty list: an engine stops a disconnected request."""
         return expression.Ok([])
 
     def report_load(self) -> expression.Result[base.EngineLoad, errors.Fault]:
-        """Return the engine's own, lagging, load report."""
-        return self._control("GET", wire.REPORT).bind(self._read_load)
+        """Return the engine's load report, which lags behind its state."""
+        return self._call_control("GET", wire.REPORT).bind(self._parse_load)
 
     def read_cache_events(
         self, after: int
     ) -> expression.Result[list[base.CacheEvent], errors.Fault]:
-        """Return nothing: cache events are not asked for.
+        """Return an empty list: the protocol has no cache events.
 
-        :param after: the last sequence seen
+        :param after: the sequence number of the last event received
         """
         return expression.Ok([])
 
     def give_order(
         self, order: base.Order
     ) -> expression.Result[None, errors.Fault]:
-        """Tell the engine to change its role.
+        """Send the engine an order to change its role.
 
-        :param order: the order with its fencing number
-        :returns: nothing, or a fault; ``UPSTREAM_REFUSED`` if fenced off
+        :param order: the order with its fencing token
+        :returns: None, or a fault: ``UPSTREAM_REFUSED`` if the fencing
+            token is outdated
         """
         body = {
             "op_type": "phase",
@@ -259,11 +270,13 @@
         }
         if order.expected is not None:
             body["expect"] = order.expected
-        return self._control("POST", wire.ORDER, body).map(lambda found: None)
+        return self._call_control("POST", wire.ORDER, body).map(
+            lambda response: None
+        )
 
     def close(self) -> None:
-        """Close the connections that are kept."""
-        self._caller.close()
+        """Close the pooled connections."""
+        self._client.close()
 
     def _make_headers(self, call: base.PassthroughRequest) -> dict[str, str]:
         left_ms = call.deadline.left_ms(self._clock.now_ms())
@@ -271,98 +284,109 @@
             call.headers, self.instance, max(left_ms, 1)
         )
 
-    def _begin(self, label: base.AttemptLabel) -> connections.CallCanceller:
+    def _register_call(
+        self, label: base.AttemptLabel
+    ) -> connections.CallCanceller:
         interrupt = connections.CallCanceller()
         with self._lock:
             self._calls[label.request_id] = interrupt
         return interrupt
 
-    def _end(self, label: base.AttemptLabel) -> None:
+    def _unregister_call(self, label: base.AttemptLabel) -> None:
         with self._lock:
             self._calls.pop(label.request_id, None)
 
-    def _keep(
-        self, label: base.AttemptLabel, made: decode_call.DecodeConnection
+    def _store_prepared(
+        self,
+        label: base.AttemptLabel,
+        connection: decode_call.DecodeConnection,
     ) -> None:
         with self._lock:
-            self._made[label.request_id] = made
+            self._prepared[label.request_id] = connection
 
     def _reserve(
-        self, label: base.AttemptLabel, room: base.ReservationRequest
+        self, label: base.AttemptLabel, requested: base.ReservationRequest
     ) -> expression.Result[None, errors.Fault]:
         sent_ms = self._clock.now_ms()
-        body = {"tokens": room.tokens, "ttl_ms": room.hold_ms}
-        asked = self._control(
+        body = {"tokens": requested.tokens, "ttl_ms": requested.hold_ms}
+        reserved = self._call_control(
             "POST", wire.RESERVE_PATH, body, RESERVE_TIMEOUT_MS
         )
-        if asked.is_error():
-            is_refused = asked.error.code is errors.Code.UPSTREAM_REFUSED
-            if not is_refused and not room.is_required:
-                # Nothing is known of its room; the decode will show it.
+        if reserved.is_error():
+            is_rejected = reserved.error.code is errors.Code.UPSTREAM_REFUSED
+            if not is_rejected and not requested.is_required:
+                # The free capacity is unknown; the decode itself is accepted
+                # or rejected by the engine.
                 LOG.info(
-                    "a reservation was not answered",
+                    "a reservation request got no valid response",
                     extra=logs.make_extra(
-                        asked.error, request_id=label.request_id
+                        reserved.error, request_id=label.request_id
                     ),
                 )
                 return expression.Ok(None)
             self.release(label)
-            asked.error.step = errors.Step.RESERVE
-            asked.error.run = errors.ExecutionStatus.NOT_RUN
-            return expression.Error(asked.error)
+            reserved.error.step = errors.Step.RESERVE
+            reserved.error.run = errors.ExecutionStatus.NOT_RUN
+            return expression.Error(reserved.error)
         try:
-            name = wire.parse_string(json.loads(asked.ok.body)["hold"])
+            name = wire.parse_string(json.loads(reserved.ok.body)["hold"])
         except (ValueError, KeyError, TypeError):
-            LOG.warning("%s: a reservation is malformed", self.address)
+            LOG.warning(
+                "%s: the reservation response is malformed", self.address
+            )
             return expression.Ok(None)
         with self._lock:
-            self._holds[label.request_id] = _Hold(name, sent_ms + room.hold_ms)
+            self._reservations[label.request_id] = _Reservation(
+                name, sent_ms + requested.hold_ms
+            )
         return expression.Ok(None)
 
-    def _take_hold(self, label: base.AttemptLabel) -> "_Hold | None":
+    def _pop_reservation(
+        self, label: base.AttemptLabel
+    ) -> "_Reservation | None":
         with self._lock:
-            return self._holds.pop(label.request_id, None)
+            return self._reservations.pop(label.request_id, None)
 
-    def _take_made(
+    def _pop_prepared(
         self, label: base.AttemptLabel
     ) -> decode_call.DecodeConnection | None:
         with self._lock:
-            return self._made.pop(label.request_id, None)
+            return self._prepared.pop(label.request_id, None)
 
-    def _forget(self, label: base.AttemptLabel) -> None:
+    def _remove_handle(self, label: base.AttemptLabel) -> None:
         with self._lock:
             self._handles.pop(label.request_id, None)
 
-    def _read_prefill(
-        self, label: base.AttemptLabel, found: connections.Response
+    def _parse_prefill(
+        self, label: base.AttemptLabel, response: connections.Response
     ) -> expression.Result[base.PrefillResult, errors.Fault]:
-        if found.status != http.HTTPStatus.OK:
+        if response.status != http.HTTPStatus.OK:
             fault = responses.make_response_fault(
-                found.status,
-                found.headers,
-                found.body,
+                response.status,
+                response.headers,
+                response.body,
                 self.address,
                 errors.Step.PREFILL,
             )
             fault.answer = None
             return expression.Error(fault)
         try:
-            value = json.loads(found.body)
-            handle = _Handle(
+            value = json.loads(response.body)
+            handle = _KvHandle(
                 wire.parse_string(value["cache_handle"]),
-                lambda: self._forget(label),
+                lambda: self._remove_handle(label),
             )
             tokens = wire.parse_integer(value["tokens"])
         except (ValueError, KeyError, TypeError):
             return expression.Error(
-                _fail(self.address, "the prefill's result is malformed")
+                _make_failure(self.address, "the prefill result is malformed")
             )
         with self._lock:
             self._handles[label.request_id] = handle
         transfer = {"address": self.address, "handle": handle}
         return expression.Ok(base.PrefillResult(transfer, tokens, 0))
 
-    def _control(
+    def _call_control(
         self,
         method: str,
         target: str,
@@ -374,34 +398,34 @@
         if body is not None:
             headers["Content-Type"] = "application/json"
             data = json.dumps(body).encode()
-        return self._caller.call(
+        return self._client.call(
             method,
             target,
             headers,
             data,
             timeout_ms,
             errors.Step.DECODE,
-        ).bind(self._check_control)
+        ).bind(self._check_control_response)
 
-    def _check_control(
-        self, found: connections.Response
+    def _check_control_response(
+        self, response: connections.Response
     ) -> expression.Result[connections.Response, errors.Fault]:
-        if found.status in (http.HTTPStatus.OK, http.HTTPStatus.ACCEPTED):
-            return expression.Ok(found)
+        if response.status in (http.HTTPStatus.OK, http.HTTPStatus.ACCEPTED):
+            return expression.Ok(response)
         return expression.Error(
             errors.Fault(
                 errors.Code.UPSTREAM_REFUSED,
                 errors.Step.DECODE,
                 self.address,
-                message=f"the engine answered with status {found.status}",
+                message=f"the engine responded with status {response.status}",
             )
         )
 
-    def _read_load(
-        self, found: connections.Response
+    def _parse_load(
+        self, response: connections.Response
     ) -> expression.Result[base.EngineLoad, errors.Fault]:
         try:
-            value = json.loads(found.body)
+            value = json.loads(response.body)
             total = wire.parse_integer(value["kv_total"]) // BLOCK_TOKENS
             used = wire.parse_integer(value["kv_used"]) // BLOCK_TOKENS
             load = base.EngineLoad(
@@ -410,20 +434,21 @@
                 0,
                 max(total - used, 0),
                 total,
-                tuple(one["name"] for one in value["models"]),
-                # Here a "sequence" counts the orders that were accepted.
+                tuple(model["name"] for model in value["models"]),
+                # On the platform "sequence" counts the orders that the engine
+                # has accepted.
                 wire.parse_integer(value["sequence"]),
                 bool(value["busy"]),
                 wire.parse_string(value["phase"]),
             )
         except (ValueError, KeyError, TypeError):
             return expression.Error(
-                _fail(self.address, "the report is malformed")
+                _make_failure(self.address, "the load report is malformed")
             )
         return expression.Ok(load)
 
 
-def _read_decode_refusal(
+def _make_decode_fault(
     status: int, headers: list[tuple[str, str]], body: bytes, address: str
 ) -> errors.Fault:
     return responses.make_response_fault(
@@ -431,7 +456,7 @@
     )
 
 
-def _fail(address: str, message: str) -> errors.Fault:
+def _make_failure(address: str, message: str) -> errors.Fault:
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         errors.Step.PREFILL,
--- a/mulberryway/platform/interface.py
+++ b/mulberryway/platform/interface.py
@@ -1,4 +1,4 @@
-"""The platform's interface for callers: its codec in the one filter chain."""
+"""The filter chain for requests in the platform's protocol."""
 
 import collections.abc
 
@@ -20,9 +20,9 @@
 
 
 class PlatformInterface(caller_api.CallerApi):
-    """Requests that pass as they came, told apart by their headers.
+    """Forwards requests unchanged, with parameters taken from headers.
 
-    :param budget: counts requests, and repeats against them
+    :param budget: the retry budget, shared by all requests
     """
 
     def __init__(self, budget: repeats.SharedRetryBudget) -> None:
@@ -33,7 +33,7 @@
     ) -> collections.abc.Sequence[base.Filter]:
         """Return the filters for requests, in order.
 
-        :param context: what they are made from
+        :param context: the dependencies of the filters
         """
         settings_, parts = context.settings, context.parts
         return [
@@ -63,9 +63,9 @@
     def make_auxiliary_filters(
         self, context: caller_api.FilterDependencies
     ) -> collections.abc.Sequence[base.Filter]:
-        """Return the filters for what the platform and collectors ask.
+        """Return the filters for platform and telemetry endpoints.
 
-        :param context: what they are made from
+        :param context: the dependencies of the filters
         """
         return [
             callers.PlatformEndpoints(
--- a/mulberryway/platform/responses.py
+++ b/mulberryway/platform/responses.py
@@ -1,4 +1,4 @@
-"""What goes to an upstream with a request, and what its answers mean."""
+"""Builds upstream request headers and maps responses to faults."""
 
 import http
 
@@ -19,21 +19,21 @@
 def make_request_headers(
     headers: list[tuple[str, str]], instance: str, left_ms: int
 ) -> dict[str, str]:
-    """Return what goes to an upstream with a request.
+    """Return the headers of a request to an upstream.
 
-    :param headers: pairs of the caller's request
-    :param instance: the incarnation that may run it
-    :param left_ms: how long the caller will still wait
-    :returns: headers by name
+    :param headers: name and value pairs of the caller's request
+    :param instance: the id of the incarnation that may run the request
+    :param left_ms: the time until the caller's deadline, in ms
+    :returns: header values by name
     """
-    passed = {
+    forwarded = {
         name: value
         for name, value in http_service.strip_hop_by_hop_headers(headers)
         if name.lower() not in ("content-length", "deadline-ms", "expect")
     }
-    passed[wire.DEADLINE] = str(left_ms)
-    passed[wire.EXPECTED_INSTANCE] = instance
-    return passed
+    forwarded[wire.DEADLINE] = str(left_ms)
+    forwarded[wire.EXPECTED_INSTANCE] = instance
+    return forwarded
 
 
 def make_response_fault(
@@ -43,20 +43,21 @@
     address: str,
     step: errors.Step,
 ) -> errors.Fault:
-    """Return what an upstream's answer other than a success means.
+    """Return the fault for an unsuccessful upstream response.
 
     :param status: the HTTP status
-    :param headers: pairs of the answer; none if it is another request's
-    :param body: the answer's body
+    :param headers: name and value pairs of the response; empty if the
+        response belongs to another request
+    :param body: the response body
     :param address: the upstream's address
-    :param step: the hop
-    :returns: the fault, with the answer that the caller may see
+    :param step: the step of the request that failed
+    :returns: the fault, with the response that may be forwarded to the caller
     """
     names = {name.lower() for name, _ in headers}
-    is_refusal = status == http.HTTPStatus.MISDIRECTED_REQUEST or (
+    is_rejection = status == http.HTTPStatus.MISDIRECTED_REQUEST or (
         status in REJECTION_STATUSES and wire.NOT_EXECUTED.lower() in names
     )
-    if is_refusal:
+    if is_rejection:
         return errors.Fault(
             errors.Code.UPSTREAM_REFUSED,
             step,
@@ -70,14 +71,14 @@
             step,
             address,
             errors.ExecutionStatus.MAY_HAVE_RUN,
-            "the reply belongs to another request",
+            "the response belongs to another request",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
         step,
         address,
         errors.ExecutionStatus.RAN,
-        f"the upstream answered with status {status}",
+        f"the upstream responded with status {status}",
         answer=base.ServiceReply(
             status, http_service.strip_framing_headers(headers), body
         ),
--- a/mulberryway/platform/service.py
+++ b/mulberryway/platform/service.py
@@ -1,4 +1,4 @@
-"""Plain services as the platform's upstreams speak."""
+"""The client for plain services that use the platform's protocol."""
 
 import http
 
@@ -18,11 +18,11 @@
 
 
 class PlatformService(base.UpstreamService):
-    """One server at one address.
+    """A plain service at one address.
 
-    :param instance: the incarnation that is expected there
+    :param instance: the id of the incarnation expected at the address
     :param address: ``host:port``
-    :param clock_: where the time comes from
+    :param clock_: the clock
     """
 
     def __init__(
@@ -30,7 +30,7 @@
     ) -> None:
         self.instance = instance
         self.address = address
-        self._caller = connections.UpstreamClient(
+        self._client = connections.UpstreamClient(
             address, clock_, wire.ATTEMPT_ID
         )
 
@@ -45,22 +45,23 @@
         is_idempotent: bool = False,
         interrupt: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
-        """Pass one call on, exactly once.
+        """Forward one request, without retries.
 
-        :param request_id: not sent; the caller's own id goes on
+        :param request_id: not sent; the caller's own id is forwarded
         :param method: the HTTP method
         :param target: path and query
-        :param headers: headers, credentials and hop-by-hop ones removed
-        :param body: the whole body
-        :param timeout_ms: the longest wait for the whole reply
-        :param is_idempotent: whether it may run a second time
-        :param interrupt: ends the call from another thread
-        :returns: the reply, or a fault that says whether it ran
+        :param headers: the request headers, without credentials and
+            hop-by-hop headers
+        :param body: the complete body
+        :param timeout_ms: the maximum wait for the complete response, in ms
+        :param is_idempotent: whether the request may run more than once
+        :param interrupt: cancels the call from another thread
+        :returns: the response, or a fault with the execution status
         """
         sent = responses.make_request_headers(
             headers, self.instance, timeout_ms
         )
-        return self._caller.call(
+        return self._client.call(
             method,
             target,
             sent,
@@ -69,45 +70,45 @@
             errors.Step.SERVICE,
             needs_new_connection=not is_idempotent,
             interrupt=interrupt,
-        ).bind(self._read)
+        ).bind(self._parse_response)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
-        self._caller.close()
+        """Close the pooled connections."""
+        self._client.close()
 
-    def _read(
-        self, found: connections.Response
+    def _parse_response(
+        self, response: connections.Response
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
-        names = {name.lower() for name, _ in found.headers}
+        names = {name.lower() for name, _ in response.headers}
         if "content-encoding" in names:
-            # Nobody asked for an encoding, so this is not the server's body.
+            # No encoding was requested, so the body is not the server's.
             return expression.Error(
                 errors.Fault(
                     errors.Code.UPSTREAM_FAILED,
                     errors.Step.SERVICE,
                     self.address,
                     errors.ExecutionStatus.MAY_HAVE_RUN,
-                    "the reply has an encoding that nobody asked for",
+                    "the response has an unrequested content encoding",
                 )
             )
-        is_failure = found.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
-        is_refusal = wire.NOT_EXECUTED.lower() in names or (
-            found.status == http.HTTPStatus.MISDIRECTED_REQUEST
+        is_failure = response.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
+        is_rejection = wire.NOT_EXECUTED.lower() in names or (
+            response.status == http.HTTPStatus.MISDIRECTED_REQUEST
         )
-        if is_failure or is_refusal:
+        if is_failure or is_rejection:
             return expression.Error(
                 responses.make_response_fault(
-                    found.status,
-                    found.headers,
-                    found.body,
+                    response.status,
+                    response.headers,
+                    response.body,
                     self.address,
                     errors.Step.SERVICE,
                 )
             )
         return expression.Ok(
             base.ServiceReply(
-                found.status,
-                http_service.strip_framing_headers(found.headers),
-                found.body,
+                response.status,
+                http_service.strip_framing_headers(response.headers),
+                response.body,
             )
         )
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store of objects over HTTP."""
+"""The HTTP client for the platform's object store."""
 
 import collections.abc
 import json
@@ -18,8 +18,8 @@
 __all__ = ["PlatformStore"]
 
 MS_IN_S = 1_000
-# A store that has fallen silent shows when a watch is this late: the answer
-# itself takes milliseconds.
+# Added to the wait of a watch to get its timeout.  The response itself takes
+# milliseconds, so a watch that is later means an unresponsive store.
 WATCH_GRACE_MS = 500
 CONNECTIONS = 4
 VMS = "vms"
@@ -39,12 +39,12 @@
 
 
 class PlatformStore(base.ObjectStore, base.RevisionedStore):
-    """Speaks to the store over kept connections.
+    """Calls the object store over a pool of persistent connections.
 
     :param url: the store's address, as ``http://host:port``
-    :param timeout_ms: the longest wait for a reply
-    :param clock_: where the time comes from
-    :param counter: is told of every call
+    :param timeout_ms: the maximum wait for a response, in ms
+    :param clock_: the clock
+    :param counter: counts every call
     """
 
     def __init__(
@@ -70,11 +70,11 @@
 
         :param kind: the kind
         :param name: the object's name
-        :param purpose: what the call is counted under
+        :param purpose: the label under which the call is counted
         :returns: the object, or a fault
         """
         return self._call("GET", _path(kind, name), purpose).bind(
-            lambda value: self._read(lambda: _read_object(kind, value))
+            lambda value: self._parse(lambda: _parse_object(kind, value))
         )
 
     def read_all(
@@ -83,7 +83,7 @@
         """Return all objects of a kind.
 
         :param kind: the kind
-        :param purpose: what the call is counted under
+        :param purpose: the label under which the call is counted
         :returns: the objects, or a fault
         """
         return self.read_listing(kind, purpose).map(
@@ -93,13 +93,13 @@
     def read_listing(
         self, kind: str, purpose: str
     ) -> expression.Result[base.Listing, errors.Fault]:
-        """Return all objects of a kind, and from where to watch.
+        """Return all objects of a kind and the revision to watch from.
 
-        Pages are read one after another, so the first page's revision is
-        the one from which on nothing is missed.
+        Objects may change between two pages, so the listing gets the
+        revision of the first page: a watch from it misses no change.
 
         :param kind: the kind
-        :param purpose: what the call is counted under
+        :param purpose: the label under which the call is counted
         :returns: the listing, or a fault
         """
         objects: list[base.StoredObject] = []
@@ -110,7 +110,7 @@
             if after:
                 target += "?" + urllib.parse.urlencode({"after": after})
             page = self._call("GET", target, purpose).bind(
-                lambda value: self._read(lambda: _read_page(kind, value))
+                lambda value: self._parse(lambda: _parse_page(kind, value))
             )
             if page.is_error():
                 return expression.Error(page.error)
@@ -127,11 +127,12 @@
         """Wait for changes of a kind after a revision.
 
         :param kind: the kind
-        :param revision: the store's revision up to which all is known
-        :param wait_ms: the longest wait for a change
-        :param purpose: what the call is counted under
-        :returns: the changes, possibly none; or a fault, ``HISTORY_GONE``
-            where only a new listing helps
+        :param revision: the store revision of the last known state
+        :param wait_ms: the maximum wait for a change, in ms
+        :param purpose: the label under which the call is counted
+        :returns: the changes, possibly empty; or a fault:
+            ``HISTORY_GONE`` if the store no longer has the changes and the
+            objects must be listed again
         """
         query = urllib.parse.urlencode({"watch": revision, "wait_ms": wait_ms})
         return self._call(
@@ -139,17 +140,17 @@
             f"{_path(kind)}?{query}",
             purpose,
             timeout_ms=wait_ms + WATCH_GRACE_MS,
-        ).bind(lambda value: self._read(lambda: _read_changes(kind, value)))
+        ).bind(lambda value: self._parse(lambda: _parse_changes(kind, value)))
 
     def create(
         self, kind: str, name: str, value: dict[str, typing.Any], purpose: str
     ) -> expression.Result[base.StoredObject, errors.Fault]:
-        """Create an object that must not exist yet.
+        """Create an object, which must not exist yet.
 
         :param kind: the kind
         :param name: the object's name
-        :param value: its value
-        :param purpose: what the call is counted under
+        :param value: the object's value
+        :param purpose: the label under which the call is counted
         :returns: the object as stored, or a fault; ``CONFLICT`` if it exists
         """
         body = {"metadata": {"name": name}, "spec": value}
@@ -163,14 +164,15 @@
         version: int,
         purpose: str,
     ) -> expression.Result[base.StoredObject, errors.Fault]:
-        """Replace an object that must still have the given version.
+        """Replace an object if it still has the given version.
 
         :param kind: the kind
         :param name: the object's name
         :param value: its new value
-        :param version: the version that the change was made from
-        :param purpose: what the call is counted under
-        :returns: the object as stored, or a fault; ``CONFLICT`` if it moved
+        :param version: the version on which the change is based
+        :param purpose: the label under which the call is counted
+        :returns: the object as stored, or a fault; ``CONFLICT``
+            if it has another version
         """
         body = {
             "metadata": {"name": name, "revision": version, "finalizers": []},
@@ -181,13 +183,13 @@
     def delete(
         self, kind: str, name: str, version: int, purpose: str
     ) -> expression.Result[None, errors.Fault]:
-        """Delete an object that must still have the given version.
+        """Delete an object if it still has the given version.
 
         :param kind: the kind
         :param name: the object's name
-        :param version: the version that the decision was made from
-        :param purpose: what the call is counted under
-        :returns: nothing, or a fault
+        :param version: the version on which the decision is based
+        :param purpose: the label under which the call is counted
+        :returns: None, or a fault
         """
         target = f"{_path(kind, name)}?revision={version}"
         return self._call("DELETE", target, purpose).map(lambda value: None)
@@ -197,13 +199,14 @@
     ) -> collections.abc.Iterator[
         expression.Result[base.WatchEvent, errors.Fault]
     ]:
-        """Yield changes of a kind until the watch ends or falls silent.
+        """Yield changes of a kind until a call to the store fails.
 
         :param kind: the kind
-        :param from_version: report what came after this version
-        :param idle_timeout_ms: the longest wait for a change or a bookmark
-        :param purpose: what the call is counted under
-        :returns: events; a fault is the last item
+        :param from_version: the version after which changes are reported
+        :param idle_timeout_ms: the maximum time without a change or a
+            bookmark, in ms
+        :param purpose: the label under which the call is counted
+        :returns: events; the last item is a fault
         """
         revision = from_version
         while True:
@@ -214,15 +217,17 @@
             revision = found.ok.revision
             for event in found.ok.events:
                 yield expression.Ok(event)
-            mark = base.StoredObject(kind, "", revision, {})
-            yield expression.Ok(base.WatchEvent(base.EventType.BOOKMARK, mark))
+            bookmark = base.StoredObject(kind, "", revision, {})
+            yield expression.Ok(
+                base.WatchEvent(base.EventType.BOOKMARK, bookmark)
+            )
 
     def list_vms(
         self, purpose: str
     ) -> expression.Result[list[base.ListedVm], errors.Fault]:
-        """Return the VMs that have told the store of themselves.
+        """Return the VMs that are registered in the store.
 
-        :param purpose: what the call is counted under
+        :param purpose: the label under which the call is counted
         :returns: the list, or a fault
         """
         return self.read_all(VMS, purpose).map(
@@ -246,7 +251,7 @@
         purpose: str,
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         return self._call(method, target, purpose, body).bind(
-            lambda value: self._read(lambda: _read_object(kind, value))
+            lambda value: self._parse(lambda: _parse_object(kind, value))
         )
 
     def _call(
@@ -258,7 +263,9 @@
         timeout_ms: int | None = None,
     ) -> expression.Result[typing.Any, errors.Fault]:
         data = None if body is None else json.dumps(body).encode()
-        limit_ms = self._timeout_ms if timeout_ms is None else timeout_ms
+        read_timeout_ms = (
+            self._timeout_ms if timeout_ms is None else timeout_ms
+        )
         try:
             response = self._pool.request(
                 method,
@@ -267,13 +274,14 @@
                 headers={"Content-Type": "application/json"} if data else {},
                 timeout=urllib3.Timeout(
                     connect=self._timeout_ms / MS_IN_S,
-                    read=limit_ms / MS_IN_S,
+                    read=read_timeout_ms / MS_IN_S,
                 ),
                 retries=False,
                 redirect=False,
             )
         except TRANSPORT_ERRORS as error:
-            # What lost track of one connection may have lost the others.
+            # A network device that dropped one connection may have dropped
+            # the others as well, so the pool is replaced.
             self._pool.close()
             self._pool = urllib3.HTTPConnectionPool(
                 self._pool.host,
@@ -282,17 +290,17 @@
                 retries=False,
             )
             was_sent = not isinstance(error, CONNECT_ERRORS)
-            fault = self._fault(method, was_sent, type(error).__name__)
+            fault = self._make_fault(method, was_sent, type(error).__name__)
         else:
             if response.status < 300:
                 self._count(purpose, "ok", data, response.data)
-                return self._read(lambda: json.loads(response.data or b"{}"))
-            fault = self._refuse(method, response.status)
+                return self._parse(lambda: json.loads(response.data or b"{}"))
+            fault = self._make_response_fault(method, response.status)
         self._count(purpose, fault.code.value, data, b"")
         return expression.Error(fault)
 
-    def _refuse(self, method: str, status: int) -> errors.Fault:
-        message = f"the store answered {status}"
+    def _make_response_fault(self, method: str, status: int) -> errors.Fault:
+        message = f"the store responded with status {status}"
         if status in FAULT_CODES:
             return errors.Fault(
                 FAULT_CODES[status],
@@ -300,9 +308,9 @@
                 self._peer,
                 message=message,
             )
-        return self._fault(method, False, message)
+        return self._make_fault(method, False, message)
 
-    def _fault(
+    def _make_fault(
         self, method: str, was_sent: bool, message: str
     ) -> errors.Fault:
         may_have_run = was_sent and method != "GET"
@@ -316,14 +324,14 @@
             message,
         )
 
-    def _read(
+    def _parse(
         self, read: collections.abc.Callable[[], T]
     ) -> expression.Result[T, errors.Fault]:
         try:
             return expression.Ok(read())
         except PARSE_ERRORS as error:
             return expression.Error(
-                self._fault("PUT", True, f"a malformed answer: {error!r}")
+                self._make_fault("PUT", True, f"malformed response: {error!r}")
             )
 
     def _count(
@@ -339,7 +347,7 @@
     return "/".join(filter(None, parts))
 
 
-def _read_object(kind: str, value: typing.Any) -> base.StoredObject:
+def _parse_object(kind: str, value: typing.Any) -> base.StoredObject:
     metadata = value["metadata"]
     content = value.get("spec")
     return base.StoredObject(
@@ -350,24 +358,24 @@
     )
 
 
-def _read_page(
+def _parse_page(
     kind: str, value: typing.Any
 ) -> tuple[list[base.StoredObject], int, bool]:
     return (
-        [_read_object(kind, item) for item in value["items"]],
+        [_parse_object(kind, item) for item in value["items"]],
         wire.parse_integer(value["store_revision"]),
         bool(value.get("has_more")),
     )
 
 
-def _read_changes(kind: str, value: typing.Any) -> base.ChangeBatch:
+def _parse_changes(kind: str, value: typing.Any) -> base.ChangeBatch:
     return base.ChangeBatch(
         [
             base.WatchEvent(
                 base.EventType.DELETED
                 if event.get("deleted")
                 else base.EventType.MODIFIED,
-                _read_object(kind, event["object"]),
+                _parse_object(kind, event["object"]),
             )
             for event in value["events"]
         ],
--- a/mulberryway/platform/tables.py
+++ b/mulberryway/platform/tables.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration and servers into the tables."""
+"""Builds the tables from the platform's configuration and servers."""
 
 import collections.abc
 import logging
@@ -34,10 +34,10 @@
 
 
 class TablesReader(mirrored_tables.Reader):
-    """Joins the one configuration object with the servers' own entries.
+    """Builds tables from the configuration object and the server entries.
 
-    The configuration is read anew only when it has changed: it may be large,
-    and servers change far more often.
+    The configuration is parsed only when its version changes, because it can
+    be large and server entries change far more often.
     """
 
     def __init__(self) -> None:
@@ -54,63 +54,62 @@
     ) -> tables.Tables | None:
         """Return the tables.
 
-        :param configuration: the configuration's objects by name
-        :param servers: the servers' entries; those that name no server to
-            use are passed over
-        :param revision: the revision that the tables get
-        :returns: the tables, or none while there is no configuration
+        :param configuration: the configuration objects by name
+        :param servers: the server entries; malformed ones are ignored
+        :param revision: the revision to assign to the tables
+        :returns: the tables, or None if there is no configuration
         :raises ValueError: if the configuration is malformed
         """
         main = configuration.get(CONFIGURATION_NAME)
         if main is None:
             return None
         if main.version != self._version:
-            self._read_configuration(main.value)
+            self._parse_configuration(main.value)
             self._version = main.version
         found: dict[str, list[tables.Upstream]] = {}
         kinds = {pool.name: pool.kind for pool in self._pools}
-        known = [
+        parsed = [
             server
             for entry in servers
-            if (server := _read_server(entry, kinds)) is not None
+            if (server := _parse_server(entry, kinds)) is not None
         ]
-        for server in _list_newest(known):
+        for server in _list_current(parsed):
             found.setdefault(server.pool, []).append(server.row)
         return tables.Tables(
             revision,
             self._routes,
             tuple(
-                _fill(pool, tuple(found.get(pool.name, ())))
+                _set_upstreams(pool, tuple(found.get(pool.name, ())))
                 for pool in self._pools
             ),
             self._accounts,
         )
 
-    def _read_configuration(self, value: Value) -> None:
-        accounts = tuple(map(_read_account, value.get("tenants") or ()))
+    def _parse_configuration(self, value: Value) -> None:
+        accounts = tuple(map(_parse_account, value.get("tenants") or ()))
         routes = tuple(
-            _read_route(row, not accounts) for row in value["routes"]
+            _parse_route(row, not accounts) for row in value["routes"]
         )
         pools = tuple(
-            _read_pool(row, _find_pause(row, routes))
+            _parse_pool(row, _find_min_gap_target(row, routes))
             for row in value["services"]
         )
         self._routes, self._pools = routes, pools
         self._accounts = accounts
 
 
-def _read_route(row: Value, is_open: bool) -> tables.Route:
+def _parse_route(row: Value, allows_anonymous: bool) -> tables.Route:
     kind = wire.parse_string(row["kind"])
     is_streaming = kind == STREAMING
-    shares = tuple(
+    split = tuple(
         tables.WeightedPool(
             wire.parse_string(part["service"]),
             wire.parse_integer(part["weight"]),
         )
         for part in row.get("traffic_split") or ()
     )
-    shares = tuple(share for share in shares if share.weight)
-    pool = shares[0].pool if shares else wire.parse_string(row["service"])
+    split = tuple(weighted for weighted in split if weighted.weight)
+    pool = split[0].pool if split else wire.parse_string(row["service"])
     return tables.Route(
         wire.parse_string(row["name"]),
         wire.parse_string(row["path_prefix"]),
@@ -120,9 +119,9 @@
         ),
         timeout_ms=wire.parse_integer(row["timeout_ms"], 1),
         host=wire.parse_string(row["host"]).lower(),
-        shares=shares if len(shares) > 1 else (),
+        shares=split if len(split) > 1 else (),
         retries_safe_methods=False,
-        is_public=is_open or bool(row.get("public")),
+        is_public=allows_anonymous or bool(row.get("public")),
         is_streaming=is_streaming,
         max_attempts=wire.parse_integer(row.get("max_attempts", 1), 1),
         target_ms=wire.parse_integer(row.get("target_latency_ms", 0)),
@@ -131,8 +130,8 @@
     )
 
 
-def _find_pause(row: Value, routes: tuple[tables.Route, ...]) -> int:
-    """Return the shortest target for a pause among a pool's routes."""
+def _find_min_gap_target(row: Value, routes: tuple[tables.Route, ...]) -> int:
+    """Return the lowest inter-token gap target of a pool's routes."""
     name = row["name"]
     return min(
         (
@@ -148,38 +147,38 @@
     )
 
 
-def _read_pool(row: Value, pause_ms: int) -> tables.Pool:
+def _parse_pool(row: Value, pause_ms: int) -> tables.Pool:
     name = wire.parse_string(row["name"])
     connections = wire.parse_integer(row.get("max_conns", 0))
-    shape = row.get("engine")
-    if not shape:
+    engine = row.get("engine")
+    if not engine:
         return tables.Pool(
             name, tables.PoolKind.PLAIN, (), max_connections=connections
         )
-    # A link's rate is in megabits a second, and "swap_s" is how long an
-    # engine is away that changes its role.
+    # "link_mbps" is in megabits per second; "swap_s" is the time for which
+    # an engine that changes its role is unavailable, in seconds.
     return tables.Pool(
         name,
         tables.PoolKind.MODEL,
         (),
-        tuple(wire.parse_string(model["name"]) for model in shape["models"]),
-        slots=wire.parse_integer(shape["slots"], 1),
+        tuple(wire.parse_string(model["name"]) for model in engine["models"]),
+        slots=wire.parse_integer(engine["slots"], 1),
         block_tokens=BLOCK_TOKENS,
         link_bytes_per_s=int(
-            float(shape["link_mbps"]) * BITS_IN_MBIT / BITS_IN_BYTE
+            float(engine["link_mbps"]) * BITS_IN_MBIT / BITS_IN_BYTE
         ),
-        kv_bytes_per_token=wire.parse_integer(shape["kv_bytes"]),
-        kv_capacity_tokens=wire.parse_integer(shape["kv_capacity"], 1),
+        kv_bytes_per_token=wire.parse_integer(engine["kv_bytes"]),
+        kv_capacity_tokens=wire.parse_integer(engine["kv_capacity"], 1),
         max_connections=connections,
-        role_switch_ms=int(float(shape.get("swap_s", 0)) * MS_IN_S),
+        role_switch_ms=int(float(engine.get("swap_s", 0)) * MS_IN_S),
         self_reading=True,
         pause_ms=pause_ms,
-        hold_ms=int(float(shape.get("hold_ms", 0))),
+        hold_ms=int(float(engine.get("hold_ms", 0))),
     )
 
 
-def _read_account(row: Value) -> tables.ClientAccount:
-    # No rate, or a rate of 0, stands for no limit.
+def _parse_account(row: Value) -> tables.ClientAccount:
+    # A missing rate or a rate of 0 means no limit.
     return tables.ClientAccount(
         wire.parse_string(row["name"]),
         tuple(map(tables.digest_key, row["api_keys"])),
@@ -191,47 +190,51 @@
 
 
 class _Server:
-    """What one entry says.
+    """A server entry after parsing.
 
     :param pool: the pool's name
     :param row: the upstream
-    :param born_ms: when its life began, by its own clock; 0 if not told
+    :param started_ms: when the incarnation started, in ms of the server's own
+        clock; 0 if unknown
     """
 
-    __slots__ = ("pool", "row", "born_ms")
+    __slots__ = ("pool", "row", "started_ms")
 
-    def __init__(self, pool: str, row: tables.Upstream, born_ms: int) -> None:
+    def __init__(
+        self, pool: str, row: tables.Upstream, started_ms: int
+    ) -> None:
         self.pool = pool
         self.row = row
-        self.born_ms = born_ms
+        self.started_ms = started_ms
 
 
-def _list_newest(
+def _list_current(
     servers: collections.abc.Iterable[_Server],
 ) -> list[_Server]:
-    """Return the servers without earlier lives at the same addresses.
+    """Return the servers without previous incarnations at an address.
 
-    A server that crashed and started again under another name leaves its old
-    entry for three more heartbeats.  Prompts would go to a life that has
-    ended, and its pool would seem to have one engine too many.
+    The entry of a server that crashed and restarted under another name stays
+    for three more heartbeats.  If it were used, prompts would be sent to an
+    incarnation that has ended, and the pool would have one engine too many.
     """
     newest: dict[str, int] = {}
-    known = list(servers)
-    for server in known:
+    parsed = list(servers)
+    for server in parsed:
         address = server.row.address
-        newest[address] = max(newest.get(address, 0), server.born_ms)
+        newest[address] = max(newest.get(address, 0), server.started_ms)
     return [
         server
-        for server in known
-        if not server.born_ms or server.born_ms == newest[server.row.address]
+        for server in parsed
+        if not server.started_ms
+        or server.started_ms == newest[server.row.address]
     ]
 
 
-def _read_server(
+def _parse_server(
     entry: base.StoredObject,
     kinds: collections.abc.Mapping[str, tables.PoolKind],
 ) -> _Server | None:
-    """Read one entry; whoever wrote a malformed one, it names no server."""
+    """Parse a server entry; return None if it is malformed."""
     try:
         value = entry.value
         pool = wire.parse_string(value["service"])
@@ -242,21 +245,21 @@
         zone = wire.parse_string(value["zone"])
         state = wire.parse_string(value["state"])
         if state not in (READY_STATE, DRAINING_STATE):
-            raise ValueError("an unknown state")
+            raise ValueError("unknown state")
         role = tables.UpstreamRole.SERVICE
         if kinds.get(pool) is tables.PoolKind.MODEL:
             role = ROLES[value["phase"]]
-        born_ms = wire.parse_integer(value.get("born") or 0)
+        started_ms = wire.parse_integer(value.get("born") or 0)
     except PARSE_ERRORS as error:
-        LOG.debug("entry %s names no server: %r", entry.name, error)
+        LOG.debug("server entry %s is malformed: %r", entry.name, error)
         return None
     row = tables.Upstream(
         entry.name, address, zone, role, state == DRAINING_STATE
     )
-    return _Server(pool, row, born_ms)
+    return _Server(pool, row, started_ms)
 
 
-def _fill(
+def _set_upstreams(
     pool: tables.Pool, found: tuple[tables.Upstream, ...]
 ) -> tables.Pool:
     return tables.Pool(
--- a/mulberryway/platform/wire.py
+++ b/mulberryway/platform/wire.py
@@ -1,4 +1,4 @@
-"""Names and formats of the platform's messages."""
+"""Paths, header names and value formats of the platform's protocol."""
 
 import typing
 
@@ -42,33 +42,34 @@
 
 SCHEME = "token "
 
-# Each attempt of a caller has an id of its own, which upstreams echo.
+# Unique id of each attempt of a caller; upstreams return it in the response.
 ATTEMPT_ID = "Attempt-Id"
-# Milliseconds that the sender will still wait, not a point in time.
+# Remaining time until the sender's timeout in ms, not a point in time.
 DEADLINE = "Deadline-Ms"
-# The id of the one incarnation of a server that may run the request.
+# Id of the server incarnation that may run the request.
 EXPECTED_INSTANCE = "Expect-Instance"
-# The name of the client account.
+# Name of the client account.
 TENANT = "Tenant"
 MODEL = "Model"
-# Prompt tokens and the most output tokens.
+# Number of prompt tokens and maximum number of output tokens.
 TOKEN_COUNTS = "Token-Counts"
-# ``ID:TOKENS`` for each part of the prompt, in order.
+# ``ID:TOKENS`` for each segment of the prompt, in order.
 PREFIX = "Prompt-Prefix"
-# The caller's estimate of the output tokens.
+# The caller's estimate of the number of output tokens.
 LENGTH_HINT = "Length-Hint"
-# ``prefill`` where only the prompt is to be read.
+# ``prefill`` for a request that runs the prefill only.
 PHASE = "Serving-Phase"
-# ``IP:PORT/HANDLE`` of a KV cache that was read elsewhere.
+# ``IP:PORT/HANDLE`` of a KV cache on the engine that ran the prefill.
 HANDLE_SOURCE = "Kv-Source"
 LAST_EVENT = "Last-Event-Id"
-# Names a reservation of a slot and memory, which can be used once.
+# Name of a reservation of a slot and KV blocks, which is valid for one use.
 RESERVATION = "Kv-Hold"
-# On an answer: the upstream has not run the request and never will.
+# Response header: the upstream has not run the request and will not run it.
 NOT_EXECUTED = "Not-Executed"
 
-# What the system alone says to upstreams; a caller's own would let it speak
-# for another client account, or use another request's memory.
+# Headers that only routers may send to upstreams.  They are removed from
+# callers' requests, because a caller could use them to act as another client
+# account or to access the KV cache of another request.
 RESERVED_HEADERS = frozenset(
     (
         "tenant",
@@ -86,27 +87,28 @@
 
 
 def parse_integer(value: typing.Any, minimum: int = 0) -> int:
-    """Return a whole number.
+    """Return a JSON value as an integer.
 
-    :param value: what was sent
-    :param minimum: the least that makes sense
+    :param value: the JSON value
+    :param minimum: the smallest valid number
     :returns: the number
-    :raises ValueError: if it is none, or too small
+    :raises ValueError: if the value is not an integer or is below the
+        minimum
     """
     if type(value) is float and value.is_integer():
         value = int(value)
     if type(value) is not int or value < minimum:
-        raise ValueError(f"expected a whole number from {minimum} on")
+        raise ValueError(f"expected an integer of at least {minimum}")
     return value
 
 
 def parse_string(value: typing.Any) -> str:
-    """Return a text that is not empty.
+    """Return a JSON value as a non-empty string.
 
-    :param value: what was sent
-    :returns: the text
-    :raises ValueError: if it is none
+    :param value: the JSON value
+    :returns: the string
+    :raises ValueError: if the value is not a string or is empty
     """
     if not isinstance(value, str) or not value:
-        raise ValueError("expected a text")
+        raise ValueError("expected a non-empty string")
     return value
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -253,11 +253,11 @@
         one = engine.PlatformEngine("i-1", "10.0.0.1:80", clock.ManualClock())
         label = upstreams.AttemptLabel("r-1", "vm1", 1)
         body = b'{"cache_handle": "h-1", "tokens": 100, "version": 1}'
-        found = one._read_prefill(
+        found = one._parse_prefill(
             label, connections.Response(200, [], body)
         ).ok
         self.assertEqual(len(one._handles), 1)
-        found.transfer["handle"].spend()
+        found.transfer["handle"].mark_used()
         self.assertEqual(len(one._handles), 0)
         self.assertFalse(one.cancel(label).ok)
 
