--- a/mulberryway/admin/__init__.py
+++ b/mulberryway/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API: edits, history, status; one on every VM."""
+"""The administration API of a VM: edits, history and status."""
--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -1,4 +1,4 @@
-"""Everything that an operator can do, as one object."""
+"""The operations of the administration API."""
 
 import logging
 import secrets
@@ -25,8 +25,8 @@
 KEY_BYTES = 32
 EDIT_TIMEOUT_MS = 10_000
 MAX_WAIT_MS = 60_000
-# Garbage is looked for after so many revisions, by whoever makes the edit,
-# so that no VM has to be chosen for it.
+# Number of revisions between two garbage collections.  The VM that accepts the
+# edit runs the collection, so no leader election is needed.
 GC_REVISION_INTERVAL = 64
 
 T = typing.TypeVar("T", bound=responses.Response)
@@ -34,10 +34,10 @@
 
 
 class Administration:
-    """What the administration API and programs do for operators.
+    """Carries out the operations of the administration API.
 
-    :param editor_: makes edits take effect
-    :param fleet_: asks and tells the VMs
+    :param editor_: writes edits to the platform
+    :param fleet_: queries VMs and announces edits to them
     """
 
     def __init__(self, editor_: editor.Editor, fleet_: fleet.Fleet) -> None:
@@ -49,7 +49,7 @@
         return self._read_tables().map(response_builders.make_tables_response)
 
     def diff(self, text: str) -> Result[responses.DiffResponse]:
-        """Return what a text of tables would change; change nothing.
+        """Return what applying the issued tables would change.
 
         :param text: the tables as TOML
         """
@@ -64,11 +64,11 @@
     ) -> Result[responses.EditResponse]:
         """Replace all tables.
 
-        :param operator: who wants it
+        :param operator: the operator's name
         :param text: the tables as TOML
-        :param revision: the revision that the text was made from; without
-            it a colleague's edit in between would be reverted unseen
-        :param edit_id: the edit's own id
+        :param revision: the revision on which the text is based; without it
+            another operator's later edit would be reverted unnoticed
+        :param edit_id: the edit's id
         """
         return parse.parse_rows(text).bind(
             lambda rows: self._submit(
@@ -87,12 +87,12 @@
     ) -> Result[responses.EditResponse]:
         """Add or replace a row.
 
-        :param operator: who wants it
+        :param operator: the operator's name
         :param table: the table's name
         :param name: the row's name
         :param values: the row's values by column
-        :param expected: the digest of the row that it replaces
-        :param edit_id: the edit's own id
+        :param expected: the digest of the row to replace, a precondition
+        :param edit_id: the edit's id
         """
         change = changes.PutRow(table, name, values, expected)
         return self._submit(operator, change, edit_id)
@@ -107,11 +107,11 @@
     ) -> Result[responses.EditResponse]:
         """Delete a row.
 
-        :param operator: who wants it
+        :param operator: the operator's name
         :param table: the table's name
         :param name: the row's name
-        :param expected: the row's digest
-        :param edit_id: the edit's own id
+        :param expected: the digest of the row, a precondition
+        :param edit_id: the edit's id
         """
         change = changes.DeleteRow(table, name, expected)
         return self._submit(operator, change, edit_id)
@@ -119,36 +119,36 @@
     def issue_key(
         self, operator: str, account: str, edit_id: str
     ) -> Result[responses.KeyResponse]:
-        """Make a key for a client account; it is shown this once.
+        """Issue a key for a client account and return it once.
 
-        :param operator: who wants it
+        :param operator: the operator's name
         :param account: the client account's name
-        :param edit_id: the edit's own id
+        :param edit_id: the edit's id
         """
         key = KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
         digest = tables.digest_key(key)
-        given = self._submit(
+        issued = self._submit(
             operator, changes.AddKey(account, digest), edit_id
         )
-        return given.bind(
-            lambda answer: self._check_given(answer, account, key, digest)
+        return issued.bind(
+            lambda answer: self._check_issued(answer, account, key, digest)
         )
 
     def revoke_key(
         self, operator: str, account: str, prefix: str, edit_id: str
     ) -> Result[responses.EditResponse]:
-        """Take a key from a client account.
+        """Revoke a key of a client account.
 
-        :param operator: who wants it
+        :param operator: the operator's name
         :param account: the client account's name
         :param prefix: the first digits of the key's digest
-        :param edit_id: the edit's own id
+        :param edit_id: the edit's id
         """
         if len(prefix) < response_builders.KEY_DIGEST_DIGITS:
-            return _refuse(
+            return _reject(
                 errors.Code.BAD_REQUEST,
                 f"expected at least {response_builders.KEY_DIGEST_DIGITS} "
-                "digits of the digest",
+                "digits of the key's digest",
             )
         change = changes.RevokeKey(account, prefix)
         return self._submit(operator, change, edit_id)
@@ -156,10 +156,10 @@
     def restore(
         self, operator: str, edit_id: str
     ) -> Result[responses.EditResponse]:
-        """Bring a platform forward that was restored from an old copy.
+        """Restore the newest state of the VMs after a rollback of the store.
 
-        :param operator: who wants it
-        :param edit_id: the edit's own id
+        :param operator: the operator's name
+        :param edit_id: the edit's id
         """
         edit = edits.Edit(edit_id, operator, ())
         newest = self._fleet.fetch_newest_state()
@@ -174,8 +174,8 @@
 
     def read_history(self) -> Result[responses.HistoryResponse]:
         """Return past edits."""
-        held = self._editor.accepted.read_root()
-        return held.bind(
+        current_root = self._editor.accepted.read_root()
+        return current_root.bind(
             lambda found: self._editor.accepted.read_history(found.root)
         ).map(response_builders.make_history_response)
 
@@ -184,14 +184,14 @@
     ) -> Result[responses.RolloutResponse]:
         """Wait until a revision is in force on all VMs.
 
-        :param revision: the revision; none for the accepted one
-        :param timeout_ms: the longest wait; 0 to look once
+        :param revision: the revision; None for the accepted one
+        :param timeout_ms: the maximum wait in ms; 0 to check only once
         """
         limit_ms = min(timeout_ms, MAX_WAIT_MS)
         if revision is not None:
             return expression.Ok(self._fleet.wait_in_force(revision, limit_ms))
-        held = self._editor.accepted.read_root()
-        return held.map(
+        current_root = self._editor.accepted.read_root()
+        return current_root.map(
             lambda found: self._fleet.wait_in_force(
                 found.root.revision, limit_ms
             )
@@ -209,8 +209,8 @@
     def _read_tables(
         self,
     ) -> expression.Result[tables.Tables, errors.Fault]:
-        held = self._editor.accepted.read_root()
-        return held.bind(
+        current_root = self._editor.accepted.read_root()
+        return current_root.bind(
             lambda found: self._editor.accepted.read_tables(found.root)
         )
 
@@ -225,7 +225,7 @@
         submitted = self._editor.submit(edit, EDIT_TIMEOUT_MS)
         if submitted.is_error():
             LOG.warning(
-                "edit %s of operator %s refused: %s: %s",
+                "edit %s of operator %s was rejected: %s: %s",
                 edit_id,
                 operator,
                 edit.describe(),
@@ -239,29 +239,29 @@
             responses.EditResponse(edit_id, accepted.revision)
         )
 
-    def _check_given(
+    def _check_issued(
         self,
         answer: responses.EditResponse,
         account: str,
         key: str,
         digest: str,
     ) -> Result[responses.KeyResponse]:
-        """Show a key only if it is the one that the edit gave.
+        """Return a key only if it is the one that the edit issued.
 
-        An operator whose answer was lost sends the edit again.  It counts
-        once, with the first try's key, which nobody has seen; the key made
-        for the second try would be refused by every VM.
+        An operator retries an edit whose response was lost.  The edit is
+        idempotent and keeps the key of the first attempt, which was never
+        shown; the key generated for the retry is not valid on any VM.
         """
         current = self._read_tables()
         if current.is_error():
             return expression.Error(current.error)
         row = current.ok.accounts.get(account)
         if row is None or digest not in row.key_digests:
-            return _refuse(
+            return _reject(
                 errors.Code.CONFLICT,
-                f"edit {answer.edit_id} has given a key already, or it has "
-                "been withdrawn; a key is shown once, so withdraw it and "
-                "give another",
+                f"edit {answer.edit_id} has already issued a key, or the key "
+                "was revoked; a key is shown only once, so revoke it and "
+                "issue another",
                 errors.ExecutionStatus.RAN,
             )
         return expression.Ok(
@@ -282,7 +282,7 @@
     )
 
 
-def _refuse(
+def _reject(
     code: errors.Code,
     message: str,
     run: errors.ExecutionStatus = errors.ExecutionStatus.NOT_RUN,
--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP and JSON over an Administration."""
+"""The HTTP and JSON layer of the administration API."""
 
 import collections.abc
 import http
@@ -30,11 +30,12 @@
 
 
 class Operation:
-    """One operation of the API.
+    """Maps a method and a path to a handler.
 
     :param method: the HTTP method
-    :param path: matches the whole path; its groups are the call's parts
-    :param handle: carries it out
+    :param path: a pattern for the whole path; its groups become the
+        arguments of the operation
+    :param handle: the handler
     """
 
     __slots__ = ("method", "path", "handle")
@@ -46,10 +47,10 @@
 
 
 class AdminApi:
-    """Answers operators' calls; a WSGI application.
+    """Serves operators' requests as a WSGI application.
 
-    :param admin: carries them out
-    :param operators: who may call
+    :param admin: carries out the operations
+    :param operators: authenticates the requests
     """
 
     def __init__(
@@ -62,19 +63,21 @@
         row = r"/v1/tables/([^/]+)/([^/]+)"
         keys = r"/v1/accounts/([^/]+)/keys"
         self._operations = (
-            Operation("GET", r"/v1/tables", lambda call: admin.show()),
+            Operation("GET", r"/v1/tables", lambda request: admin.show()),
             Operation("PUT", r"/v1/tables", self._apply),
             Operation("POST", r"/v1/diff", self._diff),
             Operation("POST", r"/v1/restore", self._restore),
             Operation("PUT", row, self._put_row),
             Operation("DELETE", row, self._delete_row),
-            Operation("POST", keys, self._give_key),
-            Operation("DELETE", keys + r"/([0-9a-f]+)", self._withdraw_key),
+            Operation("POST", keys, self._issue_key),
+            Operation("DELETE", keys + r"/([0-9a-f]+)", self._revoke_key),
             Operation(
-                "GET", r"/v1/history", lambda call: admin.read_history()
+                "GET", r"/v1/history", lambda request: admin.read_history()
             ),
             Operation("GET", r"/v1/in_force", self._wait),
-            Operation("GET", r"/v1/status", lambda call: admin.read_status()),
+            Operation(
+                "GET", r"/v1/status", lambda request: admin.read_status()
+            ),
         )
 
     def __call__(
@@ -82,18 +85,18 @@
         environ: Environ,
         start_response: collections.abc.Callable[..., typing.Any],
     ) -> list[bytes]:
-        """Answer one call.
+        """Answer one request.
 
-        :param environ: the request, as WSGI describes it
-        :param start_response: takes status and headers
-        :returns: the body
+        :param environ: the WSGI environment of the request
+        :param start_response: receives the status and the headers
+        :returns: the response body
         """
         try:
-            result = self._answer(environ)
+            result = self._handle(environ)
         except errors.MulberrywayError as error:
             result = expression.Error(error.fault)
         except Exception:
-            LOG.exception("an operator's call failed")
+            LOG.exception("an operator's request failed")
             result = expression.Error(
                 errors.Fault(
                     errors.Code.INTERNAL,
@@ -110,14 +113,14 @@
         start_response(f"{status} {http.HTTPStatus(status).phrase}", headers)
         return [body]
 
-    def _answer(self, environ: Environ) -> Result:
+    def _handle(self, environ: Environ) -> Result:
         operator = self._operators.find(environ.get("HTTP_AUTHORIZATION", ""))
         if operator is None:
             LOG.warning(
-                "a call without an operator's credential was refused: %s",
+                "a request without an operator's credential was rejected: %s",
                 environ.get("REMOTE_ADDR", ""),
             )
-            return _refuse(
+            return _reject(
                 errors.Code.UNAUTHENTICATED,
                 "expected an operator's credential",
             )
@@ -129,61 +132,62 @@
         )
         found = next((one for one in matches if one[1] is not None), None)
         if found is None:
-            return _refuse(
-                errors.Code.UNKNOWN_ROUTE, "there is no such operation"
+            return _reject(
+                errors.Code.UNKNOWN_ROUTE,
+                "no operation has this method and path",
             )
         operation, match = found
-        call = calls.parse_request(environ, operator, match.groups())
-        return operation.handle(call)
+        request = calls.parse_request(environ, operator, match.groups())
+        return operation.handle(request)
 
-    def _apply(self, call: calls.OperatorRequest) -> Result:
+    def _apply(self, request: calls.OperatorRequest) -> Result:
         return self._admin.apply(
-            call.operator,
-            call.read_text("text"),
-            call.get_integer("revision"),
-            call.get_edit_id(),
+            request.operator,
+            request.get_string("text"),
+            request.get_integer("revision"),
+            request.get_edit_id(),
         )
 
-    def _diff(self, call: calls.OperatorRequest) -> Result:
-        return self._admin.diff(call.read_text("text"))
+    def _diff(self, request: calls.OperatorRequest) -> Result:
+        return self._admin.diff(request.get_string("text"))
 
-    def _restore(self, call: calls.OperatorRequest) -> Result:
-        return self._admin.restore(call.operator, call.get_edit_id())
+    def _restore(self, request: calls.OperatorRequest) -> Result:
+        return self._admin.restore(request.operator, request.get_edit_id())
 
-    def _put_row(self, call: calls.OperatorRequest) -> Result:
-        values = call.body.get("values")
+    def _put_row(self, request: calls.OperatorRequest) -> Result:
+        values = request.body.get("values")
         if not isinstance(values, dict):
             raise calls.bad_request("values: expected an object")
         return self._admin.put_row(
-            call.operator,
-            *call.parts,
+            request.operator,
+            *request.parts,
             values,
-            call.get_optional_string("digest"),
-            call.get_edit_id(),
+            request.get_optional_string("digest"),
+            request.get_edit_id(),
         )
 
-    def _delete_row(self, call: calls.OperatorRequest) -> Result:
+    def _delete_row(self, request: calls.OperatorRequest) -> Result:
         return self._admin.delete_row(
-            call.operator,
-            *call.parts,
-            call.get_optional_string("digest"),
-            call.get_edit_id(),
+            request.operator,
+            *request.parts,
+            request.get_optional_string("digest"),
+            request.get_edit_id(),
         )
 
-    def _give_key(self, call: calls.OperatorRequest) -> Result:
+    def _issue_key(self, request: calls.OperatorRequest) -> Result:
         return self._admin.issue_key(
-            call.operator, *call.parts, call.get_edit_id()
+            request.operator, *request.parts, request.get_edit_id()
         )
 
-    def _withdraw_key(self, call: calls.OperatorRequest) -> Result:
+    def _revoke_key(self, request: calls.OperatorRequest) -> Result:
         return self._admin.revoke_key(
-            call.operator, *call.parts, call.get_edit_id()
+            request.operator, *request.parts, request.get_edit_id()
         )
 
-    def _wait(self, call: calls.OperatorRequest) -> Result:
-        wait_ms = call.get_query_integer("wait_ms") or 0
+    def _wait(self, request: calls.OperatorRequest) -> Result:
+        wait_ms = request.get_query_integer("wait_ms") or 0
         return self._admin.wait(
-            call.get_query_integer("revision"), min(wait_ms, MAX_WAIT_MS)
+            request.get_query_integer("revision"), min(wait_ms, MAX_WAIT_MS)
         )
 
 
@@ -194,7 +198,7 @@
     return replies.STATUS[fault.code], replies.describe_fault(fault)
 
 
-def _refuse(code: errors.Code, message: str) -> Result:
+def _reject(code: errors.Code, message: str) -> Result:
     return expression.Error(
         errors.Fault(code, errors.Step.ADMIN, message=message)
     )
--- a/mulberryway/admin/calls.py
+++ b/mulberryway/admin/calls.py
@@ -1,4 +1,4 @@
-"""An operator's call: who makes it, and what comes with it."""
+"""Authenticates and parses operators' requests."""
 
 import hashlib
 import hmac
@@ -28,21 +28,21 @@
 
 
 class OperatorAuthenticator:
-    """Knows the operators by the digests of their credentials.
+    """Identifies operators by the digests of their credentials.
 
-    :param digests: SHA-256 digests of credentials, by operator's name
+    :param digests: SHA-256 digests of credentials by operator name
     """
 
     def __init__(self, digests: dict[str, str]) -> None:
         self._digests = digests
 
     def find(self, header: str) -> str | None:
-        """Return the operator whose credential a header carries.
+        """Return the operator with the credential in a header, or None.
 
-        All digests are compared in constant time, so that the time of a
-        refusal tells nothing about any of them.
+        All digests are compared in constant time, so the response time
+        reveals nothing about them.
 
-        :param header: the Authorization header's value
+        :param header: the value of the Authorization header
         """
         if not header.startswith(BEARER):
             return None
@@ -57,12 +57,12 @@
 
 
 class OperatorRequest:
-    """One call of an operator.
+    """A parsed request of an operator.
 
-    :param operator: who calls
-    :param body: the JSON object that came with it
-    :param parts: what the path names
-    :param query: the query's parameters
+    :param operator: the operator's name
+    :param body: the JSON object in the body
+    :param parts: the arguments from the path
+    :param query: the query parameters
     """
 
     __slots__ = ("operator", "body", "parts", "query")
@@ -79,78 +79,80 @@
         self.parts = parts
         self.query = query
 
-    def read_text(self, key: str) -> str:
-        """Return a text that must be there.
+    def get_string(self, key: str) -> str:
+        """Return a required string from the body.
 
-        :param key: its key in the body
-        :raises MulberrywayError: if it is not a text
+        :param key: the key in the body
+        :raises MulberrywayError: if the value is missing or not a string
         """
         value = self.body.get(key)
         if not isinstance(value, str):
-            raise bad_request(f"{key}: expected a text")
+            raise bad_request(f"{key}: expected a string")
         return value
 
     def get_optional_string(self, key: str) -> str | None:
-        """Return a text, or none if it was left out.
+        """Return a string from the body, or None if it is missing.
 
-        :param key: its key in the body
-        :raises MulberrywayError: if it is something else
+        :param key: the key in the body
+        :raises MulberrywayError: if the value is not a string
         """
-        return None if self.body.get(key) is None else self.read_text(key)
+        return None if self.body.get(key) is None else self.get_string(key)
 
     def get_integer(self, key: str) -> int:
-        """Return a whole number that must be there.
+        """Return a required non-negative integer from the body.
 
-        :param key: its key in the body
-        :raises MulberrywayError: if it is something else
+        :param key: the key in the body
+        :raises MulberrywayError: if the value is missing or invalid
         """
         value = self.body.get(key)
         if type(value) is not int or value < 0:
-            raise bad_request(f"{key}: expected a whole number")
+            raise bad_request(f"{key}: expected a non-negative integer")
         return value
 
     def get_edit_id(self) -> str:
-        """Return the edit's id; a new one if the operator sent none.
+        """Return the edit's id, or a new id if the request has none.
 
-        :raises MulberrywayError: if it cannot be an id
+        :raises MulberrywayError: if the id is malformed
         """
         if self.body.get("edit_id") is None:
             return secrets.token_hex(EDIT_ID_BYTES)
-        edit_id = self.read_text("edit_id")
+        edit_id = self.get_string("edit_id")
         if EDIT_ID.fullmatch(edit_id) is None:
-            raise bad_request("edit_id: expected 1 to 64 of A-Za-z0-9._-")
+            raise bad_request(
+                "edit_id: expected 1 to 64 characters of A-Za-z0-9._-"
+            )
         return edit_id
 
     def get_query_integer(self, key: str) -> int | None:
-        """Return a whole number of the query, or none.
+        """Return an integer from the query, or None if it is missing.
 
         :param key: the parameter
-        :raises MulberrywayError: if it is something else
+        :raises MulberrywayError: if the value is not an integer
         """
         text = self.query.get(key)
         if text is None:
             return None
         if not text.isdecimal() or len(text) > MAX_DIGITS:
-            raise bad_request(f"{key}: expected a whole number")
+            raise bad_request(f"{key}: expected a non-negative integer")
         return int(text)
 
 
 def parse_request(
     environ: Environ, operator: str, parts: tuple[str, ...]
 ) -> OperatorRequest:
-    """Return the call that a request makes.
+    """Parse the query and the body of a request.
 
-    :param environ: the request, as WSGI describes it
-    :param operator: who calls
-    :param parts: what the path names
-    :raises MulberrywayError: if the body cannot be read
+    :param environ: the WSGI environment of the request
+    :param operator: the operator's name
+    :param parts: the arguments from the path
+    :raises MulberrywayError: if the body is malformed
     """
     query = urllib.parse.parse_qsl(environ.get("QUERY_STRING", ""))
     return OperatorRequest(operator, _read_body(environ), parts, dict(query))
 
 
 def bad_request(message: str) -> errors.MulberrywayError:
-    """Return the error for a call that cannot be read.
+    """Return the error for a malformed request.
 
     :param message: what was expected
     """
@@ -163,7 +165,8 @@
 
 def _read_body(environ: Environ) -> dict[str, typing.Any]:
     if environ.get("HTTP_TRANSFER_ENCODING"):
-        # Two lengths may be read differently by whoever stands between.
+        # A proxy may give precedence to the other of the two lengths, which
+        # allows request smuggling.
         raise bad_request("expected a Content-Length")
     text = environ.get("CONTENT_LENGTH") or "0"
     if not text.isdecimal():
--- a/mulberryway/admin/client.py
+++ b/mulberryway/admin/client.py
@@ -1,4 +1,4 @@
-"""Calls the administration API; what the operators' command is made of."""
+"""The client of the administration API."""
 
 import collections.abc
 import json
@@ -16,20 +16,20 @@
 Result = expression.Result[Reply, errors.Fault]
 
 CONNECT_S = 3.0
-# The server tries an edit for ten seconds and waits a minute at most.
+# Above the server's timeouts: 10 s for an edit, 60 s for a wait.
 READ_S = 75.0
 ROUNDS = 2
 
 
 class AdminClient:
-    """Calls one of several administration APIs.
+    """Calls one of several administration APIs, with failover.
 
-    Every VM has one and none is special, so the next is called when one
-    cannot be reached or its reply is lost.  An edit keeps its id over all
-    these calls and therefore counts once.
+    The APIs of all VMs are equivalent, so the next one is called when one is
+    unreachable or its response is lost.  An edit keeps its id over all
+    attempts, which makes it idempotent.
 
-    :param urls: addresses, as ``http://host:port``
-    :param credential: the operator's
+    :param urls: the APIs, as ``http://host:port``
+    :param credential: the operator's credential
     """
 
     def __init__(self, urls: tuple[str, ...], credential: str) -> None:
@@ -47,22 +47,25 @@
 
         :param method: the HTTP method
         :param path: the path with its query
-        :param body: the JSON object to send; an edit's holds ``edit_id``
-        :returns: the answer's object, or a fault
+        :param body: the JSON object to send; it must contain ``edit_id`` for
+            an edit
+        :returns: the JSON object of the response, or a fault
         """
         result: Result = expression.Error(
-            _fault(errors.Code.BAD_REQUEST, "", "expected an address")
+            _make_fault(
+                errors.Code.BAD_REQUEST, "", "expected at least one address"
+            )
         )
-        unknown = False
+        is_ambiguous = False
         for url in self._urls * ROUNDS:
-            result = self._call_one(url, method, path, body)
+            result = self._call_url(url, method, path, body)
             if result.is_ok() or result.error.step is not errors.Step.PEER:
                 return result
-            unknown = (
-                unknown
+            is_ambiguous = (
+                is_ambiguous
                 or result.error.run is not errors.ExecutionStatus.NOT_RUN
             )
-        if unknown:
+        if is_ambiguous:
             result.error.run = errors.ExecutionStatus.MAY_HAVE_RUN
         return result
 
@@ -73,17 +76,17 @@
         body: collections.abc.Mapping[str, typing.Any],
         edit_id: str,
     ) -> Result:
-        """Call an operation that edits.
+        """Call an operation that changes the tables.
 
         :param method: the HTTP method
         :param path: the path
         :param body: the JSON object to send
-        :param edit_id: the edit's own id
-        :returns: the answer's object, or a fault
+        :param edit_id: the edit's id
+        :returns: the JSON object of the response, or a fault
         """
         return self.call(method, path, {**body, "edit_id": edit_id})
 
-    def _call_one(
+    def _call_url(
         self, url: str, method: str, path: str, body: Reply | None
     ) -> Result:
         peer = urllib.parse.urlsplit(url).netloc
@@ -98,32 +101,36 @@
                 retries=False,
                 redirect=False,
             )
-            answer = json.loads(response.data)
+            decoded = json.loads(response.data)
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            return _unreached(peer, error, errors.ExecutionStatus.NOT_RUN)
+            return _make_unreachable(
+                peer, error, errors.ExecutionStatus.NOT_RUN
+            )
         except (urllib3.exceptions.HTTPError, ValueError) as error:
-            return _unreached(peer, error, errors.ExecutionStatus.MAY_HAVE_RUN)
+            return _make_unreachable(
+                peer, error, errors.ExecutionStatus.MAY_HAVE_RUN
+            )
         if response.status < 300:
-            return expression.Ok(answer)
-        return expression.Error(_read_fault(answer, peer))
+            return expression.Ok(decoded)
+        return expression.Error(_parse_fault(decoded, peer))
 
 
-def _unreached(
+def _make_unreachable(
     peer: str, error: Exception, run: errors.ExecutionStatus
 ) -> Result:
-    fault = _fault(
+    fault = _make_fault(
         errors.Code.PEER_UNREACHABLE, peer, f"{peer}: {type(error).__name__}"
     )
     fault.run = run
     return expression.Error(fault)
 
 
-def _read_fault(answer: typing.Any, peer: str) -> errors.Fault:
+def _parse_fault(decoded: typing.Any, peer: str) -> errors.Fault:
     try:
-        found = answer["error"]
+        found = decoded["error"]
         return errors.Fault(
             errors.Code(found["code"]),
             errors.Step(found["step"]),
@@ -133,8 +140,10 @@
             found["retry_after_ms"],
         )
     except (KeyError, TypeError, ValueError):
-        return _fault(errors.Code.INTERNAL, peer, "the answer is malformed")
+        return _make_fault(
+            errors.Code.INTERNAL, peer, "the response is malformed"
+        )
 
 
-def _fault(code: errors.Code, peer: str, message: str) -> errors.Fault:
+def _make_fault(code: errors.Code, peer: str, message: str) -> errors.Fault:
     return errors.Fault(code, errors.Step.PEER, peer, message=message)
--- a/mulberryway/admin/editor.py
+++ b/mulberryway/admin/editor.py
@@ -1,4 +1,4 @@
-"""Makes operators' edits take effect, whatever happens to the replies."""
+"""Writes operators' edits to the platform, idempotently."""
 
 import collections.abc
 import logging
@@ -27,23 +27,22 @@
 
 
 class Editor:
-    """Writes segments, then changes the root by conditional update.
+    """Writes new segments, then updates the root conditionally.
 
-    The root's update is the only moment at which anything is accepted.  It
-    names the version that it was made from, so of two operators who race
-    the second meets a conflict and is checked anew against what the first
-    has made.  An update without an answer is sent again unchanged: it can
-    take effect once only, and a conflict then proves that the root has
-    moved, so that a root newer than the one edited says truly whether the
-    edit is in.
+    An edit is accepted by the update of the root and by nothing else.  The
+    update carries the version on which it is based, so the second of two
+    concurrent edits gets a conflict and is validated again against the result
+    of the first.  An update without a response is retried unchanged, because
+    it can take effect only once.  A conflict then means that the root has
+    changed, and the newer root shows whether it contains the edit.
 
-    :param store: the platform
-    :param clock_: where the time comes from
-    :param rng: for the pauses between tries
-    :param read_revision: the revision that this VM has in force; an older
-        root is a stale answer of the platform and never edited
-    :param announce: hands an accepted root and its new segments to some
-        VMs, before the operator is told that it is accepted
+    :param store: the platform's object store
+    :param clock_: the clock
+    :param rng: the random generator for the backoff between attempts
+    :param read_revision: returns the revision in force on this VM; an older
+        root from the platform is stale and is not edited
+    :param announce: sends an accepted root and its new segments to some VMs;
+        called before the operator gets the response
 
     ``accepted`` reads the accepted state.
     """
@@ -66,24 +65,24 @@
     def submit(
         self, edit: edits.Edit, timeout_ms: int
     ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
-        """Make an edit take effect, or say truly that it did not.
+        """Submit an edit until it is accepted, rejected or timed out.
 
-        :param edit: the edit; sent again with the same id it counts once
-        :param timeout_ms: how long to try
-        :returns: the acceptance, or a fault: ``NOT_RUN`` if the edit has
-            no effect and never will, ``MAY_HAVE_RUN`` if that is unknown
+        :param edit: the edit; submitting the same id again is idempotent
+        :param timeout_ms: how long to retry, in ms
+        :returns: the accepted edit, or a fault: ``NOT_RUN`` if the edit has
+            no effect and will have none, ``MAY_HAVE_RUN`` if that is unknown
         """
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
         submission = submissions.Submission(edit, deadline)
         while True:
-            tried = self._try(submission)
-            if tried.is_ok():
-                self._log(submission, tried.ok)
-                return tried
-            over = deadline.has_passed(self._clock.now_ms())
-            if over or not submissions.is_retriable(tried.error):
-                return expression.Error(submission.end(tried.error))
-            self._pause(submission)
+            result = self._attempt(submission)
+            if result.is_ok():
+                self._log_accepted(submission, result.ok)
+                return result
+            is_expired = deadline.has_passed(self._clock.now_ms())
+            if is_expired or not submissions.is_retriable(result.error):
+                return expression.Error(submission.resolve_fault(result.error))
+            self._back_off(submission)
 
     def restore(
         self,
@@ -92,41 +91,47 @@
         rows: list[segments.Segment],
         timeout_ms: int,
     ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
-        """Bring a platform forward that was restored from an old copy.
+        """Restore the newest state of the VMs after a rollback of the store.
 
-        VMs keep what was accepted and refuse the old root, and edits are
-        refused as long as the platform is behind.  What is in force becomes
-        the platform's again, under a revision of its own.
+        After the store was restored from an old backup, VMs keep their newer
+        tables and reject the old root, and edits are rejected while the root
+        is older than the tables in force.  This method writes the tables in
+        force back to the store under a new revision.
 
-        :param edit: carries id and operator; it has no changes
+        :param edit: provides id and operator; it has no changes
         :param root: the newest root that a VM has in force
-        :param rows: all its segments with rows
-        :param timeout_ms: how long to try
-        :returns: the acceptance; ``CONFLICT`` if the platform is not behind
+        :param rows: all segments of that root with rows
+        :param timeout_ms: how long to retry, in ms
+        :returns: the accepted edit, or a fault: ``CONFLICT`` if the root in
+            the store is not older
         """
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
         submission = submissions.Submission(edit, deadline)
-        held = self.accepted.read_root()
-        if held.is_error():
-            return expression.Error(submission.end(held.error))
-        if held.ok.root.revision >= root.revision:
-            return submissions.reject_restore(held.ok.root.revision)
-        made = self._make_restored(edit, held.ok.root, root, rows)
-        done = made.bind(lambda new: self._accept(submission, held.ok, new))
-        if done.is_error():
-            return expression.Error(submission.end(done.error))
-        self._log(submission, done.ok)
-        return done
+        current = self.accepted.read_root()
+        if current.is_error():
+            return expression.Error(submission.resolve_fault(current.error))
+        if current.ok.root.revision >= root.revision:
+            return submissions.reject_restore(current.ok.root.revision)
+        new_state = self._make_restored(edit, current.ok.root, root, rows)
+        accepted_edit = new_state.bind(
+            lambda new: self._accept(submission, current.ok, new)
+        )
+        if accepted_edit.is_error():
+            return expression.Error(
+                submission.resolve_fault(accepted_edit.error)
+            )
+        self._log_accepted(submission, accepted_edit.ok)
+        return accepted_edit
 
     def collect(self) -> expression.Result[int, errors.Fault]:
         """Delete segments that are no longer needed.
 
-        :returns: how many, or a fault
+        :returns: the number of deleted segments, or a fault
         """
-        held = self.accepted.read_root()
-        if held.is_error():
-            return expression.Error(held.error)
-        root = held.ok.root
+        current = self.accepted.read_root()
+        if current.is_error():
+            return expression.Error(current.error)
+        root = current.ok.root
         past = self.accepted.read_history(root)
         return past.bind(
             lambda entries: self._segments.collect(
@@ -134,54 +139,57 @@
             )
         )
 
-    def _try(
+    def _attempt(
         self, submission: submissions.Submission
     ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
         read = self.accepted.read_root()
         if read.is_error():
             return expression.Error(read.error)
-        held = read.ok
-        if not self._is_current(held, submission):
+        current = read.ok
+        if not self._is_current(current, submission):
             return submissions.reject_stale_root()
-        found = self._find(held.root, submission)
+        found = self._find_accepted(current.root, submission)
         if found.is_error():
             return found
         if found.ok is not None:
-            # Whoever tried before may have died before it told any VM.
-            rows = self.accepted.read_segments(held.root)
-            self._announce(held.root, rows.default_value([]))
+            # The VM that wrote the root may have crashed before announcing it.
+            rows = self.accepted.read_segments(current.root)
+            self._announce(current.root, rows.default_value([]))
             return found
-        # A newer root without the edit: the unanswered update had no
-        # effect, and its version is gone for good.
+        # The newer root does not contain the edit, so the update without a
+        # response had no effect; its base version no longer exists, so it
+        # cannot take effect later either.
         submission.ambiguous_revision = None
-        made = self._make_root(submission, held)
-        return made.bind(lambda new: self._accept(submission, held, new))
+        new_state = self._make_root(submission, current)
+        return new_state.bind(
+            lambda new: self._accept(submission, current, new)
+        )
 
     def _accept(
         self,
         submission: submissions.Submission,
-        held: root_store.VersionedRoot,
+        current: root_store.VersionedRoot,
         new: submissions.NewState,
     ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
-        written = self._write(submission, held, new.root)
+        written = self._write_root(submission, current, new.root)
         if written.is_ok():
             self._announce(new.root, new.segments)
         return written
 
     def _is_current(
         self,
-        held: root_store.VersionedRoot,
+        current: root_store.VersionedRoot,
         submission: submissions.Submission,
     ) -> bool:
         return (
-            held.version > submission.stale_version
-            and held.root.revision >= self._read_revision()
+            current.version > submission.stale_version
+            and current.root.revision >= self._read_revision()
         )
 
-    def _find(
+    def _find_accepted(
         self, root: roots.Root, submission: submissions.Submission
     ) -> expression.Result[submissions.AcceptedEdit | None, errors.Fault]:
-        """Look for the edit among those that were accepted."""
+        """Look up the edit among the accepted edits."""
         edit_id = submission.edit.edit_id
         mark = root.find_edit(edit_id)
         if mark is not None:
@@ -196,38 +204,38 @@
         revision = history.find_edit(past.ok, edit_id)
         if revision is not None:
             return expression.Ok(submissions.AcceptedEdit(edit_id, revision))
-        unknown = submission.ambiguous_revision
-        if unknown is not None and past.ok[0]["revision"] > unknown + 1:
+        unresolved = submission.ambiguous_revision
+        if unresolved is not None and past.ok[0]["revision"] > unresolved + 1:
             return submissions.reject_unverifiable_edit(edit_id)
         return expression.Ok(None)
 
     def _make_root(
         self,
         submission: submissions.Submission,
-        held: root_store.VersionedRoot,
+        current: root_store.VersionedRoot,
     ) -> expression.Result[submissions.NewState, errors.Fault]:
-        """Write what the new root needs; that alone changes nothing."""
+        """Write the segments of a new root; they have no effect without it."""
         edit = submission.edit
-        made = self.accepted.read_tables(held.root).bind(edit.apply)
-        past = self.accepted.read_history(held.root)
-        if made.is_error() or past.is_error():
-            return made if made.is_error() else past
-        split = segments.split_tables(made.ok)
-        old = held.root.list_row_segments()
-        retired = old - split.segments.keys()
+        edited = self.accepted.read_tables(current.root).bind(edit.apply)
+        past = self.accepted.read_history(current.root)
+        if edited.is_error() or past.is_error():
+            return edited if edited.is_error() else past
+        split = segments.split_tables(edited.ok)
+        old = current.root.list_row_segments()
+        replaced = old - split.segments.keys()
         entries = history.add_edit(
-            past.ok, edit, held.root, retired, self._clock.wall_ms()
+            past.ok, edit, current.root, replaced, self._clock.wall_ms()
         )
         log = segments.make_segment({"history": entries})
         added = sorted(split.segments.keys() - old)
         new = [split.segments[name] for name in added]
-        written = self._write_segments([*new, log], held.root.revision)
+        written = self._write_segments([*new, log], current.root.revision)
         self.accepted.cache_history(log)
         root = roots.Root(
-            held.root.revision + 1,
+            current.root.revision + 1,
             split.shards,
             log.digest,
-            held.root.append_edit(edit.edit_id),
+            current.root.append_edit(edit.edit_id),
         )
         return written.map(lambda _: submissions.NewState(root, new))
 
@@ -263,15 +271,15 @@
                 return written
         return expression.Ok(None)
 
-    def _write(
+    def _write_root(
         self,
         submission: submissions.Submission,
-        held: root_store.VersionedRoot,
+        current: root_store.VersionedRoot,
         root: roots.Root,
     ) -> expression.Result[submissions.AcceptedEdit, errors.Fault]:
-        """Send the same update until there is a definite answer."""
+        """Retry the same root update until there is a definite response."""
         while True:
-            written = self.accepted.write_root(held, root)
+            written = self.accepted.write_root(current, root)
             if written.is_ok():
                 return expression.Ok(
                     submissions.AcceptedEdit(
@@ -280,20 +288,20 @@
                 )
             fault = written.error
             if fault.code is not errors.Code.PLATFORM_UNAVAILABLE:
-                submission.stale_version = held.version
+                submission.stale_version = current.version
                 return expression.Error(fault)
             if fault.run is not errors.ExecutionStatus.NOT_RUN:
-                submission.ambiguous_revision = held.root.revision
+                submission.ambiguous_revision = current.root.revision
             if submission.deadline.has_passed(self._clock.now_ms()):
                 return expression.Error(fault)
-            self._pause(submission)
+            self._back_off(submission)
 
-    def _pause(self, submission: submissions.Submission) -> None:
+    def _back_off(self, submission: submissions.Submission) -> None:
         pause_ms = submission.pause_ms
         self._clock.sleep_ms(self._random.randint(pause_ms // 2, pause_ms))
         submission.pause_ms = min(pause_ms * 2, MAX_BACKOFF_MS)
 
-    def _log(
+    def _log_accepted(
         self,
         submission: submissions.Submission,
         accepted: submissions.AcceptedEdit,
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -1,4 +1,4 @@
-"""The VMs as the administration API reaches them."""
+"""Calls the VMs on behalf of the administration API."""
 
 import concurrent.futures
 import json
@@ -22,22 +22,26 @@
 LOG = logging.getLogger(__name__)
 
 THREADS = 16
-# Two more VMs than the own one hear of an edit before the operator does, so
-# that neither one VM's death nor an outage keeps it from the others.
+# An edit is announced to two VMs besides this one before the operator gets the
+# response, so it still reaches the other VMs if one VM crashes or the platform
+# becomes unavailable.
 ANNOUNCE_FANOUT = 2
 POLL_MS = 100
-# A VM may have the word of others that had not heard of an edit yet.
+# A VM may rely on confirmations from VMs that had not received the edit yet.
 PROPAGATION_MARGIN_MS = 3_000
 
 
 class Fleet:
-    """Asks and tells the routers, beginning with the one on this VM.
+    """Queries the routers of all VMs and announces roots to them.
+
+    The list of VMs comes from the router on this VM.
 
     :param client: calls the routers
-    :param own_address: the peers' side of this VM's router
-    :param clock_: where the time comes from
-    :param staleness_limit_ms: after how long a VM that nobody reaches refuses
-    :param rng: for the choice of VMs
+    :param own_address: the peer address of this VM's router
+    :param clock_: the clock
+    :param staleness_limit_ms: the time in ms after which a partitioned VM
+        rejects requests
+    :param rng: the random generator for the choice of VMs
     """
 
     def __init__(
@@ -51,38 +55,38 @@
         self._client = client
         self._own_address = own_address
         self._clock = clock_
-        self._fresh_ms = staleness_limit_ms
+        self._staleness_limit_ms = staleness_limit_ms
         self._random = rng
         self._pool = concurrent.futures.ThreadPoolExecutor(THREADS, "fleet")
-        self._known: list[ttypes.Member] = []
+        self._members: list[ttypes.Member] = []
 
     def close(self) -> None:
-        """End the threads."""
+        """Shut down the thread pool."""
         self._pool.shutdown(cancel_futures=True)
 
     def read_revision(self) -> int:
-        """Return the revision that this VM's router has; 0 if unknown."""
-        state = self._read_state(self._own_address)
+        """Return the revision of this VM's router; 0 if it is unknown."""
+        state = self._fetch_state(self._own_address)
         return state.ok.revision if state.is_ok() else 0
 
     def announce(
         self, root: roots.Root, new_segments: list[segments.Segment]
     ) -> None:
-        """Hand an accepted root to this VM's router and to some others.
+        """Send an accepted root to this VM's router and to some others.
 
         :param root: the root
-        :param new_segments: what is new in it
+        :param new_segments: the segments that the previous root lacks
         """
         content = roots.encode_content(root.encode())
-        parts = [
+        encoded = [
             ttypes.Segment(one.digest, one.content) for one in new_segments
         ]
         own_zone, others = self._list_others()
         self._random.shuffle(others)
-        # Other zones first: a zone may be lost in this very moment.
+        # Other zones go first, because the whole zone of this VM may fail.
         others.sort(key=lambda member: member.zone == own_zone)
-        told = [self._own_address]
-        told += [member.address for member in others[:ANNOUNCE_FANOUT]]
+        addresses = [self._own_address]
+        addresses += [member.address for member in others[:ANNOUNCE_FANOUT]]
         calls = [
             self._pool.submit(
                 self._client.call,
@@ -90,32 +94,37 @@
                 Configuration.Client,
                 "offer_root",
                 content,
-                parts,
+                encoded,
                 is_idempotent=True,
             )
-            for address in told
+            for address in addresses
         ]
         results = [call.result() for call in calls]
-        count = sum(result.is_ok() and result.ok for result in results)
-        if count == 0:
+        accepted_count = sum(
+            result.is_ok() and result.ok for result in results
+        )
+        if accepted_count == 0:
             LOG.error(
-                "no VM could be told of revision %d; if the platform goes "
-                "down now, it comes into force only afterwards",
+                "revision %d could not be announced to any VM; if the "
+                "platform becomes unavailable now, the revision takes effect "
+                "only after the outage",
                 root.revision,
             )
 
     def fetch_vm_states(self) -> list[responses.VmState]:
-        """Ask each VM that this VM's router knows for its tables."""
-        return self._ask(self._list_members())
+        """Return the state of each VM that this VM's router lists."""
+        return self._fetch_states(self._list_members())
 
     def fetch_newest_state(
         self,
     ) -> expression.Result[submissions.NewState, errors.Fault]:
         """Return the newest root that a VM has in force, with its rows."""
         members = self._list_members()
-        states = {state.name: state.revision for state in self._ask(members)}
+        states = {
+            state.name: state.revision for state in self._fetch_states(members)
+        }
         if not states:
-            return expression.Error(_no_vm())
+            return expression.Error(_make_no_vm_fault())
         newest = max(members, key=lambda member: states[member.name])
         reply = self._client.call(
             newest.address,
@@ -125,14 +134,14 @@
             is_idempotent=True,
         )
         return reply.bind(
-            lambda found: self._read_rows(newest.address, found.content)
+            lambda found: self._fetch_rows(newest.address, found.content)
         )
 
-    def _read_rows(
+    def _fetch_rows(
         self, address: str, content: bytes
     ) -> expression.Result[submissions.NewState, errors.Fault]:
         if not content:
-            return expression.Error(_no_vm())
+            return expression.Error(_make_no_vm_fault())
         root = roots.Root.decode(json.loads(content))
         missing = root.list_row_segments()
         rows: list[segments.Segment] = []
@@ -145,7 +154,7 @@
                 is_idempotent=True,
             )
             if reply.is_error() or not reply.ok:
-                return expression.Error(_no_vm())
+                return expression.Error(_make_no_vm_fault())
             rows += [
                 segments.Segment(one.digest, one.content) for one in reply.ok
             ]
@@ -157,32 +166,32 @@
     ) -> responses.RolloutResponse:
         """Wait until no VM serves with tables older than a revision.
 
-        A VM that cannot be reached counts as refusing when it has been out
-        of reach for so long that its last confirmation, and the word of
-        other VMs, have run out.
+        An unreachable VM is assumed to reject requests once its last
+        confirmation, and those that it got from other VMs, have expired.
 
         :param revision: an accepted revision
-        :param timeout_ms: the longest wait
-        :returns: how far it has come
+        :param timeout_ms: the maximum wait, in ms
+        :returns: the state of the rollout
         """
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
         members = {one.name: one for one in self._list_members()}
-        reached_ms = dict.fromkeys(members, self._clock.now_ms())
+        last_reached_ms = dict.fromkeys(members, self._clock.now_ms())
         states: dict[str, responses.VmState] = {}
         waiting = list(members)
         while True:
-            # Of 410 VMs, those that have it need not be asked again.
-            asked = self._ask([members[name] for name in waiting])
+            # VMs that have the revision are not polled again, which matters
+            # in a fleet of 410 VMs.
+            polled = self._fetch_states([members[name] for name in waiting])
             now_ms = self._clock.now_ms()
-            for state in asked:
+            for state in polled:
                 states[state.name] = state
                 if state.is_reached:
-                    reached_ms[state.name] = now_ms
+                    last_reached_ms[state.name] = now_ms
             waiting = [
                 state.name
-                for state in asked
-                if not self._is_settled(
-                    state, revision, reached_ms[state.name]
+                for state in polled
+                if not self._is_up_to_date(
+                    state, revision, last_reached_ms[state.name]
                 )
             ]
             is_done = bool(members) and not waiting
@@ -192,33 +201,37 @@
                 )
             self._clock.sleep_ms(POLL_MS)
 
-    def _is_settled(
-        self, state: responses.VmState, revision: int, reached_ms: int
+    def _is_up_to_date(
+        self, state: responses.VmState, revision: int, last_reached_ms: int
     ) -> bool:
         if state.is_reached:
             return state.revision >= revision or not state.is_serving
-        silent_ms = self._clock.now_ms() - reached_ms
-        return silent_ms > self._fresh_ms + PROPAGATION_MARGIN_MS
+        unreachable_ms = self._clock.now_ms() - last_reached_ms
+        return (
+            unreachable_ms > self._staleness_limit_ms + PROPAGATION_MARGIN_MS
+        )
 
-    def _ask(self, members: list[ttypes.Member]) -> list[responses.VmState]:
+    def _fetch_states(
+        self, members: list[ttypes.Member]
+    ) -> list[responses.VmState]:
         replies = self._pool.map(
-            lambda member: self._read_state(member.address), members
+            lambda member: self._fetch_state(member.address), members
         )
         return [
-            _make_state(member, reply)
+            _make_vm_state(member, reply)
             for member, reply in zip(members, replies, strict=True)
         ]
 
     def _list_members(self) -> list[ttypes.Member]:
-        listed = self._client.call(
+        reply = self._client.call(
             self._own_address,
             Configuration.Client,
             "list_members",
             is_idempotent=True,
         )
-        if listed.is_ok():
-            self._known = listed.ok
-        return list(self._known)
+        if reply.is_ok():
+            self._members = reply.ok
+        return list(self._members)
 
     def _list_others(self) -> tuple[str, list[ttypes.Member]]:
         members = self._list_members()
@@ -230,10 +243,10 @@
         ]
         return (own[0].zone if own else ""), others
 
-    def _read_state(
+    def _fetch_state(
         self, address: str
     ) -> expression.Result[ttypes.RootReply, errors.Fault]:
-        # A revision that no root has: the content is not wanted.
+        # No root has a revision this high, so the reply omits the content.
         return self._client.call(
             address,
             Configuration.Client,
@@ -243,7 +256,7 @@
         )
 
 
-def _make_state(
+def _make_vm_state(
     member: ttypes.Member,
     reply: expression.Result[ttypes.RootReply, errors.Fault],
 ) -> responses.VmState:
@@ -259,9 +272,9 @@
     )
 
 
-def _no_vm() -> errors.Fault:
+def _make_no_vm_fault() -> errors.Fault:
     return errors.Fault(
         errors.Code.PEER_UNREACHABLE,
         errors.Step.ADMIN,
-        message="no VM with tables could be asked",
+        message="no VM with tables could be reached",
     )
--- a/mulberryway/admin/history.py
+++ b/mulberryway/admin/history.py
@@ -1,4 +1,4 @@
-"""Past edits, as the segment that each root names keeps them."""
+"""The edit history, which is stored in a segment of each root."""
 
 import itertools
 import typing
@@ -8,9 +8,10 @@
 
 __all__ = ["HistoryEntry", "add_edit", "find_edit", "list_replaced_digests"]
 
-# A tenth of a day's edits at the target size, in some 25 KB.
+# A tenth of a day's edits at the target fleet size, about 25 KB.
 MAX_EDITS = 100
-# VMs that lag behind may still fetch the segments of these many roots.
+# Number of recent roots whose replaced segments are retained, because VMs that
+# lag behind may still fetch them.
 RETAINED_ROOTS = 8
 
 HistoryEntry = dict[str, typing.Any]
@@ -20,17 +21,17 @@
     past: list[HistoryEntry],
     edit: edits.Edit,
     root: roots.Root,
-    retired: set[str],
+    replaced: set[str],
     wall_ms: int,
 ) -> list[HistoryEntry]:
-    """Return the history that an edit makes.
+    """Return the history after an edit.
 
-    :param past: entries so far, the newest last
+    :param past: the previous entries, newest last
     :param edit: the edit
-    :param root: the root that it is made from
-    :param retired: digests that it replaces
-    :param wall_ms: the time, for people
-    :returns: the last entries, the newest last
+    :param root: the root on which the edit is based
+    :param replaced: digests of the segments that the edit replaces
+    :param wall_ms: the wall-clock time in ms, for display
+    :returns: the most recent entries, newest last
     """
     entry = {
         "revision": root.revision + 1,
@@ -38,20 +39,21 @@
         "operator": edit.operator,
         "wall_ms": wall_ms,
         "summary": edit.describe(),
-        "retired": sorted({*retired, root.history} - {roots.EMPTY_DIGEST}),
+        "retired": sorted({*replaced, root.history} - {roots.EMPTY_DIGEST}),
     }
     kept = [*past, entry][-MAX_EDITS:]
-    # Only the collector reads what was replaced, and only of the last
-    # edits; an apply of whole tables replaces every segment.
+    # Only the garbage collection uses the replaced digests, and only those
+    # of recent edits.  They are dropped from older entries, because an apply
+    # of all tables replaces every segment.
     old = [{**entry, "retired": []} for entry in kept[:-RETAINED_ROOTS]]
     return old + kept[-RETAINED_ROOTS:]
 
 
 def find_edit(past: list[HistoryEntry], edit_id: str) -> int | None:
-    """Return the revision that an edit made, if it is remembered.
+    """Return the revision of an edit, or None if it is not in the history.
 
-    :param past: entries
-    :param edit_id: the edit's own id
+    :param past: the entries of the history
+    :param edit_id: the edit's id
     """
     return next(
         (entry["revision"] for entry in past if entry["edit_id"] == edit_id),
@@ -60,9 +62,9 @@
 
 
 def list_replaced_digests(past: list[HistoryEntry]) -> set[str]:
-    """Return the digests that recent edits replaced.
+    """Return the digests of segments that recent edits replaced.
 
-    :param past: entries, the newest last
+    :param past: the entries of the history, newest last
     """
     recent = past[-RETAINED_ROOTS:]
     return set(
--- a/mulberryway/admin/response_builders.py
+++ b/mulberryway/admin/response_builders.py
@@ -1,4 +1,4 @@
-"""Makes operators' answers from the accepted state."""
+"""Builds responses to operators from the accepted state."""
 
 import collections
 import typing
@@ -15,12 +15,12 @@
     "make_tables_response",
 ]
 
-# So many digits of a key's digest name it.
+# Number of digits of a key's digest that identify the key.
 KEY_DIGEST_DIGITS = 8
 
 
 def make_tables_response(current: tables.Tables) -> responses.TablesResponse:
-    """Return tables as they may be shown.
+    """Return the tables without credentials.
 
     :param current: the tables
     """
@@ -37,9 +37,9 @@
 def make_history_response(
     past: list[dict[str, typing.Any]],
 ) -> responses.HistoryResponse:
-    """Return past edits as operators see them.
+    """Return past edits with the fields that operators may see.
 
-    :param past: entries of the history, the newest last
+    :param past: the entries of the history, newest last
     """
     shown = ("revision", "edit_id", "operator", "wall_ms", "summary")
     return responses.HistoryResponse(
--- a/mulberryway/admin/responses.py
+++ b/mulberryway/admin/responses.py
@@ -1,4 +1,4 @@
-"""What the administration API answers."""
+"""The responses of the administration API."""
 
 import typing
 
@@ -16,12 +16,12 @@
 
 
 class Response:
-    """An answer whose attributes are its JSON form."""
+    """A response whose attributes are the fields of its JSON object."""
 
     __slots__ = ()
 
     def encode(self) -> dict[str, typing.Any]:
-        """Return plain values by attribute."""
+        """Return JSON values by attribute name."""
         return {name: _encode(getattr(self, name)) for name in self.__slots__}
 
 
@@ -36,9 +36,9 @@
 class TablesResponse(Response):
     """The accepted tables.
 
-    :param revision: their revision
-    :param text: TOML text; a pool's credential is hidden
-    :param digests: each row's digest by ``table.name``, for preconditions
+    :param revision: the revision of the tables
+    :param text: the tables as TOML, without the credentials of pools
+    :param digests: digests of rows by ``table.name``, for preconditions
     """
 
     __slots__ = ("revision", "text", "digests")
@@ -52,10 +52,10 @@
 
 
 class DiffResponse(Response):
-    """What a text of tables would change.
+    """The differences between given tables and the accepted ones.
 
-    :param revision: the revision that it was compared with
-    :param lines: one for each difference
+    :param revision: the accepted revision
+    :param lines: one line for each difference
     """
 
     __slots__ = ("revision", "lines")
@@ -66,10 +66,10 @@
 
 
 class EditResponse(Response):
-    """An edit that the platform holds; see ``in_force`` for the rest.
+    """An accepted edit, which is not necessarily in force yet.
 
-    :param edit_id: the edit's own id
-    :param revision: the revision that it made
+    :param edit_id: the edit's id
+    :param revision: the revision that the edit created
     """
 
     __slots__ = ("edit_id", "revision")
@@ -80,13 +80,14 @@
 
 
 class KeyResponse(Response):
-    """A new key, which is shown this once.
+    """A new key, which is returned only in this response.
 
-    :param edit_id: the edit's own id
-    :param revision: the revision from which on it works
+    :param edit_id: the edit's id
+    :param revision: the first revision in which the key is valid
     :param account: the client account
     :param key: the key
-    :param digest: its digest, of which eight digits withdraw it
+    :param digest: the key's digest; its first eight digits identify the key
+        when it is revoked
     """
 
     __slots__ = ("edit_id", "revision", "account", "key", "digest")
@@ -102,9 +103,9 @@
 
 
 class HistoryResponse(Response):
-    """Past edits, the newest last.
+    """Past edits, newest last.
 
-    :param edits: revision, id, operator, time and summary of each
+    :param edits: revision, id, operator, time and summary of each edit
     """
 
     __slots__ = ("edits",)
@@ -114,14 +115,15 @@
 
 
 class VmState(Response):
-    """The tables that a VM has.
+    """The state of the tables on a VM.
 
     :param name: the VM's name
     :param zone: its availability zone
-    :param is_reached: whether it answered
-    :param revision: the revision that it has; 0 if it has none
-    :param age_ms: since when the platform has not confirmed it; -1: never
-    :param is_serving: whether it takes requests with it
+    :param is_reached: whether the VM responded
+    :param revision: the revision in force on the VM; 0 if it has no tables
+    :param age_ms: the time since the platform last confirmed the revision,
+        in ms; -1 if it never did
+    :param is_serving: whether the VM serves requests with these tables
     """
 
     __slots__ = (
@@ -151,12 +153,13 @@
 
 
 class RolloutResponse(Response):
-    """How far a revision has come.
+    """The progress of a revision towards being in force on all VMs.
 
     :param revision: the revision
-    :param is_in_force: no VM serves with older tables: each VM has it, or
-        has been out of reach for so long that it refuses
-    :param waiting_for: names of VMs that may serve with older tables
+    :param is_in_force: whether no VM serves with older tables: each VM has
+        the revision, or has been unreachable for so long that it rejects
+        requests
+    :param waiting_for: names of VMs that may still serve with older tables
     :param vms: each VM's state
     """
 
@@ -176,12 +179,13 @@
 
 
 class StatusResponse(Response):
-    """VMs, pools and client accounts.
+    """The state of VMs, pools and client accounts.
 
     :param revision: the accepted revision
     :param vms: each VM's state
-    :param pools: kind, models and upstreams of each pool by name
-    :param accounts: rate, burst, weight and number of keys by name
+    :param pools: kind, models and upstreams of each pool, by pool name
+    :param accounts: rate, burst, weight and key digests of each account, by
+        account name
     """
 
     __slots__ = ("revision", "vms", "pools", "accounts")
--- a/mulberryway/admin/server.py
+++ b/mulberryway/admin/server.py
@@ -1,4 +1,4 @@
-"""The administration API's process on one VM."""
+"""The HTTP server of the administration API."""
 
 import logging
 import random
@@ -22,22 +22,23 @@
 LOG = logging.getLogger(__name__)
 
 MS_IN_S = 1_000
-# Operators are few; a wait for "in force" holds a thread for a minute.
+# A request that waits for a revision occupies a thread for up to a minute, but
+# there are few operators.
 THREADS = 16
 BACKLOG = 64
 HEADER_BYTES = 16_384
 IDLE_TIMEOUT_S = 30
 SHUTDOWN_TIMEOUT_S = 15
 POLL_S = 0.01
-# An offer of whole tables is a megabyte, which a VM takes some time to read.
+# Announcing all tables sends about a megabyte, which a VM needs time to parse.
 PEER_TIMEOUT_MS = 2_000
 
 
 class AdminServer:
-    """Serves operators; holds nothing that another VM's does not have.
+    """Serves the administration API; keeps no state of its own.
 
-    :param settings_: the settings of the VM
-    :param clock_: where the time comes from
+    :param settings_: the VM's settings
+    :param clock_: the clock
     """
 
     def __init__(
@@ -77,17 +78,17 @@
 
     @property
     def port(self) -> int:
-        """The port that operators connect to."""
+        """The port on which the API is served."""
         return int(self._server.bind_addr[1])
 
     def start(self) -> None:
-        """Begin to serve on threads of the server's own."""
+        """Start serving on background threads."""
         self._server.prepare()
         self._thread.start()
         LOG.info("the administration API serves on port %d", self.port)
 
     def stop(self) -> None:
-        """Finish the calls that run, then stop."""
+        """Wait for running requests, then stop."""
         self._server.stop()
         self._thread.join(SHUTDOWN_TIMEOUT_S)
         self._fleet.close()
--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -1,4 +1,4 @@
-"""One edit on its way to acceptance, and the ways in which it can end."""
+"""The state of an edit during submission, and its possible faults."""
 
 import typing
 
@@ -26,10 +26,10 @@
 
 
 class AcceptedEdit:
-    """The platform holds an edit; it need not be in force yet.
+    """An edit that is stored in the platform, but may not be in force yet.
 
-    :param edit_id: the edit's own id
-    :param revision: the revision that it made
+    :param edit_id: the edit's id
+    :param revision: the revision that the edit created
     """
 
     __slots__ = ("edit_id", "revision")
@@ -40,10 +40,10 @@
 
 
 class Submission:
-    """How far one edit has come.
+    """The state of an edit while it is being submitted.
 
     :param edit: the edit
-    :param deadline: when to give up
+    :param deadline: when to stop retrying
     """
 
     __slots__ = (
@@ -57,31 +57,32 @@
     def __init__(self, edit: edits.Edit, deadline: clock.Deadline) -> None:
         self.edit = edit
         self.deadline = deadline
-        # The platform's version that is known to be outdated.
+        # The newest version of the root object that is known to be stale.
         self.stale_version = -1
-        # The revision from which an update was sent whose end is unknown.
+        # The base revision of an update whose outcome is is_ambiguous.
         self.ambiguous_revision: int | None = None
         self.pause_ms = INITIAL_BACKOFF_MS
 
-    def end(self, fault: errors.Fault) -> errors.Fault:
-        """Return a fault that tells truly whether the edit may stand.
+    def resolve_fault(self, fault: errors.Fault) -> errors.Fault:
+        """Set a fault's execution status from the outcome of the updates.
 
-        :param fault: why it goes no further
+        :param fault: why the submission failed
+        :returns: the fault
         """
-        unknown = self.ambiguous_revision is not None
+        is_ambiguous = self.ambiguous_revision is not None
         fault.run = (
             errors.ExecutionStatus.MAY_HAVE_RUN
-            if unknown
+            if is_ambiguous
             else errors.ExecutionStatus.NOT_RUN
         )
         return fault
 
 
 class NewState:
-    """What an edit makes.
+    """The result of an edit.
 
     :param root: the new root
-    :param segments: segments that the root before does not name
+    :param segments: the segments that the previous root lacks
     """
 
     __slots__ = ("root", "segments")
@@ -94,10 +95,10 @@
 
 
 def is_retriable(fault: errors.Fault) -> bool:
-    """Tell faults of the platform from refusals of the edit itself.
+    """Return whether a fault comes from the platform and not from the edit.
 
     A conflict or a missing segment at the platform means that the root has
-    moved on, which the next try sees.
+    changed, and the next attempt reads the new one.
     """
     return fault.step is errors.Step.PLATFORM and fault.code in (
         errors.Code.PLATFORM_UNAVAILABLE,
@@ -113,7 +114,7 @@
             errors.Code.PLATFORM_UNAVAILABLE,
             errors.Step.PLATFORM,
             root_store.KIND,
-            message="the platform answers with an older root than is known",
+            message="the platform returned an outdated root",
         )
     )
 
@@ -121,16 +122,17 @@
 def reject_unverifiable_edit(
     edit_id: str,
 ) -> expression.Result[typing.Any, errors.Fault]:
-    """Return the fault for an edit too old to be told about.
+    """Return the fault for an edit that may have left the history.
 
-    :param edit_id: the edit's own id
+    :param edit_id: the edit's id
     """
     return expression.Error(
         errors.Fault(
             errors.Code.CONFLICT,
             errors.Step.ADMIN,
             edit_id,
-            message="the history no longer tells whether the edit stands",
+            message="the history no longer shows whether the edit was "
+            "accepted",
         )
     )
 
@@ -138,16 +140,16 @@
 def reject_oversized_segment(
     segment: segments.Segment,
 ) -> expression.Result[None, errors.Fault]:
-    """Return the fault for rows that do not fit one object.
+    """Return the fault for a segment that exceeds the object size limit.
 
-    :param segment: the rows' segment
+    :param segment: the segment
     """
     return expression.Error(
         errors.Fault(
             errors.Code.INVALID_TABLES,
             errors.Step.TABLES,
             "segment",
-            message=f"rows of one segment take {len(segment.content)} bytes; "
+            message=f"a segment takes {len(segment.content)} bytes; "
             f"expected at most {segments.MAX_SEGMENT_BYTES}",
         )
     )
@@ -156,9 +158,9 @@
 def reject_restore(
     revision: int,
 ) -> expression.Result[typing.Any, errors.Fault]:
-    """Return the fault for a platform that need not be brought forward.
+    """Return the fault for a restore without a preceding rollback.
 
-    :param revision: the platform's
+    :param revision: the revision in the platform's store
     """
     return expression.Error(
         errors.Fault(
@@ -166,6 +168,6 @@
             errors.Step.ADMIN,
             root_store.KIND,
             message=f"the platform has revision {revision}, which is not "
-            "older than what the VMs have in force",
+            "older than the revision in force on the VMs",
         )
     )
--- a/mulberryway/admin/text_output.py
+++ b/mulberryway/admin/text_output.py
@@ -1,4 +1,4 @@
-"""Answers of the administration API as text for people."""
+"""Formats responses of the administration API as text."""
 
 import collections.abc
 import datetime
@@ -14,40 +14,40 @@
     "format_tables",
 ]
 
-Answer = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 MS_IN_S = 1000
 
 
-def format_tables(answer: Answer) -> str:
-    """Return the tables; the first line lets ``apply`` find the revision.
+def format_tables(answer: JsonObject) -> str:
+    """Return the tables, after a line with the revision for ``apply``.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     return f"# revision {answer['revision']}\n{answer['text']}"
 
 
-def format_diff(answer: Answer) -> str:
-    """Return what would change.
+def format_diff(answer: JsonObject) -> str:
+    """Return the differences, one per line.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     return "\n".join(answer["lines"] or ["no difference"])
 
 
-def format_edit(answer: Answer) -> str:
-    """Return what became of an edit.
+def format_edit(answer: JsonObject) -> str:
+    """Return the revision and the id of an accepted edit.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     return (
         f"accepted as revision {answer['revision']}, edit {answer['edit_id']}"
     )
 
 
-def format_key(answer: Answer) -> str:
-    """Return a new key.
+def format_key(answer: JsonObject) -> str:
+    """Return a new key and how to revoke it.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     return (
         f"{answer['key']}\n"
@@ -56,16 +56,16 @@
     )
 
 
-def format_history(answer: Answer) -> str:
-    """Return past edits, one a line.
+def format_history(answer: JsonObject) -> str:
+    """Return past edits, one per line.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     return _align(
         [
             (
                 str(edit["revision"]),
-                _show_time(edit["wall_ms"]),
+                _format_time(edit["wall_ms"]),
                 edit["operator"],
                 edit["edit_id"],
                 edit["summary"],
@@ -75,23 +75,23 @@
     )
 
 
-def format_rollout(answer: Answer) -> str:
-    """Return how far a revision has come.
+def format_rollout(answer: JsonObject) -> str:
+    """Return the progress of a revision and the state of each VM.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     state = "in force" if answer["is_in_force"] else "not yet in force"
     waiting = ", ".join(answer["waiting_for"])
     head = f"revision {answer['revision']}: {state}"
     if waiting:
         head += f"; waiting for {waiting}"
-    return f"{head}\n{_show_vms(answer['vms'])}"
+    return f"{head}\n{_format_vms(answer['vms'])}"
 
 
-def format_status(answer: Answer) -> str:
-    """Return VMs, pools and client accounts.
+def format_status(answer: JsonObject) -> str:
+    """Return the state of VMs, pools and client accounts.
 
-    :param answer: the answer's object
+    :param answer: the JSON object of the response
     """
     pools = [
         (
@@ -117,7 +117,7 @@
         (
             f"accepted revision {answer['revision']}",
             "\nVMs",
-            _show_vms(answer["vms"]),
+            _format_vms(answer["vms"]),
             "\npools",
             _align(pools),
             "\nclient accounts",
@@ -126,7 +126,7 @@
     )
 
 
-def _show_vms(vms: list[Answer]) -> str:
+def _format_vms(vms: list[JsonObject]) -> str:
     return _align(
         [
             (
@@ -136,20 +136,20 @@
                 f"confirmed {vm['age_ms']} ms ago"
                 if vm["age_ms"] >= 0
                 else "-",
-                _show_vm_state(vm),
+                _format_vm_state(vm),
             )
             for vm in vms
         ]
     )
 
 
-def _show_vm_state(vm: Answer) -> str:
+def _format_vm_state(vm: JsonObject) -> str:
     if not vm["is_reached"]:
         return "out of reach"
     return "serving" if vm["is_serving"] else "refusing"
 
 
-def _show_time(wall_ms: int) -> str:
+def _format_time(wall_ms: int) -> str:
     moment = datetime.datetime.fromtimestamp(
         wall_ms / MS_IN_S, datetime.timezone.utc
     )
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -108,7 +108,7 @@
 class ForgetfulEditor(editor.Editor):
     """Does not look whether an edit was accepted under an earlier try."""
 
-    def _find(self, root, submission):
+    def _find_accepted(self, root, submission):
         return expression.Ok(None)
 
 
