--- a/mulberryway/commands/__init__.py
+++ b/mulberryway/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The programs; each is a thin layer over an object."""
+"""The command-line programs, each a thin layer over the library."""
--- a/mulberryway/commands/admin.py
+++ b/mulberryway/commands/admin.py
@@ -1,4 +1,4 @@
-"""The administration API's program."""
+"""The program that serves the administration API."""
 
 import collections.abc
 import signal
@@ -23,10 +23,10 @@
 
 
 def main(arguments: collections.abc.Sequence[str]) -> int:
-    """Serve operators until a signal comes.
+    """Serve the administration API until a signal to stop.
 
-    :param arguments: what is left of the command line
-    :returns: the exit status; 2 for settings that cannot be used
+    :param arguments: the command line without flags
+    :returns: the exit status; 2 for invalid settings
     """
     try:
         settings_ = settings.read_settings(FLAGS.settings)
@@ -49,7 +49,7 @@
 
 
 def run() -> None:
-    """Parse the command line and run."""
+    """Run the program; the entry point of the package."""
     flags.mark_flag_as_required("settings")
     app.run(main)
 
--- a/mulberryway/commands/check.py
+++ b/mulberryway/commands/check.py
@@ -1,4 +1,4 @@
-"""Checks settings and tables offline; changes nothing."""
+"""The program that validates settings and tables offline."""
 
 import collections.abc
 import pathlib
@@ -24,10 +24,10 @@
 
 
 def check_settings(file: str) -> str | None:
-    """Check a settings file.
+    """Validate a settings file.
 
-    :param file: its name
-    :returns: a sentence with file, key and what was expected; none if good
+    :param file: the file's name
+    :returns: an error message with file, key and expected value, or None
     """
     try:
         settings.read_settings(file)
@@ -37,30 +37,31 @@
 
 
 def check_tables(file: str) -> str | None:
-    """Check a file of tables, their join included.
+    """Validate a file of tables, including references between tables.
 
-    :param file: its name
-    :returns: a sentence with file, row, key and what was expected
+    :param file: the file's name
+    :returns: an error message with file, row, key and expected value, or
+        None
     """
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return f"{file}: expected a readable text ({error})"
-    checked = parse.parse_tables(text).bind(_check_join)
+        return f"{file}: expected a readable text file ({error})"
+    checked = parse.parse_tables(text).bind(_check_references)
     return None if checked.is_ok() else f"{file}: {checked.error.message}"
 
 
-def _check_join(
+def _check_references(
     read: tables.Tables,
 ) -> expression.Result[None, errors.Fault]:
     return validate.validate_tables(read)
 
 
 def main(arguments: collections.abc.Sequence[str]) -> int:
-    """Check all files that the flags name.
+    """Validate all files that the flags name.
 
-    :param arguments: what is left of the command line
-    :returns: 0 if all are good
+    :param arguments: the command line without flags
+    :returns: the exit status; 0 if all files are valid
     """
     if len(arguments) > 1 or not (FLAGS.settings or FLAGS.tables):
         print("expected --settings FILE or --tables FILE", file=sys.stderr)
@@ -76,7 +77,7 @@
 
 
 def run() -> None:
-    """Parse the command line and run."""
+    """Run the program; the entry point of the package."""
     app.run(main)
 
 
--- a/mulberryway/commands/entry.py
+++ b/mulberryway/commands/entry.py
@@ -1,4 +1,4 @@
-"""The program of an entry VM on the operators' platform."""
+"""The program that runs an entry VM on the operators' platform."""
 
 import sys
 
@@ -20,10 +20,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run an entry VM until it is told to stop.
+    """Run an entry VM until a signal to stop.
 
     :param arguments: the command line without flags
-    :returns: the exit status
+    :returns: the exit status; 2 for invalid settings
     """
     try:
         read = settings.read_settings(FLAGS.settings)
@@ -37,7 +37,7 @@
 
 
 def run() -> None:
-    """Start the program; the entry point of the package."""
+    """Run the program; the entry point of the package."""
     flags.mark_flag_as_required("settings")
     app.run(main)
 
--- a/mulberryway/commands/load.py
+++ b/mulberryway/commands/load.py
@@ -1,4 +1,4 @@
-"""The load program: makes a plan's calls and prints what callers got."""
+"""The load generator: runs a plan and prints a summary of the results."""
 
 import collections.abc
 import json
@@ -25,8 +25,8 @@
 def main(arguments: collections.abc.Sequence[str]) -> int:
     """Run the plan that the flags name.
 
-    :param arguments: what is left of the command line
-    :returns: the exit status; 2 for a bad plan
+    :param arguments: the command line without flags
+    :returns: the exit status; 2 for an invalid plan
     """
     try:
         plan_ = plan.read_plan(FLAGS.plan)
@@ -45,7 +45,7 @@
 
 
 def run() -> None:
-    """Parse the command line and run."""
+    """Run the program; the entry point of the package."""
     flags.mark_flag_as_required("plan")
     app.run(main)
 
--- a/mulberryway/commands/losses.py
+++ b/mulberryway/commands/losses.py
@@ -1,4 +1,4 @@
-"""Adds up from logs why model requests were late, refused, cut or wasted."""
+"""Counts in logs why streams were late or failed, and prefills wasted."""
 
 import collections
 import collections.abc
@@ -21,75 +21,75 @@
 )
 PREFILL_WASTED = "a prompt was read in vain"
 ON_TIME = "on time"
-# Steps before the first piece, as the log names them, and as people do.
+# Steps before the first token: the field in the log and the text to print.
 STEPS = (
     ("queued_ms", "waited for a choice"),
     ("read_ms", "waited for its prompt to be read"),
     ("begin_ms", "waited for the decode to begin"),
 )
 GAP_EXCEEDED = "a late pause"
-# Longest pauses are put together by so many milliseconds.
+# Bucket width and highest bucket of the longest inter-token gaps.
 GAP_BUCKET_MS = 100
 MAX_GAP_BUCKET_MS = 500
 
 Line = story.Line
-Reads = dict[str, list[int]]
+PrefillTimes = dict[str, list[int]]
 
 
 class LossSummary:
-    """What became of the streams in some logs.
+    """The outcomes of the streams in some logs.
 
-    :param ends: streams by what became of them
-    :param in_vain: tokens of prompts read in vain, by the cause
-    :param pauses: by the longest pause in steps of 100 ms, for each stream
-        how many prompts its engine read for itself meanwhile
+    ``outcomes`` counts streams by outcome, and ``wasted_tokens`` the prompt
+    tokens of wasted prefills by cause.  ``gaps`` groups streams by their
+    longest inter-token gap in buckets of 100 ms; it holds for each stream how
+    many chunked prefills its engine started meanwhile.
     """
 
-    __slots__ = ("ends", "wasted_tokens", "gaps")
+    __slots__ = ("outcomes", "wasted_tokens", "gaps")
 
     def __init__(self) -> None:
-        self.ends: collections.Counter[str] = collections.Counter()
+        self.outcomes: collections.Counter[str] = collections.Counter()
         self.wasted_tokens: collections.Counter[str] = collections.Counter()
         self.gaps: dict[int, list[int]] = {}
 
 
 def summarize(lines: collections.abc.Iterable[Line]) -> LossSummary:
-    """Return what became of the streams that some lines tell of.
+    """Return the outcomes of the streams in some log lines.
 
-    :param lines: lines of any VMs in any order
+    :param lines: log lines of any VMs, in any order
     """
-    known = sorted(lines, key=lambda line: line["time_ms"])
-    chosen = {
+    ordered = sorted(lines, key=lambda line: line["time_ms"])
+    selections = {
         line.get("request_id"): line
-        for line in known
+        for line in ordered
         if line["message"] == ENGINES_SELECTED
     }
-    reads = _find_reads(known)
+    prefill_times = _find_chunked_prefills(ordered)
     losses = LossSummary()
-    for line in known:
+    for line in ordered:
         if line["message"] == PREFILL_WASTED:
-            losses.wasted_tokens[_name_fault(line)] += line["tokens"]
+            losses.wasted_tokens[_format_fault(line)] += line["tokens"]
         elif line["message"] == PREFILL_OUTCOME_UNKNOWN:
-            job = chosen.get(line["request_id"])
-            if job is not None:
-                name = f"no answer, {_name_fault(line)}"
-                losses.wasted_tokens[name] += job["prompt_tokens"]
+            selection = selections.get(line["request_id"])
+            if selection is not None:
+                name = f"no answer, {_format_fault(line)}"
+                losses.wasted_tokens[name] += selection["prompt_tokens"]
         elif line["message"] == REQUEST_ENDED and line.get("target_ms"):
-            losses.ends[classify_outcome(line)] += 1
-            job = chosen.get(line["request_id"])
-            if line["first_ms"] and job is not None:
-                _note_pause(losses, line, job, reads)
+            losses.outcomes[classify_outcome(line)] += 1
+            selection = selections.get(line["request_id"])
+            if line["first_ms"] and selection is not None:
+                _record_gap(losses, line, selection, prefill_times)
     return losses
 
 
 def classify_outcome(line: Line) -> str:
-    """Return what became of a stream, in a few words.
+    """Return a short description of a stream's outcome.
 
-    :param line: the line that tells of its end
+    :param line: the log line of the stream's end
     """
     if "code" in line:
         begun = "after its first piece" if line["first_ms"] else "before it"
-        return f"failed {begun}: {_name_fault(line)}"
+        return f"failed {begun}: {_format_fault(line)}"
     if line["first_ms"] > line["target_ms"]:
         step, words = max(STEPS, key=lambda step: line.get(step[0], 0))
         return f"a late first piece: {words}"
@@ -99,15 +99,15 @@
 
 
 def format_report(losses: LossSummary) -> str:
-    """Return a report for people.
+    """Return a summary as text.
 
-    :param losses: what was added up
+    :param losses: the summary
     """
-    total = sum(losses.ends.values())
+    total = sum(losses.outcomes.values())
     rows = [f"{total} streams"]
     rows += [
         f"{count:6d}  {count / total:6.3f}  {what}"
-        for what, count in losses.ends.most_common()
+        for what, count in losses.outcomes.most_common()
     ]
     rows.append(
         f"{sum(losses.wasted_tokens.values())} prompt tokens read in vain"
@@ -118,57 +118,63 @@
     ]
     rows.append("longest pause; streams; prompts read beside each, mean")
     rows += [
-        f"{at_ms:5d} ms  {len(beside):5d}  {sum(beside) / len(beside):5.2f}"
-        for at_ms, beside in sorted(losses.gaps.items())
+        f"{at_ms:5d} ms  {len(counts):5d}  {sum(counts) / len(counts):5.2f}"
+        for at_ms, counts in sorted(losses.gaps.items())
     ]
     return "\n".join(rows)
 
 
 def main(arguments: list[str]) -> int:
-    """Print what became of the streams in some logs.
+    """Print the outcomes of the streams in some logs.
 
-    :param arguments: the program's name, then files; none for standard input
-    :returns: the exit status; 1 if the logs tell of no stream
+    :param arguments: the program's name and the log files; standard input is
+        read if there are no files
+    :returns: the exit status; 1 if the logs contain no stream
     """
     texts = story.read_raw_lines(arguments[1:])
     losses = summarize(story.parse_lines(texts))
-    if not losses.ends:
-        print("the logs tell of no stream", file=sys.stderr)
+    if not losses.outcomes:
+        print("the logs contain no stream", file=sys.stderr)
         return NOTHING_FOUND
     print(format_report(losses))
     return 0
 
 
 def run() -> None:
-    """Start the program; the entry point of the package."""
+    """Run the program; the entry point of the package."""
     app.run(main)
 
 
-def _find_reads(lines: list[Line]) -> Reads:
-    """Return by engine when it began to read prompts beside its streams."""
-    reads: Reads = collections.defaultdict(list)
+def _find_chunked_prefills(lines: list[Line]) -> PrefillTimes:
+    """Return the start times of chunked prefills by engine, in ms."""
+    prefill_times: PrefillTimes = collections.defaultdict(list)
     for line in lines:
-        is_alone = line.get("prefill") == line.get("decode", "")
-        if line["message"] == ENGINES_SELECTED and is_alone:
-            reads[line["decode"]].append(line["time_ms"])
+        is_aggregated = line.get("prefill") == line.get("decode", "")
+        if line["message"] == ENGINES_SELECTED and is_aggregated:
+            prefill_times[line["decode"]].append(line["time_ms"])
         elif line["message"] == PREFILL_OUTCOME_UNKNOWN:
-            reads[line["decode"]].append(line["time_ms"])
-    return reads
+            prefill_times[line["decode"]].append(line["time_ms"])
+    return prefill_times
 
 
-def _note_pause(
-    losses: LossSummary, line: Line, job: Line, reads: Reads
+def _record_gap(
+    losses: LossSummary,
+    line: Line,
+    selection: Line,
+    prefill_times: PrefillTimes,
 ) -> None:
-    began_ms = line["time_ms"] - line["took_ms"] + line["first_ms"]
-    beside = sum(
-        began_ms <= at_ms <= line["time_ms"]
-        for at_ms in reads.get(job["decode"], ())
+    first_token_ms = line["time_ms"] - line["took_ms"] + line["first_ms"]
+    prefills = sum(
+        first_token_ms <= at_ms <= line["time_ms"]
+        for at_ms in prefill_times.get(selection["decode"], ())
+    )
+    bucket_ms = line["gap_ms"] // GAP_BUCKET_MS * GAP_BUCKET_MS
+    losses.gaps.setdefault(min(bucket_ms, MAX_GAP_BUCKET_MS), []).append(
+        prefills
     )
-    step = line["gap_ms"] // GAP_BUCKET_MS * GAP_BUCKET_MS
-    losses.gaps.setdefault(min(step, MAX_GAP_BUCKET_MS), []).append(beside)
 
 
-def _name_fault(line: Line) -> str:
+def _format_fault(line: Line) -> str:
     words: typing.Any = (line.get("step"), line.get("code"))
     reason = line.get("reason")
     return " ".join(map(str, words)) + (f", {reason}" if reason else "")
--- a/mulberryway/commands/operate.py
+++ b/mulberryway/commands/operate.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""The command line for operators."""
 
 import collections.abc
 import json
@@ -54,22 +54,22 @@
 flags.DEFINE_integer("revision", None, "the revision a file was made from")
 flags.DEFINE_integer("wait_ms", 30_000, "the longest wait for wait")
 
-Answer = dict[str, typing.Any]
-Result = expression.Result[Answer, errors.Fault]
+JsonObject = dict[str, typing.Any]
+Result = expression.Result[JsonObject, errors.Fault]
 Arguments = collections.abc.Sequence[str]
 
 
 class UsageError(Exception):
-    """A command line that cannot be carried out."""
+    """Raised for an invalid command line."""
 
 
 class Command:
-    """One command.
+    """A command and how it is run.
 
-    :param arguments: how many arguments it may take
+    :param arguments: the valid numbers of arguments
     :param run: calls the administration API
-    :param show: makes text of the answer
-    :param is_edit: whether a repeat needs the edit's id
+    :param show: formats the response as text
+    :param is_edit: whether the command edits, so a retry needs the edit's id
     """
 
     __slots__ = ("arguments", "run", "show", "is_edit")
@@ -80,7 +80,7 @@
         run: collections.abc.Callable[
             [client.AdminClient, Arguments, str], Result
         ],
-        show: collections.abc.Callable[[Answer], str],
+        show: collections.abc.Callable[[JsonObject], str],
         is_edit: bool = False,
     ) -> None:
         self.arguments = arguments
@@ -89,80 +89,90 @@
         self.is_edit = is_edit
 
 
-def _show(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
+def _show(
+    api: client.AdminClient, operands: Arguments, edit_id: str
+) -> Result:
     return api.call("GET", "/v1/tables")
 
 
-def _diff(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
-    return api.call("POST", "/v1/diff", {"text": _read_file(words[0])})
+def _diff(
+    api: client.AdminClient, operands: Arguments, edit_id: str
+) -> Result:
+    return api.call("POST", "/v1/diff", {"text": _read_file(operands[0])})
 
 
-def _apply(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
-    text = _read_file(words[0])
+def _apply(
+    api: client.AdminClient, operands: Arguments, edit_id: str
+) -> Result:
+    text = _read_file(operands[0])
     found = REVISION_LINE.search(text)
     revision = FLAGS.revision
     if revision is None and found is not None:
         revision = int(found[1])
     if revision is None:
         raise UsageError(
-            "expected --revision N or a line '# revision N' as show prints "
-            "it: the revision that the file was made from, 0 for the first"
+            "expected --revision N or a line '# revision N' as printed by "
+            "show: the revision on which the file is based, 0 for the first"
         )
     body = {"text": text, "revision": revision}
     return api.edit("PUT", "/v1/tables", body, edit_id)
 
 
-def _put(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
+def _put(api: client.AdminClient, operands: Arguments, edit_id: str) -> Result:
     try:
-        values = tomllib.loads(_read_file(words[1]))
+        values = tomllib.loads(_read_file(operands[1]))
     except tomllib.TOMLDecodeError as error:
         raise UsageError(
-            f"{words[1]}: expected valid TOML ({error})"
+            f"{operands[1]}: expected valid TOML ({error})"
         ) from error
     body = {"values": values, "digest": FLAGS.digest}
-    return api.edit("PUT", _row_path(words[0]), body, edit_id)
+    return api.edit("PUT", _row_path(operands[0]), body, edit_id)
 
 
-def _delete(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
+def _delete(
+    api: client.AdminClient, operands: Arguments, edit_id: str
+) -> Result:
     body = {"digest": FLAGS.digest}
-    return api.edit("DELETE", _row_path(words[0]), body, edit_id)
+    return api.edit("DELETE", _row_path(operands[0]), body, edit_id)
 
 
-def _give_key(
-    api: client.AdminClient, words: Arguments, edit_id: str
+def _issue_key(
+    api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
-    return api.edit("POST", f"{_account_path(words[0])}/keys", {}, edit_id)
+    return api.edit("POST", f"{_account_path(operands[0])}/keys", {}, edit_id)
 
 
-def _withdraw_key(
-    api: client.AdminClient, words: Arguments, edit_id: str
+def _revoke_key(
+    api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
-    digits = urllib.parse.quote(words[1].lower(), safe="")
-    path = f"{_account_path(words[0])}/keys/{digits}"
+    digits = urllib.parse.quote(operands[1].lower(), safe="")
+    path = f"{_account_path(operands[0])}/keys/{digits}"
     return api.edit("DELETE", path, {}, edit_id)
 
 
 def _restore(
-    api: client.AdminClient, words: Arguments, edit_id: str
+    api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
     return api.edit("POST", "/v1/restore", {}, edit_id)
 
 
 def _read_history(
-    api: client.AdminClient, words: Arguments, edit_id: str
+    api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
     return api.call("GET", "/v1/history")
 
 
-def _wait(api: client.AdminClient, words: Arguments, edit_id: str) -> Result:
+def _wait(
+    api: client.AdminClient, operands: Arguments, edit_id: str
+) -> Result:
     query = {"wait_ms": str(FLAGS.wait_ms)}
-    if words:
-        query["revision"] = words[0]
+    if operands:
+        query["revision"] = operands[0]
     return api.call("GET", f"/v1/in_force?{urllib.parse.urlencode(query)}")
 
 
 def _read_status(
-    api: client.AdminClient, words: Arguments, edit_id: str
+    api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
     return api.call("GET", "/v1/status")
 
@@ -173,10 +183,8 @@
     "apply": Command((1,), _apply, text_output.format_edit, True),
     "put": Command((2,), _put, text_output.format_edit, True),
     "delete": Command((1,), _delete, text_output.format_edit, True),
-    "give-key": Command((1,), _give_key, text_output.format_key, True),
-    "withdraw-key": Command(
-        (2,), _withdraw_key, text_output.format_edit, True
-    ),
+    "give-key": Command((1,), _issue_key, text_output.format_key, True),
+    "withdraw-key": Command((2,), _revoke_key, text_output.format_edit, True),
     "history": Command((0,), _read_history, text_output.format_history),
     "wait": Command((0, 1), _wait, text_output.format_rollout),
     "restore": Command((0,), _restore, text_output.format_edit, True),
@@ -185,20 +193,20 @@
 
 
 def main(arguments: Arguments) -> int:
-    """Carry out one command.
+    """Run one command.
 
-    :param arguments: program, command and what follows
-    :returns: 0; 1 for a fault, 2 for a command line that cannot be carried
-        out, 3 if ``wait`` ended before the revision was in force
+    :param arguments: the program's name, the command and its arguments
+    :returns: the exit status: 0; 1 for a fault, 2 for an invalid command
+        line, 3 if ``wait`` ended before the revision was in force
     """
     command = COMMANDS.get(arguments[1]) if len(arguments) > 1 else None
-    words = arguments[2:]
-    if command is None or len(words) not in command.arguments:
+    operands = arguments[2:]
+    if command is None or len(operands) not in command.arguments:
         print(USAGE, file=sys.stderr)
         return USAGE_STATUS
     edit_id = FLAGS.edit_id or secrets.token_hex(EDIT_ID_BYTES)
     try:
-        result = command.run(_make_client(), words, edit_id)
+        result = command.run(_make_client(), operands, edit_id)
     except UsageError as error:
         print(error, file=sys.stderr)
         return USAGE_STATUS
@@ -220,7 +228,8 @@
     else:
         credential = os.environ.get(CREDENTIAL_VARIABLE, "").strip()
     if not credential:
-        # Never an argument: all users of a machine can read those.
+        # The credential is not a command-line argument, because all users of
+        # a machine can read those.
         raise UsageError(
             f"expected --credential_file or {CREDENTIAL_VARIABLE}"
         )
@@ -244,8 +253,8 @@
     print(f"{fault.code.value}: {fault.message}", file=sys.stderr)
     if edit_id and fault.run is errors.ExecutionStatus.MAY_HAVE_RUN:
         print(
-            "the edit may have been accepted; the same command with "
-            f"--edit_id {edit_id} settles it and counts once",
+            "the edit may have been accepted; retry the command with "
+            f"--edit_id {edit_id}, which is idempotent",
             file=sys.stderr,
         )
 
@@ -254,13 +263,13 @@
     try:
         return pathlib.Path(name).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise UsageError(f"{name}: expected a readable text") from error
+        raise UsageError(f"{name}: expected a readable text file") from error
 
 
-def _row_path(place: str) -> str:
-    table, dot, name = place.partition(".")
+def _row_path(row: str) -> str:
+    table, dot, name = row.partition(".")
     if not dot:
-        raise UsageError(f"{place}: expected TABLE.NAME")
+        raise UsageError(f"{row}: expected TABLE.NAME")
     parts = (urllib.parse.quote(part, safe="") for part in (table, name))
     return "/v1/tables/" + "/".join(parts)
 
@@ -270,7 +279,7 @@
 
 
 def run() -> None:
-    """Parse the command line and run."""
+    """Run the program; the entry point of the package."""
     app.run(main)
 
 
--- a/mulberryway/commands/process.py
+++ b/mulberryway/commands/process.py
@@ -1,4 +1,4 @@
-"""What the programs of a VM share: signals, and a stop that ends."""
+"""Signal handling and shutdown, shared by the programs of a VM."""
 
 import abc
 import collections.abc
@@ -12,17 +12,17 @@
 
 
 class Service(abc.ABC):
-    """What a program runs."""
+    """A service that a program starts and stop_signals."""
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Begin to serve; returns at once."""
+        """Start serving in the background."""
 
     @abc.abstractmethod
     def stop(self, graceful: bool = True) -> None:
         """Stop serving.
 
-        :param graceful: whether running requests may end first
+        :param graceful: whether to wait for running requests
         """
 
 
@@ -30,24 +30,24 @@
     service: Service,
     on_reload: collections.abc.Callable[[], None] = lambda: None,
 ) -> None:
-    """Run until a signal to stop comes and the stop is over.
+    """Run a service until a signal to stop, then shut it down.
 
-    :param service: what is started and stopped
-    :param on_reload: called when a signal says that settings have changed;
-        without a handler that signal would end the process
+    :param service: the service
+    :param on_reload: called on SIGHUP, which announces changed settings;
+        without a handler the signal would end the process
     """
-    stops = threading.Semaphore(0)
+    stop_signals = threading.Semaphore(0)
 
-    def note(number: int, frame: types.FrameType | None) -> None:
-        stops.release()
+    def handle_stop(number: int, frame: types.FrameType | None) -> None:
+        stop_signals.release()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, note)
+        signal.signal(number, handle_stop)
     signal.signal(signal.SIGHUP, lambda number, frame: on_reload())
     service.start()
-    stops.acquire()
-    worker = threading.Thread(target=service.stop, name="stop", daemon=True)
-    worker.start()
-    # A second signal ends the wait for what runs.
-    while worker.is_alive() and not stops.acquire(timeout=POLL_S):
+    stop_signals.acquire()
+    stopper = threading.Thread(target=service.stop, name="stop", daemon=True)
+    stopper.start()
+    # A second signal ends the wait for running requests.
+    while stopper.is_alive() and not stop_signals.acquire(timeout=POLL_S):
         continue
--- a/mulberryway/commands/router.py
+++ b/mulberryway/commands/router.py
@@ -1,4 +1,4 @@
-"""The router's program."""
+"""The program that runs a router."""
 
 import sys
 
@@ -20,10 +20,10 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run a router until it is told to stop.
+    """Run a router until a signal to stop.
 
     :param arguments: the command line without flags
-    :returns: the exit status
+    :returns: the exit status; 2 for invalid settings
     """
     try:
         read = settings.read_settings(FLAGS.settings)
@@ -36,7 +36,7 @@
 
 
 def run() -> None:
-    """Start the program; the entry point of the package."""
+    """Run the program; the entry point of the package."""
     flags.mark_flag_as_required("settings")
     app.run(main)
 
--- a/mulberryway/commands/story.py
+++ b/mulberryway/commands/story.py
@@ -1,4 +1,4 @@
-"""Prints what the logs of several VMs say of one request, in order."""
+"""Prints the timeline of one request from the logs of several VMs."""
 
 import collections.abc
 import itertools
@@ -14,8 +14,9 @@
 
 FLAGS = flags.FLAGS
 NOTHING_FOUND = 1
-# Around a request these tell what its VM believed: lines of the same VM that
-# name no request, from so long before its first line on.
+# How long before a request's first line its context begins, in ms.  The
+# context is the lines of the same VM without a request id, which show its
+# state.
 CONTEXT_MS = 2_000
 STANDARD_FIELDS = ("time_ms", "level", "vm", "logger", "message", "request_id")
 
@@ -28,9 +29,9 @@
 
 
 def read_raw_lines(names: list[str]) -> collections.abc.Iterable[str]:
-    """Return the lines of some files; of standard input if there is none.
+    """Return the lines of some files, or of standard input.
 
-    :param names: the files' names
+    :param names: the files' names; standard input is read if empty
     """
     if not names:
         return sys.stdin
@@ -45,9 +46,9 @@
 def parse_lines(
     texts: collections.abc.Iterable[str],
 ) -> collections.abc.Iterator[Line]:
-    """Return the lines that can be read; others are passed over.
+    """Yield the parsed log lines; ignore malformed ones.
 
-    :param texts: lines of logs, possibly with something before the object
+    :param texts: log lines, possibly with a prefix before the JSON object
     """
     for text in texts:
         start = text.find("{")
@@ -56,7 +57,7 @@
         try:
             line = json.loads(text[start:])
         except ValueError:
-            # A line that was cut when its process died.
+            # The line was truncated when its process crashed.
             continue
         if isinstance(line, dict) and "time_ms" in line:
             yield line
@@ -65,26 +66,29 @@
 def select_lines(
     lines: collections.abc.Iterable[Line], request_id: str, beliefs: bool
 ) -> list[Line]:
-    """Return what was logged of a request, oldest first.
+    """Return the log lines of a request, oldest first.
 
-    :param lines: lines of any VMs in any order
-    :param request_id: the request's id, or its beginning
-    :param beliefs: whether what its VMs came to believe is added
+    :param lines: log lines of any VMs, in any order
+    :param request_id: the request's id or a prefix of it
+    :param beliefs: whether to add the lines that show the state of its VMs
     """
-    known = sorted(lines, key=lambda line: line["time_ms"])
-    own = [
+    ordered = sorted(lines, key=lambda line: line["time_ms"])
+    request_lines = [
         line
-        for line in known
+        for line in ordered
         if str(line.get("request_id", "")).startswith(request_id)
     ]
-    if not own or not beliefs:
-        return own
-    vms = {line["vm"] for line in own}
-    first_ms, last_ms = own[0]["time_ms"] - CONTEXT_MS, own[-1]["time_ms"]
+    if not request_lines or not beliefs:
+        return request_lines
+    vms = {line["vm"] for line in request_lines}
+    first_ms, last_ms = (
+        request_lines[0]["time_ms"] - CONTEXT_MS,
+        request_lines[-1]["time_ms"],
+    )
     return [
         line
-        for line in known
-        if line in own
+        for line in ordered
+        if line in request_lines
         or (
             "request_id" not in line
             and line["vm"] in vms
@@ -94,10 +98,10 @@
 
 
 def format_line(line: Line, first_ms: int) -> str:
-    """Return a line for people.
+    """Return a log line as text.
 
-    :param line: what was logged
-    :param first_ms: when the story begins
+    :param line: the log line
+    :param first_ms: the start of the timeline, in ms
     """
     fields = " ".join(
         f"{name}={value}"
@@ -109,16 +113,17 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print a request's story.
+    """Print a request's timeline.
 
-    :param arguments: the program's name, then files; none for standard input
-    :returns: the exit status; 1 if nothing is known of the request
+    :param arguments: the program's name and the log files; standard input is
+        read if there are no files
+    :returns: the exit status; 1 if no line of the request was found
     """
     found = select_lines(
         parse_lines(read_raw_lines(arguments[1:])), FLAGS.id, FLAGS.beliefs
     )
     if not found:
-        print(f"nothing was logged of {FLAGS.id}", file=sys.stderr)
+        print(f"found no log lines of {FLAGS.id}", file=sys.stderr)
         return NOTHING_FOUND
     for line in found:
         print(format_line(line, found[0]["time_ms"]))
@@ -126,7 +131,7 @@
 
 
 def run() -> None:
-    """Start the program; the entry point of the package."""
+    """Run the program; the entry point of the package."""
     flags.mark_flag_as_required("id")
     app.run(main)
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -54,7 +54,7 @@
                 "a late first piece: waited for the decode to begin": 1,
                 losses.ON_TIME: 1,
             },
-            losses.summarize(lines).ends,
+            losses.summarize(lines).outcomes,
         )
 
     def test_late_pause_with_the_prompts_read_beside_it(self):
@@ -69,7 +69,7 @@
             make_end("a", 2_000, gap_ms=450),
         ]
         found = losses.summarize(lines)
-        self.assertEqual({losses.GAP_EXCEEDED: 1}, found.ends)
+        self.assertEqual({losses.GAP_EXCEEDED: 1}, found.outcomes)
         self.assertEqual({400: [2]}, found.gaps)
 
     def test_prompts_read_in_vain_by_cause(self):
