--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -59,7 +59,7 @@
         self.deadline = deadline
         # The newest version of the root object that is known to be stale.
         self.stale_version = -1
-        # The base revision of an update whose outcome is is_ambiguous.
+        # The base revision of an update whose outcome is unknown.
         self.ambiguous_revision: int | None = None
         self.pause_ms = INITIAL_BACKOFF_MS
 
--- a/mulberryway/load/__init__.py
+++ b/mulberryway/load/__init__.py
@@ -1,1 +1,1 @@
-"""Callers for tests and measurements: what they send, and what they get."""
+"""A load generator for tests and measurements."""
--- a/mulberryway/load/caller.py
+++ b/mulberryway/load/caller.py
@@ -1,4 +1,4 @@
-"""Makes calls as callers do: asks for addresses, connects, reads streams."""
+"""Sends the requests of a plan to routers and records the results."""
 
 import asyncio
 import json
@@ -14,26 +14,27 @@
 __all__ = ["run_plan"]
 
 ENTRY_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
-# Without an answer the named addresses are used, and it is asked again only
-# after a while: asking before each call would take longer than the call.
+# Delay before the next attempt after no address could be resolved; the seed
+# addresses are used meanwhile.  An attempt before each call would take longer
+# than the call itself.
 RESOLVE_RETRY_MS = 1_000
 DONE = b"data: [DONE]"
 EVENT_END = b"\n\n"
-# What a caller may do again: the answer says that nothing ran.
+# Execution status of a response to a request that may be retried.
 NOT_RUN = "not_run"
 CONNECTION = "connection"
 
 
-def read_ms() -> float:
-    """Return a time in ms that all processes of the machine share."""
+def get_time_ms() -> float:
+    """Return the monotonic time in ms, shared by all processes of a host."""
     return time.monotonic() * 1000
 
 
 class AddressResolver:
-    """The addresses to use, kept for as long as the answer allows.
+    """Resolves router addresses and caches them for their TTL.
 
-    :param addresses: VMs that are asked
-    :param random_: decides which is asked and which is used
+    :param addresses: the seed addresses, which are queried for the others
+    :param random_: the random generator for the choice of addresses
     """
 
     def __init__(
@@ -41,27 +42,30 @@
     ) -> None:
         self._seeds = addresses
         self._random = random_
-        self._known: list[str] = []
-        self._until_ms = 0.0
+        self._addresses: list[str] = []
+        self._expires_ms = 0.0
         self._lock = asyncio.Lock()
 
     async def pick(
-        self, session: aiohttp.ClientSession, avoid: set[str]
+        self, session: aiohttp.ClientSession, excluded: set[str]
     ) -> str:
-        """Return an address to connect to.
+        """Return a random address to connect to.
 
-        :param session: for the question
-        :param avoid: addresses that failed this call before
+        :param session: the HTTP session for queries
+        :param excluded: addresses at which this call has failed, used only if
+            there are no others
         :returns: ``host:port``
         """
         async with self._lock:
-            if read_ms() >= self._until_ms:
-                await self._ask(session)
-        known = self._known or [*self._seeds]
-        fresh = [address for address in known if address not in avoid]
-        return self._random.choice(fresh or known)
-
-    async def _ask(self, session: aiohttp.ClientSession) -> None:
+            if get_time_ms() >= self._expires_ms:
+                await self._resolve(session)
+        candidates = self._addresses or [*self._seeds]
+        untried = [
+            address for address in candidates if address not in excluded
+        ]
+        return self._random.choice(untried or candidates)
+
+    async def _resolve(self, session: aiohttp.ClientSession) -> None:
         seeds = self._random.sample([*self._seeds], len(self._seeds))
         for address in seeds:
             try:
@@ -69,37 +73,37 @@
                     f"http://{address}/v1/entry", timeout=ENTRY_TIMEOUT
                 ) as reply:
                     answer = await reply.json()
-                    self._known = [
+                    self._addresses = [
                         row["address"] for row in answer["addresses"]
                     ]
-                    self._until_ms = read_ms() + answer["ttl_ms"]
+                    self._expires_ms = get_time_ms() + answer["ttl_ms"]
                     return
             except (aiohttp.ClientError, TimeoutError, KeyError, ValueError):
                 continue
-        self._until_ms = read_ms() + RESOLVE_RETRY_MS
+        self._expires_ms = get_time_ms() + RESOLVE_RETRY_MS
 
 
 class LoadGenerator:
-    """Makes the calls of a plan and notes what came back.
+    """Makes the calls of a plan and records their outcomes.
 
     :param plan_: the plan
     """
 
     def __init__(self, plan_: plan.LoadPlan) -> None:
         self._plan = plan_
-        self._entry = AddressResolver(
+        self._resolver = AddressResolver(
             plan_.addresses, random.Random(plan_.seed)
         )
         self._session: aiohttp.ClientSession | None = None
 
     async def run(self) -> list[outcome.Outcome]:
-        """Make all calls, each at its time; return what came of them."""
+        """Make all calls at their planned times and return the outcomes."""
         timeout = aiohttp.ClientTimeout(total=self._plan.timeout_ms / 1000)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
             timeout=timeout, connector=connector
         ) as self._session:
-            began_ms = read_ms()
+            began_ms = get_time_ms()
             tasks = [
                 asyncio.create_task(self._call_at(call, began_ms))
                 for call in plan.plan_calls(self._plan)
@@ -109,60 +113,60 @@
     async def _call_at(
         self, call: plan.PlannedCall, began_ms: float
     ) -> outcome.Outcome:
-        wait_ms = began_ms + call.at_ms - read_ms()
+        wait_ms = began_ms + call.at_ms - get_time_ms()
         await asyncio.sleep(max(wait_ms, 0) / 1000)
-        found = outcome.Outcome(
+        result = outcome.Outcome(
             call.number, call.caller.account, call.caller.kind
         )
-        found.began_ms = read_ms()
-        found.key = f"{self._plan.seed}-{call.number}"
-        avoid: set[str] = set()
+        result.began_ms = get_time_ms()
+        result.key = f"{self._plan.seed}-{call.number}"
+        excluded: set[str] = set()
         for _ in range(self._plan.repeats + 1):
-            found.attempts += 1
-            found.code = found.run = found.step = ""
-            found.address = await self._entry.pick(self._session, avoid)
-            avoid.add(found.address)
-            await self._try(call, found)
-            if found.is_whole or not self._may_repeat(call, found):
+            result.attempts += 1
+            result.code = result.run = result.step = ""
+            result.address = await self._resolver.pick(self._session, excluded)
+            excluded.add(result.address)
+            await self._attempt(call, result)
+            if result.is_whole or not self._may_retry(call, result):
                 break
-        found.took_ms = read_ms() - found.began_ms
-        return found
+        result.took_ms = get_time_ms() - result.began_ms
+        return result
 
-    def _may_repeat(
-        self, call: plan.PlannedCall, found: outcome.Outcome
+    def _may_retry(
+        self, call: plan.PlannedCall, result: outcome.Outcome
     ) -> bool:
-        """Repeat what is safe: nothing ran, or the id keeps it single."""
-        if found.tokens:
+        """Return whether a retry is safe: nothing ran, or it is idempotent."""
+        if result.tokens:
             return False
-        return found.run == NOT_RUN or (
-            found.code == CONNECTION and call.caller.once
+        return result.run == NOT_RUN or (
+            result.code == CONNECTION and call.caller.once
         )
 
-    async def _try(
-        self, call: plan.PlannedCall, found: outcome.Outcome
+    async def _attempt(
+        self, call: plan.PlannedCall, result: outcome.Outcome
     ) -> None:
         caller = call.caller
         headers = {"Authorization": f"Bearer {caller.key}"}
         if caller.once:
-            headers["Idempotency-Key"] = found.key
+            headers["Idempotency-Key"] = result.key
         try:
             async with self._session.request(
                 caller.method,
-                f"http://{found.address}{caller.path}",
+                f"http://{result.address}{caller.path}",
                 data=_make_body(call),
                 headers=headers,
             ) as reply:
-                found.status = reply.status
+                result.status = reply.status
                 if reply.status >= 400:
-                    _note_refusal(found, await reply.read())
+                    _record_rejection(result, await reply.read())
                 elif caller.kind == "stream":
-                    await _read_stream(reply, found)
+                    await _read_stream(reply, result)
                 else:
-                    _note_whole(found, await reply.read())
+                    _record_response(result, await reply.read())
         except aiohttp.ClientConnectorError:
-            found.code, found.run = CONNECTION, NOT_RUN
+            result.code, result.run = CONNECTION, NOT_RUN
         except (aiohttp.ClientError, OSError, TimeoutError):
-            found.code = CONNECTION
+            result.code = CONNECTION
 
 
 def _make_body(call: plan.PlannedCall) -> bytes | None:
@@ -177,88 +181,88 @@
     return json.dumps(body).encode()
 
 
-def _note_refusal(found: outcome.Outcome, body: bytes) -> None:
-    found.text = body.decode(errors="replace")
+def _record_rejection(result: outcome.Outcome, body: bytes) -> None:
+    result.text = body.decode(errors="replace")
     try:
-        found.record_error(json.loads(body)["error"])
+        result.record_error(json.loads(body)["error"])
     except (ValueError, KeyError, TypeError, AttributeError):
-        found.code = f"http_{found.status}"
+        result.code = f"http_{result.status}"
 
 
-def _note_whole(found: outcome.Outcome, body: bytes) -> None:
-    found.is_whole = True
-    found.first_ms = read_ms() - found.began_ms
-    found.text = body.decode(errors="replace")
-    if found.kind == "whole":
+def _record_response(result: outcome.Outcome, body: bytes) -> None:
+    result.is_whole = True
+    result.first_ms = get_time_ms() - result.began_ms
+    result.text = body.decode(errors="replace")
+    if result.kind == "whole":
         answer = json.loads(body)
-        found.text = answer["choices"][0]["text"]
-        found.tokens = answer["usage"]["completion_tokens"]
+        result.text = answer["choices"][0]["text"]
+        result.tokens = answer["usage"]["completion_tokens"]
 
 
 async def _read_stream(
-    reply: aiohttp.ClientResponse, found: outcome.Outcome
+    reply: aiohttp.ClientResponse, result: outcome.Outcome
 ) -> None:
-    """Note each event as it comes, until the stream ends or breaks."""
+    """Record each event of a stream until it ends or fails."""
     last_ms = 0.0
-    rest = b""
+    buffer = b""
     texts: list[str] = []
     try:
         async for data in reply.content.iter_any():
-            now_ms = read_ms()
-            *events, rest = (rest + data).split(EVENT_END)
+            now_ms = get_time_ms()
+            *events, buffer = (buffer + data).split(EVENT_END)
             for event in events:
-                _note_event(found, event, texts, now_ms, last_ms)
+                _record_event(result, event, texts, now_ms, last_ms)
                 last_ms = now_ms
     finally:
-        found.text = "".join(texts)
+        result.text = "".join(texts)
 
 
-def _note_event(
-    found: outcome.Outcome,
+def _record_event(
+    result: outcome.Outcome,
     event: bytes,
     texts: list[str],
     now_ms: float,
     last_ms: float,
 ) -> None:
     if event.startswith(DONE):
-        found.is_whole = True
+        result.is_whole = True
         return
     value = json.loads(event.removeprefix(b"data: "))
     if "error" in value:
-        found.record_error(value["error"])
+        result.record_error(value["error"])
         return
-    if found.tokens == 0:
-        found.first_ms = now_ms - found.began_ms
+    if result.tokens == 0:
+        result.first_ms = now_ms - result.began_ms
     else:
-        found.gaps_ms.append(now_ms - last_ms)
+        result.gaps_ms.append(now_ms - last_ms)
     if "sent_ms" in value:
-        found.lags_ms.append(now_ms - value["sent_ms"])
-    found.in_order &= value.get("index", found.tokens) == found.tokens
-    found.tokens += 1
+        result.lags_ms.append(now_ms - value["sent_ms"])
+    result.in_order &= value.get("index", result.tokens) == result.tokens
+    result.tokens += 1
     texts.append(value["choices"][0]["text"])
 
 
 def run_plan(
     plan_: plan.LoadPlan,
 ) -> tuple[list[outcome.Outcome], float]:
-    """Run a plan to its end.
+    """Run a complete plan.
 
     :param plan_: the plan
-    :returns: what callers got, and how long it took in milliseconds
+    :returns: the outcomes, and the duration in ms
     """
-    began_ms = read_ms()
+    began_ms = get_time_ms()
     outcomes = asyncio.run(LoadGenerator(plan_).run())
-    return outcomes, read_ms() - began_ms
+    return outcomes, get_time_ms() - began_ms
 
 
 def write_records(
     file: str, summary: typing.Any, outcomes: list[outcome.Outcome]
 ) -> None:
-    """Write a summary and all records as JSON.
+    """Write a summary and all outcomes to a JSON file.
 
     :param file: the file's name
-    :param summary: the summary
-    :param outcomes: the records
+    :param summary: the summary, as JSON values
+    :param outcomes: the outcomes
     """
     with open(file, "w", encoding="utf-8") as out:
         records = [item.to_json() for item in outcomes]
--- a/mulberryway/load/outcome.py
+++ b/mulberryway/load/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller got for one call."""
+"""The outcome of a call, as its caller observed it."""
 
 import hashlib
 import math
@@ -11,25 +11,26 @@
 GAP_PERCENTILE = 0.95
 
 
-def compute_percentile(values: list[float], share: float) -> float:
-    """Return a percentile by nearest rank.
+def compute_percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile by the nearest-rank method.
 
-    :param values: the values in any order
-    :param share: from 0 to 1
-    :returns: the value, or 0 of none
+    :param values: the values, in any order
+    :param fraction: the percentile as a fraction from 0 to 1
+    :returns: the percentile, or 0 if there are no values
     """
     if not values:
         return 0.0
-    rank = math.ceil(share * len(values))
+    rank = math.ceil(fraction * len(values))
     return sorted(values)[max(rank, 1) - 1]
 
 
 class Outcome:
-    """One call's end as its caller saw it; times in milliseconds.
+    """The outcome of one call; all times are in ms.
 
     :param number: the call's number in its plan
     :param account: the client account
-    :param kind: ``stream``, ``whole`` or ``plain``
+    :param kind: ``stream``, ``whole`` for a completion in one response, or
+        ``plain``
     """
 
     __slots__ = (
@@ -60,7 +61,8 @@
         self.kind = kind
         self.address = ""
         self.status = 0
-        # The code of a refusal or of a cut; ``connection`` if no answer came.
+        # Error code of a rejection or of an interrupted stream; ``connection``
+        # if there was no response.
         self.code = ""
         self.run = ""
         self.step = ""
@@ -69,7 +71,7 @@
         self.first_ms = 0.0
         self.took_ms = 0.0
         self.gaps_ms: list[float] = []
-        # Arrival less the engine's own stamp, where events carry one.
+        # Arrival time minus the engine's timestamp, for events that have one.
         self.lags_ms: list[float] = []
         self.tokens = 0
         self.is_whole = False
@@ -78,7 +80,7 @@
         self.key = ""
 
     def meets_targets(self) -> bool:
-        """Tell whether the call met both latency targets in full."""
+        """Return whether the stream is complete and met both targets."""
         if not self.is_whole or self.kind != "stream":
             return False
         gap_ms = compute_percentile(self.gaps_ms, GAP_PERCENTILE)
@@ -88,16 +90,16 @@
         )
 
     def record_error(self, error: dict[str, typing.Any]) -> None:
-        """Take over an error answer.
+        """Copy the fields of an error response.
 
-        :param error: the ``error`` object
+        :param error: the ``error`` object of the response
         """
         self.code = str(error.get("code", ""))
         self.run = str(error.get("run", ""))
         self.step = str(error.get("step", ""))
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the record, the text as a digest."""
+        """Return the outcome as JSON values, with the text as a digest."""
         record = {
             name: getattr(self, name)
             for name in self.__slots__
--- a/mulberryway/load/plan.py
+++ b/mulberryway/load/plan.py
@@ -1,4 +1,4 @@
-"""What callers send: a seeded plan, read from a TOML file and checked."""
+"""Load plans: parsing from TOML and generation of calls from a seed."""
 
 import itertools
 import pathlib
@@ -21,22 +21,25 @@
 
 
 class ClientProfile:
-    """One sort of call that a client account makes.
-
-    :param account: the client account, for the report
-    :param key: its key
-    :param kind: ``stream``, ``whole`` or ``plain``
-    :param rate: calls a second, on average
-    :param burst: calls that come all at once at the start
-    :param burst_ms: over how long the burst is spread, in milliseconds
-    :param model: the model, for prompts
-    :param prompt_tokens: the least and the most of a prompt
-    :param prefix_tokens: what the account's prompts have in common
-    :param output_tokens: the least and the most to generate
-    :param method: the HTTP method, for plain calls
+    """The parameters of one kind of call of a client account.
+
+    :param account: the client account, as named in the report
+    :param key: the account's API key
+    :param kind: ``stream``, ``whole`` for a completion in one response, or
+        ``plain``
+    :param rate: the average number of calls per second
+    :param burst: the number of calls in a burst at the start
+    :param burst_ms: the time over which the burst is spread, in ms
+    :param model: the model of prompts
+    :param prompt_tokens: the minimum and maximum length of a prompt
+    :param prefix_tokens: the length of the prefix that all prompts of the
+        account share
+    :param output_tokens: the minimum and maximum output length
+    :param method: the HTTP method of plain calls
     :param path: the path
-    :param body: the body of plain calls; each gets a number of its own
-    :param once: send an ``Idempotency-Key`` with each call
+    :param body: the body of plain calls; ``{number}`` is replaced by the
+        call's number
+    :param once: whether to send an ``Idempotency-Key`` with each call
     """
 
     __slots__ = (
@@ -90,14 +93,14 @@
 
 
 class LoadPlan:
-    """All callers, and where and for how long they call.
+    """The callers of a load test, with its targets and duration.
 
-    :param addresses: ``host:port`` of VMs to ask for addresses
+    :param addresses: the seed addresses, as ``host:port``
     :param callers: the callers
-    :param seed: decides everything that is random
-    :param duration_ms: when the last call begins, in milliseconds
-    :param repeats: how often a caller tries again elsewhere
-    :param timeout_ms: the longest that a caller waits for a whole answer
+    :param seed: the seed of all random choices
+    :param duration_ms: the period in which calls start, in ms
+    :param repeats: the maximum number of retries of a call
+    :param timeout_ms: the maximum wait for a complete response, in ms
     """
 
     __slots__ = (
@@ -127,13 +130,13 @@
 
 
 class PlannedCall:
-    """One call to come.
+    """A scheduled call.
 
-    :param number: unique in the plan
-    :param at_ms: when it begins, from the start
-    :param caller: who makes it
-    :param prompt: the prompt, or a plain call's body
-    :param max_tokens: the most to generate
+    :param number: the call's number, unique in the plan
+    :param at_ms: the start time in ms after the start of the plan
+    :param caller: the parameters of the caller
+    :param prompt: the prompt, or the body of a plain call
+    :param max_tokens: the maximum number of output tokens
     """
 
     __slots__ = ("number", "at_ms", "caller", "prompt", "max_tokens")
@@ -154,22 +157,22 @@
 
 
 def plan_calls(plan: LoadPlan) -> list[PlannedCall]:
-    """Return all calls of a plan, the same for the same seed.
+    """Return all calls of a plan, which depend only on its seed.
 
     :param plan: the plan
-    :returns: the calls in the order of their times
+    :returns: the calls, ordered by start time
     """
     numbers = itertools.count()
     calls = [
         _plan_call(next(numbers), at_ms, caller, random_)
         for index, caller in enumerate(plan.callers)
         for random_ in [random.Random(f"{plan.seed}.{index}")]
-        for at_ms in _plan_times(caller, plan.duration_ms, random_)
+        for at_ms in _plan_start_times(caller, plan.duration_ms, random_)
     ]
     return sorted(calls, key=lambda call: call.at_ms)
 
 
-def _plan_times(
+def _plan_start_times(
     caller: ClientProfile, duration_ms: int, random_: random.Random
 ) -> list[float]:
     times = [
@@ -190,17 +193,17 @@
     if caller.kind == "plain":
         body = caller.body.replace("{number}", str(number))
         return PlannedCall(number, at_ms, caller, body, 0)
-    tokens = _pick_length(caller.prompt_tokens, random_)
+    tokens = _draw_length(caller.prompt_tokens, random_)
     prompt = _make_prompt(number, caller, tokens, random_)
-    output = _pick_length(caller.output_tokens, random_)
+    output = _draw_length(caller.output_tokens, random_)
     return PlannedCall(number, at_ms, caller, prompt, output)
 
 
-def _pick_length(bounds: tuple[int, int], random_: random.Random) -> int:
-    """Pick a length so that short ones are as many as long ones by factor.
+def _draw_length(bounds: tuple[int, int], random_: random.Random) -> int:
+    """Draw a length from a log-uniform distribution.
 
-    Even picking would make nearly all prompts long; real ones spread from
-    tens to tens of thousands of tokens.
+    Real prompts range from tens to tens of thousands of tokens; a uniform
+    distribution would make nearly all of them long.
     """
     low, high = bounds
     return round(low * (high / low) ** random_.random())
@@ -209,24 +212,26 @@
 def _make_prompt(
     number: int, caller: ClientProfile, tokens: int, random_: random.Random
 ) -> str:
-    prefix = _make_words(
+    prefix = _make_text(
         caller.prefix_tokens * BYTES_PER_TOKEN, random.Random(caller.account)
     )
-    own = f"#{number} " + _make_words(tokens * BYTES_PER_TOKEN, random_)
+    own = f"#{number} " + _make_text(tokens * BYTES_PER_TOKEN, random_)
     return (prefix + own)[: max(tokens, 4) * BYTES_PER_TOKEN]
 
 
-def _make_words(size: int, random_: random.Random) -> str:
+def _make_text(size: int, random_: random.Random) -> str:
     count = size // 3 + 1
     return " ".join(random_.choices(WORDS, k=count))[:size]
 
 
 def read_plan(file: str) -> LoadPlan:
-    """Read a plan: a ``[load]`` section and ``[[caller]]`` rows.
+    """Read a plan from a TOML file.
+
+    The file has a ``[load]`` section and ``[[caller]]`` rows.
 
     :param file: the file's name
     :returns: the plan
-    :raises SettingsError: with the file, the key and what was expected
+    :raises SettingsError: with the file, the key and the expected value
     """
     try:
         values = tomllib.loads(pathlib.Path(file).read_text(encoding="utf-8"))
@@ -235,15 +240,15 @@
             file, "file", f"a readable TOML file ({error})"
         ) from error
     callers = tuple(
-        _make(ClientProfile, file, f"caller[{index}]", row)
+        _construct(ClientProfile, file, f"caller[{index}]", row)
         for index, row in enumerate(values.get("caller", []))
     )
-    return _make(
+    return _construct(
         LoadPlan, file, "load", values.get("load", {}) | {"callers": callers}
     )
 
 
-def _make(
+def _construct(
     class_: type, file: str, section: str, row: dict[str, typing.Any]
 ) -> typing.Any:
     row = {
--- a/mulberryway/load/report.py
+++ b/mulberryway/load/report.py
@@ -1,4 +1,4 @@
-"""Sums up outcomes, as a table and as JSON."""
+"""Summarizes outcomes as a table and as JSON values."""
 
 import collections
 import itertools
@@ -27,28 +27,29 @@
 def summarise(
     outcomes: list[outcome.Outcome], elapsed_ms: float
 ) -> dict[str, typing.Any]:
-    """Return figures for each account and kind of call, and over all.
+    """Return statistics by account and kind of call, and over all calls.
 
-    :param outcomes: what callers got
-    :param elapsed_ms: how long it took, in milliseconds
+    :param outcomes: the outcomes
+    :param elapsed_ms: the duration of the plan, in ms
     :returns: JSON values
     """
 
-    def group_of(item: outcome.Outcome) -> tuple[str, str]:
+    def get_group(item: outcome.Outcome) -> tuple[str, str]:
         return item.account, item.kind
 
-    groups = itertools.groupby(sorted(outcomes, key=group_of), group_of)
+    groups = itertools.groupby(sorted(outcomes, key=get_group), get_group)
     rows = [
-        {"account": account, "kind": kind} | _sum_up([*items], elapsed_ms)
+        {"account": account, "kind": kind}
+        | _compute_statistics([*items], elapsed_ms)
         for (account, kind), items in groups
     ]
-    return {"rows": rows, "all": _sum_up(outcomes, elapsed_ms)}
+    return {"rows": rows, "all": _compute_statistics(outcomes, elapsed_ms)}
 
 
-def _sum_up(
+def _compute_statistics(
     items: list[outcome.Outcome], elapsed_ms: float
 ) -> dict[str, typing.Any]:
-    firsts = [item.first_ms for item in items if item.tokens]
+    first_token_times = [item.first_ms for item in items if item.tokens]
     gaps = [*itertools.chain.from_iterable(item.gaps_ms for item in items)]
     good = [item for item in items if item.meets_targets()]
     seconds = max(elapsed_ms, 1) / 1000
@@ -68,18 +69,18 @@
         "goodput_tokens_per_s": sum(item.tokens for item in good) / seconds,
         "tokens_per_s": sum(item.tokens for item in items) / seconds,
         "tokens": sum(item.tokens for item in items),
-        "first_p50_ms": outcome.compute_percentile(firsts, 0.5),
-        "first_p95_ms": outcome.compute_percentile(firsts, 0.95),
+        "first_p50_ms": outcome.compute_percentile(first_token_times, 0.5),
+        "first_p95_ms": outcome.compute_percentile(first_token_times, 0.95),
         "gap_p95_ms": outcome.compute_percentile(gaps, 0.95),
         "gap_max_ms": max(gaps, default=0.0),
     }
 
 
 def format_table(summary: dict[str, typing.Any]) -> str:
-    """Return a summary as text.
+    """Return a summary as a table.
 
-    :param summary: what :func:`summarise` returned
-    :returns: lines, one for each account and kind, then refusals by code
+    :param summary: the result of :func:`summarise`
+    :returns: a line per account and kind, then a line per rejection code
     """
     total = {"account": "all", "kind": ""} | summary["all"]
     rows = [[title for _, title in COLUMNS]] + [
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -152,7 +152,8 @@
             connection.close()
         reservation = self._pop_reservation(label)
         if reservation is not None:
-            # Otherwise the KV blocks stay reserved until it expires.
+            # Otherwise the KV blocks stay reserved until the reservation
+            # expires.
             self._call_control(
                 "DELETE", f"{wire.CANCEL_RESERVATION_PATH}/{reservation.name}"
             )
--- a/tests/test_admin_processes.py
+++ b/tests/test_admin_processes.py
@@ -1,4 +1,4 @@
-"""Operators' commands through real processes."""
+"""Tests of the operators' commands against real processes."""
 
 import concurrent.futures
 import unittest
@@ -11,7 +11,7 @@
 
 
 class AdminTest(unittest.TestCase):
-    """All tests use one fleet; each begins with the sample tables."""
+    """All tests share one fleet; each starts with the sample tables."""
 
     @classmethod
     def setUpClass(cls):
@@ -49,23 +49,23 @@
     def test_commands(self):
         fleet = self.fleet
         self.check_in_force()
-        shown = fleet.run_admin_command("show")[1]
-        self.assertNotIn("upstream-secret", shown["text"])
-        # What is shown can be applied again and keeps the credential.
-        file = fleet.write("same.toml", shown["text"])
+        tables = fleet.run_admin_command("show")[1]
+        self.assertNotIn("upstream-secret", tables["text"])
+        # The output of show can be applied again and keeps the credential.
+        file = fleet.write("same.toml", tables["text"])
         self.assertEqual(fleet.run_admin_command("diff", file)[1]["lines"], [])
-        status, refused = fleet.run_admin_command(
+        status, rejected = fleet.run_admin_command(
             "apply", file, "--revision=0"
         )
         self.assertEqual(status, 1)
-        self.assertEqual(refused["error"]["code"], "conflict")
-        self.assertEqual(refused["error"]["run"], "not_run")
+        self.assertEqual(rejected["error"]["code"], "conflict")
+        self.assertEqual(rejected["error"]["run"], "not_run")
         revision = f"--revision={self.first}"
         self.assertEqual(
             fleet.run_admin_command("apply", file, revision)[0], 0
         )
-        status, refused = fleet.run_admin_command("delete", "pools.lm-pool")
-        self.assertEqual(refused["error"]["peer"], "routes.lm.pool")
+        status, rejected = fleet.run_admin_command("delete", "pools.lm-pool")
+        self.assertEqual(rejected["error"]["peer"], "routes.lm.pool")
         row = fleet.write("row.toml", ROW.format(rate=5))
         put = fleet.run_admin_command(
             "put", "accounts.new", row, "--digest=absent"
@@ -85,40 +85,38 @@
         self.assertEqual({edit["operator"] for edit in history}, {"ann"})
 
     def test_keys(self):
-        """A key is withdrawn and must be gone from every VM; a key that was
-        given twice by a repeated call would be one that nobody knows of.
+        """Guards against a revoked key that some VM still accepts, and against
+        a second, unknown key from a retry of an edit.
         """
         fleet = self.fleet
-        given = fleet.run_admin_command("give-key", "tea", "--edit_id=k1")[1]
-        digest = samples.digest(given["key"])
+        issued = fleet.run_admin_command("give-key", "tea", "--edit_id=k1")[1]
+        digest = samples.digest(issued["key"])
         self.assertIn(digest, self.read_tables()["text"])
-        self.check_in_force(str(given["revision"]))
-        refused = 401
+        self.check_in_force(str(issued["revision"]))
+        unauthorized = 401
         for number in range(fleet.count):
-            # No upstream runs; only the key's own refusal matters here.
-            status = fleet.call_router(number, given["key"])
-            self.assertNotEqual(status, refused)
-        status, repeated = fleet.run_admin_command(
+            # No upstream runs; only a rejection of the key matters here.
+            status = fleet.call_router(number, issued["key"])
+            self.assertNotEqual(status, unauthorized)
+        status, retried = fleet.run_admin_command(
             "give-key", "tea", "--edit_id=k1"
         )
-        self.assertEqual(repeated["error"]["run"], "ran")
-        taken = fleet.run_admin_command(
+        self.assertEqual(retried["error"]["run"], "ran")
+        revoked = fleet.run_admin_command(
             "withdraw-key", "tea", digest[:8], admin=1
         )[1]
-        self.check_in_force(str(taken["revision"]))
+        self.check_in_force(str(revoked["revision"]))
         for number in range(fleet.count):
-            status = fleet.call_router(number, given["key"])
-            self.assertEqual(status, refused)
+            status = fleet.call_router(number, issued["key"])
+            self.assertEqual(status, unauthorized)
             status = fleet.call_router(number, "tea-key")
-            self.assertNotEqual(status, refused)
+            self.assertNotEqual(status, unauthorized)
         text = self.read_tables()["text"]
         self.assertNotIn(digest, text)
         self.assertIn(samples.digest("tea-key"), text)
 
-    def test_stranger(self):
-        """Somebody who reaches the port without a credential wants to see
-        the tables or to change them.
-        """
+    def test_invalid_credential(self):
+        """Guards against access to the tables without a valid credential."""
         for words in (("show",), ("delete", "routes.lm")):
             status, answer = self.fleet.run_admin_command(
                 *words, credential="guess"
@@ -127,9 +125,8 @@
         self.assertIn("[routes.lm]", self.read_tables()["text"])
 
     def test_lost_replies(self):
-        """The platform's replies are lost after the writes took effect.
-        The operator must hear that the edit is accepted, and it must be
-        there once.
+        """Guards against a false failure or a duplicate edit: the platform's
+        responses are lost after the writes have taken effect.
         """
         for number in range(3):
             self.fleet.fault(lost_writes=3)
@@ -144,8 +141,8 @@
         self.assertEqual(len(self.read_history()), 3)
 
     def test_racing_operators(self):
-        """Twelve operators edit through two administration APIs at once,
-        each another row, and no edit may get lost.
+        """Guards against lost edits: twelve operators edit different rows
+        concurrently through two administration APIs.
         """
 
         def put(number):
@@ -166,8 +163,9 @@
         self.check_in_force()
 
     def test_outage(self):
-        """The platform is down.  An edit is refused truly, the VMs go on,
-        and a VM that is replaced meanwhile gets the tables from the others.
+        """Guards against a false outcome of an edit in an outage of the
+        platform, and against VMs without tables: a VM that is replaced
+        meanwhile gets them from its peers.
         """
         self.check_in_force()
         self.fleet.fault(outage=True)
@@ -184,10 +182,10 @@
         self.assertEqual(reply.status, 200, reply.body)
         self.check_in_force(str(self.first + 1))
 
-    def test_platform_from_an_old_copy(self):
-        """The platform's operators restore it from yesterday's copy.  The
-        VMs keep what was accepted since; edits are refused until the
-        platform is brought forward, and nothing that was accepted is lost.
+    def test_restore_after_rollback(self):
+        """Guards against the loss of accepted edits after the platform's store
+        was restored from an old backup: VMs keep the newer tables, and edits
+        are rejected until the restore command has run.
         """
         root = "/apis/mulberryway.dev/v1/roots/root"
         old = self.fleet.call_platform("GET", root).json()["value"]
@@ -200,8 +198,8 @@
         body = {"metadata": metadata, "value": old}
         reply = self.fleet.call_platform("PUT", root, body)
         self.assertEqual(reply.status, 200, reply.body)
-        refused = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
-        self.assertEqual(refused.json()["error"]["run"], "not_run")
+        rejected = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
+        self.assertEqual(rejected.json()["error"]["run"], "not_run")
         self.check_in_force(str(accepted))
         status, answer = self.fleet.run_admin_command("restore")
         self.assertEqual((status, answer["revision"]), (0, accepted + 1))
@@ -212,9 +210,9 @@
         reply = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
         self.assertEqual(reply.json()["revision"], accepted + 2)
 
-    def test_bad_requests(self):
-        """Bodies that cannot be read leave the connection in a known state
-        and change nothing.
+    def test_malformed_requests(self):
+        """Guards against malformed bodies that change the tables or stop the
+        server.
         """
         for path, body, status in (
             ("/v1/tables", b"{", 400),
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The offline check of settings and tables."""
+"""Tests of the offline validation of settings and tables."""
 
 import pathlib
 import subprocess
@@ -32,9 +32,9 @@
             timeout=60,
         )
 
-    def test_places(self):
+    def test_messages_name_the_location(self):
         bad = samples.TABLES.replace('pool = "lm-pool"', 'pool = "no"')
-        for checked, parts in (
+        for message, parts in (
             (
                 check.check_tables(self.write("bad.toml", bad)),
                 ("bad.toml", "routes.lm.pool", "expected a pool"),
@@ -51,11 +51,11 @@
             ),
         ):
             for part in parts:
-                self.assertIn(part, checked)
+                self.assertIn(part, message)
         good = self.write("good.toml", samples.TABLES)
         self.assertIsNone(check.check_tables(good))
 
-    def test_status(self):
+    def test_exit_status(self):
         good = self.write("good.toml", samples.TABLES)
         bad = self.write("bad.toml", "[rutes]")
         self.assertEqual(self.run_check(f"--tables={good}").returncode, 0)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load program: its plans, its callers and its report."""
+"""Tests of the load generator: plans, calls and report."""
 
 import json
 import pathlib
@@ -35,7 +35,7 @@
             file.write_text(text, encoding="utf-8")
             return plan.read_plan(str(file))
 
-    def test_same_seed_same_calls(self):
+    def test_calls_depend_only_on_the_seed(self):
         calls = [
             [
                 (call.at_ms, call.prompt, call.max_tokens)
@@ -54,7 +54,7 @@
         self.assertNotEqual(first.prompt, second.prompt)
         self.assertIn(answers.count_prompt_tokens(first.prompt), (100, 101))
 
-    def test_bad_plans(self):
+    def test_invalid_plans(self):
         for text, key in (
             (GOOD + "rat = 1", "caller[0].rat"),
             (GOOD.replace('key = "k"', ""), "caller[0]"),
@@ -70,7 +70,7 @@
 
 
 class OutcomeTest(unittest.TestCase):
-    def test_good_means_whole_and_in_time(self):
+    def test_complete_stream_meets_both_targets(self):
         found = outcome.Outcome(0, "a", "stream")
         found.first_ms = 1_100
         found.gaps_ms = [63.0] * 95 + [500.0] * 5
@@ -99,7 +99,7 @@
         json.dumps([item.to_json() for item in outcomes])
         return plan.plan_calls(plan_), outcomes, summary
 
-    def test_streams_and_whole_answers_arrive_as_generated(self):
+    def test_completions_arrive_as_generated(self):
         for kind in ("stream", "whole"):
             row = make_caller(
                 kind=kind,
@@ -109,20 +109,20 @@
             )
             calls, outcomes, summary = self.run_calls(self.engine, row)
             for call, found in zip(calls, outcomes, strict=True):
-                wanted = answers.Answer("m", call.prompt, call.max_tokens)
-                self.assertEqual(found.text, wanted.text())
+                expected = answers.Answer("m", call.prompt, call.max_tokens)
+                self.assertEqual(found.text, expected.text())
                 self.assertTrue(found.is_whole and found.in_order)
             self.assertEqual(summary["all"]["whole"], 8)
 
-    def test_refusals_are_counted_by_code(self):
+    def test_rejections_are_counted_by_code(self):
         row = make_caller(burst=3, model="unknown")
         _, _, summary = self.run_calls(self.engine, row)
         self.assertEqual(summary["all"]["refused"], 3)
         self.assertEqual(sum(summary["all"]["refusals"].values()), 3)
 
-    def test_plain_call_is_repeated_only_when_it_is_safe(self):
-        """A booking's reply is lost.  A caller whose call bears no id may
-        not send it again, or the booking would be made twice.
+    def test_plain_call_is_retried_only_if_idempotent(self):
+        """Guards against a duplicate booking: its response is lost, and the
+        call has no idempotency key, so it must not be retried.
         """
         for once, whole in ((False, 0), (True, 1)):
             processes.call(
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What the logs of several VMs add up to."""
+"""Tests of the summary of losses from the logs of several VMs."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 def make_end(request_id, time_ms, **fields):
-    """Return the line of a stream's end, on time unless told otherwise."""
+    """Return the log line of a stream's end; by default within targets."""
     return {
         "time_ms": time_ms,
         "vm": "vm0",
@@ -23,8 +23,8 @@
     } | fields
 
 
-def make_choice(request_id, time_ms, prefill, decode):
-    """Return the line of a choice of engines."""
+def make_selection(request_id, time_ms, prefill, decode):
+    """Return the log line of a selection of engines."""
     return {
         "time_ms": time_ms,
         "vm": "vm0",
@@ -37,9 +37,9 @@
 
 
 class LossesTest(unittest.TestCase):
-    def test_late_first_piece_by_its_longest_step(self):
-        """A burst fills the engines.  Callers get their first piece late,
-        and whoever looks for the cause must see which step held them up.
+    def test_late_first_token_by_longest_step(self):
+        """Guards against late first tokens that are counted under another
+        step than the longest one.
         """
         lines = [
             make_end("a", 1, first_ms=1_200, queued_ms=900),
@@ -57,27 +57,27 @@
             losses.summarize(lines).outcomes,
         )
 
-    def test_late_pause_with_the_prompts_read_beside_it(self):
-        """An engine reads two prompts between the tokens of a stream, whose
-        caller waits too long in the middle of the answer.
+    def test_long_gap_with_concurrent_prefills(self):
+        """Guards against a wrong number of chunked prefills during a stream
+        with a long inter-token gap: its engine started two.
         """
         lines = [
-            make_choice("a", 1_000, "e0", "e1"),
-            make_choice("b", 1_500, "e1", "e1"),
-            make_choice("c", 1_600, "e1", "e1"),
-            make_choice("d", 1_600, "e2", "e2"),
+            make_selection("a", 1_000, "e0", "e1"),
+            make_selection("b", 1_500, "e1", "e1"),
+            make_selection("c", 1_600, "e1", "e1"),
+            make_selection("d", 1_600, "e2", "e2"),
             make_end("a", 2_000, gap_ms=450),
         ]
-        found = losses.summarize(lines)
-        self.assertEqual({losses.GAP_EXCEEDED: 1}, found.outcomes)
-        self.assertEqual({400: [2]}, found.gaps)
+        summary = losses.summarize(lines)
+        self.assertEqual({losses.GAP_EXCEEDED: 1}, summary.outcomes)
+        self.assertEqual({400: [2]}, summary.gaps)
 
-    def test_prompts_read_in_vain_by_cause(self):
-        """A decode engine refuses a prompt that was read for it, and another
-        prompt's reader gives no answer.  Both were work for nobody.
+    def test_wasted_prefills_by_cause(self):
+        """Guards against wasted prefills that are not counted: a decode engine
+        rejects a prefilled prompt, and a prefill gets no response.
         """
         lines = [
-            make_choice("a", 1_000, "e0", "e1"),
+            make_selection("a", 1_000, "e0", "e1"),
             {
                 "time_ms": 1_100,
                 "message": losses.PREFILL_OUTCOME_UNKNOWN,
@@ -105,8 +105,8 @@
         )
 
     def test_failures_and_the_report(self):
-        """A stream is refused, and one breaks off in the middle; a plain
-        call's line counts as neither.
+        """Guards against plain calls that are counted as streams, and checks
+        a rejected and an interrupted stream in the report.
         """
         failed = {"step": "queue", "code": "overloaded"}
         lines = [
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, as docs/OPERATIONS.md tells it."""
+"""Tests that request timelines match the examples in docs/OPERATIONS.md."""
 
 import re
 import subprocess
@@ -10,16 +10,16 @@
 from tests import processes
 
 PAGE = processes.ROOT / "docs" / "OPERATIONS.md"
-# A line of the page's output: time, VM, message, fields.
+# A line of the example output: time, VM, message, fields.
 OUTPUT = re.compile(
     r"^ +[+-]\d+ ms  (vm\d)  ([a-z' ]+?)  (\S.*)$", re.MULTILINE
 )
-# Fields that the page points the reader to, with their values.
+# Fields, with their values, that the page explains.
 FIELD = re.compile(r"(code|step|run|decode|reason)=([a-z_]+)")
 
 
-def read_story(fleet, attempt, *flags):
-    """Run the command of the page and return what it prints."""
+def read_timeline(fleet, attempt, *flags):
+    """Run the command from the page and return its output."""
     files = [fleet.find_log(number) for number in range(len(fleet.vms))]
     done = subprocess.run(
         [
@@ -39,7 +39,7 @@
 
 
 def read_page(attempt):
-    """Return messages and fields that the page shows for a request."""
+    """Return the lines that the page shows for a request."""
     text = PAGE.read_text(encoding="utf-8")
     block = text.partition(f"--id={attempt}")[2].split("```")[1]
     return OUTPUT.findall(block)
@@ -47,32 +47,33 @@
 
 class OperationsTest(unittest.TestCase):
     def check(self, fleet, attempt, *flags):
-        """Compare what the command prints with what the page shows."""
+        """Compare the output of the command with the example on the page."""
         shown = read_page(attempt)
         self.assertTrue(shown, attempt)
-        story = processes.wait_until(
+        timeline = processes.wait_until(
             lambda: (
                 found
-                if "a request ended" in (found := read_story(fleet, attempt))
+                if "a request ended"
+                in (found := read_timeline(fleet, attempt))
                 else ""
             ),
             5,
         )
-        found = OUTPUT.findall(story)
+        found = OUTPUT.findall(timeline)
         self.assertEqual(
             [message for _, message, _ in shown],
             [message for _, message, _ in found],
-            story,
+            timeline,
         )
         for one, other in zip(shown, found, strict=True):
             self.assertEqual(
-                FIELD.findall(one[2]), FIELD.findall(other[2]), story
+                FIELD.findall(one[2]), FIELD.findall(other[2]), timeline
             )
-        return story
+        return timeline
 
-    def test_refusal_within_the_rate(self):
-        """A member is refused although it is within its rate: the other VM
-        has fallen silent, and its part of the rate was left to it.
+    def test_rejection_below_the_rate_limit(self):
+        """Checks that the log explains a rejection below the rate limit: the
+        other VM is unresponsive and keeps its fraction of the rate.
         """
         with hosted_fleet.Fleet(rate=1_000) as fleet:
             time.sleep(1.5)
@@ -85,12 +86,12 @@
                 if reply.status == 429:
                     break
             self.assertEqual(reply.status, 429)
-            story = read_story(fleet, f"refused-{number}.")
-            self.assertIn("part=0.5", story)
-            self.assertIn("over_allowance", story)
-            self.assertIn("heard_ms=", story)
+            timeline = read_timeline(fleet, f"refused-{number}.")
+            self.assertIn("part=0.5", timeline)
+            self.assertIn("over_allowance", timeline)
+            self.assertIn("heard_ms=", timeline)
 
-    def test_stream_that_broke_off(self):
+    def test_interrupted_stream(self):
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e1", cut_after=7)
             reply = fleet.send(
@@ -99,7 +100,7 @@
             self.assertTrue(reply.is_cut)
             self.check(fleet, "broken-1")
 
-    def test_booking_whose_answer_was_lost(self):
+    def test_booking_with_a_lost_response(self):
         with hosted_fleet.Fleet(1) as fleet:
             for name in ("s0", "s1"):
                 fleet.set_fault(name, lose_answer=1)
@@ -107,7 +108,7 @@
             self.assertEqual(reply.status, 502)
             self.check(fleet, "booking-1")
 
-    def test_refused_stream(self):
+    def test_rejected_stream(self):
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e1", full=1)
             reply = fleet.send(
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages: their settings, tables and commands work."""
+"""Tests of the settings, tables and commands on the operators' pages."""
 
 import os
 import pathlib
@@ -18,18 +18,18 @@
     "mulberryway": "mulberryway.commands.operate",
     "mulberryway-check": "mulberryway.commands.check",
 }
-GUARD_S = 60
+TIMEOUT_S = 60
 BLOCK = re.compile(r"```(\w+)\n(.*?)```", re.DOTALL)
 
 
 def read_blocks(page, kind):
-    """Return the blocks of one kind of a page, in order."""
+    """Return the code blocks of one language on a page, in order."""
     text = (PAGES / page).read_text(encoding="utf-8")
     return [body for name, body in BLOCK.findall(text) if name == kind]
 
 
 class SetupPageTest(unittest.TestCase):
-    """A new operator follows the page on setting up, word for word."""
+    """Runs the commands of the setup page in order."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -45,7 +45,7 @@
         )
 
     def write_settings(self):
-        """Write the page's settings, with ports that are free here."""
+        """Write the settings of the page with free ports."""
         text = read_blocks("setup.md", "toml")[0]
         digest = tables.digest_key(CREDENTIAL)
         for old, new in (
@@ -73,10 +73,10 @@
             env=environment,
             capture_output=True,
             text=True,
-            timeout=GUARD_S,
+            timeout=TIMEOUT_S,
         )
 
-    def test_page(self):
+    def test_setup_page(self):
         flag = f"--settings={self.folder / 'vm.toml'}"
         for name, ports in (
             ("router", [self.router, self.peers]),
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter reads: configurations, entries, answers and callers."""
+"""Tests of the platform adapter: tables, responses and reservations."""
 
 import copy
 import socket
@@ -90,7 +90,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_routes_say_what_may_be_repeated(self):
+    def test_idempotency_of_routes(self):
         found = read()
         talk, book = found.routes["r-1"], found.routes["r-2"]
         self.assertTrue(talk.idempotent)
@@ -100,58 +100,58 @@
         self.assertEqual((book.pool, book.shares), ("app", ()))
         self.assertEqual(talk.max_attempts, 2)
 
-    def test_engine_shape(self):
+    def test_engine_parameters(self):
         pool = read().pools["llm"]
         self.assertIs(pool.kind, tables.PoolKind.MODEL)
         self.assertEqual(pool.kv_capacity_tokens, 96_693)
         self.assertEqual(pool.link_bytes_per_s, 675_000_000_000)
         self.assertEqual(pool.role_switch_ms, 6_000)
 
-    def test_shortest_target_for_pauses_of_a_pools_routes(self):
-        """Two routes lead to one pool, and one wants shorter pauses.  An
-        engine that reads prompts by the longer target keeps the callers of
-        the other waiting.
+    def test_lowest_gap_target_of_a_pools_routes(self):
+        """Guards against chunked prefills that are sized by the higher gap
+        target of two routes to a pool, so that streams of the other route
+        miss theirs.
         """
         changed = copy.deepcopy(CONFIGURATION)
         talk = changed["routes"][0]
-        brisk = talk | {"name": "r-3", "target_gap_ms": 200}
-        brisk["traffic_split"] = [{"service": "llm", "weight": 5}]
-        changed["routes"].append(brisk)
+        stricter = talk | {"name": "r-3", "target_gap_ms": 200}
+        stricter["traffic_split"] = [{"service": "llm", "weight": 5}]
+        changed["routes"].append(stricter)
         pools = read(changed).pools
         self.assertEqual(pools["llm"].pause_ms, 200)
         self.assertEqual(pools["app"].pause_ms, 0)
         self.assertEqual(read().pools["llm"].pause_ms, 300)
 
-    def test_accounts_by_the_digest_of_their_key(self):
+    def test_find_account_by_key_digest(self):
         found = read().find_account(tables.digest_key("key-1"))
         self.assertEqual((found.name, found.rate), ("t-1", 72_504))
 
-    def test_without_accounts_everybody_may_come(self):
+    def test_routes_are_public_without_accounts(self):
         changed = copy.deepcopy(CONFIGURATION)
         del changed["tenants"]
         self.assertTrue(read(changed).routes["r-2"].is_public)
 
-    def test_nothing_is_known_before_the_first(self):
+    def test_no_tables_without_a_configuration(self):
         reader = platform_tables.TablesReader()
         self.assertIsNone(reader.read({}, [], 1))
 
 
 class EntryTest(unittest.TestCase):
-    def test_entry_names_a_server(self):
+    def test_valid_entry(self):
         (row,) = read(CONFIGURATION, ENTRY).pools["llm"].upstreams
         self.assertEqual((row.name, row.address), ("i-0", "10.0.0.1:80"))
         self.assertIs(row.role, tables.UpstreamRole.DECODE)
         self.assertFalse(row.leaving)
 
-    def test_server_that_leaves(self):
+    def test_draining_server(self):
         entry = ENTRY | {"state": "draining"}
         (row,) = read(CONFIGURATION, entry).pools["llm"].upstreams
         self.assertTrue(row.leaving)
 
-    def test_earlier_life_at_an_address_is_passed_over(self):
-        """A prefill engine crashes and starts again under another name, while
-        its old entry has not lapsed yet.  Prompts would go to a life that has
-        ended, and the pool would seem to have an engine too many.
+    def test_previous_incarnation_is_ignored(self):
+        """Guards against prompts for a previous incarnation: an engine crashed
+        and restarted under another name before its old entry expired, and
+        the pool seems to have one engine too many.
         """
         entries = [
             ENTRY | {"born": 1_000},
@@ -161,9 +161,9 @@
         rows = read(CONFIGURATION, *entries).pools["llm"].upstreams
         self.assertEqual(["i-1", "i-2"], [row.name for row in rows])
 
-    def test_address_that_passed_on_to_another_service(self):
-        """An engine's address is used again by a plain service.  Requests for
-        the engine would reach a stranger.
+    def test_address_reused_by_another_service(self):
+        """Guards against requests for an engine that reach a plain service,
+        because the service reuses the engine's address.
         """
         found = read(
             CONFIGURATION,
@@ -173,16 +173,16 @@
         self.assertEqual((), found.pools["llm"].upstreams)
         self.assertEqual(1, len(found.pools["app"].upstreams))
 
-    def test_entry_that_does_not_say_when_it_began(self):
+    def test_entry_without_start_time(self):
         entries = [ENTRY | {"born": 1_000}, ENTRY]
         rows = read(CONFIGURATION, *entries).pools["llm"].upstreams
         self.assertEqual(["i-0", "i-1"], [row.name for row in rows])
 
-    def test_entries_of_other_writers_are_passed_over(self):
-        """Somebody else writes entries with missing fields and other types.
-        A VM that stumbled over one would lose sight of all servers.
+    def test_malformed_entries_are_ignored(self):
+        """Guards against the loss of all servers because one entry has
+        missing fields or values of other types.
         """
-        strange = [
+        malformed = [
             {},
             ENTRY | {"address": 7},
             ENTRY | {"address": "nowhere"},
@@ -191,38 +191,38 @@
             ENTRY | {"service": ["llm"]},
             {name: value for name, value in ENTRY.items() if name != "zone"},
         ]
-        found = read(CONFIGURATION, *strange, ENTRY).pools["llm"].upstreams
+        found = read(CONFIGURATION, *malformed, ENTRY).pools["llm"].upstreams
         self.assertEqual([row.name for row in found], ["i-7"])
 
 
-class AnswerTest(unittest.TestCase):
+class ResponseFaultTest(unittest.TestCase):
     def read(self, status, *headers):
         return responses.make_response_fault(
             status, list(headers), b"x", "10.0.0.1:80", errors.Step.DECODE
         )
 
-    def test_refusal_is_not_run(self):
+    def test_rejection_is_not_run(self):
         for status in (503, 429, 400):
             fault = self.read(status, ("not-executed", "1"))
             self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
         self.assertIs(self.read(421).run, errors.ExecutionStatus.NOT_RUN)
 
-    def test_own_failure_has_run_and_goes_on(self):
+    def test_upstream_failure_is_passed_on(self):
         fault = self.read(500, ("Server-Seal", "s"), ("Content-Length", "1"))
         self.assertIs(fault.run, errors.ExecutionStatus.RAN)
         self.assertEqual(fault.answer.status, 500)
         self.assertEqual(fault.answer.headers, [("Server-Seal", "s")])
 
-    def test_503_without_a_promise_may_have_run(self):
+    def test_503_without_not_executed_has_run(self):
         fault = self.read(503, ("Server-Seal", "s"))
         self.assertIs(fault.run, errors.ExecutionStatus.RAN)
 
-    def test_answer_to_another_request_is_nobodys(self):
+    def test_response_to_another_request(self):
         fault = self.read(500)
         self.assertIs(fault.run, errors.ExecutionStatus.MAY_HAVE_RUN)
         self.assertIsNone(fault.answer)
 
-    def test_headers_for_an_upstream(self):
+    def test_request_headers(self):
         found = responses.make_request_headers(
             [
                 ("Host", "site.example"),
@@ -246,27 +246,29 @@
 
 
 class HandleTest(unittest.TestCase):
-    def test_nothing_is_remembered_of_what_went_well(self):
-        """Each stream leaves the name of its KV cache behind.  Kept for
-        ever, they would fill a VM's memory in days.
+    def test_handle_is_removed_after_use(self):
+        """Guards against a memory leak: one KV cache handle per successful
+        stream would fill a VM's memory in days.
         """
-        one = engine.PlatformEngine("i-1", "10.0.0.1:80", clock.ManualClock())
+        engine_ = engine.PlatformEngine(
+            "i-1", "10.0.0.1:80", clock.ManualClock()
+        )
         label = upstreams.AttemptLabel("r-1", "vm1", 1)
         body = b'{"cache_handle": "h-1", "tokens": 100, "version": 1}'
-        found = one._parse_prefill(
+        found = engine_._parse_prefill(
             label, connections.Response(200, [], body)
         ).ok
-        self.assertEqual(len(one._handles), 1)
+        self.assertEqual(len(engine_._handles), 1)
         found.transfer["handle"].mark_used()
-        self.assertEqual(len(one._handles), 0)
-        self.assertFalse(one.cancel(label).ok)
+        self.assertEqual(len(engine_._handles), 0)
+        self.assertFalse(engine_.cancel(label).ok)
 
 
-class PreparedTest(unittest.TestCase):
-    def test_connection_of_an_attempt_that_was_given_up(self):
-        """A caller goes while the connection for its decode is being made, so
-        the cancel comes before there is anything to close.  The VM would keep
-        one open connection for each such caller, until it may open no more.
+class PreparedConnectionTest(unittest.TestCase):
+    def test_connection_of_a_cancelled_attempt_is_closed(self):
+        """Guards against a connection leak up to the limit of open files: a
+        caller disconnects while the connection for its decode is being
+        opened, so the cancel comes before there is anything to close.
         """
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
@@ -283,43 +285,43 @@
             self.assertEqual(connection.recv(1), b"")
 
 
-class RefusedRoomTest(unittest.TestCase):
-    def test_connection_to_an_engine_without_room_is_closed(self):
-        """Guards a VM against one open connection for each refused
-        reservation, until it may open no more.
+class RejectedReservationTest(unittest.TestCase):
+    def test_connection_to_a_full_engine_is_closed(self):
+        """Guards against a leak of one connection for each rejected
+        reservation, up to the limit of open files.
         """
-        refusal = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+        rejection = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
             made = engine.PlatformEngine(
                 "i-1", f"{host}:{port}", clock.SystemClock()
             )
             label = upstreams.AttemptLabel("r-1", "vm0", 1)
-            taken = []
+            sockets = []
 
-            def refuse():
-                taken.append(listener.accept()[0])
+            def reject():
+                sockets.append(listener.accept()[0])
                 control, _ = listener.accept()
                 control.recv(65_536)
-                control.sendall(refusal)
-                taken.append(control)
+                control.sendall(rejection)
+                sockets.append(control)
 
-            thread = threading.Thread(target=refuse)
+            thread = threading.Thread(target=reject)
             thread.start()
             fault = made.prepare(
                 label, upstreams.ReservationRequest(100, 2_000)
             ).error
             thread.join()
-            for connection in taken:
+            for connection in sockets:
                 self.addCleanup(connection.close)
             self.assertIs(fault.step, errors.Step.RESERVE)
             self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
-            taken[0].settimeout(1.0)
-            self.assertEqual(taken[0].recv(1), b"")
+            sockets[0].settimeout(1.0)
+            self.assertEqual(sockets[0].recv(1), b"")
 
 
 class WireTest(unittest.TestCase):
-    def test_numbers(self):
+    def test_parse_integer(self):
         self.assertEqual(wire.parse_integer(3.0), 3)
         for value in (True, "3", 2.5, None, -1):
             with self.assertRaises(ValueError):
