--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -131,7 +131,7 @@
             operator, changes.AddKey(account, digest), edit_id
         )
         return issued.bind(
-            lambda answer: self._check_issued(answer, account, key, digest)
+            lambda response: self._check_issued(response, account, key, digest)
         )
 
     def revoke_key(
@@ -241,7 +241,7 @@
 
     def _check_issued(
         self,
-        answer: responses.EditResponse,
+        response: responses.EditResponse,
         account: str,
         key: str,
         digest: str,
@@ -259,14 +259,14 @@
         if row is None or digest not in row.key_digests:
             return _reject(
                 errors.Code.CONFLICT,
-                f"edit {answer.edit_id} has already issued a key, or the key "
-                "was revoked; a key is shown only once, so revoke it and "
+                f"edit {response.edit_id} has already issued a key, or the "
+                "key was revoked; a key is shown only once, so revoke it and "
                 "issue another",
                 errors.ExecutionStatus.RAN,
             )
         return expression.Ok(
             responses.KeyResponse(
-                answer.edit_id, answer.revision, account, key, digest
+                response.edit_id, response.revision, account, key, digest
             )
         )
 
--- a/mulberryway/admin/history.py
+++ b/mulberryway/admin/history.py
@@ -41,12 +41,12 @@
         "summary": edit.describe(),
         "retired": sorted({*replaced, root.history} - {roots.EMPTY_DIGEST}),
     }
-    kept = [*past, entry][-MAX_EDITS:]
+    retained = [*past, entry][-MAX_EDITS:]
     # Only the garbage collection uses the replaced digests, and only those
     # of recent edits.  They are dropped from older entries, because an apply
     # of all tables replaces every segment.
-    old = [{**entry, "retired": []} for entry in kept[:-RETAINED_ROOTS]]
-    return old + kept[-RETAINED_ROOTS:]
+    older = [{**entry, "retired": []} for entry in retained[:-RETAINED_ROOTS]]
+    return older + retained[-RETAINED_ROOTS:]
 
 
 def find_edit(past: list[HistoryEntry], edit_id: str) -> int | None:
--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -108,7 +108,7 @@
 
 
 def reject_stale_root() -> expression.Result[typing.Any, errors.Fault]:
-    """Return the fault for a root older than one that is known."""
+    """Return the fault for an outdated root from the platform."""
     return expression.Error(
         errors.Fault(
             errors.Code.PLATFORM_UNAVAILABLE,
--- a/mulberryway/admin/text_output.py
+++ b/mulberryway/admin/text_output.py
@@ -18,48 +18,49 @@
 MS_IN_S = 1000
 
 
-def format_tables(answer: JsonObject) -> str:
+def format_tables(response: JsonObject) -> str:
     """Return the tables, after a line with the revision for ``apply``.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
-    return f"# revision {answer['revision']}\n{answer['text']}"
+    return f"# revision {response['revision']}\n{response['text']}"
 
 
-def format_diff(answer: JsonObject) -> str:
+def format_diff(response: JsonObject) -> str:
     """Return the differences, one per line.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
-    return "\n".join(answer["lines"] or ["no difference"])
+    return "\n".join(response["lines"] or ["no difference"])
 
 
-def format_edit(answer: JsonObject) -> str:
+def format_edit(response: JsonObject) -> str:
     """Return the revision and the id of an accepted edit.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
     return (
-        f"accepted as revision {answer['revision']}, edit {answer['edit_id']}"
+        f"accepted as revision {response['revision']}, "
+        f"edit {response['edit_id']}"
     )
 
 
-def format_key(answer: JsonObject) -> str:
+def format_key(response: JsonObject) -> str:
     """Return a new key and how to revoke it.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
     return (
-        f"{answer['key']}\n"
-        f"shown this once; works for {answer['account']} from revision "
-        f"{answer['revision']} on; withdraw it as {answer['digest'][:8]}"
+        f"{response['key']}\n"
+        f"shown this once; works for {response['account']} from revision "
+        f"{response['revision']} on; withdraw it as {response['digest'][:8]}"
     )
 
 
-def format_history(answer: JsonObject) -> str:
+def format_history(response: JsonObject) -> str:
     """Return past edits, one per line.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
     return _align(
         [
@@ -70,28 +71,28 @@
                 edit["edit_id"],
                 edit["summary"],
             )
-            for edit in answer["edits"]
+            for edit in response["edits"]
         ]
     )
 
 
-def format_rollout(answer: JsonObject) -> str:
+def format_rollout(response: JsonObject) -> str:
     """Return the progress of a revision and the state of each VM.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
-    state = "in force" if answer["is_in_force"] else "not yet in force"
-    waiting = ", ".join(answer["waiting_for"])
-    head = f"revision {answer['revision']}: {state}"
+    state = "in force" if response["is_in_force"] else "not yet in force"
+    waiting = ", ".join(response["waiting_for"])
+    head = f"revision {response['revision']}: {state}"
     if waiting:
         head += f"; waiting for {waiting}"
-    return f"{head}\n{_format_vms(answer['vms'])}"
+    return f"{head}\n{_format_vms(response['vms'])}"
 
 
-def format_status(answer: JsonObject) -> str:
+def format_status(response: JsonObject) -> str:
     """Return the state of VMs, pools and client accounts.
 
-    :param answer: the JSON object of the response
+    :param response: the JSON object of the response
     """
     pools = [
         (
@@ -101,7 +102,7 @@
             " ".join(f"{k}={v}" for k, v in pool["upstreams"].items()),
             "leaving: " + (" ".join(pool["leaving"]) or "-"),
         )
-        for name, pool in answer["pools"].items()
+        for name, pool in response["pools"].items()
     ]
     accounts = [
         (
@@ -111,13 +112,13 @@
             f"weight={row['weight']}",
             "keys: " + (" ".join(row["keys"]) or "-"),
         )
-        for name, row in answer["accounts"].items()
+        for name, row in response["accounts"].items()
     ]
     return "\n".join(
         (
-            f"accepted revision {answer['revision']}",
+            f"accepted revision {response['revision']}",
             "\nVMs",
-            _format_vms(answer["vms"]),
+            _format_vms(response["vms"]),
             "\npools",
             _align(pools),
             "\nclient accounts",
--- a/mulberryway/commands/operate.py
+++ b/mulberryway/commands/operate.py
@@ -213,9 +213,9 @@
     if result.is_error():
         _print_fault(result.error, edit_id if command.is_edit else "")
         return FAILED_STATUS
-    answer = result.ok
-    print(json.dumps(answer) if FLAGS.json else command.show(answer))
-    return 0 if answer.get("is_in_force", True) else NOT_IN_FORCE_STATUS
+    response = result.ok
+    print(json.dumps(response) if FLAGS.json else command.show(response))
+    return 0 if response.get("is_in_force", True) else NOT_IN_FORCE_STATUS
 
 
 def _make_client() -> client.AdminClient:
--- a/mulberryway/load/report.py
+++ b/mulberryway/load/report.py
@@ -53,7 +53,7 @@
     gaps = [*itertools.chain.from_iterable(item.gaps_ms for item in items)]
     good = [item for item in items if item.meets_targets()]
     seconds = max(elapsed_ms, 1) / 1000
-    refusals = collections.Counter(
+    rejections = collections.Counter(
         f"{item.code} {item.run}" for item in items if not item.is_whole
     )
     return {
@@ -63,7 +63,7 @@
         "refused": sum(
             not item.is_whole and item.tokens == 0 for item in items
         ),
-        "refusals": dict(refusals),
+        "refusals": dict(rejections),
         "good": len(good),
         "goodput_calls_per_s": len(good) / seconds,
         "goodput_tokens_per_s": sum(item.tokens for item in good) / seconds,
@@ -89,11 +89,11 @@
     ]
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = ["  ".join(map(str.ljust, row, widths)).rstrip() for row in rows]
-    refusals = [
+    rejections = [
         f"{count} x {name}"
         for name, count in sorted(summary["all"]["refusals"].items())
     ]
-    return "\n".join(lines + refusals)
+    return "\n".join(lines + rejections)
 
 
 def _format(value: typing.Any) -> str:
--- a/mulberryway/platform/callers.py
+++ b/mulberryway/platform/callers.py
@@ -93,8 +93,8 @@
             return _reject(f"{wire.ATTEMPT_ID}: expected a non-empty id")
         # Two requests may carry the same attempt id, so the generated id is
         # appended to keep request ids unique.
-        own = exchange.request_id.rpartition("-")[2]
-        exchange.request_id = f"{attempt_id[:MAX_ID_LENGTH]}.{own}"
+        suffix = exchange.request_id.rpartition("-")[2]
+        exchange.request_id = f"{attempt_id[:MAX_ID_LENGTH]}.{suffix}"
         exchange.headers = [
             (name, value)
             for name, value in exchange.headers
@@ -127,8 +127,8 @@
             raise ValueError(
                 f"{wire.DEADLINE}: expected a decimal number of ms"
             )
-        own = clock.Deadline(exchange.arrived_ms + int(text))
-        exchange.deadline.at_ms = min(exchange.deadline.at_ms, own.at_ms)
+        requested = clock.Deadline(exchange.arrived_ms + int(text))
+        exchange.deadline.at_ms = min(exchange.deadline.at_ms, requested.at_ms)
 
     @staticmethod
     def _parse_token_counts(exchange: base.Exchange) -> None:
@@ -137,13 +137,13 @@
         if text is None:
             exchange.max_tokens = exchange.account.plain_tokens
             return
-        prompt, comma, most = text.partition(",")
-        if not comma or not (prompt + most).isdecimal():
+        prompt, comma, maximum = text.partition(",")
+        if not comma or not (prompt + maximum).isdecimal():
             raise ValueError(
                 f"{wire.TOKEN_COUNTS}: expected two decimal numbers"
             )
         exchange.estimate = int(prompt)
-        exchange.max_tokens = int(most)
+        exchange.max_tokens = int(maximum)
         hint = exchange.find_header(wire.LENGTH_HINT.lower()) or ""
         if hint.isdecimal():
             exchange.expected_tokens = int(hint)
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -114,12 +114,12 @@
             )
             if page.is_error():
                 return expression.Error(page.error)
-            found, page_revision, has_more = page.ok
-            objects += found
+            page_objects, page_revision, has_more = page.ok
+            objects += page_objects
             revision = page_revision if revision is None else revision
-            if not has_more or not found:
+            if not has_more or not page_objects:
                 return expression.Ok(base.Listing(objects, revision))
-            after = found[-1].name
+            after = page_objects[-1].name
 
     def poll(
         self, kind: str, revision: int, wait_ms: int, purpose: str
@@ -210,12 +210,12 @@
         """
         revision = from_version
         while True:
-            found = self.poll(kind, revision, idle_timeout_ms // 2, purpose)
-            if found.is_error():
-                yield expression.Error(found.error)
+            batch = self.poll(kind, revision, idle_timeout_ms // 2, purpose)
+            if batch.is_error():
+                yield expression.Error(batch.error)
                 return
-            revision = found.ok.revision
-            for event in found.ok.events:
+            revision = batch.ok.revision
+            for event in batch.ok.events:
                 yield expression.Ok(event)
             bookmark = base.StoredObject(kind, "", revision, {})
             yield expression.Ok(
@@ -231,14 +231,14 @@
         :returns: the list, or a fault
         """
         return self.read_all(VMS, purpose).map(
-            lambda found: [
+            lambda objects: [
                 base.ListedVm(
-                    one.name,
-                    str(one.value.get("address", "")),
-                    str(one.value.get("zone", "")),
+                    vm.name,
+                    str(vm.value.get("address", "")),
+                    str(vm.value.get("zone", "")),
                     False,
                 )
-                for one in found
+                for vm in objects
             ]
         )
 
@@ -325,10 +325,10 @@
         )
 
     def _parse(
-        self, read: collections.abc.Callable[[], T]
+        self, parse: collections.abc.Callable[[], T]
     ) -> expression.Result[T, errors.Fault]:
         try:
-            return expression.Ok(read())
+            return expression.Ok(parse())
         except PARSE_ERRORS as error:
             return expression.Error(
                 self._make_fault("PUT", True, f"malformed response: {error!r}")
--- a/mulberryway/platform/tables.py
+++ b/mulberryway/platform/tables.py
@@ -66,7 +66,7 @@
         if main.version != self._version:
             self._parse_configuration(main.value)
             self._version = main.version
-        found: dict[str, list[tables.Upstream]] = {}
+        upstreams: dict[str, list[tables.Upstream]] = {}
         kinds = {pool.name: pool.kind for pool in self._pools}
         parsed = [
             server
@@ -74,12 +74,12 @@
             if (server := _parse_server(entry, kinds)) is not None
         ]
         for server in _list_current(parsed):
-            found.setdefault(server.pool, []).append(server.row)
+            upstreams.setdefault(server.pool, []).append(server.row)
         return tables.Tables(
             revision,
             self._routes,
             tuple(
-                _set_upstreams(pool, tuple(found.get(pool.name, ())))
+                _set_upstreams(pool, tuple(upstreams.get(pool.name, ())))
                 for pool in self._pools
             ),
             self._accounts,
@@ -101,15 +101,21 @@
 def _parse_route(row: Value, allows_anonymous: bool) -> tables.Route:
     kind = wire.parse_string(row["kind"])
     is_streaming = kind == STREAMING
-    split = tuple(
+    weighted_pools = tuple(
         tables.WeightedPool(
-            wire.parse_string(part["service"]),
-            wire.parse_integer(part["weight"]),
+            wire.parse_string(split_row["service"]),
+            wire.parse_integer(split_row["weight"]),
         )
-        for part in row.get("traffic_split") or ()
+        for split_row in row.get("traffic_split") or ()
+    )
+    weighted_pools = tuple(
+        weighted for weighted in weighted_pools if weighted.weight
+    )
+    pool = (
+        weighted_pools[0].pool
+        if weighted_pools
+        else wire.parse_string(row["service"])
     )
-    split = tuple(weighted for weighted in split if weighted.weight)
-    pool = split[0].pool if split else wire.parse_string(row["service"])
     return tables.Route(
         wire.parse_string(row["name"]),
         wire.parse_string(row["path_prefix"]),
@@ -119,7 +125,7 @@
         ),
         timeout_ms=wire.parse_integer(row["timeout_ms"], 1),
         host=wire.parse_string(row["host"]).lower(),
-        shares=split if len(split) > 1 else (),
+        shares=weighted_pools if len(weighted_pools) > 1 else (),
         retries_safe_methods=False,
         is_public=allows_anonymous or bool(row.get("public")),
         is_streaming=is_streaming,
@@ -260,12 +266,12 @@
 
 
 def _set_upstreams(
-    pool: tables.Pool, found: tuple[tables.Upstream, ...]
+    pool: tables.Pool, upstreams: tuple[tables.Upstream, ...]
 ) -> tables.Pool:
     return tables.Pool(
         pool.name,
         pool.kind,
-        found,
+        upstreams,
         pool.models,
         slots=pool.slots,
         block_tokens=pool.block_tokens,
