--- a/mulberryway/commands/losses.py
+++ b/mulberryway/commands/losses.py
@@ -1,4 +1,4 @@
-"""Counts in logs why streams were late or failed, and prefills wasted."""
+"""Summarizes from logs the outcomes of streams and wasted prefills."""
 
 import collections
 import collections.abc
--- a/mulberryway/load/caller.py
+++ b/mulberryway/load/caller.py
@@ -25,7 +25,7 @@
 CONNECTION = "connection"
 
 
-def get_time_ms() -> float:
+def read_ms() -> float:
     """Return the monotonic time in ms, shared by all processes of a host."""
     return time.monotonic() * 1000
 
@@ -57,7 +57,7 @@
         :returns: ``host:port``
         """
         async with self._lock:
-            if get_time_ms() >= self._expires_ms:
+            if read_ms() >= self._expires_ms:
                 await self._resolve(session)
         candidates = self._addresses or [*self._seeds]
         untried = [
@@ -76,11 +76,11 @@
                     self._addresses = [
                         row["address"] for row in answer["addresses"]
                     ]
-                    self._expires_ms = get_time_ms() + answer["ttl_ms"]
+                    self._expires_ms = read_ms() + answer["ttl_ms"]
                     return
             except (aiohttp.ClientError, TimeoutError, KeyError, ValueError):
                 continue
-        self._expires_ms = get_time_ms() + RESOLVE_RETRY_MS
+        self._expires_ms = read_ms() + RESOLVE_RETRY_MS
 
 
 class LoadGenerator:
@@ -103,7 +103,7 @@
         async with aiohttp.ClientSession(
             timeout=timeout, connector=connector
         ) as self._session:
-            began_ms = get_time_ms()
+            began_ms = read_ms()
             tasks = [
                 asyncio.create_task(self._call_at(call, began_ms))
                 for call in plan.plan_calls(self._plan)
@@ -113,12 +113,12 @@
     async def _call_at(
         self, call: plan.PlannedCall, began_ms: float
     ) -> outcome.Outcome:
-        wait_ms = began_ms + call.at_ms - get_time_ms()
+        wait_ms = began_ms + call.at_ms - read_ms()
         await asyncio.sleep(max(wait_ms, 0) / 1000)
         result = outcome.Outcome(
             call.number, call.caller.account, call.caller.kind
         )
-        result.began_ms = get_time_ms()
+        result.began_ms = read_ms()
         result.key = f"{self._plan.seed}-{call.number}"
         excluded: set[str] = set()
         for _ in range(self._plan.repeats + 1):
@@ -129,7 +129,7 @@
             await self._attempt(call, result)
             if result.is_whole or not self._may_retry(call, result):
                 break
-        result.took_ms = get_time_ms() - result.began_ms
+        result.took_ms = read_ms() - result.began_ms
         return result
 
     def _may_retry(
@@ -191,7 +191,7 @@
 
 def _record_response(result: outcome.Outcome, body: bytes) -> None:
     result.is_whole = True
-    result.first_ms = get_time_ms() - result.began_ms
+    result.first_ms = read_ms() - result.began_ms
     result.text = body.decode(errors="replace")
     if result.kind == "whole":
         answer = json.loads(body)
@@ -208,7 +208,7 @@
     texts: list[str] = []
     try:
         async for data in reply.content.iter_any():
-            now_ms = get_time_ms()
+            now_ms = read_ms()
             *events, buffer = (buffer + data).split(EVENT_END)
             for event in events:
                 _record_event(result, event, texts, now_ms, last_ms)
@@ -250,9 +250,9 @@
     :param plan_: the plan
     :returns: the outcomes, and the duration in ms
     """
-    began_ms = get_time_ms()
+    began_ms = read_ms()
     outcomes = asyncio.run(LoadGenerator(plan_).run())
-    return outcomes, get_time_ms() - began_ms
+    return outcomes, read_ms() - began_ms
 
 
 def write_records(
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -24,8 +24,7 @@
 
 CONTROL_TIMEOUT_MS = 1_000
 BLOCK_TOKENS = 16
-# A response takes a few milliseconds within a region, and the request is
-# blocked until it arrives.
+# A response takes a few ms within a region, and the request waits for it.
 RESERVE_TIMEOUT_MS = 100
 
 
@@ -33,14 +32,14 @@
     """A reservation of a slot and KV blocks for one decode.
 
     :param name: its name at the engine
-    :param expires_ms: when it expires, in ms of the clock
+    :param until_ms: when it expires, in ms of the clock
     """
 
-    __slots__ = ("name", "expires_ms")
+    __slots__ = ("name", "until_ms")
 
-    def __init__(self, name: str, expires_ms: int) -> None:
+    def __init__(self, name: str, until_ms: int) -> None:
         self.name = name
-        self.expires_ms = expires_ms
+        self.until_ms = until_ms
 
 
 class _KvHandle:
@@ -187,7 +186,7 @@
         reservation = self._pop_reservation(label)
         if (
             reservation is not None
-            and self._clock.now_ms() < reservation.expires_ms
+            and self._clock.now_ms() < reservation.until_ms
         ):
             headers[wire.RESERVATION] = reservation.name
         request = decode_call.DecodeRequest(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -299,14 +299,14 @@
             label = upstreams.AttemptLabel("r-1", "vm0", 1)
             sockets = []
 
-            def reject():
+            def refuse():
                 sockets.append(listener.accept()[0])
                 control, _ = listener.accept()
                 control.recv(65_536)
                 control.sendall(rejection)
                 sockets.append(control)
 
-            thread = threading.Thread(target=reject)
+            thread = threading.Thread(target=refuse)
             thread.start()
             fault = made.prepare(
                 label, upstreams.ReservationRequest(100, 2_000)
