--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -49,7 +49,7 @@
         return self._read_tables().map(response_builders.make_tables_response)
 
     def diff(self, text: str) -> Result[responses.DiffResponse]:
-        """Return what applying the issued tables would change.
+        """Return what applying the given tables would change.
 
         :param text: the tables as TOML
         """
--- a/mulberryway/commands/process.py
+++ b/mulberryway/commands/process.py
@@ -12,7 +12,7 @@
 
 
 class Service(abc.ABC):
-    """A service that a program starts and stop_signals."""
+    """A service that a program starts and stops."""
 
     @abc.abstractmethod
     def start(self) -> None:
--- a/mulberryway/commands/story.py
+++ b/mulberryway/commands/story.py
@@ -15,8 +15,8 @@
 FLAGS = flags.FLAGS
 NOTHING_FOUND = 1
 # How long before a request's first line its context begins, in ms.  The
-# context is the lines of the same VM without a request id, which show its
-# state.
+# context is the lines of the same VM without a request id, which show the
+# state of the VM.
 CONTEXT_MS = 2_000
 STANDARD_FIELDS = ("time_ms", "level", "vm", "logger", "message", "request_id")
 
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -247,7 +247,7 @@
     def read_cache_events(
         self, after: int
     ) -> expression.Result[list[base.CacheEvent], errors.Fault]:
-        """Return an empty list: the protocol has no cache events.
+        """Return an empty list: cache events are not queried.
 
         :param after: the sequence number of the last event received
         """
