--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -112,7 +112,7 @@
 class NoDuplicateCheckEditor(editor.Editor):
     """Does not check whether an earlier attempt of an edit was accepted."""
 
-    def _find(self, root, submission):
+    def _find_accepted(self, root, submission):
         return expression.Ok(None)
 
 
