--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -69,8 +69,8 @@
     def fail(self, fault: errors.Fault) -> bytes:
         """Return an error reply, or nothing once the head was written.
 
-        Bytes written after the head would be taken for the engine's.  The
-        missing last chunk shows the caller that the reply is truncated.
+        The caller would mistake bytes written after the head for the
+        engine's.  The missing last chunk shows it that the reply is truncated.
 
         :param fault: the fault
         :returns: the bytes to send
@@ -89,8 +89,8 @@
 class PassthroughStream(stream.Stream):
     """Stream whose events are forwarded unparsed except for their ids.
 
-    ``expected`` is the id of the last event sent to the caller; another
-    engine resumes after it.
+    ``expected`` is the id of the last event sent to the caller, or the number
+    of events if they have no ids; another engine resumes after it.
     """
 
     __slots__ = ("_remaining", "_partial_event")
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -21,13 +21,13 @@
 # engine's socket is not read, so TCP flow control slows the engine down.
 MAX_WRITE_BUFFER_BYTES = 262_144
 # A caller that accepts no bytes for this long counts as disconnected: it has
-# vanished without closing, or blocks a decode slot that others wait for.
+# vanished without closing, or blocks a decode slot that other requests need.
 CALLER_WRITE_TIMEOUT_MS = 20_000
 # An engine's last chunk usually arrives with its last event.  This limits how
 # long the connection is kept open to wait for it.
 LAST_CHUNK_TIMEOUT_MS = 1_000
 RECOVERY_THREADS = 16
-# The loop never takes this long.  The timeout keeps a recovery thread from
+# The loop responds much sooner.  The timeout keeps a recovery thread from
 # waiting forever for a loop that was stopped.
 SOURCE_CLOSE_TIMEOUT_S = 1.0
 TOKEN_REPORT_INTERVAL_MS = 1_000
@@ -299,8 +299,8 @@
                 self._on_stalled_source(stream)
         for connection in [
             connection
-            for connection, at_ms in self._draining.items()
-            if at_ms <= now_ms
+            for connection, deadline_ms in self._draining.items()
+            if deadline_ms <= now_ms
         ]:
             self._close_drained(connection)
 
@@ -385,8 +385,9 @@
     ) -> None:
         """Find another engine, and handle an exception of the search.
 
-        The thread pool would store the exception in a future that nobody
-        reads, and the caller would wait forever on an open connection.
+        The thread pool would store the exception in a future whose result
+        is never read, and the caller would wait forever on an open
+        connection.
         """
         try:
             recover(stream, fault)
@@ -449,8 +450,10 @@
         self._close_source(stream)
         if fault is not None:
             stream.owner.cancel_source()
-        is_lost = fault is not None and fault.step is errors.Step.CALLER
-        stream.release(stream.writer.head.keep and not is_lost)
+        is_disconnected = (
+            fault is not None and fault.step is errors.Step.CALLER
+        )
+        stream.release(stream.writer.head.keep and not is_disconnected)
         stream.owner.on_longest_gap(stream.longest_gap_ms)
         stream.owner.close(stream.expected, fault)
 
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -18,8 +18,8 @@
 class StreamOwner(abc.ABC):
     """Callbacks of the request that a stream belongs to.
 
-    All methods but ``recover`` and ``replace`` run on the loop's
-    thread and must not block.
+    All methods but ``recover`` and ``replace`` run on the loop's thread and
+    must not block.
     """
 
     @abc.abstractmethod
@@ -164,7 +164,7 @@
         self.token_deadline_ms = 0
         # Deadline of the complete answer; 0 for none.
         self.deadline_ms = 0
-        # When the answer last grew, and the longest inter-token gap.
+        # Time of the last progress, and the longest inter-token gap.
         self.last_progress_ms = 0
         self.longest_gap_ms = 0
         self.last_write_ms = 0
--- a/mulberryway/relay/watch.py
+++ b/mulberryway/relay/watch.py
@@ -36,9 +36,9 @@
 
     A worker that waits for a queue or an engine reads nothing from its
     caller's socket.  It would detect a disconnect only when it writes the
-    answer, after an engine has done the work in vain.  A caller that shuts
-    down only its sending side also counts as disconnected; callers of this
-    interface do not do that.
+    answer, after an engine has computed it to no purpose.  A caller that
+    shuts down only its sending side also counts as disconnected; callers of
+    this interface do not do that.
 
     :param loop_: the event loop that watches the sockets
     """
--- a/mulberryway/relay/writers.py
+++ b/mulberryway/relay/writers.py
@@ -143,7 +143,7 @@
         return self._frame(body)
 
     def end(self) -> bytes:
-        """Return the final event and the last chunk."""
+        """Return the final event and, for HTTP/1.1, the last chunk."""
         final = self._frame(DONE)
         return final + LAST_CHUNK if self.head.is_http_11 else final
 
--- a/mulberryway/server/gateway.py
+++ b/mulberryway/server/gateway.py
@@ -56,7 +56,7 @@
             self._running += 1
 
     def decrement_running(self) -> None:
-        """Count a finished request, whose stream has also ended."""
+        """Count a request as finished, after its stream has ended too."""
         with self._lock:
             self._running -= 1
 
--- a/mulberryway/server/http_server.py
+++ b/mulberryway/server/http_server.py
@@ -26,7 +26,7 @@
 # How often idle connections are checked for expiry.
 IDLE_CHECK_INTERVAL_S = 1.0
 # Maximum number of queued connections per worker thread.  In a longer queue
-# callers would only wait for answers that come too late.
+# callers would only wait for replies that arrive too late.
 QUEUE_PER_THREAD = 4
 REJECT_READ_BYTES = 262_144
 
@@ -146,7 +146,7 @@
         conn.close()
 
     def put_conn(self, conn: request.Connection) -> None:
-        """Take a connection back from a worker or the relay.
+        """Keep a connection alive, or hand its stream over to the relay.
 
         :param conn: the connection
         """
@@ -158,7 +158,7 @@
         super().put_conn(conn)
 
     def release(self, conn: request.Connection, keep: bool) -> None:
-        """Take back or close a connection whose stream has ended.
+        """Keep alive or close a connection whose stream has ended.
 
         :param conn: the connection
         :param keep: whether the connection can be reused
--- a/mulberryway/server/request.py
+++ b/mulberryway/server/request.py
@@ -122,7 +122,7 @@
 
 
 class Request(server.HTTPRequest):
-    """One request; errors before the filter chain are also JSON."""
+    """One HTTP request; replies with JSON even before the filter chain."""
 
     header_reader = HeaderReader()
 
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -22,7 +22,7 @@
 
 
 class FailingOwner(streams.StreamOwner):
-    """Raises while it searches for a replacement engine."""
+    """Owner whose search for a replacement engine raises."""
 
     def __init__(self):
         self.closed = threading.Event()
@@ -50,7 +50,7 @@
 
 
 class SingleEngineOwner(FailingOwner):
-    """Has no other engine, and counts the calls of may_replace_source."""
+    """Owner without another engine; counts calls of may_replace_source."""
 
     def __init__(self):
         super().__init__()
@@ -62,7 +62,7 @@
 
 
 class SearchingOwner(FailingOwner):
-    """Closes a stalled engine's connection when the test allows it.
+    """Owner that closes a stalled engine's connection when the test allows.
 
     ``relay`` is set by the test.
     """
--- a/tests/test_raw_stream.py
+++ b/tests/test_raw_stream.py
@@ -99,7 +99,7 @@
 
     def test_aborted_stream_is_truncated(self):
         """The engine has failed and no other can resume the stream.  A reply
-        with a regular end would be taken for a complete one.
+        with a regular end would be mistaken for a complete one.
         """
         stream = self.make()
         stream.take(make_chunk(EVENTS[0]))
