--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -98,7 +98,7 @@
 
     :param transfer: parameters with which the decode engine imports the KV
         cache, forwarded unchanged
-    :param prompt_tokens: the prompt's length in tokens, as the engine counted
+    :param prompt_tokens: the prompt's length in tokens, counted by the engine
     :param cached_tokens: number of these tokens found in the prefix cache
     """
 
@@ -293,7 +293,7 @@
     # The engine's ``host:port``.
     address: str
     # Whether the engine prefills the prompt itself, more slowly, if a decode
-    # comes without a prefill result.
+    # arrives without a prefill result.
     supports_chunked_prefill: bool = False
     # Whether a request counts as executed once its prompt was prefilled.
     counts_prefill_as_run: bool = True
@@ -319,8 +319,8 @@
     ) -> expression.Result[None, errors.Fault]:
         """Connect to the engine and reserve capacity for a later decode.
 
-        If the engine is unreachable or full, this is detected before the
-        prompt's prefill is wasted.
+        An unreachable or full engine is thus detected before a prefill
+        is wasted on the prompt.
 
         :param label: identifies the attempt
         :param reservation: the capacity to reserve; none to connect only
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -1,8 +1,8 @@
 """HTTP client of one upstream, and classification of failed calls.
 
 The client neither retries calls nor follows redirects, because whether a
-request may go to another upstream depends on all its earlier attempts, which
-only the client's users know.
+request may be sent to another upstream depends on all its earlier attempts,
+which the client does not track.
 """
 
 import http.client
@@ -175,25 +175,25 @@
                 LOG.debug("cancelled call had ended already: %s", error)
 
 
-class _Current(threading.local):
+class _CurrentCall(threading.local):
     """Holds the canceller of the call that runs on this thread."""
 
     canceller: CallCanceller | None = None
 
 
-_CURRENT = _Current()
+_CURRENT_CALL = _CurrentCall()
 
 
 class _Connection(urllib3.connection.HTTPConnection):
     """Attaches its socket to the canceller of the call that it carries."""
 
-    def request(self, *arguments: typing.Any, **named: typing.Any) -> None:
+    def request(self, *arguments: typing.Any, **keywords: typing.Any) -> None:
         """Send a request, after connecting if necessary."""
         if self.sock is None:
             self.connect()
-        if _CURRENT.canceller is not None:
-            _CURRENT.canceller.attach(self.sock)
-        super().request(*arguments, **named)
+        if _CURRENT_CALL.canceller is not None:
+            _CURRENT_CALL.canceller.attach(self.sock)
+        super().request(*arguments, **keywords)
 
 
 class UpstreamClient:
@@ -236,7 +236,8 @@
 
         :param method: the HTTP method
         :param target: path and query
-        :param headers: headers to send; the reply must echo a request id
+        :param headers: headers to send; if the echo header is among them, the
+            reply must have it with the same value
         :param body: the body, if any
         :param timeout_ms: timeout of the complete reply, in ms
         :param step: the hop, for faults
@@ -251,7 +252,7 @@
             self._create_pool() if needs_new_connection else self._get_pool()
         )
         response: urllib3.BaseHTTPResponse | None = None
-        _CURRENT.canceller = interrupt
+        _CURRENT_CALL.canceller = interrupt
         try:
             response = pool.urlopen(
                 method,
@@ -270,7 +271,7 @@
             self._close_response(response)
             return expression.Error(self._make_fault(error, step))
         finally:
-            _CURRENT.canceller = None
+            _CURRENT_CALL.canceller = None
             if interrupt is not None:
                 interrupt.detach()
         result = self._check_echo(headers, complete, response, step)
@@ -329,8 +330,8 @@
 
     @staticmethod
     def _close_response(response: urllib3.BaseHTTPResponse | None) -> None:
-        # A pooled connection with an unread rest of a response would return
-        # that rest to the next request.
+        # If a pooled connection still held unread bytes of a response, the
+        # next request would receive them.
         if response is not None:
             response.close()
 
--- a/mulberryway/upstreams/decode_call.py
+++ b/mulberryway/upstreams/decode_call.py
@@ -77,7 +77,7 @@
         self.connected_s = time.monotonic()
 
     def is_reusable(self) -> bool:
-        """Return whether it is too young to have been closed as idle."""
+        """Return whether the engine cannot have closed it as idle yet."""
         return (
             time.monotonic() - self.connected_s < MAX_UNUSED_AGE_MS / MS_IN_S
         )
--- a/mulberryway/upstreams/directory.py
+++ b/mulberryway/upstreams/directory.py
@@ -52,25 +52,25 @@
 
 
 def find_engine_by_name(
-    found: tables.Tables | None,
+    tables_: tables.Tables | None,
     directory: UpstreamDirectory,
     pool: str,
     upstream: str,
 ) -> base.Engine | None:
     """Look up an engine by its pool and upstream name.
 
-    :param found: the active tables, or none
+    :param tables_: the active tables, or none
     :param directory: provides the engine object
     :param pool: the pool's name
     :param upstream: the upstream's name
     :returns: the engine; none if the tables do not contain it
     """
-    row = found.pools.get(pool) if found is not None else None
+    row = tables_.pools.get(pool) if tables_ is not None else None
     return next(
         (
-            directory.find_engine(row, one)
-            for one in (row.upstreams if row is not None else ())
-            if one.name == upstream
+            directory.find_engine(row, candidate)
+            for candidate in (row.upstreams if row is not None else ())
+            if candidate.name == upstream
         ),
         None,
     )
@@ -129,8 +129,8 @@
                 key for key in self._upstreams if key[:2] not in current_keys
             ]
             removed = [self._upstreams.pop(key) for key in removed_keys]
-        for found in removed:
-            found.close()
+        for client in removed:
+            client.close()
 
     def _find(
         self,
@@ -140,8 +140,8 @@
     ) -> HttpUpstream:
         key = (upstream.address, pool.credential, kind)
         with self._lock:
-            found = self._upstreams.get(key)
-            if found is None:
-                found = kind(upstream.address, pool.credential, self._clock)
-                self._upstreams[key] = found
-            return found
+            client = self._upstreams.get(key)
+            if client is None:
+                client = kind(upstream.address, pool.credential, self._clock)
+                self._upstreams[key] = client
+            return client
--- a/tests/test_decode_call.py
+++ b/tests/test_decode_call.py
@@ -80,9 +80,9 @@
             self.addCleanup(filler.close)
             filler.setblocking(False)
             filler.connect_ex(address)
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         fault = self.call(address[1], 5_000)
-        self.assertLess(time.monotonic() - began_s, 1.0)
+        self.assertLess(time.monotonic() - start_s, 1.0)
         self.assertIs(fault.code, errors.Code.UPSTREAM_UNREACHABLE)
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
 
@@ -119,7 +119,7 @@
 class PortProbeTest(unittest.TestCase):
     def test_port_that_closes_a_moment_later(self):
         """A crashing process closes its connection to a caller a moment
-        before its listening port.  If it were taken for alive, the crash
+        before its listening port.  If it were considered alive, the crash
         would not be attributed to the request that caused it.
         """
         listener = socket.create_server((HOST, 0))
