--- a/mulberryway/objects/__init__.py
+++ b/mulberryway/objects/__init__.py
@@ -1,1 +1,1 @@
-"""Access to the platform's object API through abstract base classes."""
+"""Access to the platform's object API and to the tables stored there."""
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -26,7 +26,7 @@
 
     :param kind: the plural kind, such as ``segments``
     :param name: the name, unique within its kind
-    :param version: the platform's version; grows with each write
+    :param version: the platform's version; increases with each write
     :param value: the JSON value, at most a megabyte when encoded
     """
 
@@ -51,7 +51,11 @@
 
 
 class WatchEvent:
-    """One event of a watch; a bookmark carries only the version."""
+    """One event of a watch.
+
+    :param type_: the event's type
+    :param object_: the object; a bookmark's contains only the version
+    """
 
     __slots__ = ("type", "object")
 
@@ -144,7 +148,8 @@
     """Versioned objects with conditional updates and watches.
 
     The platform limits the rate of calls, and an open watch counts as one
-    call, so every method takes the purpose under which metrics count it.
+    call, so every method has a parameter for the purpose under which metrics
+    count the call.
 
     Faults: ``PLATFORM_UNAVAILABLE`` (``MAY_HAVE_RUN`` if the write may have
     taken effect), ``CONFLICT``, ``NOT_FOUND``.
@@ -226,8 +231,8 @@
         """Yield changes of a kind until the watch ends or times out.
 
         The platform sends bookmarks while nothing changes. A watch without any
-        line for ``idle_timeout_ms`` is half-open and ends with a fault, after
-        which the caller has to open a new one.
+        line for ``idle_timeout_ms`` counts as half-open and ends with a
+        fault, after which the caller has to open a new one.
 
         :param kind: the plural kind
         :param from_version: the version after which changes are reported
--- a/mulberryway/objects/segments.py
+++ b/mulberryway/objects/segments.py
@@ -72,7 +72,7 @@
     def collect(
         self, root: roots.Root, retired: set[str]
     ) -> expression.Result[int, errors.Fault]:
-        """Delete segments that no root can name any more.
+        """Delete segments that no root can refer to any more.
 
         :param root: an accepted root; an older one only deletes less
         :param retired: digests of segments that recent edits replaced and that
@@ -106,10 +106,12 @@
         self, digest: str, value: dict[str, object], revision: int
     ) -> expression.Result[base.StoredObject, errors.Fault]:
         """Protect an existing segment from garbage collection."""
-        found = self._store.read(KIND, digest, WRITE)
-        if found.is_error() or found.ok.value["base"] >= revision:
-            return found
-        return self._store.update(KIND, digest, value, found.ok.version, WRITE)
+        existing = self._store.read(KIND, digest, WRITE)
+        if existing.is_error() or existing.ok.value["base"] >= revision:
+            return existing
+        return self._store.update(
+            KIND, digest, value, existing.ok.version, WRITE
+        )
 
 
 def _check_content(
--- a/mulberryway/tables/changes.py
+++ b/mulberryway/tables/changes.py
@@ -45,7 +45,7 @@
 def hide_credentials(rows: parse.EncodedTables) -> parse.EncodedTables:
     """Return rows with their credentials redacted.
 
-    The result can be shown, and put back without losing a credential.
+    The result can be displayed, and written back without losing a credential.
 
     :param rows: encoded rows by table and name
     :returns: a copy in which the pools' credentials are redacted
--- a/mulberryway/tables/columns.py
+++ b/mulberryway/tables/columns.py
@@ -112,7 +112,7 @@
         self._by_key = {column.key: column for column in columns}
 
     def decode(self, table: str, name: str, values: typing.Any) -> typing.Any:
-        """Return the row of encoded values.
+        """Decode a row and check its values.
 
         :param table: the table's name, for errors
         :param name: the row's name
--- a/mulberryway/tables/freshness.py
+++ b/mulberryway/tables/freshness.py
@@ -21,9 +21,9 @@
 class Confirmation:
     """The time at which the platform last confirmed the root as the newest.
 
-    VMs pass it on with its age, which is counted from the platform's response
-    and never restarts. In a partitioned zone, where VMs confirm one another,
-    the same age therefore grows on all of them.
+    VMs send it to one another with its age, which is counted from the
+    platform's response and never restarts. In a partitioned zone, where VMs
+    confirm one another, the same age therefore grows on all of them.
 
     :param at_ms: the time by the local clock, in milliseconds
     :param fleet_size: how many VMs were alive then
@@ -56,11 +56,11 @@
 ) -> Freshness:
     """Decide whether unconfirmed tables may still be used.
 
-    One VM cannot tell two situations apart. Either the platform is down for
+    One VM cannot distinguish two situations. Either the platform is down for
     all VMs, so no edit can be accepted and all of them must continue, or this
     VM is partitioned while an operator elsewhere revokes a key. If a majority
     of the VMs, counted by the fleet's size at the last confirmation, has just
-    answered that it knows no newer root, this VM would have received an edit
+    answered that it has no newer root, this VM would have received an edit
     from one of them, and continues for ``outage_ms``. With fewer answers it
     stops after ``fresh_ms``: accepting a revoked key violates an invariant,
     whereas a rejection marked "not run" does not.
@@ -69,8 +69,8 @@
     to answer may have been partitioned as well.
 
     :param confirmation: the last confirmation
-    :param quorum_at_ms: since when a majority of the VMs has answered, in
-        milliseconds; none if it has not
+    :param quorum_at_ms: when the oldest request needed for a majority's
+        answers was sent, in milliseconds; none without a majority
     :param now_ms: the current time in milliseconds
     :param fresh_ms: for how many milliseconds a confirmation or an answer is
         valid
--- a/mulberryway/tables/model.py
+++ b/mulberryway/tables/model.py
@@ -21,8 +21,8 @@
 def digest_key(key: str) -> str:
     """Return the digest under which a caller's key is stored.
 
-    Keys are long random strings, so an unsalted digest cannot be reversed by a
-    search. The key itself is not stored.
+    Keys are long random strings, so an unsalted digest cannot be reversed by
+    an exhaustive search. The key itself is not stored.
 
     :param key: the key that the caller sent
     :returns: 64 hexadecimal digits
@@ -42,7 +42,7 @@
 
 
 class UpstreamRole(enum.Enum):
-    """The work that an upstream accepts; ``SERVICE`` is an HTTP service."""
+    """The work that an upstream accepts; ``SERVICE`` is a plain service."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -92,7 +92,7 @@
     """A row of the table of pools.
 
     :param name: unique; routes refer to it
-    :param kind: model engines or an ordinary HTTP service
+    :param kind: model engines or a plain service
     :param upstreams: its servers
     :param models: names of the models that it serves
     :param credential: the bearer token sent to the upstreams instead of the
@@ -200,15 +200,15 @@
     :param shares: the pools among which its requests are split; empty if all
         go to ``pool``
     :param retries_safe_methods: whether a call with a safe HTTP method counts
-        as idempotent, whatever ``idempotent`` is
+        as idempotent, regardless of ``idempotent``
     :param is_public: whether callers need no key
     :param is_streaming: whether responses are event streams
-    :param max_attempts: to how many upstreams one request may be sent
+    :param max_attempts: maximum number of upstreams that a request is sent to
     :param target_ms: the target latency of the response, or of a stream's
         first event, in milliseconds; 0 if only ``timeout_ms`` applies
     :param target_gap_ms: the target of the longest inter-token gap, in
         milliseconds; 0 for none
-    :param priority: the rank under overload; lower ranks go first
+    :param priority: the rank under overload; lower ranks are served first
     """
 
     __slots__ = (
@@ -273,7 +273,7 @@
     :param name: unique
     :param key_digests: see :func:`digest_key`
     :param rate: tokens per second, over all VMs together
-    :param burst: tokens that may be used at once after a pause
+    :param burst: tokens that may be used at once after an idle period
     :param weight: its weight when not all requests can be served
     :param plain_tokens: tokens charged for a call that specifies none
     :param priority: overrides the route's priority; none to use the route's
@@ -315,7 +315,7 @@
 class Tables:
     """One accepted, immutable state of all tables.
 
-    :param revision: grows with each accepted edit
+    :param revision: increases with each accepted edit
     :param routes: rows of the table of routes
     :param pools: rows of the table of pools
     :param accounts: the client accounts
--- a/mulberryway/tables/parse.py
+++ b/mulberryway/tables/parse.py
@@ -50,7 +50,7 @@
 def decode_tables(
     values: dict[str, typing.Any], revision: int
 ) -> expression.Result[model.Tables, errors.Fault]:
-    """Return the tables of encoded values, without cross-row validation.
+    """Decode tables, without cross-row validation.
 
     :param values: encoded rows by table and name
     :param revision: the revision of the new tables
--- a/mulberryway/tables/root.py
+++ b/mulberryway/tables/root.py
@@ -42,7 +42,7 @@
 
 
 def digest_content(content: bytes) -> str:
-    """Return the digest that identifies a content.
+    """Return the digest that identifies some content.
 
     :param content: the bytes
     :returns: hexadecimal digits
@@ -67,7 +67,7 @@
 class Root:
     """One accepted state of the tables: the digests of its segments.
 
-    :param revision: grows by one with each accepted edit
+    :param revision: increases by one with each accepted edit
     :param shards: digests by table; ``EMPTY_DIGEST`` for a shard without rows
     :param history: the digest of the segment with past edits
     :param marks: records of the last edits, the newest last
@@ -134,10 +134,10 @@
 
     @classmethod
     def decode(cls, value: typing.Any) -> "Root":
-        """Return the root of encoded values.
+        """Decode a root.
 
         :param value: the result of ``encode``
-        :raises TablesError: if it is no root that this version can read
+        :raises TablesError: if it is not a root that this version can decode
         """
         try:
             shards = {
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -24,7 +24,7 @@
 
 
 class Segment:
-    """Some rows, identified by the digest of their content.
+    """A group of rows, identified by the digest of their content.
 
     :param digest: see :func:`roots.digest_content`
     :param content: canonical JSON
@@ -38,7 +38,7 @@
 
 
 def make_segment(value: typing.Any) -> Segment:
-    """Return the segment of encoded values.
+    """Encode values as a segment.
 
     :param value: encoded values
     """
--- a/mulberryway/tables/source.py
+++ b/mulberryway/tables/source.py
@@ -13,7 +13,7 @@
 
     @abc.abstractmethod
     def read_tables(self) -> model.Tables | None:
-        """Return the active tables, or none before the first are known.
+        """Return the active tables, or none before the first were received.
 
         Without tables a process rejects requests and gives that reason; it
         does not fall back to defaults.
--- a/mulberryway/tables/validate.py
+++ b/mulberryway/tables/validate.py
@@ -74,7 +74,7 @@
 
 
 def _check_prefixes(tables: model.Tables) -> Problems:
-    """Reject equal prefixes, for which the rows' order would decide."""
+    """Reject equal prefixes; the order of the rows would decide the match."""
     owners: dict[str, str] = {}
     for route in tables.routes.values():
         prefix = route.path_prefix.rstrip("/")
@@ -150,7 +150,7 @@
 
 
 def _check_keys(tables: model.Tables) -> Problems:
-    """Reject a key of two accounts: requests could run for the wrong one."""
+    """Reject a key of two accounts; requests could run for the wrong one."""
     owners: dict[str, str] = {}
     for account in tables.accounts.values():
         for digest in account.key_digests:
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -32,7 +32,7 @@
 
 
 def reply(status, body, headers=()):
-    def act(handler):
+    def respond(handler):
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         handler.send_response(status)
         for name, value in headers:
@@ -41,7 +41,7 @@
         handler.end_headers()
         handler.wfile.write(data)
 
-    return act
+    return respond
 
 
 def cut(handler):
@@ -68,8 +68,8 @@
             self.counts,
         )
 
-    def script(self, *acts):
-        self.server.script[:] = acts
+    def script(self, *handlers):
+        self.server.script[:] = handlers
 
     def stall(self, handler):
         self.released.wait(20)
@@ -80,7 +80,7 @@
         self.assertEqual(result.error.code, code)
         self.assertEqual(result.error.run, run)
 
-    def test_calls_take_the_documented_form(self):
+    def test_calls_have_the_documented_form(self):
         self.script(*[reply(200, ITEM)] * 3, reply(200, {"items": [ITEM]}))
         self.assertEqual(self.store.read("k", "a", "p").ok.version, 7)
         self.store.create("k", "a", {"x": 1}, "p")
@@ -118,11 +118,11 @@
     def test_lost_reply_may_have_run(self):
         """The connection fails after the platform received a write.
 
-        If the edit were reported as failed, an operator could repeat it, or
+        If the edit were reported as failed, an operator could retry it, or
         assume that a revoked key is still valid.
         """
-        for act in (cut, self.stall, reply(200, b"not json")):
-            self.script(act)
+        for handler in (cut, self.stall, reply(200, b"not json")):
+            self.script(handler)
             result = self.store.create("k", "a", {}, "p")
             self.check_fault(
                 result,
@@ -151,7 +151,7 @@
         restart.
         """
 
-        def act(handler):
+        def respond(handler):
             handler.send_response(200)
             handler.send_header("Transfer-Encoding", "chunked")
             handler.end_headers()
@@ -162,7 +162,7 @@
                 handler.wfile.flush()
             self.stall(handler)
 
-        self.script(act)
+        self.script(respond)
         events = list(self.store.watch("k", 6, 300, "w"))
         self.assertEqual(events[0].ok.type, base.EventType.MODIFIED)
         self.assertEqual(events[0].ok.object.value, {"x": 1})
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -10,7 +10,7 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_text_reads_back(self):
+    def test_text_round_trip(self):
         tables_ = parse.parse_tables(samples.TABLES).ok
         rows = parse.encode_tables(tables_)
         reparsed = parse.parse_tables(parse.format_rows(rows)).ok
@@ -84,20 +84,20 @@
         self.assertEqual(self.find(tables_, "/a"), "/")
         self.assertEqual(self.find(tables_, "/other"), "/")
 
-    def test_host_goes_with_the_prefix(self):
+    def test_host_is_matched_with_the_prefix(self):
         tables_ = self.make(("x", "/a/"), ("", "/a/"), ("y", "/a/b/"))
         self.assertEqual(self.find(tables_, "/a/b/c", "x"), "x/a/")
         self.assertEqual(self.find(tables_, "/a/b/c", "y"), "y/a/b/")
         self.assertEqual(self.find(tables_, "/a/b/c", "z"), "/a/")
 
-    def test_many_routes_cost_no_more(self):
+    def test_lookup_time_with_many_routes(self):
         """The cost of finding a route must not grow with their number.
 
         With thousands of routes, a linear search would take milliseconds per
         request.
         """
         tables_ = self.make(*(("x", f"/r{n}/") for n in range(20_000)))
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         for _ in range(1_000):
             tables_.find_route("/r1/a/b", "x")
-        self.assertLess(time.perf_counter() - began, 0.5)
+        self.assertLess(time.perf_counter() - start_s, 0.5)
