--- a/mulberryway/peers/channel.py
+++ b/mulberryway/peers/channel.py
@@ -129,7 +129,7 @@
         """Return whether the connection is open and nothing has arrived.
 
         A pooled connection that became readable was closed, or holds a late
-        response, which the next call would take for its own.
+        response, which the next call would mistake for its own.
         """
         try:
             self.connection.setblocking(False)
--- a/mulberryway/peers/client.py
+++ b/mulberryway/peers/client.py
@@ -121,8 +121,8 @@
             response = call.run(connection, deadline, self.traffic)
         except channel.ChannelError as error:
             connection.close()
-            # A device on the network may have dropped its state of all
-            # connections of this age, so none of them is reused.
+            # A middlebox may have lost the state of all connections of this
+            # age, so none of them is reused.
             self._drop_idle(call.peer)
             return _fail(call.peer, str(error), error.was_sent)
         except Thrift.TApplicationException as error:
--- a/mulberryway/peers/codec.py
+++ b/mulberryway/peers/codec.py
@@ -15,7 +15,7 @@
 
 
 class _Local(threading.local):
-    """A protocol per thread; creating one takes as long as decoding."""
+    """A reused protocol per thread; creating one takes as long as decoding."""
 
     def __init__(self) -> None:
         self.reset()
--- a/mulberryway/peers/datagrams.py
+++ b/mulberryway/peers/datagrams.py
@@ -24,8 +24,8 @@
 LOG = logging.getLogger(__name__)
 
 MAC_BYTES = 16
-# Longer payloads are fragmented by IP, and one lost fragment loses the
-# datagram. This still fits a few dozen reports.
+# IP splits longer payloads into more fragments, and one lost fragment loses
+# the datagram. A few dozen reports fit into this size.
 MAX_PAYLOAD_BYTES = 8_192
 MAX_DATAGRAM_BYTES = 65_535
 # Buffers notes that arrive while the only thread handles another.
--- a/mulberryway/peers/gossip_messages.py
+++ b/mulberryway/peers/gossip_messages.py
@@ -78,7 +78,7 @@
 def encode_note(note: hints.Note) -> bytes:
     """Return the payload of a note.
 
-    Entries beyond the limits are omitted; the next whole note contains them
+    Entries beyond the limits are omitted; the next full note contains them
     again.
 
     :param note: the note
@@ -106,23 +106,23 @@
     return codec.write(ttypes.Datagram(note=message))
 
 
-def encode_report(news: EngineReport) -> bytes:
+def encode_report(report: EngineReport) -> bytes:
     """Return the payload of an engine report.
 
-    :param news: the report
+    :param report: the report
     :returns: the payload
     """
-    load = news.load
+    load = report.load
     message = ttypes.EngineReport(
-        news.pool,
-        news.upstream,
+        report.pool,
+        report.upstream,
         load.running,
         load.waiting,
         load.slots,
         load.free_blocks,
         load.total_blocks,
         list(load.models),
-        _pack_events(news.events),
+        _pack_events(report.events),
     )
     return codec.write(ttypes.Datagram(reports=[message]))
 
@@ -183,19 +183,19 @@
 
 
 def encode_death(death: hints.Death) -> bytes:
-    """Return the payload of a death, which is broadcast to all VMs.
+    """Return the payload of a crash report, which is broadcast to all VMs.
 
-    :param death: the death
+    :param death: the crash report
     :returns: the payload
     """
     return codec.write(_pack_death(death))
 
 
 def decode_death(payload: bytes) -> hints.Death:
-    """Return the death of a payload.
+    """Return the crash report of a payload.
 
     :param payload: the payload
-    :returns: the death
+    :returns: the crash report
     """
     return _unpack_death(codec.read(ttypes.Death(), payload))
 
--- a/mulberryway/peers/membership_messages.py
+++ b/mulberryway/peers/membership_messages.py
@@ -54,7 +54,7 @@
 
 
 def pack_hint(hint: broadcast_queue.Hint, now_ms: int) -> ttypes.Hint:
-    """Return the message of a hint, with its end as the remaining time.
+    """Return the message of a hint, with its expiry as the remaining time.
 
     :param hint: the hint
     :param now_ms: the current time in milliseconds
--- a/mulberryway/peers/server.py
+++ b/mulberryway/peers/server.py
@@ -25,7 +25,7 @@
 BACKLOG = 512
 # Each VM may open a few connections to each other VM.
 MAX_CONNECTIONS = 2_048
-# An unauthenticated connection occupies one of these places for at most
+# An unauthenticated connection counts towards this limit for at most
 # ``HANDSHAKE_TIMEOUT_MS``.
 MAX_UNAUTHENTICATED = 128
 HANDSHAKE_TIMEOUT_MS = 2_000
@@ -47,7 +47,7 @@
 
 
 class PeerServer:
-    """Listens for peers; idle connections occupy no thread.
+    """Serves calls of other VMs; idle connections occupy no thread.
 
     :param address: the IP address to listen on
     :param port: the port; 0 for a free one
@@ -192,7 +192,7 @@
                 self._clock,
             )
         except channel.ChannelError as error:
-            LOG.warning("a peer connection was refused: %s", error)
+            LOG.warning("a peer connection was rejected: %s", error)
             self._drop_pending(pending)
             return
         self._pending.discard(pending)
@@ -259,7 +259,7 @@
         service = reader.peek_service()
         processor = self._processors.get(service)
         if processor is None:
-            # Closing the connection spares the caller its whole timeout.
+            # Closing the connection lets the caller fail before its timeout.
             raise channel.ChannelError(f"no service {service!r}")
         processor.process(reader, protocol.MultiplexedProtocol(buffer))
         kind = service + protocol.SEPARATOR + reader.get_peeked_method()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -176,16 +176,16 @@
         limit = clock.Deadline(self.clock.now_ms() + TIMEOUT_MS)
         key = b"k" * 32
         sender = channel.Channel(left, key, False, self.clock)
-        same_way = channel.Channel(right, key, False, self.clock)
+        same_direction = channel.Channel(right, key, False, self.clock)
         sender.send(b"x", limit)
         with self.assertRaises(channel.ChannelError):
-            same_way.receive(limit)
+            same_direction.receive(limit)
         receiver = channel.Channel(right, key, True, self.clock)
         sender = channel.Channel(left, key, False, self.clock)
         sender.send(b"x", limit)
         self.assertEqual(receiver.receive(limit), b"x")
-        again = channel.Channel(left, key, False, self.clock)
-        again.send(b"x", limit)
+        repeated = channel.Channel(left, key, False, self.clock)
+        repeated.send(b"x", limit)
         with self.assertRaises(channel.ChannelError):
             receiver.receive(limit)
 
