--- a/mulberryway/relay/passthrough_stream.py
+++ b/mulberryway/relay/passthrough_stream.py
@@ -108,7 +108,7 @@
     def may_end_on_close(self) -> bool:
         """Return whether closing the connection may end the response.
 
-        A response with neither chunks nor a length ends in no other way.  It
+        A response with neither chunks nor a length can end only this way.  It
         is truncated if an incomplete event is still buffered.
         """
         source = self.source
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -305,7 +305,7 @@
             response.release_conn()
             return expression.Ok(complete)
         # The response belongs to another request: it was left unread on the
-        # connection, or mixed up on the way.  It must not reach this caller,
+        # connection, or misdelivered.  It must not reach this caller,
         # and the call's own response is lost.
         self._close_response(response)
         self.reset_pool()
