--- a/mulberryway/policy/admission.py
+++ b/mulberryway/policy/admission.py
@@ -19,9 +19,9 @@
 class Admission:
     """Estimates whether a job's first token can meet its deadline.
 
-    A job that waits until its deadline and is cancelled then has cost its
-    caller the time for trying elsewhere, and has delayed other jobs.  So it
-    is rejected at once, before it runs, with a retry hint.
+    A job that is cancelled only at its deadline leaves its caller no time to
+    try elsewhere, and has delayed other jobs.  So it is rejected at once,
+    before it runs, with a retry hint.
 
     :param queue: fair queue of the pool
     :param placer: placer of the pool
@@ -168,7 +168,7 @@
 
     :param code: the error code
     :param job: the job
-    :param message: one sentence for people
+    :param message: one human-readable sentence
     :param retry_after_ms: time in ms until a retry is useful, or None if a
         retry cannot succeed
     :returns: the fault
--- a/mulberryway/policy/allowance_borrower.py
+++ b/mulberryway/policy/allowance_borrower.py
@@ -132,7 +132,7 @@
         """
         loans = self._open.get(account, ())
         usable = [one for one in loans if one.left and one.is_usable(now_ms)]
-        return sorted(usable, key=lambda one: one.end_ms)
+        return sorted(usable, key=lambda item: item.end_ms)
 
     def spend(self, loan: BorrowedLoan, tokens: int, now_ms: int) -> None:
         """Use tokens of a usable loan.
@@ -174,13 +174,13 @@
         """
         for account, loans in list(self._open.items()):
             due = [
-                one
-                for one in loans
-                if closes_all or self._must_close(one, now_ms)
+                item
+                for item in loans
+                if closes_all or self._must_close(item, now_ms)
             ]
             for loan in due:
                 self._close(loan)
-            remaining = [one for one in loans if not one.is_closed]
+            remaining = [item for item in loans if not item.is_closed]
             self._open[account] = remaining
             if not remaining:
                 del self._open[account]
--- a/mulberryway/policy/allowance_lender.py
+++ b/mulberryway/policy/allowance_lender.py
@@ -15,9 +15,9 @@
 
 __all__ = ["Lender", "Loan", "SlotBucket"]
 
-# A loan gets at most this fraction (one divided by it) of the tokens beyond
-# the borrower's need, so that one VM does not empty a slot bucket before
-# other VMs borrow from it.
+# Of the tokens beyond the borrower's need, a loan gets at most one divided by
+# this, so that one VM does not empty a slot bucket before other VMs borrow
+# from it.
 SURPLUS_LOAN_DIVISOR = 4
 # Lower bound for loans of accounts with a small burst.  Their loans are
 # shortened, else most of their tokens would be on loan most of the time.
@@ -85,7 +85,7 @@
 class Lender:
     """Spends and lends tokens from the buckets of the held slots.
 
-    :param lease_manager: lease manager that knows which slots are held
+    :param lease_manager: tracks which slots this VM holds
     :param times: durations of loans and margins
     :param groups: number of groups that accounts are hashed into
     :param parts: number of equal partitions of each allowance
@@ -177,7 +177,7 @@
             for holding in holdings
             if holding is not None
         ]
-        buckets.sort(key=lambda one: -one.bucket.read_level(now_ms))
+        buckets.sort(key=lambda item: -item.bucket.read_level(now_ms))
         return buckets
 
     def lend(
@@ -228,12 +228,12 @@
         loan = self._loans.get(loan_id)
         if loan is None or not self._is_held(loan.share):
             return
-        more = max(min(returned, loan.tokens) - loan.returned, 0)
-        loan.returned += more
+        increase = max(min(returned, loan.tokens) - loan.returned, 0)
+        loan.returned += increase
         if loan.refund_stamp is None:
-            self._end_loan(loan, more, now_ms)
-        elif more > 0:
-            loan.share.bucket.refund(more, loan.refund_stamp, now_ms)
+            self._end_loan(loan, increase, now_ms)
+        elif increase > 0:
+            loan.share.bucket.refund(increase, loan.refund_stamp, now_ms)
 
     def expire(self, now_ms: int) -> None:
         """End expired loans, and remove those past the refund window.
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -105,7 +105,7 @@
         :param is_unreached: whether it was unreachable instead of full
         :returns: the upstream to try, with a reserved slot; none if no other
             is free now, in which case a retry after some tens of milliseconds
-            makes sense until the prefill's result expires
+            is useful until the prefill's result expires
         """
         return None
 
@@ -165,7 +165,7 @@
         return None
 
     def is_quarantined(self, digest: str, now_ms: int) -> bool:
-        """Return whether a request is quarantined, and renew it if so.
+        """Return whether a request is quarantined, and renew its quarantine.
 
         :param digest: identifies the request, see ``policy.poison``
         :param now_ms: current time in milliseconds
--- a/mulberryway/policy/broadcast_queue.py
+++ b/mulberryway/policy/broadcast_queue.py
@@ -5,7 +5,8 @@
 __all__ = ["Hint", "BroadcastQueue"]
 
 # The queue is bounded in number and size, so that a flood of hints cannot
-# exhaust a VM's 15 KB/s or its memory; the oldest hints are evicted first.
+# exhaust a VM's 15 KB/s of bandwidth or its memory; the oldest hints are
+# evicted first.
 MAX_HINTS = 256
 MAX_PAYLOAD_BYTES = 512
 MAX_TTL_MS = 600_000
@@ -43,7 +44,7 @@
 
 
 class BroadcastQueue:
-    """The hints that this VM knows, and how often it sent each."""
+    """Hints that this VM holds, with how often it has sent each."""
 
     def __init__(self) -> None:
         self._hints: dict[tuple[str, str], Hint] = {}
--- a/mulberryway/policy/chunked_prefill.py
+++ b/mulberryway/policy/chunked_prefill.py
@@ -12,7 +12,7 @@
     """Return whether consecutive prefills fit into one inter-token gap.
 
     :param run_ms: total duration of the prefills
-    :param gap_limit_ms: the longest gap on target; 0 for no limit
+    :param gap_limit_ms: inter-token gap target in ms; 0 for no limit
     :param step_ms: typical decode step
     """
     return (
@@ -51,7 +51,7 @@
         """Record a chunked prefill.
 
         :param prefill_ms: its estimated uncontended duration
-        :param gap_limit_ms: the longest gap on target; 0 for no limit
+        :param gap_limit_ms: inter-token gap target in ms; 0 for no limit
         :param step_ms: typical decode step
         :param streams: number of streams that run on the engine
         :param now_ms: current time in milliseconds
@@ -82,7 +82,7 @@
         """Return whether a prefill now keeps all gaps within the limit.
 
         :param prefill_ms: its estimated uncontended duration
-        :param gap_limit_ms: the longest gap on target; 0 for no limit
+        :param gap_limit_ms: inter-token gap target in ms; 0 for no limit
         :param step_ms: typical decode step
         :param now_ms: current time in milliseconds
         """
--- a/mulberryway/policy/claim_records.py
+++ b/mulberryway/policy/claim_records.py
@@ -20,7 +20,7 @@
 TIME_SHIFT = 80
 DIGEST_DIGITS = 20
 # A booking confirmation or a renewal is a few hundred bytes. Larger replies
-# are not cached, and a retry is answered that the call has run.
+# are not cached, and a retry gets the response that the call has run.
 MAX_REPLY_BYTES = 4_096
 
 
--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -5,8 +5,8 @@
 is conditional on the slot's version. Once a slot is full, the log continues in
 the next one and overwrites the records of the previous round.
 
-No two VMs can hold the same claim: a VM appends on the basis of the log as it
-knows it. A concurrent append by another VM has changed either the newest slot
+No two VMs can hold the same claim: a VM bases its append on its own copy of
+the log. A concurrent append by another VM has changed either the newest slot
 or, if that was full, the next one. In both cases it is the object that this VM
 updates, so its update is rejected and it reads the log again before it
 decides. This requires that the slot itself records whether it is full: if each
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -88,7 +88,7 @@
 def list_endpoints(
     members: list[member.Member], unresponsive: frozenset[str]
 ) -> list[Endpoint]:
-    """Return all VMs that accept callers, for callers that choose themselves.
+    """Return all VMs that accept callers, for callers that choose among them.
 
     A dead or partitioned VM costs each caller that chooses it a connect
     timeout. VMs send heartbeats, so an unresponsive one is excluded long
--- a/mulberryway/policy/failure_reports.py
+++ b/mulberryway/policy/failure_reports.py
@@ -4,7 +4,7 @@
 
 __all__ = ["FailureReportFilter"]
 
-# Time in ms for which a failure report is remembered.
+# Time in ms for which a failure report is kept.
 REPORT_TTL_MS = 30_000
 # A VM that reports failures of more than this fraction of a pool, and of more
 # than this number of its upstreams, is probably faulty itself: partitioned,
@@ -24,7 +24,7 @@
 
     @property
     def size(self) -> int:
-        """Number of VMs that are remembered."""
+        """Number of VMs whose failure reports are kept."""
         return len(self._reports)
 
     def accepts(
--- a/mulberryway/policy/fair_queue.py
+++ b/mulberryway/policy/fair_queue.py
@@ -2,7 +2,7 @@
 
 Each client account has a virtual start, in tokens divided by its weight,
 which grows with the tokens that were charged to it; the account with the
-smallest virtual start goes next.  All operations take logarithmic time in the
+smallest virtual start is next.  All operations take logarithmic time in the
 number of waiting accounts and entries.
 """
 
@@ -23,11 +23,11 @@
 # How far behind the virtual time an idle account may start.  Textbook
 # start-time fair queueing moves the start of an account up to the virtual time
 # when it begins to wait.  Here all routers of a subset have to arrive at the
-# same order, and only one router would know of that move.  The credit also
+# same order, and the move would happen on one router only.  The credit also
 # lets an account whose demand is close to its fair share make up for short
 # idle periods.  Its cost is that an account which returns after an idle period
-# goes first until the credit is used up: about fifteen ordinary requests, or
-# two to three seconds of a small pool.
+# is served first until the credit is used up: about fifteen ordinary requests,
+# or two to three seconds of a small pool's throughput.
 MAX_CREDIT_TOKENS = 6_000.0
 
 
@@ -39,8 +39,8 @@
 class FairQueue:
     """Holds the entries of all accounts in fair order.
 
-    :param max_entries: most waiting jobs
-    :param max_bytes: most bytes of waiting bodies
+    :param max_entries: maximum number of waiting jobs
+    :param max_bytes: maximum size of waiting bodies, in bytes
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
--- a/mulberryway/policy/fairness.py
+++ b/mulberryway/policy/fairness.py
@@ -27,7 +27,7 @@
         self.slack_tokens = slack_tokens
 
 
-# Strict fair order: the account with the least service over all routers goes
+# Strict fair order: the account with the least service over all routers is
 # next, even if its prompt is the most expensive.
 WORST_SERVED: typing.Final = FairnessMode("worst_served", 0)
 # Cheaper prompts first within about twenty ordinary requests of 400 tokens.
@@ -42,7 +42,7 @@
     :returns: the fairness mode
     :raises ValueError: for another name
     """
-    found = next((one for one in FAIRNESS_MODES if one.name == name), None)
-    if found is None:
+    mode = next((item for item in FAIRNESS_MODES if item.name == name), None)
+    if mode is None:
         raise ValueError(f"unknown fairness mode: {name}")
-    return found
+    return mode
--- a/mulberryway/policy/health.py
+++ b/mulberryway/policy/health.py
@@ -23,7 +23,7 @@
 class Ewma:
     """An exponentially weighted moving average.
 
-    :param value: the assumption before the first observation
+    :param value: the estimate before the first observation
     :param part: weight of a new observation, from 0 to 1
     """
 
@@ -40,7 +40,7 @@
         :param observed: the observed value
         """
         self.count += 1
-        # The first observations weigh more, so the assumption fades quickly.
+        # Weigh the first observations more; the initial value fades quickly.
         part = max(self.part, 1.0 / (self.count + 1))
         self.value += part * (observed - self.value)
 
@@ -52,12 +52,12 @@
     observation below the estimate is close to the true value; one above it
     says little, but many of them show that the engine has become slower.
 
-    :param value: the assumption before the first observation
+    :param value: the estimate before the first observation
     """
 
     # A lower observation has a weight of 0.5. A higher one is capped at 1.5
     # times the estimate, and weighs less after the first ones: a single
-    # prefill that got stuck must not make an engine look so slow that it gets
+    # stalled prefill must not make an engine look so slow that it gets
     # no more requests.
     DECREASE_WEIGHT = 0.5
     INCREASE_WEIGHT = 0.1
--- a/mulberryway/policy/hints.py
+++ b/mulberryway/policy/hints.py
@@ -1,9 +1,9 @@
-"""Notes that routers exchange, so as not to choose the same slots.
+"""Notes that routers exchange, so that they do not choose the same slots.
 
 A note may be late, lost or duplicated. Gauges replace older ones, and running
 sums only grow. Short-lived values are sent as the amount since the last note:
-in a large fleet a VM receives notes on most upstreams from most other VMs for
-the first time, and a running sum would not show the recent part.
+in a large fleet most notes are the first that a VM receives from another one
+on an upstream, and a running sum alone would not show the recent part.
 """
 
 from mulberryway.policy import health
@@ -130,7 +130,7 @@
     :param sequence: increases with each note; older notes are ignored
     :param holdings: upstreams whose state changed
     :param accounts: accounts whose state changed or that have waiting jobs
-    :param deaths: updates on requests that may be poison
+    :param deaths: updates on suspected poison requests
     """
 
     __slots__ = (
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -16,7 +16,7 @@
     """Records the progress and outcome of one pool's jobs.
 
     :param pool: the pool's scheduler
-    :param register: the registry of requests that may be poison
+    :param register: registry of suspected poison requests
     """
 
     __slots__ = ("_pool", "_register")
@@ -65,7 +65,7 @@
 
     @staticmethod
     def record_first_token(job: running_jobs.RunningJob) -> bool:
-        """Record that a decode engine works, before its stream ends.
+        """Record the first token, which shows that the decode engine works.
 
         :param job: the job
         :returns: whether this is a state change that other VMs need
@@ -182,8 +182,8 @@
     ) -> None:
         # One request of a batch may crash every upstream that runs it, while
         # the others are not the cause. So each becomes a suspect, and a
-        # suspect is the only suspect on its upstream. If that upstream crashes
-        # too, the other requests of its batch are not even suspected.
+        # suspect runs as the only one on its upstream. If that upstream
+        # crashes too, the other requests of its batch are not even suspected.
         name = f"{self._pool.row.name}/{view.row.name}"
         digest = job.entry.job.digest
         others = view.count_suspects() - job.is_suspect()
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -43,7 +43,7 @@
 
     :param members: the upstreams of this router's subset
     :param random_: seeded random generator
-    :param token_gap_ms: longest inter-token gap on target, in milliseconds
+    :param token_gap_ms: inter-token gap target, in milliseconds
     """
 
     def __init__(
--- a/mulberryway/policy/jobs.py
+++ b/mulberryway/policy/jobs.py
@@ -31,15 +31,15 @@
     :param deadline: deadline for the first token
     :param attempt: 0 for the first attempt; increases with each retry at
         another upstream
-    :param excluded_upstreams: names of upstreams that failed it
+    :param excluded_upstreams: names of upstreams at which it failed
     :param digest: identifies account, model and body, see ``policy.poison``;
         empty where identical requests need not be recognized
     :param expected_tokens: expected length of the response in tokens; 0 where
         only the maximum is known
-    :param first_token_target_ms: latest time for a first token on target, in
-        milliseconds; 0 for no target besides the deadline
-    :param is_retry_safe: whether it may go to another upstream even if it may
-        have been executed at the first
+    :param first_token_target_ms: latest time at which the first token meets
+        its target, in milliseconds; 0 for no target besides the deadline
+    :param is_retry_safe: whether it may be sent to another upstream even if it
+        may have been executed at the first
     """
 
     __slots__ = (
--- a/mulberryway/policy/leader_lease.py
+++ b/mulberryway/policy/leader_lease.py
@@ -232,8 +232,8 @@
     the fleet, so only a few VMs poll the lease.
 
     :param vms: the names of all live VMs
-    :returns: at most :data:`CANDIDATE_COUNT` names, the same for all VMs that
-        know the same members
+    :returns: at most :data:`CANDIDATE_COUNT` names, the same for all VMs with
+        the same list of members
     """
     return sorted(vms, key=_hash)[:CANDIDATE_COUNT]
 
--- a/mulberryway/policy/leased_rate_limiter.py
+++ b/mulberryway/policy/leased_rate_limiter.py
@@ -79,7 +79,7 @@
         self.tokens = 0
         self.per_window = 0
 
-    def note(self, tokens: int, now_ms: int) -> None:
+    def add(self, tokens: int, now_ms: int) -> None:
         if now_ms - self.start_ms >= DEMAND_WINDOW_MS:
             is_next = now_ms - self.start_ms < 2 * DEMAND_WINDOW_MS
             self.per_window = self.tokens if is_next else 0
@@ -202,7 +202,8 @@
         :param account: name of the client account
         :param tokens: number of tokens that a request needs
         :param now_ms: current time in ms
-        :returns: the tokens to request, or None if a request is useless now
+        :returns: the tokens to request, or None during the backoff and for a
+            request that can never succeed
         """
         until_ms, rejected = self._backoffs.get(account, (0, 0))
         if now_ms < until_ms and tokens >= rejected:
@@ -228,7 +229,7 @@
         if self.lender.find_account(account) is None:
             return
         demand = self._demands.setdefault(account, _Demand(now_ms))
-        demand.note(tokens, now_ms)
+        demand.add(tokens, now_ms)
 
     def record_refusal(self, account: str, tokens: int, now_ms: int) -> int:
         """Record that no VM could lend enough, and estimate a retry time.
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -27,7 +27,8 @@
 # suspicion.
 SUSPECT_PERIODS = 3
 # Dead VMs are kept as tombstones; otherwise late gossip would revive them. The
-# time is long because VMs whose shares the dead VM held need its incarnation.
+# time is long because VMs that need slots held by a dead VM need its
+# incarnation.
 TOMBSTONE_MS = 600_000
 SYNC_PERIODS = 5
 
@@ -84,8 +85,8 @@
         if known is not None and not update.is_newer_than(known):
             return False
         if known is None and update.health is member.MemberStatus.DEAD:
-            # A VM is not added by an update of its death. Otherwise tombstones
-            # would circulate for ever and never be removed.
+            # An update that marks a VM as dead does not add it. Otherwise
+            # tombstones would circulate forever and never be removed.
             return False
         self._put(self._copy_heartbeat(update, known), now_ms)
         return True
@@ -276,7 +277,7 @@
         if update.incarnation > self.own.incarnation:
             # The clock of an earlier incarnation was ahead. Without a larger
             # number, other VMs would mistake this incarnation for an outdated
-            # one for ever.
+            # one forever.
             self.own.incarnation = update.incarnation + 1
             self._announce(0)
             return True
@@ -287,7 +288,7 @@
         return True
 
     def _announce(self, version: int) -> None:
-        # The digest covers what other VMs know, so every change updates it.
+        # The digest covers this VM's own record, so every change updates it.
         self.own.version = version
         self._digest = functools.reduce(
             operator.xor, map(_digest_member, self._members.values())
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -1,4 +1,4 @@
-"""Copies of the objects in the platform's store, which never go back.
+"""Copies of objects in the platform's store; revisions never decrease.
 
 A copy comes from the store or from another VM. Which of two copies is newer
 depends on the store's revision alone, never on the time of receipt.
@@ -45,12 +45,13 @@
 
     :param kind: the plural kind
     :param detector: decides whether removed objects have expired and are
-        retained; without it, removals take effect at once ``objects`` holds
-        the objects of the store. ``revision`` grows with every change in the
-        store, and a watch continues from it. ``changed_revision`` grows only
-        with changes of this kind, so VMs with the same copy report the same
-        value. ``edits`` counts all changes of the copy, including those that
-        do not come from the store.
+        retained; without it, removals take effect at once
+
+    ``objects`` holds the objects of the store. ``revision`` grows with every
+    change in the store, and a watch continues from it. ``changed_revision``
+    grows only with changes of this kind, so VMs with the same copy report the
+    same value. ``edits`` counts all changes of the copy, including those that
+    do not come from the store.
     """
 
     __slots__ = (
@@ -229,8 +230,8 @@
 
     def drain_newly_retained(self) -> list[RetainedObject]:
         """Return and clear the list of newly retained objects."""
-        found, self._unreported = self._unreported, []
-        return found
+        unreported, self._unreported = self._unreported, []
+        return unreported
 
     def _put(self, object_: base.StoredObject) -> None:
         self.edits += 1
--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -13,11 +13,11 @@
 # does. Three missed heartbeats distinguish the two well enough, since the
 # engines make the final decision.
 UNRESPONSIVE_MS = 3_000
-# An idle peer may send nothing for longer. After this time, the order of its
-# notes is evicted as well.
+# An idle peer may send nothing for longer. After this time, the sequence
+# numbers of its notes are evicted as well.
 EVICTION_MS = 60_000
 EXPIRY_CHECK_MS = 500
-# Interval for evicting the order of notes on deregistered upstreams.
+# Interval for evicting sequence numbers of deregistered upstreams.
 PRUNE_MS = 10_000
 FRESH_MS = 1_500
 HOLDING = "holding"
@@ -56,7 +56,7 @@
     """Applies notes, and expires peers that become unresponsive.
 
     :param vm: this VM's name; its own notes are ignored
-    :param register: the registry of requests that may be poison
+    :param register: registry of suspected poison requests
     """
 
     def __init__(self, vm: str, register: poison.PoisonRegistry) -> None:
@@ -152,7 +152,7 @@
 
     @property
     def size(self) -> int:
-        """Number of subjects whose order of notes is stored."""
+        """Number of subjects whose newest sequence number is stored."""
         return sum(len(peer.applied) for peer in self._peers.values())
 
     def _prune(
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -27,7 +27,7 @@
 # notes.
 FULL_NOTE_MS = 5_000
 # Interval for sending waiting jobs again. In a fleet of more than
-# ``HEARTBEAT_SCALING_VMS`` the first time may be delayed as much: most jobs
+# ``HEARTBEAT_SCALING_VMS`` changes are also delayed by up to this: most jobs
 # wait for less, and their start is sent as a change.
 WAITING_MS = 100
 # Maximum number of accounts in a note: those with the least service and with
@@ -44,7 +44,7 @@
 
     :param vm: this VM's name
     :param incarnation: the incarnation of its router
-    :param register: the registry of requests that may be poison
+    :param register: registry of suspected poison requests
     """
 
     def __init__(
--- a/mulberryway/policy/orders.py
+++ b/mulberryway/policy/orders.py
@@ -11,7 +11,7 @@
 # The weight store is rate-limited and engines serve no requests while they
 # load; more loads at once would share its rate and all finish late.
 MAX_LOADS = 2
-# A load that does not appear in the engine's report by then is sent again.
+# A load that is not in the engine's report within this time is sent again.
 LOAD_TIMEOUT_MS = 300_000
 # Time in ms before a rejected or unanswered order is sent again.
 RETRY_MS = 15_000
@@ -157,8 +157,8 @@
         """Clear all state, because this VM is no longer the leader.
 
         Running loads continue to use the weight store's rate. A new leader
-        knows loads that are not yet in reports only if it sent them itself, so
-        for the duration of one load there may be twice as many.
+        cannot count loads that are not yet in reports and that it did not send
+        itself, so for the duration of one load there may be twice as many.
         """
         self._loading.clear()
         self._accepted_roles.clear()
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -41,12 +41,12 @@
         :param now_ms: current time in ms
         """
         charged = self._charged.setdefault(vm, {})
-        more = note.charged - charged.get(note.account, note.charged)
+        added = note.charged - charged.get(note.account, note.charged)
         charged[note.account] = note.charged
-        if more > 0:
-            self._fair.charge(note.account, note.weight, more)
-        elif more < 0:
-            self._fair.adjust_charge(note.account, note.weight, more)
+        if added > 0:
+            self._fair.charge(note.account, note.weight, added)
+        elif added < 0:
+            self._fair.adjust_charge(note.account, note.weight, added)
         waiting = self._waiting.setdefault(vm, {})
         if note.waiting:
             waiting[note.account] = _Waiting(note, now_ms)
@@ -105,7 +105,7 @@
         return waiting.jobs if lead > 0 else 0
 
     def sum_waiting_weight(self, now_ms: int) -> int:
-        """Return the total weight of accounts that wait only at peers.
+        """Return the total weight of accounts with waiting jobs only at peers.
 
         :param now_ms: current time in ms
         :returns: the sum of weights, with each account counted once
--- a/mulberryway/policy/placements.py
+++ b/mulberryway/policy/placements.py
@@ -15,8 +15,8 @@
 
 # Latency of a request's network hops.
 NETWORK_OVERHEAD_MS = 8.0
-# Estimates are off by some tens of milliseconds when other routers' jobs get
-# in between.  A job that starts with less time left mostly misses its
+# Estimates are off by some tens of milliseconds when other routers' jobs are
+# placed in between.  A job that starts with less time left mostly misses its
 # deadline.
 DEADLINE_MARGIN_MS = 30.0
 
@@ -38,7 +38,7 @@
     :param ready_ms: estimated time when the prefill ends
     :param transfer_ms: duration of the KV cache transfer over the link
     :param first_token_ms: estimated time of the first token
-    :param blocks: KV cache blocks that the decode takes
+    :param blocks: KV cache blocks that the decode uses
     :param drift_ms: the prefill upstream's drift at the start, see
         :class:`upstream_view.UpstreamView`
     """
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -22,8 +22,8 @@
 # or a caller that generates bodies, must not fill the VM's memory.
 MAX_DIGESTS = 4_096
 # A caller retries within seconds to minutes. Each rejected retry renews the
-# quarantine, so a request that keeps coming stays quarantined, and a model
-# that was fixed serves it again ten minutes after the last attempt.
+# quarantine, so a request that is sent repeatedly stays quarantined, and a
+# model that was fixed serves it again ten minutes after the last attempt.
 QUARANTINE_MS = 600_000
 # A request that was in two batches whose upstream crashed, without having been
 # the only suspect there, may be a harmless one that many callers send. Its
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -20,8 +20,8 @@
 
 __all__ = ["PoolScheduler"]
 
-# A job with a longer prefill goes into its account's lane for long jobs, which
-# short jobs may overtake.
+# A job with a longer prefill is put into its account's lane for long jobs,
+# which short jobs may overtake.
 LONG_PREFILL_MS = 250.0
 # Bound the accounts and jobs that one decision considers.  The next free slot
 # or the next job starts another decision, so skipped jobs are considered soon.
@@ -49,9 +49,9 @@
     :param register: registry of suspected poison requests
     :param fairness_mode: the deployment's fairness mode
     :param random_: seeded random generator
-    :param token_gap_ms: longest inter-token gap on target, in milliseconds
-    :param max_entries: most waiting jobs
-    :param max_bytes: most bytes of waiting bodies
+    :param token_gap_ms: inter-token gap target, in milliseconds
+    :param max_entries: maximum number of waiting jobs
+    :param max_bytes: maximum size of waiting bodies, in bytes
     :param budget: the retry budget
     """
 
@@ -150,7 +150,7 @@
         :returns: the started job, or none if none can start now
         """
         if not len(self.queue):
-            # Each gossip message leads here, mostly with an empty queue.
+            # Each gossip message causes a call, mostly with an empty queue.
             return None
         self.placer.typical_stream_ms = self.meters.hold_ms.value
         free = self.placer.estimate_free_slots(now_ms)
@@ -270,7 +270,7 @@
         return True
 
     def _count_ahead(self, entry: fair_queue.QueueEntry, now_ms: int) -> int:
-        """Return how many of the peers' jobs go before an own job."""
+        """Return how many of the peers' jobs precede an own job."""
         job = entry.job
         state = self.queue.find_account(job.account, job.weight)
         # Peers apply the same slack to the fair order.
--- a/mulberryway/policy/pool_set.py
+++ b/mulberryway/policy/pool_set.py
@@ -1,4 +1,4 @@
-"""Keeps the schedulers of a router's model pools in line with the tables."""
+"""Keeps the schedulers of model pools consistent with the tables."""
 
 import collections.abc
 import random
@@ -22,9 +22,9 @@
     :param fairness_mode: the deployment's fairness mode
     :param register: registry of suspected poison requests
     :param random_: seeded random generator
-    :param token_gap_ms: longest inter-token gap on target, in milliseconds
-    :param max_entries: most waiting jobs in each pool
-    :param max_bytes: most bytes of waiting bodies in each pool
+    :param token_gap_ms: inter-token gap target, in milliseconds
+    :param max_entries: maximum number of waiting jobs in each pool
+    :param max_bytes: maximum size of waiting bodies in each pool, in bytes
     :param budget: class of the pools' retry budgets
     :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
--- a/mulberryway/policy/pool_upstreams.py
+++ b/mulberryway/policy/pool_upstreams.py
@@ -70,11 +70,11 @@
 
         :param view: the upstream in question
         :param now_ms: current time in milliseconds
-        :returns: whether its ejection would bring more than half of the
+        :returns: whether its ejection would take more than half of the
             upstreams of its role out of service
         """
         siblings = self.prefills if view in self.prefills else self.decodes
-        ejected = sum(one.health.is_ejected(now_ms) for one in siblings)
+        ejected = sum(item.health.is_ejected(now_ms) for item in siblings)
         is_new = not view.health.is_ejected(now_ms)
         return is_new and (ejected + 1) * 2 > len(siblings)
 
--- a/mulberryway/policy/prefill_speed.py
+++ b/mulberryway/policy/prefill_speed.py
@@ -22,7 +22,7 @@
     """Estimates the prefill rate of one engine.
 
     On a prefill engine the measured times include unattributed queueing,
-    which later prefills meet as well, so the estimate is the mean.  For a
+    which delays later prefills as well, so the estimate is the mean.  For a
     chunked prefill the wait for another prompt must not count, so the
     estimate is the lower bound.  With the mean, prefills of 0.19 s were
     estimated at 0.35 s and none seemed to fit.
--- a/mulberryway/policy/probes.py
+++ b/mulberryway/policy/probes.py
@@ -4,7 +4,7 @@
 
 
 class EjectedUpstream:
-    """An ejected upstream.
+    """An ejected upstream, and whether to probe it now.
 
     :param pool: the pool's name
     :param upstream: the upstream's name
--- a/mulberryway/policy/queue_entries.py
+++ b/mulberryway/policy/queue_entries.py
@@ -19,7 +19,7 @@
     """Separates jobs of one account that may overtake each other.
 
     A long prompt that waits for free prefill capacity must not block the
-    account's short ones, and a suspect of a crash waits for an engine without
+    account's short ones, and a crash suspect waits for an engine without
     another suspect.
     """
 
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -38,7 +38,7 @@
 
 
 class UnlimitedRetryBudget(RetryBudget):
-    """Admits every retry, where another budget counts them."""
+    """Admits every retry; used where another budget limits retries."""
 
     __slots__ = ()
 
@@ -61,8 +61,8 @@
     :param slack: retries in addition, over all VMs
     """
 
-    # Upper bound of the sum of all shares; the rest covers a VM that others do
-    # not know yet.
+    # Upper bound of the sum of all shares; the rest covers a VM that others
+    # have not discovered yet.
     SHARED_FRACTION = 0.8
 
     __slots__ = (
--- a/mulberryway/policy/running_jobs.py
+++ b/mulberryway/policy/running_jobs.py
@@ -58,7 +58,7 @@
         self._sampled_ms = now_ms
 
     def record_tokens(self, tokens: int, now_ms: int) -> float | None:
-        """Record the number of tokens.
+        """Record how many tokens have arrived.
 
         :param tokens: total number of tokens so far
         :param now_ms: current time in milliseconds
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -1,4 +1,4 @@
-"""Schedules the jobs of all pools, fairly and in line with peer routers."""
+"""Schedules the jobs of all pools, fairly and in coordination with peers."""
 
 import random
 
@@ -42,9 +42,9 @@
     :param weighed: the deployment's fairness mode
     :param register: registry of suspected poison requests
     :param seed: seed of the random generator; different on each VM
-    :param token_gap_ms: longest inter-token gap on target, in milliseconds
-    :param max_entries: most waiting jobs in each pool
-    :param max_bytes: most bytes of waiting bodies in each pool
+    :param token_gap_ms: inter-token gap target, in milliseconds
+    :param max_entries: maximum number of waiting jobs in each pool
+    :param max_bytes: maximum size of waiting bodies in each pool, in bytes
     :param budget: class of the pools' retry budgets
     :param prefill_rate: see :class:`pool_upstreams.PoolUpstreams`
     """
@@ -138,7 +138,7 @@
         if name is None:
             return False
         self._pending_rejections = [
-            one for one in self._pending_rejections if one.job_id != job_id
+            item for item in self._pending_rejections if item.job_id != job_id
         ]
         self._pool_set.find_any(name).queue.remove(job_id)
         return True
@@ -368,7 +368,7 @@
         self.register.note_news(deaths, now_ms)
 
     def is_quarantined(self, digest: str, now_ms: int) -> bool:
-        """Return whether a request is quarantined, and renew it if so.
+        """Return whether a request is quarantined, and renew its quarantine.
 
         :param digest: identifies the request
         :param now_ms: current time in milliseconds
--- a/mulberryway/policy/server_selection.py
+++ b/mulberryway/policy/server_selection.py
@@ -80,7 +80,7 @@
         """Choose a server and count a call to it.
 
         :param pool: the pool
-        :param excluded: names of servers that failed this call
+        :param excluded: names of servers at which this call failed
         :param now_ms: current time in milliseconds
         :returns: the server, or none if all are draining or excluded
         """
--- a/mulberryway/policy/slot_lease_manager.py
+++ b/mulberryway/policy/slot_lease_manager.py
@@ -142,7 +142,7 @@
             is_free = self._can_take(slot, record, now_ms)
             return LeaseAction.TAKE if is_free else LeaseAction.NONE
         # Either a release was lost, or this VM's previous process held the
-        # slot.  Nobody else can take it while the platform lists this VM.
+        # slot.  No other VM can take it while the platform lists this VM.
         is_unreleased = record is not None and not record.is_released
         if is_unreleased and self._is_from_this_vm(record):
             return LeaseAction.RELEASE
--- a/mulberryway/policy/slow_upstreams.py
+++ b/mulberryway/policy/slow_upstreams.py
@@ -24,7 +24,7 @@
     target and is slower than the median; if all are slow, none is excluded.
 
     :param members: the upstreams of this router's subset
-    :param token_gap_ms: longest inter-token gap on target, in milliseconds,
+    :param token_gap_ms: inter-token gap target, in milliseconds,
         for pools whose routes have no target
     """
 
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -57,7 +57,10 @@
             peer.unreachable_ms = now_ms
 
     def is_fleet_wide(self, since_ms: int, now_ms: int) -> bool:
-        """Return whether all VMs with a recent report lost the store.
+        """Return whether the outage affects every VM with a recent report.
+
+        A VM is affected if it reported the store as unreachable at any time
+        since ``since_ms``.
 
         :param since_ms: when the store stopped answering this VM
         :param now_ms: current time in ms
@@ -74,7 +77,7 @@
         :param since_ms: when the store stopped answering this VM
         :param now_ms: current time in ms
         :returns: number of other VMs with a recent report, and how many of
-            them lost the store
+            them failed to reach the store
         """
         recent = self._list_recent(now_ms)
         unreachable = sum(_was_unreachable(peer, since_ms) for peer in recent)
--- a/mulberryway/policy/subsetting.py
+++ b/mulberryway/policy/subsetting.py
@@ -28,7 +28,7 @@
     def find_subset(self, vm: str) -> int:
         """Return the subset of a VM's router.
 
-        :param vm: its name; a VM that is not in the list gets a subset too
+        :param vm: its name; a VM that is not in the list also gets a subset
         :returns: the subset's number
         """
         subset = self._subset_of_vm.get(vm)
@@ -81,7 +81,7 @@
     free = [-(-len(vms) // count)] * count
     assigned: dict[str, int] = {}
     for vm in vms if count > 1 else ():
-        subset = next(one for one in _rank_subsets(vm, count) if free[one])
+        subset = next(item for item in _rank_subsets(vm, count) if free[item])
         free[subset] -= 1
         assigned[vm] = subset
     return assigned or dict.fromkeys(vms, 0)
--- a/mulberryway/policy/token_bucket.py
+++ b/mulberryway/policy/token_bucket.py
@@ -174,7 +174,7 @@
         )
 
     def time_until(self, tokens: int, now_ms: int) -> int | None:
-        """Return the time until so many tokens can be available.
+        """Return the time until a number of tokens can be available.
 
         :param tokens: number of tokens
         :param now_ms: current time in ms
--- a/mulberryway/policy/transfers.py
+++ b/mulberryway/policy/transfers.py
@@ -6,7 +6,7 @@
 
 
 class TransferLinks:
-    """Tracks the transfers that this router has put on links between zones.
+    """Tracks the transfers that this router plans on links between zones.
 
     A prefill's result expires in less than a second, and is lost if it waits
     longer for a busy link.  So the choice of a decode upstream considers the
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -169,7 +169,7 @@
     def has_blocks(self, blocks: int) -> bool:
         """Return whether a decode's KV cache probably fits.
 
-        :param blocks: number of blocks that it takes
+        :param blocks: number of blocks that it uses
         :returns: whether it fits; true while the engine's size is unknown
         """
         if self.total_blocks is None:
@@ -377,7 +377,7 @@
         if holding.step_ms:
             # Peers' measurements count like own ones.  With nine routers,
             # each has about two streams on an engine and would need seconds
-            # to see a change by itself.
+            # to measure a change on its own.
             self.step.note(holding.step_ms)
             self.step_floor.note(holding.step_ms)
             self.step_updated_ms = now_ms
@@ -398,7 +398,7 @@
     def fits_prefill(
         self, prefill_ms: float, now_ms: int, yield_ms: int = 0
     ) -> bool:
-        """Return whether a chunked prefill now keeps all gaps on target.
+        """Return whether a chunked prefill now keeps all gaps within target.
 
         :param prefill_ms: its estimated uncontended duration
         :param now_ms: current time in milliseconds
@@ -416,7 +416,7 @@
         )
 
     def fits_prefill_alone(self, prefill_ms: float) -> bool:
-        """Return whether a single chunked prefill keeps all gaps on target.
+        """Return whether one chunked prefill keeps all gaps within target.
 
         :param prefill_ms: its estimated uncontended duration
         """
--- a/mulberryway/policy/usage.py
+++ b/mulberryway/policy/usage.py
@@ -27,10 +27,10 @@
 # rate.  After three missed heartbeats the unresponsive VM's fraction of rate
 # and burst is reserved for it.
 HEARTBEAT_TIMEOUT_MS = 950
-# A VM that was unresponsive for so long is probably not coming back, and its
-# fraction would be lost to all.  Only VMs that hear from more than half of
-# the fleet take it over: a VM that is partitioned alone hears from nobody and
-# keeps to its own fraction.
+# A VM that was unresponsive this long is probably not coming back, and its
+# fraction would be lost to all.  Only VMs that receive messages from more
+# than half of the fleet take it over: a VM that is partitioned alone receives
+# none and keeps to its own fraction.
 EVICTION_TIMEOUT_MS = 12_000
 # Number of evicted VMs whose last counts are kept in case they return.
 MAX_EVICTED_PEERS = 256
@@ -40,23 +40,25 @@
 # 300,000 tokens per second, so one delay of 100 ms is worth 30,000.
 UPFRONT_MARGIN_FRACTION = 0.1
 # Fraction of an account's limit in one window by which VMs that are killed,
-# partitioned or informed too late overrun in the worst case, over the 500
-# schedules of the tests: with 0.2 there were overruns in 2 of 300 schedules,
-# with 0.3 in none.  Any margin beyond that is added to the rate.  This matters
-# for accounts whose margin is large compared with their rate: one of 30,000
-# tokens per second that requests several times that gets 14 percent more.
+# are partitioned or receive counts late overrun in the worst case, over the
+# 500 schedules of the tests: with 0.2 there were overruns in 2 of 300
+# schedules, with 0.3 in none.  Any margin beyond that is added to the rate.
+# This matters for accounts whose margin is large compared with their rate: one
+# of 30,000 tokens per second that requests several times that gets 14 percent
+# more.
 OVERRUN_RESERVE_FRACTION = 0.3
-# VMs that all start at once know nothing.  With empty buckets accounts would
+# VMs that all start at once have no counts.  With empty buckets accounts would
 # be rejected within their rate; with full ones an account might get its burst
 # twice in a window.  So they start with this fraction of the margin, and each
-# VM grants only its own fraction of that until it has heard from the others.
+# VM grants only its own fraction of that until the others' messages arrive.
 INITIAL_MARGIN_FRACTION = 0.25
-# Fraction for a VM that has heard from nobody since it started although others
-# exist: it is partitioned or the first of all, and does not know their number.
+# Fraction for a VM that has received no message since it started although
+# others exist: it is partitioned or the first one to start, and their number
+# is unknown.
 ISOLATED_FRACTION = 0.25
 # Incarnation of a VM of which only the name is known.
 UNKNOWN = -1
-# A VM that has counted for so long knows the tokens granted before it started.
+# A VM that has counted this long has all counts from before it started.
 WARM_UP_MS = 3_000
 # Each ``FULL_SYNC_INTERVAL``-th heartbeat is a full snapshot.  While a VM has
 # counted for less than ``STARTUP_FULL_SYNC_MS``, every heartbeat is one, or
@@ -140,8 +142,8 @@
     ) -> None:
         """Apply the set of VMs that the store lists.
 
-        VMs that start while others are partitioned would otherwise take
-        themselves for the whole fleet.  A VM that was not heard from yet
+        VMs that start while others are partitioned would otherwise mistake
+        themselves for the whole fleet.  A VM that has sent no message yet
         counts as unresponsive, and its fraction is reserved for it.
 
         :param vms: names of VMs
@@ -232,7 +234,7 @@
     def describe(
         self, account: str, now_ms: int
     ) -> dict[str, int | float | str]:
-        """Return the state that decides about an account, for logs.
+        """Return the state that limits an account's grants, for logs.
 
         :param account: name of the account
         :param now_ms: current time in ms
@@ -382,8 +384,8 @@
             self._subtract(peer, entry, now_ms)
 
     def _adopt(self, usage: Usage, now_ms: int) -> None:
-        # A VM that has just started does not know the tokens granted before;
-        # one that has counted for long enough does.
+        # A VM that has just started lacks the counts of tokens granted
+        # before; one that has counted for long enough has them.
         if (
             self._has_adopted
             or usage.age_ms < WARM_UP_MS
@@ -447,7 +449,7 @@
         return self._fraction
 
     def _compute_valid_until_ms(self, now_ms: int) -> int:
-        """Return the earliest time a VM gets unresponsive or is evicted."""
+        """Return when a VM next becomes unresponsive or is evicted, in ms."""
         timeout_ms = int(HEARTBEAT_TIMEOUT_MS * self._compute_interval_scale())
         changes = (
             peer.heard_ms
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -47,7 +47,7 @@
         self.assertEqual(len(self.choose([suspect])), 1)
 
     def test_callers_are_spread_over_vms(self):
-        """A thousand callers ask between two updates of the stream counts.
+        """A thousand callers get addresses between two updates of the counts.
 
         If all were sent to the VM with the lowest count, they would overload
         it.
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -46,9 +46,9 @@
         self.assertAlmostEqual(served.count("a"), 20, delta=1)
 
     def test_idle_period_earns_bounded_credit(self):
-        """An account returns with a burst after an hour without requests.
-        With unlimited credit for the idle period it would starve all others
-        for as long as it was idle.
+        """An account sends a burst after an hour without requests.  With
+        unlimited credit for the idle period it would starve all others for
+        as long as it was idle.
         """
         for number in range(300):
             push(self.queue, f"a{number}", "a", cost=1_000)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -183,10 +183,10 @@
         """
         rig = Rig(vms=2, prefills=1, decodes=1)
         rig.submit(0)
-        (one,) = rig.start(0)
+        (assignment,) = rig.start(0)
         rig.gossip(10)
         router = rig.routers[0]
-        router.record_prefill_failed(one.job_id, 400)
+        router.record_prefill_failed(assignment.job_id, 400)
         rig.gossip(410)
         budget = (
             rig.routers[1]
@@ -206,8 +206,8 @@
         chosen = []
         for _ in range(3):
             rig.submit(now_ms, LONG)
-            found = rig.start(now_ms)
-            chosen += [one.decode for one in found]
+            assignments = rig.start(now_ms)
+            chosen += [item.decode for item in assignments]
             now_ms += 500
         self.assertEqual(len(chosen), 3)
         self.assertEqual(len(set(chosen)), 1)
@@ -244,8 +244,8 @@
         router = rig.routers[0]
         router.finish(first, jobs.JobOutcome.REFUSED_BY_ENGINE, "p0", 5)
         rig.submit(10)
-        (one,) = rig.start(10)
-        self.assertEqual(one.prefill, one.decode)
+        (assignment,) = rig.start(10)
+        self.assertEqual(assignment.prefill, assignment.decode)
 
 
 class QueueTest(unittest.TestCase):
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -154,9 +154,9 @@
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
     def test_surplus_prefill_engines_become_decode_engines(self):
-        found = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
-        self.assertEqual([one.row.name for one in found], ["p0", "p1"])
-        self.assertEqual({one.argument for one in found}, {"decode"})
+        orders = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
+        self.assertEqual([item.row.name for item in orders], ["p0", "p1"])
+        self.assertEqual({item.argument for item in orders}, {"decode"})
 
     def test_balanced_pool_needs_no_orders(self):
         planner = role_planner.RolePlanner()
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -159,7 +159,7 @@
     def test_vms_that_begin_together_give_what_the_margin_holds(self):
         """Guards the start after all VMs were killed at once.
 
-        Tokens granted right before still count, so all VMs together may grant
+        Tokens granted just before still count, so all VMs together may grant
         only a fraction of the margin at once.  With nothing to grant, callers
         would be rejected within their rate.
         """
@@ -178,7 +178,8 @@
         """Guards the start after ninety VMs were killed at once.
 
         Heartbeats are rare in a fleet this large.  If VMs that have sent
-        nothing yet counted as heard, each VM would grant the whole margin.
+        nothing yet counted as responsive, each VM would grant the whole
+        margin.
         """
         names = [f"a{n}" for n in range(90)]
         granted = 0
@@ -210,7 +211,7 @@
     def test_vm_that_starts_partitioned_grants_a_fraction(self):
         """Guards against a VM that starts partitioned from all others.
 
-        It cannot know their grants and must not grant the whole rate.
+        Their grants are unknown to it, so it must not grant the whole rate.
         """
         limiter = make_limiter("a1", has_others=True)
         granted = 0
@@ -288,7 +289,7 @@
         self.assertGreaterEqual(min(whole[name] for name in fleet), 2)
 
     def test_refunded_tokens_are_announced_once(self):
-        """Guards against a message at each step for nothing unannounced."""
+        """Guards against messages at each step without unannounced tokens."""
         limiter = make_limiter("a1")
         self.list_heartbeats(limiter, 0, 2)
         limiter.take("a", 100, 400)
@@ -599,5 +600,5 @@
             )
 
     def test_checker_finds_vms_without_messages(self):
-        found = Simulation(1, is_connected=False).run()
-        self.assertGreater(found, MAX_TOKENS)
+        granted = Simulation(1, is_connected=False).run()
+        self.assertGreater(granted, MAX_TOKENS)
