--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -260,12 +260,12 @@
         self._slots[slot_index] = slot
         self._newest = max(self._newest, slot.sequence)
         same = known is not None and known.sequence == slot.sequence
-        fresh = slot.records[len(known.records) if same else 0 :]
-        for record in fresh:
+        new_records = slot.records[len(known.records) if same else 0 :]
+        for record in new_records:
             self._apply(record)
         if slot.floor_ms > self.floor_ms:
             self._raise_floor(slot.floor_ms)
-        return fresh
+        return new_records
 
     def is_whole(self) -> bool:
         """Return whether the last round of the log is known without a gap.
--- a/mulberryway/policy/dissemination/disseminator.py
+++ b/mulberryway/policy/dissemination/disseminator.py
@@ -105,8 +105,8 @@
             for items in self._batch.pop_due(now_ms)
             for packet in self._send_batch(items)
         ]
-        for zone, box in self._outboxes.items():
-            for unacked in box.pop_overdue(now_ms):
+        for zone, outbox_ in self._outboxes.items():
+            for unacked in outbox_.pop_overdue(now_ms):
                 packets += self._publish_zone(
                     zone,
                     unacked.item,
@@ -118,19 +118,19 @@
 
     def read_due_ms(self) -> int | None:
         """Return when to poll again, in ms; none while nothing is due."""
-        dues = [
+        due_times = [
             self._batch.read_due_ms(),
-            *(box.read_due_ms() for box in self._outboxes.values()),
+            *(outbox_.read_due_ms() for outbox_ in self._outboxes.values()),
         ]
-        return min((due for due in dues if due is not None), default=None)
+        return min((due for due in due_times if due is not None), default=None)
 
     def count_resent(self) -> int:
         """Return how many items were sent to a second relay."""
-        return sum(box.resent for box in self._outboxes.values())
+        return sum(outbox_.resent for outbox_ in self._outboxes.values())
 
     def count_dropped(self) -> int:
         """Return how many items no relay has acknowledged."""
-        return sum(box.given_up for box in self._outboxes.values())
+        return sum(outbox_.given_up for outbox_ in self._outboxes.values())
 
     def _publish_zone(
         self,
@@ -144,14 +144,16 @@
         if len(receivers) <= MAX_DIRECT:
             envelope = messages.Envelope([item])
             return _address(messages.Kind.DIRECT, receivers, envelope)
-        box = self._outboxes[zone]
-        relay = box.chooser.choose(now_ms)
+        outbox_ = self._outboxes[zone]
+        relay = outbox_.chooser.choose(now_ms)
         assert relay is not None
         if relay.name == self._own.name:
             return self._relay([item], now_ms, is_deferrable)
         number = next(self._numbers)
         return [
-            box.send(item, relay, number, now_ms, attempts + 1, is_deferrable)
+            outbox_.send(
+                item, relay, number, now_ms, attempts + 1, is_deferrable
+            )
         ]
 
     def _relay(
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -75,13 +75,13 @@
     """
     ranks = sorted({_rank(vm) for vm in members})
     usable = [vm for vm in members if _rank(vm) == ranks[0]]
-    near = [vm for vm in usable if vm.zone == caller_zone]
-    far = [vm for vm in usable if vm.zone != caller_zone]
-    chosen = _pick(near, MAX_ADDRESSES, rng, now_ms)
-    if near and far:
+    local = [vm for vm in usable if vm.zone == caller_zone]
+    remote = [vm for vm in usable if vm.zone != caller_zone]
+    chosen = _pick(local, MAX_ADDRESSES, rng, now_ms)
+    if local and remote:
         chosen = chosen[: MAX_ADDRESSES - 1]
     missing = MAX_ADDRESSES - len(chosen)
-    chosen += _pick(far, missing, rng, now_ms)
+    chosen += _pick(remote, missing, rng, now_ms)
     return [Endpoint(vm.entry, vm.zone) for vm in chosen]
 
 
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -204,14 +204,14 @@
         outcome: jobs.JobOutcome,
         now_ms: int,
     ) -> float:
-        meters = self._pool.meters
+        stats = self._pool.meters
         step_ms = self._pool.placer.slowness.get_median_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
-        cost = meters.sum_cost(prompt, tokens)
+        cost = stats.sum_cost(prompt, tokens)
         if outcome is jobs.JobOutcome.DONE:
             hold_ms = now_ms - job.started_ms
-            meters.record_job(
+            stats.record_job(
                 job.entry.job.account, cost, tokens, max(hold_ms, 1)
             )
         return cost - job.entry.cost
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -25,8 +25,8 @@
         return router.submit(job, now_ms)
 
     def start(self, router, now_ms=0):
-        found = router.dispatch(now_ms).assignments
-        return {one.job_id: one for one in found}
+        assignments = router.dispatch(now_ms).assignments
+        return {item.job_id: item for item in assignments}
 
 
 class AdmissionTest(SchedulerCase):
@@ -51,10 +51,10 @@
         self.assertEqual(len(self.start(router)), 20)
         self.assertTrue(self.submit(router, "waits", 10).is_ok())
         wake_ms = router.dispatch(20).wake_ms
-        while not (found := router.dispatch(wake_ms)).refusals:
-            wake_ms = found.wake_ms
+        while not (result := router.dispatch(wake_ms)).refusals:
+            wake_ms = result.wake_ms
         self.assertLess(wake_ms, 1_110)
-        fault = found.refusals[0].fault
+        fault = result.refusals[0].fault
         self.assertIs(fault.run, errors.ExecutionStatus.NOT_RUN)
         self.assertGreater(fault.retry_after_ms, 0)
 
@@ -65,7 +65,7 @@
         results = [
             self.submit(router, f"j{n}", 10, within_ms=9_000) for n in range(9)
         ]
-        rejected = [one.error for one in results if one.is_error()]
+        rejected = [item.error for item in results if item.is_error()]
         self.assertTrue(rejected)
         self.assertTrue(results[0].is_ok())
         self.assertGreater(rejected[-1].retry_after_ms, 500)
@@ -93,7 +93,7 @@
         for n in range(6):
             self.submit(router, f"j{n}", prompt_tokens=100, within_ms=30_000)
         started = self.start(router)
-        decodes = [one.decode for one in started.values()]
+        decodes = [item.decode for item in started.values()]
         self.assertEqual(sorted(decodes), ["d0", "d0", "d1", "d1"])
         router.finish("j0", End.CANCELLED, "", 5)
         self.assertEqual(len(self.start(router, 5)), 1)
@@ -107,9 +107,9 @@
         for n in range(4):
             self.submit(router, f"long{n}", prompt_tokens=8_000)
         started = self.start(router)
-        used = {one.prefill for one in started.values()}
+        used = {item.prefill for item in started.values()}
         self.assertEqual(len(used), 1)
-        self.assertTrue(all(one.priority for one in started.values()))
+        self.assertTrue(all(item.priority for item in started.values()))
         self.submit(router, "short", 5, prompt_tokens=100)
         self.assertNotIn(self.start(router, 5)["short"].prefill, used)
 
@@ -124,8 +124,8 @@
         router.finish("j0", End.REFUSED_BY_ENGINE, rejecting, 2)
         for n in range(1, 7):
             self.submit(router, f"j{n}", 2 + n, prompt_tokens=60)
-            found = self.start(router, 2 + n)[f"j{n}"]
-            self.assertNotEqual(found.prefill, rejecting)
+            assignment = self.start(router, 2 + n)[f"j{n}"]
+            self.assertNotEqual(assignment.prefill, rejecting)
             router.record_prefilled(f"j{n}", 2 + n)
 
     def test_backoff_grows_while_a_prefill_engine_rejects(self):
@@ -138,8 +138,8 @@
         for n in range(400):
             now_ms += 10
             self.submit(router, f"j{n}", now_ms, prompt_tokens=60)
-            found = self.start(router, now_ms)[f"j{n}"]
-            if found.prefill == "p0":
+            assignment = self.start(router, now_ms)[f"j{n}"]
+            if assignment.prefill == "p0":
                 rejected += 1
                 outcome, at_fault = End.REFUSED_BY_ENGINE, "p0"
             else:
@@ -156,8 +156,8 @@
         router = self.make(prefills=2, decodes=2, slots=8)
         for n in range(8):
             self.submit(router, f"j{n}", 10 * n, prompt_tokens=60)
-            found = self.start(router, 10 * n)[f"j{n}"]
-            if found.prefill == "p0":
+            assignment = self.start(router, 10 * n)[f"j{n}"]
+            if assignment.prefill == "p0":
                 router.record_prefill_failed(f"j{n}", 10 * n + 5)
             else:
                 router.record_prefilled(f"j{n}", 10 * n + 5)
@@ -180,7 +180,7 @@
         for n in range(6):
             self.submit(router, f"j{n}", prompt_tokens=100, within_ms=30_000)
         started = self.start(router)
-        self.assertEqual({one.decode for one in started.values()}, {"d1"})
+        self.assertEqual({item.decode for item in started.values()}, {"d1"})
         # The next report shows this router's own four streams, which are not
         # unattributed load.
         router.record_load("lm", "d1", cases.make_load(running=4), 300)
@@ -195,7 +195,7 @@
         for n in range(1, 4):
             self.submit(router, f"j{n}", 10)
         started = self.start(router, 10)
-        self.assertNotIn(full, {one.decode for one in started.values()})
+        self.assertNotIn(full, {item.decode for item in started.values()})
 
     def test_rejected_decode_is_reassigned(self):
         router = self.make(decodes=2, slots=1)
@@ -219,11 +219,11 @@
         router.finish("j", End.DIED, bad, 10)
         for n in range(3):
             self.submit(router, f"a{n}", 20)
-        used = {one.decode for one in self.start(router, 20).values()}
+        used = {item.decode for item in self.start(router, 20).values()}
         self.assertNotIn(bad, used)
         for n in range(6):
             self.submit(router, f"b{n}", 2_000)
-        used = [one.decode for one in self.start(router, 2_000).values()]
+        used = [item.decode for item in self.start(router, 2_000).values()]
         self.assertEqual(used.count(bad), 1)
 
 
@@ -239,8 +239,8 @@
         self.submit(router, "late", 10)
         leaving = cases.make_pool(decodes=2, slots=8, leaving=("d0", "p1"))
         router.change_pools({"lm": leaving}, 10)
-        one = self.start(router, 10)["late"]
-        self.assertEqual((one.prefill, one.decode), ("p0", "d1"))
+        assignment = self.start(router, 10)["late"]
+        self.assertEqual((assignment.prefill, assignment.decode), ("p0", "d1"))
         for job_id in before:
             router.finish(job_id, End.DONE, "", 20)
 
@@ -271,8 +271,8 @@
         for n in range(8):
             self.submit(router, f"j{n}", 20, prompt_tokens=100)
         started = self.start(router, 20).values()
-        self.assertEqual({one.prefill for one in started}, {"p0"})
-        self.assertEqual({one.decode for one in started}, {"p1", "d0"})
+        self.assertEqual({item.prefill for item in started}, {"p0"})
+        self.assertEqual({item.decode for item in started}, {"p1", "d0"})
 
     def test_jobs_of_a_removed_pool_are_rejected(self):
         router = self.make(decodes=1, slots=1)
@@ -281,7 +281,7 @@
         self.submit(router, "b", 5, within_ms=30_000)
         router.change_pools({}, 10)
         refusals = router.dispatch(10).refusals
-        self.assertEqual([one.job_id for one in refusals], ["b"])
+        self.assertEqual([item.job_id for item in refusals], ["b"])
         router.finish("a", End.DONE, "", 20)
 
 
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -83,14 +83,14 @@
         """Another router has filled an engine and announced its load.  A
         router that counted only its own streams would send more there.
         """
-        one, other = Rig("vm1", decodes=1), Rig("vm2", decodes=1)
+        sender, receiver = Rig("vm1", decodes=1), Rig("vm2", decodes=1)
         for _ in range(20):
-            one.submit(0)
-        started = one.start(0)
-        other.scheduler.apply_hints(one.scheduler.drain_hints(1), 2)
+            sender.submit(0)
+        started = sender.start(0)
+        receiver.scheduler.apply_hints(sender.scheduler.drain_hints(1), 2)
         for _ in range(20):
-            other.submit(3)
-        self.assertEqual(len(started) + len(other.start(3)), len(started))
+            receiver.submit(3)
+        self.assertEqual(len(started) + len(receiver.start(3)), len(started))
 
     def test_jobs_that_can_meet_their_target_go_first(self):
         """In a burst, jobs wait until they miss their first token target.
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -129,16 +129,16 @@
 
         The account would be rejected within its rate.
         """
-        one, other = make_limiter("a1"), make_limiter("a2")
-        exchange_messages({"a1": one, "a2": other}, 9_000)
-        one.take("a", 3_000, 10_000)
-        older = one.make_usage({}, 10_000)
-        one.take("a", 1_000, 10_100)
-        newer = one.make_usage({}, 10_100)
-        left = other.describe("a", 10_100)["left"]
+        sender, receiver = make_limiter("a1"), make_limiter("a2")
+        exchange_messages({"a1": sender, "a2": receiver}, 9_000)
+        sender.take("a", 3_000, 10_000)
+        older = sender.make_usage({}, 10_000)
+        sender.take("a", 1_000, 10_100)
+        newer = sender.make_usage({}, 10_100)
+        left = receiver.describe("a", 10_100)["left"]
         for message in (newer, older, newer):
-            other.merge_usage(message, 10_100)
-        self.assertEqual(left - other.describe("a", 10_100)["left"], 4_000)
+            receiver.merge_usage(message, 10_100)
+        self.assertEqual(left - receiver.describe("a", 10_100)["left"], 4_000)
 
     def test_fraction_of_an_unresponsive_vm_is_reserved(self):
         """Guards against an account getting its rate on both sides.
@@ -265,10 +265,14 @@
         messages = self.list_heartbeats(
             limiter, usage.STARTUP_FULL_SYNC_MS, 20
         )
-        self.assertTrue(all(one.is_heartbeat for one in messages))
-        whole = [one for one in messages if len(one.accounts) == 17]
+        self.assertTrue(all(message.is_heartbeat for message in messages))
+        whole = [
+            message for message in messages if len(message.accounts) == 17
+        ]
         self.assertEqual(len(whole), 20 // usage.FULL_SYNC_INTERVAL)
-        self.assertEqual(sum(len(one.accounts) for one in messages), 17 * 4)
+        self.assertEqual(
+            sum(len(message.accounts) for message in messages), 17 * 4
+        )
 
     def test_all_accounts_are_sent_twice_during_warm_up(self):
         """Guards a starting VM against missing the grants of other VMs."""
@@ -310,7 +314,10 @@
             limiter, now_ms + usage.HEARTBEAT_MS, 2
         )
         self.assertEqual(
-            [[one.spent for one in message.accounts] for message in messages],
+            [
+                [entry.spent for entry in message.accounts]
+                for message in messages
+            ],
             [[100], [100]],
         )
 
