--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -33,6 +33,8 @@
 
 
 class _Running:
+    """The upstreams of a started job, and whether its prefill runs."""
+
     __slots__ = ("prefill", "decode", "is_prefilling")
 
     def __init__(self, prefill: _Member, decode: _Member) -> None:
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -112,7 +112,7 @@
         :param objects: all objects of the kind
         :param revision: the store's revision of the listing
         :param now_ms: current time in ms
-        :returns: whether the listing was newer
+        :returns: whether the listing was newer than the copy
         """
         if revision <= self.revision:
             return False
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -11,6 +11,8 @@
 
 
 class _Waiting:
+    """An account's waiting jobs, as one peer last reported them."""
+
     __slots__ = ("jobs", "since_ms", "prefill_ms", "received_ms")
 
     def __init__(self, note: hints.AccountNote, received_ms: int) -> None:
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -64,6 +64,8 @@
 
 
 class _Crash:
+    """A crash of one upstream under a request."""
+
     __slots__ = ("upstream", "at_ms", "proven")
 
     def __init__(self, upstream: str, at_ms: int, proven: bool) -> None:
@@ -73,6 +75,8 @@
 
 
 class _Record:
+    """The known crashes of one request, and when it was last used."""
+
     __slots__ = ("deaths", "is_proven", "used_ms")
 
     def __init__(self, now_ms: int) -> None:
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -51,10 +51,10 @@
     """One VM's share of a retry budget for all VMs, by pool.
 
     In any window, operators allow a fraction of the pool's requests and a
-    fixed number in addition, over all VMs. A VM uses the fraction of its own
-    requests and its share of the number, so no coordination is needed. VMs
-    that are considered dead keep their shares, since they may only be
-    partitioned.
+    fixed number in addition, over all VMs. A VM may retry that fraction of
+    its own requests and has a share of the fixed number, so no coordination is
+    needed. VMs that are considered dead keep their shares, since they may only
+    be partitioned.
 
     :param part: retries allowed per request, as a fraction
     :param window_ms: length of the window in ms
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -16,6 +16,8 @@
 
 
 class _Peer:
+    """The last reports of one VM, with their times in ms."""
+
     __slots__ = ("heard_ms", "unreachable_ms", "is_reached")
 
     def __init__(self) -> None:
