--- a/mulberryway/policy/claims.py
+++ b/mulberryway/policy/claims.py
@@ -5,8 +5,8 @@
 is conditional on the slot's version. Once a slot is full, the log continues in
 the next one and overwrites the records of the previous round.
 
-No two VMs can hold the same claim: a VM appends on the basis of the log as it
-knows it. A concurrent append by another VM has changed either the newest slot
+No two VMs can hold the same claim: a VM bases its append on its own copy of
+the log. A concurrent append by another VM has changed either the newest slot
 or, if that was full, the next one. In both cases it is the object that this VM
 updates, so its update is rejected and it reads the log again before it
 decides. This requires that the slot itself records whether it is full: if each
@@ -260,12 +260,12 @@
         self._slots[slot_index] = slot
         self._newest = max(self._newest, slot.sequence)
         same = known is not None and known.sequence == slot.sequence
-        fresh = slot.records[len(known.records) if same else 0 :]
-        for record in fresh:
+        new_records = slot.records[len(known.records) if same else 0 :]
+        for record in new_records:
             self._apply(record)
         if slot.floor_ms > self.floor_ms:
             self._raise_floor(slot.floor_ms)
-        return fresh
+        return new_records
 
     def is_whole(self) -> bool:
         """Return whether the last round of the log is known without a gap.
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -16,7 +16,7 @@
     """Records the progress and outcome of one pool's jobs.
 
     :param pool: the pool's scheduler
-    :param register: the registry of requests that may be poison
+    :param register: registry of suspected poison requests
     """
 
     __slots__ = ("_pool", "_register")
@@ -65,7 +65,7 @@
 
     @staticmethod
     def record_first_token(job: running_jobs.RunningJob) -> bool:
-        """Record that a decode engine works, before its stream ends.
+        """Record the first token, which shows that the decode engine works.
 
         :param job: the job
         :returns: whether this is a state change that other VMs need
@@ -182,8 +182,8 @@
     ) -> None:
         # One request of a batch may crash every upstream that runs it, while
         # the others are not the cause. So each becomes a suspect, and a
-        # suspect is the only suspect on its upstream. If that upstream crashes
-        # too, the other requests of its batch are not even suspected.
+        # suspect runs as the only one on its upstream. If that upstream
+        # crashes too, the other requests of its batch are not even suspected.
         name = f"{self._pool.row.name}/{view.row.name}"
         digest = job.entry.job.digest
         others = view.count_suspects() - job.is_suspect()
@@ -204,14 +204,14 @@
         outcome: jobs.JobOutcome,
         now_ms: int,
     ) -> float:
-        meters = self._pool.meters
+        stats = self._pool.meters
         step_ms = self._pool.placer.slowness.get_median_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
-        cost = meters.sum_cost(prompt, tokens)
+        cost = stats.sum_cost(prompt, tokens)
         if outcome is jobs.JobOutcome.DONE:
             hold_ms = now_ms - job.started_ms
-            meters.record_job(
+            stats.record_job(
                 job.entry.job.account, cost, tokens, max(hold_ms, 1)
             )
         return cost - job.entry.cost
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -22,8 +22,8 @@
 # or a caller that generates bodies, must not fill the VM's memory.
 MAX_DIGESTS = 4_096
 # A caller retries within seconds to minutes. Each rejected retry renews the
-# quarantine, so a request that keeps coming stays quarantined, and a model
-# that was fixed serves it again ten minutes after the last attempt.
+# quarantine, so a request that is sent repeatedly stays quarantined, and a
+# model that was fixed serves it again ten minutes after the last attempt.
 QUARANTINE_MS = 600_000
 # A request that was in two batches whose upstream crashed, without having been
 # the only suspect there, may be a harmless one that many callers send. Its
@@ -64,6 +64,8 @@
 
 
 class _Crash:
+    """A crash of one upstream under a request."""
+
     __slots__ = ("upstream", "at_ms", "proven")
 
     def __init__(self, upstream: str, at_ms: int, proven: bool) -> None:
@@ -73,6 +75,8 @@
 
 
 class _Record:
+    """The known crashes of one request, and when it was last used."""
+
     __slots__ = ("deaths", "is_proven", "used_ms")
 
     def __init__(self, now_ms: int) -> None:
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -38,7 +38,7 @@
 
 
 class UnlimitedRetryBudget(RetryBudget):
-    """Admits every retry, where another budget counts them."""
+    """Admits every retry; used where another budget limits retries."""
 
     __slots__ = ()
 
@@ -51,18 +51,18 @@
     """One VM's share of a retry budget for all VMs, by pool.
 
     In any window, operators allow a fraction of the pool's requests and a
-    fixed number in addition, over all VMs. A VM uses the fraction of its own
-    requests and its share of the number, so no coordination is needed. VMs
-    that are considered dead keep their shares, since they may only be
-    partitioned.
+    fixed number in addition, over all VMs. A VM may retry that fraction of
+    its own requests and has a share of the fixed number, so no coordination is
+    needed. VMs that are considered dead keep their shares, since they may only
+    be partitioned.
 
     :param part: retries allowed per request, as a fraction
     :param window_ms: length of the window in ms
     :param slack: retries in addition, over all VMs
     """
 
-    # Upper bound of the sum of all shares; the rest covers a VM that others do
-    # not know yet.
+    # Upper bound of the sum of all shares; the rest covers a VM that others
+    # have not discovered yet.
     SHARED_FRACTION = 0.8
 
     __slots__ = (
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -16,6 +16,8 @@
 
 
 class _Peer:
+    """The last reports of one VM, with their times in ms."""
+
     __slots__ = ("heard_ms", "unreachable_ms", "is_reached")
 
     def __init__(self) -> None:
@@ -57,7 +59,10 @@
             peer.unreachable_ms = now_ms
 
     def is_fleet_wide(self, since_ms: int, now_ms: int) -> bool:
-        """Return whether all VMs with a recent report lost the store.
+        """Return whether the outage affects every VM with a recent report.
+
+        A VM is affected if it reported the store as unreachable at any time
+        since ``since_ms``.
 
         :param since_ms: when the store stopped answering this VM
         :param now_ms: current time in ms
@@ -74,7 +79,7 @@
         :param since_ms: when the store stopped answering this VM
         :param now_ms: current time in ms
         :returns: number of other VMs with a recent report, and how many of
-            them lost the store
+            them failed to reach the store
         """
         recent = self._list_recent(now_ms)
         unreachable = sum(_was_unreachable(peer, since_ms) for peer in recent)
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -83,14 +83,14 @@
         """Another router has filled an engine and announced its load.  A
         router that counted only its own streams would send more there.
         """
-        one, other = Rig("vm1", decodes=1), Rig("vm2", decodes=1)
+        sender, receiver = Rig("vm1", decodes=1), Rig("vm2", decodes=1)
         for _ in range(20):
-            one.submit(0)
-        started = one.start(0)
-        other.scheduler.apply_hints(one.scheduler.drain_hints(1), 2)
+            sender.submit(0)
+        started = sender.start(0)
+        receiver.scheduler.apply_hints(sender.scheduler.drain_hints(1), 2)
         for _ in range(20):
-            other.submit(3)
-        self.assertEqual(len(started) + len(other.start(3)), len(started))
+            receiver.submit(3)
+        self.assertEqual(len(started) + len(receiver.start(3)), len(started))
 
     def test_jobs_that_can_meet_their_target_go_first(self):
         """In a burst, jobs wait until they miss their first token target.
@@ -154,9 +154,9 @@
         return planner.plan({"lm": make_pool(**pool)}, {}, now_ms)
 
     def test_surplus_prefill_engines_become_decode_engines(self):
-        found = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
-        self.assertEqual([one.row.name for one in found], ["p0", "p1"])
-        self.assertEqual({one.argument for one in found}, {"decode"})
+        orders = self.plan(role_planner.RolePlanner(), prefills=4, decodes=3)
+        self.assertEqual([item.row.name for item in orders], ["p0", "p1"])
+        self.assertEqual({item.argument for item in orders}, {"decode"})
 
     def test_balanced_pool_needs_no_orders(self):
         planner = role_planner.RolePlanner()
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -129,16 +129,16 @@
 
         The account would be rejected within its rate.
         """
-        one, other = make_limiter("a1"), make_limiter("a2")
-        exchange_messages({"a1": one, "a2": other}, 9_000)
-        one.take("a", 3_000, 10_000)
-        older = one.make_usage({}, 10_000)
-        one.take("a", 1_000, 10_100)
-        newer = one.make_usage({}, 10_100)
-        left = other.describe("a", 10_100)["left"]
+        sender, receiver = make_limiter("a1"), make_limiter("a2")
+        exchange_messages({"a1": sender, "a2": receiver}, 9_000)
+        sender.take("a", 3_000, 10_000)
+        older = sender.make_usage({}, 10_000)
+        sender.take("a", 1_000, 10_100)
+        newer = sender.make_usage({}, 10_100)
+        left = receiver.describe("a", 10_100)["left"]
         for message in (newer, older, newer):
-            other.merge_usage(message, 10_100)
-        self.assertEqual(left - other.describe("a", 10_100)["left"], 4_000)
+            receiver.merge_usage(message, 10_100)
+        self.assertEqual(left - receiver.describe("a", 10_100)["left"], 4_000)
 
     def test_fraction_of_an_unresponsive_vm_is_reserved(self):
         """Guards against an account getting its rate on both sides.
@@ -159,7 +159,7 @@
     def test_vms_that_begin_together_give_what_the_margin_holds(self):
         """Guards the start after all VMs were killed at once.
 
-        Tokens granted right before still count, so all VMs together may grant
+        Tokens granted just before still count, so all VMs together may grant
         only a fraction of the margin at once.  With nothing to grant, callers
         would be rejected within their rate.
         """
@@ -178,7 +178,8 @@
         """Guards the start after ninety VMs were killed at once.
 
         Heartbeats are rare in a fleet this large.  If VMs that have sent
-        nothing yet counted as heard, each VM would grant the whole margin.
+        nothing yet counted as responsive, each VM would grant the whole
+        margin.
         """
         names = [f"a{n}" for n in range(90)]
         granted = 0
@@ -210,7 +211,7 @@
     def test_vm_that_starts_partitioned_grants_a_fraction(self):
         """Guards against a VM that starts partitioned from all others.
 
-        It cannot know their grants and must not grant the whole rate.
+        Their grants are unknown to it, so it must not grant the whole rate.
         """
         limiter = make_limiter("a1", has_others=True)
         granted = 0
@@ -264,10 +265,14 @@
         messages = self.list_heartbeats(
             limiter, usage.STARTUP_FULL_SYNC_MS, 20
         )
-        self.assertTrue(all(one.is_heartbeat for one in messages))
-        whole = [one for one in messages if len(one.accounts) == 17]
+        self.assertTrue(all(message.is_heartbeat for message in messages))
+        whole = [
+            message for message in messages if len(message.accounts) == 17
+        ]
         self.assertEqual(len(whole), 20 // usage.FULL_SYNC_INTERVAL)
-        self.assertEqual(sum(len(one.accounts) for one in messages), 17 * 4)
+        self.assertEqual(
+            sum(len(message.accounts) for message in messages), 17 * 4
+        )
 
     def test_all_accounts_are_sent_twice_during_warm_up(self):
         """Guards a starting VM against missing the grants of other VMs."""
@@ -288,7 +293,7 @@
         self.assertGreaterEqual(min(whole[name] for name in fleet), 2)
 
     def test_refunded_tokens_are_announced_once(self):
-        """Guards against a message at each step for nothing unannounced."""
+        """Guards against messages at each step without unannounced tokens."""
         limiter = make_limiter("a1")
         self.list_heartbeats(limiter, 0, 2)
         limiter.take("a", 100, 400)
@@ -309,7 +314,10 @@
             limiter, now_ms + usage.HEARTBEAT_MS, 2
         )
         self.assertEqual(
-            [[one.spent for one in message.accounts] for message in messages],
+            [
+                [entry.spent for entry in message.accounts]
+                for message in messages
+            ],
             [[100], [100]],
         )
 
@@ -599,5 +607,5 @@
             )
 
     def test_checker_finds_vms_without_messages(self):
-        found = Simulation(1, is_connected=False).run()
-        self.assertGreater(found, MAX_TOKENS)
+        granted = Simulation(1, is_connected=False).run()
+        self.assertGreater(granted, MAX_TOKENS)
