--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -164,8 +164,8 @@
         edit = edits.Edit(edit_id, operator, ())
         newest = self._fleet.fetch_newest_state()
         restored = newest.bind(
-            lambda found: self._editor.restore(
-                edit, found.root, found.segments, EDIT_TIMEOUT_MS
+            lambda state: self._editor.restore(
+                edit, state.root, state.segments, EDIT_TIMEOUT_MS
             )
         )
         return restored.map(
@@ -176,7 +176,9 @@
         """Return past edits."""
         current_root = self._editor.accepted.read_root()
         return current_root.bind(
-            lambda found: self._editor.accepted.read_history(found.root)
+            lambda versioned: self._editor.accepted.read_history(
+                versioned.root
+            )
         ).map(response_builders.make_history_response)
 
     def wait(
@@ -192,8 +194,8 @@
             return expression.Ok(self._fleet.wait_in_force(revision, limit_ms))
         current_root = self._editor.accepted.read_root()
         return current_root.map(
-            lambda found: self._fleet.wait_in_force(
-                found.root.revision, limit_ms
+            lambda versioned: self._fleet.wait_in_force(
+                versioned.root.revision, limit_ms
             )
         )
 
@@ -211,7 +213,7 @@
     ) -> expression.Result[tables.Tables, errors.Fault]:
         current_root = self._editor.accepted.read_root()
         return current_root.bind(
-            lambda found: self._editor.accepted.read_tables(found.root)
+            lambda versioned: self._editor.accepted.read_tables(versioned.root)
         )
 
     def _submit(
@@ -276,8 +278,8 @@
 ) -> Result[responses.DiffResponse]:
     edit = edits.Edit("diff", "", (changes.ReplaceAll(rows),))
     return edit.apply(current).map(
-        lambda made: responses.DiffResponse(
-            current.revision, edits.diff_tables(current, made)
+        lambda changed: responses.DiffResponse(
+            current.revision, edits.diff_tables(current, changed)
         )
     )
 
--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -130,13 +130,13 @@
             for operation in self._operations
             if operation.method == method
         )
-        found = next((one for one in matches if one[1] is not None), None)
-        if found is None:
+        matched = next((pair for pair in matches if pair[1] is not None), None)
+        if matched is None:
             return _reject(
                 errors.Code.UNKNOWN_ROUTE,
                 "no operation has this method and path",
             )
-        operation, match = found
+        operation, match = matched
         request = calls.parse_request(environ, operator, match.groups())
         return operation.handle(request)
 
--- a/mulberryway/admin/calls.py
+++ b/mulberryway/admin/calls.py
@@ -50,8 +50,8 @@
         digest = hashlib.sha256(credential.encode("latin-1")).hexdigest()
         matches = [
             name
-            for name, known in self._digests.items()
-            if hmac.compare_digest(known.lower(), digest)
+            for name, stored in self._digests.items()
+            if hmac.compare_digest(stored.lower(), digest)
         ]
         return matches[0] if matches else None
 
--- a/mulberryway/admin/client.py
+++ b/mulberryway/admin/client.py
@@ -130,14 +130,14 @@
 
 def _parse_fault(decoded: typing.Any, peer: str) -> errors.Fault:
     try:
-        found = decoded["error"]
+        error = decoded["error"]
         return errors.Fault(
-            errors.Code(found["code"]),
-            errors.Step(found["step"]),
-            found["peer"],
-            errors.ExecutionStatus(found["run"]),
-            found["message"],
-            found["retry_after_ms"],
+            errors.Code(error["code"]),
+            errors.Step(error["step"]),
+            error["peer"],
+            errors.ExecutionStatus(error["run"]),
+            error["message"],
+            error["retry_after_ms"],
         )
     except (KeyError, TypeError, ValueError):
         return _make_fault(
--- a/mulberryway/admin/editor.py
+++ b/mulberryway/admin/editor.py
@@ -148,14 +148,14 @@
         current = read.ok
         if not self._is_current(current, submission):
             return submissions.reject_stale_root()
-        found = self._find_accepted(current.root, submission)
-        if found.is_error():
-            return found
-        if found.ok is not None:
+        accepted = self._find_accepted(current.root, submission)
+        if accepted.is_error():
+            return accepted
+        if accepted.ok is not None:
             # The VM that wrote the root may have crashed before announcing it.
             rows = self.accepted.read_segments(current.root)
             self._announce(current.root, rows.default_value([]))
-            return found
+            return accepted
         # The newer root does not contain the edit, so the update without a
         # response had no effect; its base version no longer exists, so it
         # cannot take effect later either.
@@ -191,10 +191,10 @@
     ) -> expression.Result[submissions.AcceptedEdit | None, errors.Fault]:
         """Look up the edit among the accepted edits."""
         edit_id = submission.edit.edit_id
-        mark = root.find_edit(edit_id)
-        if mark is not None:
+        record = root.find_edit(edit_id)
+        if record is not None:
             return expression.Ok(
-                submissions.AcceptedEdit(edit_id, mark.revision)
+                submissions.AcceptedEdit(edit_id, record.revision)
             )
         if len(root.marks) < roots.MAX_EDIT_RECORDS:
             return expression.Ok(None)
--- a/mulberryway/admin/fleet.py
+++ b/mulberryway/admin/fleet.py
@@ -79,11 +79,12 @@
         """
         content = roots.encode_content(root.encode())
         encoded = [
-            ttypes.Segment(one.digest, one.content) for one in new_segments
+            ttypes.Segment(segment.digest, segment.content)
+            for segment in new_segments
         ]
         own_zone, others = self._list_others()
         self._random.shuffle(others)
-        # Other zones go first, because the whole zone of this VM may fail.
+        # VMs in other zones come first, because this VM's whole zone may fail.
         others.sort(key=lambda member: member.zone == own_zone)
         addresses = [self._own_address]
         addresses += [member.address for member in others[:ANNOUNCE_FANOUT]]
@@ -134,7 +135,9 @@
             is_idempotent=True,
         )
         return reply.bind(
-            lambda found: self._fetch_rows(newest.address, found.content)
+            lambda newest_root: self._fetch_rows(
+                newest.address, newest_root.content
+            )
         )
 
     def _fetch_rows(
@@ -156,9 +159,10 @@
             if reply.is_error() or not reply.ok:
                 return expression.Error(_make_no_vm_fault())
             rows += [
-                segments.Segment(one.digest, one.content) for one in reply.ok
+                segments.Segment(segment.digest, segment.content)
+                for segment in reply.ok
             ]
-            missing -= {one.digest for one in reply.ok}
+            missing -= {segment.digest for segment in reply.ok}
         return expression.Ok(submissions.NewState(root, rows))
 
     def wait_in_force(
@@ -174,7 +178,7 @@
         :returns: the state of the rollout
         """
         deadline = clock.Deadline(self._clock.now_ms() + timeout_ms)
-        members = {one.name: one for one in self._list_members()}
+        members = {member.name: member for member in self._list_members()}
         last_reached_ms = dict.fromkeys(members, self._clock.now_ms())
         states: dict[str, responses.VmState] = {}
         waiting = list(members)
@@ -235,11 +239,13 @@
 
     def _list_others(self) -> tuple[str, list[ttypes.Member]]:
         members = self._list_members()
-        own = [one for one in members if one.address == self._own_address]
+        own = [
+            member for member in members if member.address == self._own_address
+        ]
         others = [
-            one
-            for one in members
-            if one.is_alive and one.address != self._own_address
+            member
+            for member in members
+            if member.is_alive and member.address != self._own_address
         ]
         return (own[0].zone if own else ""), others
 
--- a/mulberryway/admin/response_builders.py
+++ b/mulberryway/admin/response_builders.py
@@ -60,9 +60,15 @@
             "kind": pool.kind.value,
             "models": list(pool.models),
             "upstreams": dict(
-                collections.Counter(one.role.value for one in pool.upstreams)
+                collections.Counter(
+                    upstream.role.value for upstream in pool.upstreams
+                )
             ),
-            "leaving": [one.name for one in pool.upstreams if one.leaving],
+            "leaving": [
+                upstream.name
+                for upstream in pool.upstreams
+                if upstream.leaving
+            ],
         }
         for name, pool in current.pools.items()
     }
--- a/mulberryway/admin/submission.py
+++ b/mulberryway/admin/submission.py
@@ -122,7 +122,7 @@
 def reject_unverifiable_edit(
     edit_id: str,
 ) -> expression.Result[typing.Any, errors.Fault]:
-    """Return the fault for an edit that may have left the history.
+    """Return the fault for an edit that may be too old for the history.
 
     :param edit_id: the edit's id
     """
@@ -149,7 +149,7 @@
             errors.Code.INVALID_TABLES,
             errors.Step.TABLES,
             "segment",
-            message=f"a segment takes {len(segment.content)} bytes; "
+            message=f"a segment has {len(segment.content)} bytes; "
             f"expected at most {segments.MAX_SEGMENT_BYTES}",
         )
     )
--- a/mulberryway/admin/text_output.py
+++ b/mulberryway/admin/text_output.py
@@ -52,8 +52,9 @@
     """
     return (
         f"{response['key']}\n"
-        f"shown this once; works for {response['account']} from revision "
-        f"{response['revision']} on; withdraw it as {response['digest'][:8]}"
+        f"shown only once; valid for {response['account']} from revision "
+        f"{response['revision']} on; digits for withdraw-key: "
+        f"{response['digest'][:8]}"
     )
 
 
--- a/mulberryway/commands/check.py
+++ b/mulberryway/commands/check.py
@@ -70,10 +70,10 @@
         *map(check_settings, FLAGS.settings),
         *map(check_tables, FLAGS.tables),
     ]
-    found = [problem for problem in problems if problem is not None]
-    for problem in found:
+    messages = [problem for problem in problems if problem is not None]
+    for problem in messages:
         print(problem, file=sys.stderr)
-    return BAD_STATUS if found else 0
+    return BAD_STATUS if messages else 0
 
 
 def run() -> None:
--- a/mulberryway/commands/losses.py
+++ b/mulberryway/commands/losses.py
@@ -88,11 +88,11 @@
     :param line: the log line of the stream's end
     """
     if "code" in line:
-        begun = "after its first piece" if line["first_ms"] else "before it"
-        return f"failed {begun}: {_format_fault(line)}"
+        phase = "after its first piece" if line["first_ms"] else "before it"
+        return f"failed {phase}: {_format_fault(line)}"
     if line["first_ms"] > line["target_ms"]:
-        step, words = max(STEPS, key=lambda step: line.get(step[0], 0))
-        return f"a late first piece: {words}"
+        step, description = max(STEPS, key=lambda step: line.get(step[0], 0))
+        return f"a late first piece: {description}"
     if line["gap_ms"] > line["target_gap_ms"] > 0:
         return GAP_EXCEEDED
     return ON_TIME
@@ -106,15 +106,15 @@
     total = sum(losses.outcomes.values())
     rows = [f"{total} streams"]
     rows += [
-        f"{count:6d}  {count / total:6.3f}  {what}"
-        for what, count in losses.outcomes.most_common()
+        f"{count:6d}  {count / total:6.3f}  {name}"
+        for name, count in losses.outcomes.most_common()
     ]
     rows.append(
         f"{sum(losses.wasted_tokens.values())} prompt tokens read in vain"
     )
     rows += [
-        f"{tokens:8d}  {what}"
-        for what, tokens in losses.wasted_tokens.most_common()
+        f"{tokens:8d}  {name}"
+        for name, tokens in losses.wasted_tokens.most_common()
     ]
     rows.append("longest pause; streams; prompts read beside each, mean")
     rows += [
@@ -175,9 +175,9 @@
 
 
 def _format_fault(line: Line) -> str:
-    words: typing.Any = (line.get("step"), line.get("code"))
+    parts: typing.Any = (line.get("step"), line.get("code"))
     reason = line.get("reason")
-    return " ".join(map(str, words)) + (f", {reason}" if reason else "")
+    return " ".join(map(str, parts)) + (f", {reason}" if reason else "")
 
 
 if __name__ == "__main__":
--- a/mulberryway/commands/operate.py
+++ b/mulberryway/commands/operate.py
@@ -31,28 +31,30 @@
 NOT_IN_FORCE_STATUS = 3
 USAGE = """mulberryway COMMAND ...
 
-  show                        the accepted tables
-  diff FILE                   what a file of tables would change
-  apply FILE                  replace all tables by a file's
+  show                        show the accepted tables
+  diff FILE                   show what a file of tables would change
+  apply FILE                  replace all tables by those in a file
   put TABLE.NAME FILE         add or replace one row
   delete TABLE.NAME           delete one row
-  give-key ACCOUNT            make a key; it is shown this once
-  withdraw-key ACCOUNT DIGITS withdraw the key whose digest begins so
-  history                     past edits
-  wait [REVISION]             until a revision is in force on all VMs
-  restore                     bring a platform forward that is behind the VMs
-  status                      VMs, pools and client accounts
+  give-key ACCOUNT            issue a key, which is shown only once
+  withdraw-key ACCOUNT DIGITS revoke the key whose digest starts with DIGITS
+  history                     list past edits
+  wait [REVISION]             wait until a revision is in force on all VMs
+  restore                     restore a rolled-back store from the VMs
+  status                      show VMs, pools and client accounts
 
 The credential comes from --credential_file or MULBERRYWAY_CREDENTIAL, the
 addresses of administration APIs from --url or MULBERRYWAY_URL."""
 
-flags.DEFINE_list("url", [], "administration APIs, the first is asked first")
-flags.DEFINE_string("credential_file", "", "a file with your credential")
-flags.DEFINE_boolean("json", False, "print answers as JSON")
-flags.DEFINE_string("edit_id", "", "repeat the edit of this id")
-flags.DEFINE_string("digest", None, "the row's digest as you know it")
-flags.DEFINE_integer("revision", None, "the revision a file was made from")
-flags.DEFINE_integer("wait_ms", 30_000, "the longest wait for wait")
+flags.DEFINE_list("url", [], "administration APIs, in order of preference")
+flags.DEFINE_string(
+    "credential_file", "", "file with the operator's credential"
+)
+flags.DEFINE_boolean("json", False, "print responses as JSON")
+flags.DEFINE_string("edit_id", "", "id of the edit to retry")
+flags.DEFINE_string("digest", None, "expected digest of the row")
+flags.DEFINE_integer("revision", None, "revision that a file is based on")
+flags.DEFINE_integer("wait_ms", 30_000, "maximum duration of wait, in ms")
 
 JsonObject = dict[str, typing.Any]
 Result = expression.Result[JsonObject, errors.Fault]
@@ -105,10 +107,10 @@
     api: client.AdminClient, operands: Arguments, edit_id: str
 ) -> Result:
     text = _read_file(operands[0])
-    found = REVISION_LINE.search(text)
+    match = REVISION_LINE.search(text)
     revision = FLAGS.revision
-    if revision is None and found is not None:
-        revision = int(found[1])
+    if revision is None and match is not None:
+        revision = int(match[1])
     if revision is None:
         raise UsageError(
             "expected --revision N or a line '# revision N' as printed by "
--- a/mulberryway/commands/process.py
+++ b/mulberryway/commands/process.py
@@ -38,11 +38,11 @@
     """
     stop_signals = threading.Semaphore(0)
 
-    def note(number: int, frame: types.FrameType | None) -> None:
+    def handle_stop_signal(number: int, frame: types.FrameType | None) -> None:
         stop_signals.release()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, note)
+        signal.signal(number, handle_stop_signal)
     signal.signal(signal.SIGHUP, lambda number, frame: on_reload())
     service.start()
     stop_signals.acquire()
--- a/mulberryway/commands/story.py
+++ b/mulberryway/commands/story.py
@@ -20,9 +20,9 @@
 CONTEXT_MS = 2_000
 STANDARD_FIELDS = ("time_ms", "level", "vm", "logger", "message", "request_id")
 
-flags.DEFINE_string("id", None, "the id that the caller has, or its beginning")
+flags.DEFINE_string("id", None, "the caller's request id, or a prefix of it")
 flags.DEFINE_bool(
-    "beliefs", False, "print what the VM came to believe meanwhile as well"
+    "beliefs", False, "also print the lines that show the state of the VMs"
 )
 
 Line = dict[str, typing.Any]
@@ -64,13 +64,14 @@
 
 
 def select_lines(
-    lines: collections.abc.Iterable[Line], request_id: str, beliefs: bool
+    lines: collections.abc.Iterable[Line], request_id: str, with_context: bool
 ) -> list[Line]:
     """Return the log lines of a request, oldest first.
 
     :param lines: log lines of any VMs, in any order
     :param request_id: the request's id or a prefix of it
-    :param beliefs: whether to add the lines that show the state of its VMs
+    :param with_context: whether to add the lines that show the state of its
+        VMs
     """
     ordered = sorted(lines, key=lambda line: line["time_ms"])
     request_lines = [
@@ -78,7 +79,7 @@
         for line in ordered
         if str(line.get("request_id", "")).startswith(request_id)
     ]
-    if not request_lines or not beliefs:
+    if not request_lines or not with_context:
         return request_lines
     vms = {line["vm"] for line in request_lines}
     first_ms, last_ms = (
@@ -119,14 +120,14 @@
         read if there are no files
     :returns: the exit status; 1 if no line of the request was found
     """
-    found = select_lines(
+    selected = select_lines(
         parse_lines(read_raw_lines(arguments[1:])), FLAGS.id, FLAGS.beliefs
     )
-    if not found:
+    if not selected:
         print(f"found no log lines of {FLAGS.id}", file=sys.stderr)
         return NOTHING_FOUND
-    for line in found:
-        print(format_line(line, found[0]["time_ms"]))
+    for line in selected:
+        print(format_line(line, selected[0]["time_ms"]))
     return 0
 
 
--- a/mulberryway/load/report.py
+++ b/mulberryway/load/report.py
@@ -51,7 +51,7 @@
 ) -> dict[str, typing.Any]:
     first_token_times = [item.first_ms for item in items if item.tokens]
     gaps = [*itertools.chain.from_iterable(item.gaps_ms for item in items)]
-    good = [item for item in items if item.meets_targets()]
+    within_targets = [item for item in items if item.meets_targets()]
     seconds = max(elapsed_ms, 1) / 1000
     rejections = collections.Counter(
         f"{item.code} {item.run}" for item in items if not item.is_whole
@@ -64,9 +64,10 @@
             not item.is_whole and item.tokens == 0 for item in items
         ),
         "refusals": dict(rejections),
-        "good": len(good),
-        "goodput_calls_per_s": len(good) / seconds,
-        "goodput_tokens_per_s": sum(item.tokens for item in good) / seconds,
+        "good": len(within_targets),
+        "goodput_calls_per_s": len(within_targets) / seconds,
+        "goodput_tokens_per_s": sum(item.tokens for item in within_targets)
+        / seconds,
         "tokens_per_s": sum(item.tokens for item in items) / seconds,
         "tokens": sum(item.tokens for item in items),
         "first_p50_ms": outcome.compute_percentile(first_token_times, 0.5),
--- a/mulberryway/platform/directory.py
+++ b/mulberryway/platform/directory.py
@@ -72,16 +72,16 @@
                 key for key in self._upstreams_by_key if key[:2] not in current
             ]
             closing = [self._upstreams_by_key.pop(key) for key in removed]
-        for found in closing:
-            found.close()
+        for client in closing:
+            client.close()
 
     def _find(
         self, upstream: tables.Upstream, kind: type[PlatformUpstream]
     ) -> PlatformUpstream:
         key = (upstream.name, upstream.address, kind)
         with self._lock:
-            found = self._upstreams_by_key.get(key)
-            if found is None:
-                found = kind(upstream.name, upstream.address, self._clock)
-                self._upstreams_by_key[key] = found
-            return found
+            client = self._upstreams_by_key.get(key)
+            if client is None:
+                client = kind(upstream.name, upstream.address, self._clock)
+                self._upstreams_by_key[key] = client
+            return client
