--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -39,9 +39,9 @@
 ROW_KEYS = ("deployment", "routers", "load", "rival")
 
 flags.DEFINE_list(
-    "only", list(DEFAULT_BENCHMARKS), "measurements to run; or: every"
+    "only", list(DEFAULT_BENCHMARKS), "benchmarks to run, or: every"
 )
-flags.DEFINE_boolean("plots", True, "draw the four measures as a picture")
+flags.DEFINE_boolean("plots", True, "plot the four main metrics")
 
 
 def main(arguments: collections.abc.Sequence[str]) -> None:
@@ -62,7 +62,7 @@
     OUT.mkdir(exist_ok=True)
     (OUT / "bench.json").write_text(json.dumps(results, indent=1))
     print(*_format_measures(results.get("decisions", {})), sep="\n")
-    print("\nevery figure, of the run before and of this one")
+    print("\nfigures of the previous run and of this run")
     print(*report.compare_runs(before, after), sep="\n")
     if FLAGS.plots and "decisions" in results:
         plots.draw_runs(before, after, OUT / "bench.png")
@@ -70,7 +70,7 @@
 
 
 def _name_rows(result: typing.Any) -> typing.Any:
-    """Index a result's rows by their key columns, to give figures a name."""
+    """Index a result's rows by their key columns, to name their figures."""
     if not isinstance(result, dict) or "rows" not in result:
         return result
     rows = {
@@ -87,9 +87,9 @@
     if not rows:
         return
     width = max(map(len, rows))
-    yield f"{'':{width}}  " + "  ".join(f"{one:>20}" for one in MEASURES)
+    yield f"{'':{width}}  " + "  ".join(f"{metric:>20}" for metric in MEASURES)
     for name, row in rows.items():
-        values = "  ".join(f"{row[one]:>20}" for one in MEASURES)
+        values = "  ".join(f"{row[metric]:>20}" for metric in MEASURES)
         yield f"{name:{width}}  {values}"
     for title in ("behind", "short_of_aim"):
         yield f"\n{title.replace('_', ' ')}:"
--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -138,26 +138,26 @@
     ) -> dict[str, typing.Any]:
         (messages, sent_bytes), cpu_s = start
         now_messages, now_bytes = self.fleet.count_messages()
-        limits = {one.name: (RATE, BURST) for one in self.accounts}
-        asked = self.counts["asked"]
+        limits = {account.name: (RATE, BURST) for account in self.accounts}
+        request_count = self.counts["asked"]
         per_vm_s = self.vms * RUN_MS / 1_000
         return {
             "vms": self.vms,
             "accounts": len(self.accounts),
             "skew": self.skew,
-            "asked": asked,
+            "asked": request_count,
             "refused_wrongly_percent": round(
-                100 * self.counts["wrongly refused"] / asked, 3
+                100 * self.counts["wrongly refused"] / request_count, 3
             ),
             "one_bucket_refused_percent": round(
-                100 * self.counts["ideal refused"] / asked, 3
+                100 * self.counts["ideal refused"] / request_count, 3
             ),
             "overrun_tokens": max(
                 allowance_simulation.find_overrun(self.grants, limits) / 1_000,
                 0,
             ),
             "peer_calls_per_request": round(
-                (now_messages - messages) / asked, 3
+                (now_messages - messages) / request_count, 3
             ),
             "bytes_per_vm_s": round((now_bytes - sent_bytes) / per_vm_s),
             "cpu_ms_per_vm_s": round(
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -32,7 +32,7 @@
 
 def _render_line(row: capacity_rows.Row, folder: pathlib.Path) -> str:
     measured = [series.read_series(name, folder) for name in row.names]
-    fits = [series.fit_line(one) for one in measured]
+    fits = [series.fit_line(measurement) for measurement in measured]
     first = measured[0]
     sizes = [x for x, _ in first.points]
     return (
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -109,13 +109,13 @@
     def book(self, key: str) -> float:
         began_ms = CLOCK.now_ms()
         deadline = clock.Deadline(began_ms + TIMEOUT_MS)
-        began = self.claims.begin("bench", key, "c", deadline)
+        claim = self.claims.begin("bench", key, "c", deadline)
         added_ms = CLOCK.now_ms() - began_ms
-        if began.is_error():
-            self.refused.append(began.error.message)
+        if claim.is_error():
+            self.refused.append(claim.error.message)
             return added_ms
         CLOCK.sleep_ms(SERVICE_MS)
-        self.claims.end(began.ok, errors.ExecutionStatus.RAN, REPLY)
+        self.claims.end(claim.ok, errors.ExecutionStatus.RAN, REPLY)
         return added_ms
 
     def stop(self) -> None:
@@ -136,11 +136,11 @@
     def book(self, key: str) -> float:
         began_ms = CLOCK.now_ms()
         value = {"call": "c", "vm": self.name}
-        made = self.store.create("calls", key, value, "claims").ok
+        created = self.store.create("calls", key, value, "claims").ok
         added_ms = CLOCK.now_ms() - began_ms
         CLOCK.sleep_ms(SERVICE_MS)
         value |= {"reply": REPLY.encode()}
-        self.store.update("calls", key, value, made.version, "claims")
+        self.store.update("calls", key, value, created.version, "claims")
         return added_ms
 
 
@@ -162,8 +162,8 @@
         return added
 
     with concurrent.futures.ThreadPoolExecutor(len(vms) * callers) as pool:
-        found = pool.map(book, vms * callers)
-        return [*itertools.chain.from_iterable(found)]
+        latencies = pool.map(book, vms * callers)
+        return [*itertools.chain.from_iterable(latencies)]
 
 
 def measure_case(
@@ -182,23 +182,25 @@
             group, "platform", "--writes_per_s=0", "--reads_per_s=0"
         )
         fleet = Fleet()
-        made = [make_vm(f"vm{number}", port, fleet) for number in range(vms)]
-        added = run_callers(made, callers)
-        for vm in made:
+        started_vms = [
+            make_vm(f"vm{number}", port, fleet) for number in range(vms)
+        ]
+        added = run_callers(started_vms, callers)
+        for vm in started_vms:
             vm.stop()
-        seen = processes.call(port, "GET", "/standin/calls").json()
+        received = processes.call(port, "GET", "/standin/calls").json()
         cpu_s = usage.read_cpu_s(platform.popen.pid)
     writes = sum(
         count
-        for name, count in seen["calls"].items()
+        for name, count in received["calls"].items()
         if name.startswith(("create", "update"))
     )
     return {
-        "refused": sum(len(vm.refused) for vm in made),
+        "refused": sum(len(vm.refused) for vm in started_vms),
         "bookings_per_s": len(added) / RUN_MS * 1000,
         "writes_per_booking": writes / len(added),
-        "reads_per_booking": (seen["total"] - writes) / len(added),
-        "sent_bytes_per_booking": sum(seen["bytes"].values()) / len(added),
+        "reads_per_booking": (received["total"] - writes) / len(added),
+        "sent_bytes_per_booking": sum(received["bytes"].values()) / len(added),
         "added_p50_ms": outcome.compute_percentile(added, 0.5),
         "added_p95_ms": outcome.compute_percentile(added, 0.95),
         "platform_cpu_ms_per_booking": cpu_s / len(added) * 1000,
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -335,7 +335,7 @@
 
     A VM may skip a revision; it then has the edit from the next revision on.
     """
-    everywhere = {
+    in_force_ms = {
         revision: max(
             min(
                 at_ms
@@ -346,11 +346,19 @@
         )
         for revision in sent
     }
-    times = [everywhere[one] - sent[one] for one in sorted(sent)]
+    times = [
+        in_force_ms[sent_revision] - sent[sent_revision]
+        for sent_revision in sorted(sent)
+    ]
     return {
         "edit_in_force_ms": _summarize(times),
         "key_withdrawn_ms": _summarize(times[::3]),
-        "accepted_ms": _summarize([accepted[one] - sent[one] for one in sent]),
+        "accepted_ms": _summarize(
+            [
+                accepted[sent_revision] - sent[sent_revision]
+                for sent_revision in sent
+            ]
+        ),
         **_summarize_usages([vm.usages for vm in run.vms]),
     }
 
@@ -364,7 +372,8 @@
 
     def mean_increase(key: str, first: int) -> float:
         return statistics.mean(
-            one[first + 1][key] - one[first][key] for one in usages
+            vm_usages[first + 1][key] - vm_usages[first][key]
+            for vm_usages in usages
         )
 
     return {
@@ -389,7 +398,7 @@
         "edit_platform_bytes_per_vm": mean_increase("platform_bytes", 1)
         / EDITS,
         "memory_mb_per_vm": statistics.mean(
-            one[-1]["memory_kb"] for one in usages
+            vm_usages[-1]["memory_kb"] for vm_usages in usages
         )
         / KB_IN_MB,
     }
@@ -412,7 +421,8 @@
     reports = {str(count): measure_size(count) for count in SIZES}
     for name, unit, key in SERIES:
         points = [
-            (int(size), _get_figure(one, key)) for size, one in reports.items()
+            (int(size), _get_figure(report, key))
+            for size, report in reports.items()
         ]
         series.write_series(series.Series(name, COMMAND, "VMs", unit, points))
     return reports
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -80,9 +80,15 @@
     :returns: its row
     """
     deployment = next(
-        one for one in workloads.DEPLOYMENTS if one.name == case.deployment
+        candidate
+        for candidate in workloads.DEPLOYMENTS
+        if candidate.name == case.deployment
+    )
+    load = next(
+        candidate
+        for candidate in workloads.WORKLOADS
+        if candidate.name == case.load
     )
-    load = next(one for one in workloads.WORKLOADS if one.name == case.load)
     arrivals = workloads.generate_arrivals(deployment, load, length_ms, SEED)
     schedulers = [
         make_scheduler(case.rival, number) for number in range(case.routers)
@@ -253,31 +259,31 @@
     :param rows: all rows
     :returns: one line for each missed target
     """
-    found = []
+    missed = []
     for own in filter(_uses_configured_mode, rows):
         name = f"{own['deployment']} r{own['routers']} {own['load']}"
         if own["goodput_part"] < TARGETS["goodput_part"]:
-            found.append(f"{name}: goodput {own['goodput_part']}")
+            missed.append(f"{name}: goodput {own['goodput_part']}")
         if own["wasted_part"] >= TARGETS["wasted_part"]:
-            found.append(f"{name}: wasted prefill {own['wasted_part']}")
+            missed.append(f"{name}: wasted prefill {own['wasted_part']}")
         if own["worst_served_part"] < TARGETS["worst_served_part"]:
-            found.append(f"{name}: worst served {own['worst_served_part']}")
+            missed.append(f"{name}: worst served {own['worst_served_part']}")
         if own["load"] == "below" and own["refused_within_rate"]:
-            found.append(f"{name}: refused {own['refused_within_rate']}")
-    return found
+            missed.append(f"{name}: refused {own['refused_within_rate']}")
+    return missed
 
 
-def print_table(found: dict[str, typing.Any]) -> None:
+def print_table(results: dict[str, typing.Any]) -> None:
     """Print the rows, the missed targets and the baseline wins.
 
-    :param found: the result of :func:`measure`
+    :param results: the result of :func:`measure`
     """
     print(
         f"{'deployment':10} {'vms':>3} {'load':15} {'scheduler':14}"
         f" {'goodput':>8} {'wasted':>7} {'worst':>6} {'late':>5}"
         f" {'refused':>8} {'within':>7}"
     )
-    for row in found["rows"]:
+    for row in results["rows"]:
         mark = "*" if _uses_configured_mode(row) else " "
         print(
             f"{row['deployment']:10} {row['routers']:3} {row['load']:15}"
@@ -287,16 +293,16 @@
             f" {row['refused_within_rate']:7}"
         )
     for title in ("short_of_aim", "behind"):
-        print(f"{title.replace('_', ' ')}: {len(found[title])}")
-        for line in found[title]:
+        print(f"{title.replace('_', ' ')}: {len(results[title])}")
+        for line in results[title]:
             print("  " + line)
 
 
 def main() -> None:
-    found = measure()
-    print_table(found)
+    results = measure()
+    print_table(results)
     OUT.parent.mkdir(exist_ok=True)
-    OUT.write_text(json.dumps(found, indent=1), encoding="utf-8")
+    OUT.write_text(json.dumps(results, indent=1), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -32,7 +32,7 @@
 
     :returns: CPU time in microseconds for each size, and the exponent
     """
-    found = {
+    growths = {
         "queue_length": _measure_growth(
             QUEUE_LENGTHS, lambda size: measure_one(size, 64, 50)
         ),
@@ -43,7 +43,7 @@
             ACCOUNTS, lambda size: measure_one(900, 64, size)
         ),
     }
-    for name, growth in found.items():
+    for name, growth in growths.items():
         points = [
             (math.log10(int(size)), sum(row.values()) - row["idle"])
             for size, row in growth["us"].items()
@@ -57,7 +57,7 @@
                 points,
             )
         )
-    return found
+    return growths
 
 
 def _measure_growth(
@@ -103,10 +103,10 @@
         submits += time.process_time() - began
         began = time.process_time()
         router.finish(running.pop(0), jobs.JobOutcome.DONE, "", now_ms)
-        found = router.dispatch(now_ms).assignments
+        assignments = router.dispatch(now_ms).assignments
         router.drain_hints(now_ms)
         starts += time.process_time() - began
-        running += [one.job_id for one in found]
+        running += [assignment.job_id for assignment in assignments]
     return {
         "submit": round(submits / ROUNDS * 1e6, 1),
         "start": round(starts / ROUNDS * 1e6, 1),
@@ -176,12 +176,12 @@
     return number + 1
 
 
-def print_table(found: dict[str, typing.Any]) -> None:
+def print_table(growths: dict[str, typing.Any]) -> None:
     """Print the CPU times and exponents.
 
-    :param found: the result of :func:`measure`
+    :param growths: the result of :func:`measure`
     """
-    for name, growth in found.items():
+    for name, growth in growths.items():
         for size, row in growth["us"].items():
             cells = ", ".join(f"{key} {us} us" for key, us in row.items())
             print(f"{name:13} {size:>5}: {cells}")
@@ -189,10 +189,10 @@
 
 
 def main() -> None:
-    found = measure()
-    print_table(found)
+    growths = measure()
+    print_table(growths)
     OUT.parent.mkdir(exist_ok=True)
-    OUT.write_text(json.dumps(found, indent=1), encoding="utf-8")
+    OUT.write_text(json.dumps(growths, indent=1), encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -1,6 +1,6 @@
 """Discrete-event simulation of routers and engines for benchmarks.decisions.
 
-Each router has its own scheduler.  It learns the engines' state from delayed
+Each router has its own scheduler.  It gets the engines' state from delayed
 load reports, delayed cache events and the results of its own requests.  Calls
 and gossip messages take one or two milliseconds; no other component of the
 router is simulated.
@@ -182,7 +182,8 @@
         outcomes = [Outcome(arrival) for arrival in arrivals]
         for outcome in outcomes:
             self._schedule(
-                outcome.arrival.at_ms, lambda one=outcome: self._arrive(one)
+                outcome.arrival.at_ms,
+                lambda arriving=outcome: self._arrive(arriving),
             )
         self._schedule_reports(length_ms + 60_000)
         while self._events:
@@ -281,7 +282,7 @@
                 self.last_start_ms[name] = self.now_ms
             self._schedule(
                 self.now_ms + NETWORK_DELAY_MS,
-                lambda one=attempt: self._start_prefill(one),
+                lambda started=attempt: self._start_prefill(started),
             )
         self._send_gossip(router)
         self._schedule_dispatch(router, decisions.wake_ms)
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -75,14 +75,14 @@
                 observations = self._run_operator()
             finally:
                 self._stopping.set()
-            for one in tasks:
-                one.result()
+            for task in tasks:
+                task.result()
         return observations
 
     def check(self) -> list[str]:
         """Return the violated invariants as lines of text."""
         with self._lock:
-            wrong = [
+            violations = [
                 f"{account}, {kind}: {seen.wrong} wrong responses"
                 for (account, kind), seen in self.seen.items()
                 if seen.wrong
@@ -92,9 +92,11 @@
                 for (account, _), seen in self.seen.items()
                 if account != "withdrawn key"
             ):
-                wrong.append("a type of call got no correct response")
+                violations.append("a type of call got no correct response")
             if set(self.after_revocation) - {"unauthenticated"}:
-                wrong.append(f"withdrawn key: {dict(self.after_revocation)}")
+                violations.append(
+                    f"withdrawn key: {dict(self.after_revocation)}"
+                )
         ports = self._running.engine_ports + self._running.service_ports
         leaked = sum(
             processes.call(port, "GET", f"/standin/seen?needle={key}").json()[
@@ -105,8 +107,10 @@
             for key in keys
         )
         if leaked:
-            wrong.append(f"upstreams received callers' keys {leaked} times")
-        return wrong
+            violations.append(
+                f"upstreams received callers' keys {leaked} times"
+            )
+        return violations
 
     def _run_operator(self) -> list[str]:
         began = time.monotonic()
@@ -118,7 +122,7 @@
         self._running.run_admin_command("wait")
         observations = [
             "a new route was in force on all VMs after "
-            f"{time.monotonic() - edited_at:.2f} s, the command included"
+            f"{time.monotonic() - edited_at:.2f} s, including the command"
         ]
         time.sleep(max(REVOKE_AFTER_S - (time.monotonic() - began), 0))
         digest = deployment.tables.digest_key(REVOKED)
@@ -129,7 +133,7 @@
         self._running.run_admin_command("wait")
         observations.append(
             "a revoked key was rejected everywhere after "
-            f"{time.monotonic() - revoked_at:.2f} s, the command included"
+            f"{time.monotonic() - revoked_at:.2f} s, including the command"
         )
         for port in self._running.router_ports:
             code = self._call_with_revoked(port)
@@ -164,15 +168,15 @@
             counter += 1
 
     def _pick_entry(self, counter: int) -> int:
-        """Return the port of an entry VM, as callers look it up.
+        """Return the port of an entry VM, resolved as callers do.
 
         :param counter: selects the VM to query and the address to use
         :returns: the port
         """
         ports = self._running.router_ports
-        asked = ports[counter % len(ports)]
-        found = processes.call(asked, "GET", "/v1/entry").json()
-        addresses = found["addresses"]
+        queried_port = ports[counter % len(ports)]
+        response = processes.call(queried_port, "GET", "/v1/entry").json()
+        addresses = response["addresses"]
         address = addresses[counter % len(addresses)]["address"]
         return int(address.rpartition(":")[2])
 
@@ -262,7 +266,7 @@
 def _read_error_code(body: bytes) -> str:
     """Return the error code in the last event of a truncated stream."""
     last = body.rstrip().rpartition(b"data: ")[2]
-    return f"cut by {json.loads(last)['error']['code']}"
+    return f"truncated by {json.loads(last)['error']['code']}"
 
 
 def main() -> int:
@@ -273,7 +277,7 @@
     with deployment.Deployment(accounts=KEYS) as running:
         demo = Demo(running)
         observations = demo.run()
-        wrong = demo.check()
+        violations = demo.check()
     print(f"{'account':15} {'call':20} {'whole':>6} {'wrong':>6}  refused")
     for (account, kind), seen in sorted(demo.seen.items()):
         refused = ", ".join(f"{n} {code}" for code, n in seen.refused.items())
@@ -281,8 +285,8 @@
             f"{account:15} {kind:20} {seen.whole:6} {seen.wrong:6}  {refused}"
         )
     print(*observations, sep="\n")
-    print(*(f"WRONG: {one}" for one in wrong), sep="\n")
-    return FAILED if wrong else 0
+    print(*(f"WRONG: {violation}" for violation in violations), sep="\n")
+    return FAILED if violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/dissemination.py
+++ b/benchmarks/dissemination.py
@@ -48,8 +48,8 @@
             for other in network.names
         }
     elif fault == "burst":
-        for one in network.names:
-            network.publish(one)
+        for publisher in network.names:
+            network.publish(publisher)
     network.run(DURATION_MS, UPDATES_PER_VM_S * vms)
     network.run(DURATION_MS + SETTLE_MS)
     summary = network.summarize(DURATION_MS + SETTLE_MS)
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -215,10 +215,13 @@
             )
             for n in range(vms)
         ]
-        self.names = [one.name for one in self.receivers]
-        self.zone_of = {one.name: one.zone for one in self.receivers}
+        self.names = [receiver.name for receiver in self.receivers]
+        self.zone_of = {
+            receiver.name: receiver.zone for receiver in self.receivers
+        }
         self.nodes = {
-            one.name: node_class(self, one) for one in self.receivers
+            receiver.name: node_class(self, receiver)
+            for receiver in self.receivers
         }
         for node in self.nodes.values():
             if isinstance(node, RelayNode):
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -55,14 +55,14 @@
 
 def _count_bytes(fleet: membership_fleet.Fleet) -> int:
     return sum(
-        one.payload_bytes
+        call_count.payload_bytes
         for traffic in fleet.network.traffic.values()
-        for one in traffic.get_counts()
+        for call_count in traffic.get_counts()
     )
 
 
 def _count_periods_to_spread(fleet: membership_fleet.Fleet) -> int | None:
-    """Count the periods until all VMs know that one of them is stopping.
+    """Count the periods until all VMs list one of them as stopping.
 
     :param fleet: the fleet
     :returns: the number of periods, or none if ``MAX_PERIODS`` pass first
@@ -70,8 +70,8 @@
     fleet.vms[1].update_local(is_stopping=True)
     for period in range(1, MAX_PERIODS):
         fleet.run(1)
-        seen = (fleet.see(vm, "vm1") for vm in fleet.vms)
-        if all(one is not None and one.is_stopping for one in seen):
+        views = (fleet.see(vm, "vm1") for vm in fleet.vms)
+        if all(view is not None and view.is_stopping for view in views):
             return period
     return None
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -100,15 +100,15 @@
     before_s = usage.read_cpu_s(target.pid) if target.pid else 0.0
     outcomes, elapsed_ms = run_streams(target, count, TOKENS, SPREAD_MS)
     used_s = usage.read_cpu_s(target.pid) - before_s if target.pid else 0.0
-    tokens = sum(found.tokens for found in outcomes)
+    tokens = sum(stream.tokens for stream in outcomes)
     added = [
         max(after - before, 0.0)
-        for found in outcomes
-        for before, after in itertools.pairwise(found.lags_ms)
+        for stream in outcomes
+        for before, after in itertools.pairwise(stream.lags_ms)
     ]
     memory = usage.read_resident_bytes(target.pid) if target.pid else 0
     return {
-        "whole": sum(found.is_whole for found in outcomes),
+        "whole": sum(stream.is_whole for stream in outcomes),
         "tokens_per_s": tokens / elapsed_ms * 1000,
         "cores": used_s / elapsed_ms * 1000,
         "us_per_token": used_s / max(tokens, 1) * 1e6,
@@ -125,12 +125,14 @@
     :returns: figures by name
     """
     outcomes, _ = run_streams(target, BURST_CALLERS, BURST_TOKENS)
-    firsts = [found.first_ms for found in outcomes if found.tokens]
+    first_token_times = [
+        stream.first_ms for stream in outcomes if stream.tokens
+    ]
     return {
-        "whole": sum(found.is_whole for found in outcomes),
-        "first_p50_ms": outcome.compute_percentile(firsts, 0.5),
-        "first_p95_ms": outcome.compute_percentile(firsts, 0.95),
-        "first_max_ms": max(firsts, default=0.0),
+        "whole": sum(stream.is_whole for stream in outcomes),
+        "first_p50_ms": outcome.compute_percentile(first_token_times, 0.5),
+        "first_p95_ms": outcome.compute_percentile(first_token_times, 0.95),
+        "first_max_ms": max(first_token_times, default=0.0),
     }
 
 
@@ -186,9 +188,9 @@
             ),
             start_relay(group, "router", "benchmarks.static_router", engines),
         ]
-        found = {target.name: measure_target(target) for target in targets}
-    _write_series(found["router"])
-    return found
+        results = {target.name: measure_target(target) for target in targets}
+    _write_series(results["router"])
+    return results
 
 
 def _write_series(router: dict[str, typing.Any]) -> None:
