--- a/soak/checks.py
+++ b/soak/checks.py
@@ -79,14 +79,17 @@
             if run.account != recorded.keys[attempt.key]:
                 yield f"{name} ran for {run.account}, not its key's account"
             if recorded.services.get(run.instance) != attempt.kind.service:
-                yield f"{name} ran at {run.instance}, where it must not"
+                yield (
+                    f"{name} ran at {run.instance}, "
+                    "a server of another service"
+                )
 
 
 def check_keys(recorded: history.History) -> Violations:
     """Check that no upstream received a caller's API key."""
     for run in recorded.runs:
         if any(key in run.text for key in recorded.keys):
-            yield f"{run.attempt} showed its key to {run.instance}"
+            yield f"{run.attempt} leaked its key to {run.instance}"
 
 
 def check_rejections(recorded: history.History) -> Violations:
@@ -308,8 +311,10 @@
     :param quota: limit of the account that is checked
     :returns: one message for each violation
     """
-    found = itertools.chain.from_iterable(check(recorded) for check in CHECKS)
-    return [*found, *check_quota(recorded, quota)]
+    violations = itertools.chain.from_iterable(
+        check(recorded) for check in CHECKS
+    )
+    return [*violations, *check_quota(recorded, quota)]
 
 
 def list_events(body: bytes) -> list[int]:
--- a/soak/run.py
+++ b/soak/run.py
@@ -49,7 +49,7 @@
         self.violations = violations
 
     def describe(self) -> str:
-        """Return a one-line summary for people."""
+        """Return a human-readable summary in one line."""
         served = sum(
             attempt.status == 200 for attempt in self.history.attempts
         )
--- a/standins/faultproxy.py
+++ b/standins/faultproxy.py
@@ -59,7 +59,7 @@
 def split_address(text: str) -> tuple[str, int]:
     """Split an address into host and port.
 
-    :param definition: ``host:port``
+    :param text: ``host:port``
     :returns: host and port
     """
     host, _, port = text.rpartition(":")
--- a/standins/proxy_pair.py
+++ b/standins/proxy_pair.py
@@ -28,8 +28,8 @@
         self.target = target
         # Directions in which all further bytes are discarded.
         self.silent: set[str] = set()
-        # Bytes went up since bytes last came down, so the next bytes that
-        # come down are a reply.
+        # Whether bytes were sent to the target after the last bytes from it;
+        # the next bytes from the target are then a reply.
         self.awaits_reply = False
 
     def writer(self, direction: str) -> asyncio.StreamWriter:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -63,16 +63,16 @@
     The kernel's ephemeral ports lie above all ranges, so neither another
     process nor an outgoing connection can take a port before it is used.
     """
-    found = []
-    while len(found) < count:
+    ports = []
+    while len(ports) < count:
         port = FIRST_OWN_PORT + next(PORT_OFFSETS) % (PORTS - 1)
         with contextlib.closing(socket.socket()) as sock:
             try:
                 sock.bind((HOST, port))
             except OSError:
                 continue
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
 
 
 def wait_until(condition, timeout_s=START_S, poll_s=POLL_S):
@@ -84,9 +84,9 @@
     :returns: the last value that the condition returned
     """
     end = time.monotonic() + timeout_s
-    while not (found := condition()) and time.monotonic() < end:
+    while not (value := condition()) and time.monotonic() < end:
         time.sleep(poll_s)
-    return found
+    return value
 
 
 def is_open(port):
--- a/tests/test_admin_processes.py
+++ b/tests/test_admin_processes.py
@@ -188,14 +188,14 @@
         are rejected until the restore command has run.
         """
         root = "/apis/mulberryway.dev/v1/roots/root"
-        old = self.fleet.call_platform("GET", root).json()["value"]
+        old_root = self.fleet.call_platform("GET", root).json()["value"]
         reply = self.fleet.call_admin("DELETE", "/v1/tables/routes/member")
         accepted = reply.json()["revision"]
         self.check_in_force()
-        now = self.fleet.call_platform("GET", root).json()
-        version = now["metadata"]["resourceVersion"]
+        current = self.fleet.call_platform("GET", root).json()
+        version = current["metadata"]["resourceVersion"]
         metadata = {"name": "root", "resourceVersion": version}
-        body = {"metadata": metadata, "value": old}
+        body = {"metadata": metadata, "value": old_root}
         reply = self.fleet.call_platform("PUT", root, body)
         self.assertEqual(reply.status, 200, reply.body)
         rejected = self.fleet.call_admin("DELETE", "/v1/tables/routes/lm")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -120,7 +120,7 @@
     def test_lost_gossip(self):
         """All gossip messages between routers are lost.
 
-        The routers then know each other's load only from stale engine
+        The routers then get each other's load only from stale engine
         reports.  If all choose the engine that looks best, most decodes are
         rejected after their prefill.
         """
@@ -137,8 +137,9 @@
     def test_draining_engine_gets_no_requests(self):
         """An engine starts draining at the peak of the load.
 
-        The routers learn of it one after another within two seconds.  A
-        request sent there later would be truncated when the engine stops.
+        The routers get the changed pool one after another within two
+        seconds.  A request sent there later would be truncated when the
+        engine stops.
         """
         load = next(o for o in workloads.WORKLOADS if o.name == "saturation")
         arrivals = workloads.generate_arrivals(KANDURATA, load, 60_000, 1)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -71,14 +71,14 @@
 
 class OutcomeTest(unittest.TestCase):
     def test_complete_stream_meets_both_targets(self):
-        found = outcome.Outcome(0, "a", "stream")
-        found.first_ms = 1_100
-        found.gaps_ms = [63.0] * 95 + [500.0] * 5
-        self.assertFalse(found.meets_targets())
-        found.is_whole = True
-        self.assertTrue(found.meets_targets())
-        found.gaps_ms[0] = 64.0
-        self.assertFalse(found.meets_targets())
+        result = outcome.Outcome(0, "a", "stream")
+        result.first_ms = 1_100
+        result.gaps_ms = [63.0] * 95 + [500.0] * 5
+        self.assertFalse(result.meets_targets())
+        result.is_whole = True
+        self.assertTrue(result.meets_targets())
+        result.gaps_ms[0] = 64.0
+        self.assertFalse(result.meets_targets())
 
 
 class CallerTest(unittest.TestCase):
@@ -108,10 +108,10 @@
                 prompt_tokens=(20, 40),
             )
             calls, outcomes, summary = self.run_calls(self.engine, row)
-            for call, found in zip(calls, outcomes, strict=True):
+            for call, result in zip(calls, outcomes, strict=True):
                 expected = answers.Answer("m", call.prompt, call.max_tokens)
-                self.assertEqual(found.text, expected.text())
-                self.assertTrue(found.is_whole and found.in_order)
+                self.assertEqual(result.text, expected.text())
+                self.assertTrue(result.is_whole and result.in_order)
             self.assertEqual(summary["all"]["whole"], 8)
 
     def test_rejections_are_counted_by_code(self):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -91,12 +91,12 @@
 
 class ConfigurationTest(unittest.TestCase):
     def test_idempotency_of_routes(self):
-        found = read()
-        talk, book = found.routes["r-1"], found.routes["r-2"]
+        parsed = read()
+        talk, book = parsed.routes["r-1"], parsed.routes["r-2"]
         self.assertTrue(talk.idempotent)
         self.assertFalse(book.idempotent)
         self.assertFalse(book.retries_safe_methods)
-        self.assertEqual(found.find_route("/talk/x", "site.example"), talk)
+        self.assertEqual(parsed.find_route("/talk/x", "site.example"), talk)
         self.assertEqual((book.pool, book.shares), ("app", ()))
         self.assertEqual(talk.max_attempts, 2)
 
@@ -191,8 +191,8 @@
             ENTRY | {"service": ["llm"]},
             {name: value for name, value in ENTRY.items() if name != "zone"},
         ]
-        found = read(CONFIGURATION, *malformed, ENTRY).pools["llm"].upstreams
-        self.assertEqual([row.name for row in found], ["i-7"])
+        parsed = read(CONFIGURATION, *malformed, ENTRY).pools["llm"].upstreams
+        self.assertEqual([row.name for row in parsed], ["i-7"])
 
 
 class ResponseFaultTest(unittest.TestCase):
@@ -272,16 +272,16 @@
         """
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
-            made = engine.PlatformEngine(
+            engine_ = engine.PlatformEngine(
                 "i-1", f"{host}:{port}", clock.SystemClock()
             )
             label = upstreams.AttemptLabel("r-1", "vm0", 1)
-            made.cancel(label)
-            self.assertTrue(made.prepare(label).is_ok())
+            engine_.cancel(label)
+            self.assertTrue(engine_.prepare(label).is_ok())
             connection, _ = listener.accept()
             self.addCleanup(connection.close)
             connection.settimeout(1.0)
-            made.release(label)
+            engine_.release(label)
             self.assertEqual(connection.recv(1), b"")
 
 
@@ -293,7 +293,7 @@
         rejection = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
         with socket.create_server(("127.0.0.1", 0)) as listener:
             host, port = listener.getsockname()
-            made = engine.PlatformEngine(
+            engine_ = engine.PlatformEngine(
                 "i-1", f"{host}:{port}", clock.SystemClock()
             )
             label = upstreams.AttemptLabel("r-1", "vm0", 1)
@@ -308,7 +308,7 @@
 
             thread = threading.Thread(target=refuse)
             thread.start()
-            fault = made.prepare(
+            fault = engine_.prepare(
                 label, upstreams.ReservationRequest(100, 2_000)
             ).error
             thread.join()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -79,7 +79,7 @@
 
     def test_run_at_another_service(self):
         self.find(
-            "where it must not",
+            "a server of another service",
             [make_attempt()],
             [make_run(instance="d0-life1")],
         )
@@ -89,7 +89,7 @@
 
     def test_key_sent_to_an_upstream(self):
         self.find(
-            "showed its key", [make_attempt()], [make_run(text="Token k")]
+            "leaked its key", [make_attempt()], [make_run(text="Token k")]
         )
 
     def test_rejected_request_that_ran(self):
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -93,7 +93,7 @@
     def test_unknown_handle_is_rejected(self):
         """A decode whose prefill result has expired gets status 410.
 
-        Without the rejection the caller would wait for tokens in vain.
+        Without the rejection the caller would wait for tokens that never come.
         """
         params = self.prefill("r3") | {"remote_handle": "none"}
         self.assertEqual(self.decode("r3", params).status, 410)
--- a/tests/test_standin_engine_model.py
+++ b/tests/test_standin_engine_model.py
@@ -138,13 +138,15 @@
         A paused leader may resume and send its order after the order of its
         successor.  The engine would load a model that is no longer needed.
         """
-        for checks, taken in ((True, False), (False, True)):
+        for checks, is_accepted in ((True, False), (False, True)):
             model = self.make_model("both", checks_fencing=checks)
             self.assertTrue(model.apply_order("load", "n", 7, 0.0))
-            self.assertEqual(model.apply_order("load", "o", 6, 0.0), taken)
+            self.assertEqual(
+                model.apply_order("load", "o", 6, 0.0), is_accepted
+            )
             model.advance(FAR_MS)
             self.assertIn("n", model.models)
-            self.assertEqual("o" in model.models, taken)
+            self.assertEqual("o" in model.models, is_accepted)
 
 
 if __name__ == "__main__":
--- a/tests/test_standin_faultproxy.py
+++ b/tests/test_standin_faultproxy.py
@@ -87,7 +87,7 @@
         self.submit_request(self.open())
 
     def test_dropped_reply_follows_the_effect(self):
-        """A dropped reply leaves the effect of its request.
+        """A dropped reply does not undo the effect of its request.
 
         The caller cannot distinguish this from a request that never arrived.
         """
