--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -65,6 +65,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
 
     def run(self) -> dict[str, typing.Any]:
+        """Simulate all requests for ``RUN_MS`` and return the figures."""
         arrivals = [(WARMUP_MS, n) for n in range(len(self.accounts))]
         heapq.heapify(arrivals)
         self.warm_up()
@@ -80,15 +81,22 @@
         return self.report(calls, start)
 
     def warm_up(self) -> None:
+        """Step the fleet without requests until ``WARMUP_MS``."""
         for now_ms in range(1_000, WARMUP_MS, STEP_MS):
             self.fleet.step(now_ms)
 
     def wait(self) -> int:
+        """Return the time until an account's next request, in ms."""
         tokens_per_request = PROMPT + MEAN_TOKENS
         mean_ms = 1_000 * tokens_per_request / (RATE * LOAD)
         return max(round(self.random.expovariate(1 / mean_ms)), 1)
 
     def submit_request(self, at_ms: int, number: int) -> None:
+        """Submit one request to a VM and to the ideal bucket.
+
+        :param at_ms: time of the request in ms
+        :param number: index of the account
+        """
         self.set_clock(at_ms)
         account = self.accounts[number].name
         is_home = self.random.random() < self.skew
@@ -123,6 +131,10 @@
         heapq.heappush(self.ends, (*entry, allowances, reservation, used))
 
     def finish(self, now_ms: int) -> None:
+        """Settle the reservations of requests that have ended.
+
+        :param now_ms: current time in ms
+        """
         while self.ends and self.ends[0][0] <= now_ms:
             end_ms, _, _, allowances, reservation, used = heapq.heappop(
                 self.ends
--- a/benchmarks/configuration_vm.py
+++ b/benchmarks/configuration_vm.py
@@ -129,6 +129,7 @@
 
 
 def main(arguments: collections.abc.Sequence[str]) -> None:
+    """Run the VM until SIGTERM."""
     settings_ = settings.read_settings(FLAGS.settings)
     logs.set_up(settings_.vm_name, settings_.telemetry_log_level)
     vm = ConfigurationVm(settings_)
--- a/benchmarks/decisions_simulation.py
+++ b/benchmarks/decisions_simulation.py
@@ -103,6 +103,8 @@
         self.outcome = outcome
         self.assignment: jobs.Assignment | None = None
         self.handle = ""
+        # Until the first token, the number of prompt tokens that the prefill
+        # computed; after it, when the scheduler last got a token count in ms.
         self.announced = 0.0
         self.prefilled_ms = 0.0
         self.is_prefilled = False
@@ -175,8 +177,8 @@
         """Simulate all arrivals until no event is left.
 
         :param arrivals: the requests
-        :param length_ms: duration of the arrivals in ms; load reports go on
-            for a minute longer
+        :param length_ms: duration of the arrivals in ms; load reports
+            continue for another minute
         :returns: outcomes of all requests
         """
         outcomes = [Outcome(arrival) for arrival in arrivals]
@@ -211,16 +213,16 @@
         scheduler, now_ms = self._schedulers[router], int(self.now_ms)
         for name, engine in self._engines.items():
             load = engine.get_delayed_load(self.now_ms)
-            shape = engine.parameters
+            parameters = engine.parameters
             scheduler.record_load(
                 "lm",
                 name,
                 upstreams.EngineLoad(
                     load.running,
                     load.waiting,
-                    shape.slots,
+                    parameters.slots,
                     load.free_blocks,
-                    shape.total_blocks,
+                    parameters.total_blocks,
                     ("m",),
                 ),
                 now_ms,
@@ -532,6 +534,6 @@
 
 
 def _make_parameters() -> engine_types.EngineParameters:
-    shape = engine_types.EngineParameters()
-    shape.prefill_token_ms = PREFILL_MS_PER_TOKEN
-    return shape
+    parameters = engine_types.EngineParameters()
+    parameters.prefill_token_ms = PREFILL_MS_PER_TOKEN
+    return parameters
--- a/benchmarks/decisions_workloads.py
+++ b/benchmarks/decisions_workloads.py
@@ -171,6 +171,8 @@
 
 
 class _Session:
+    """A session, whose prompts share a growing prefix."""
+
     __slots__ = ("name", "tokens")
 
     def __init__(self, name: str) -> None:
@@ -220,6 +222,8 @@
 
 
 class _ArrivalGenerator:
+    """Generates the requests of one workload."""
+
     def __init__(self, load: Workload, random_: random.Random) -> None:
         self._load = load
         self._random = random_
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -253,14 +253,14 @@
         :param content: content of the datagram
         :param size: size of the payload in bytes
         """
-        same = self.zone_of[source] == self.zone_of[target]
+        is_same_zone = self.zone_of[source] == self.zone_of[target]
         self.sent[source] += 1
         self.bytes_sent += size + OVERHEAD_BYTES
-        self.zone_bytes += 0 if same else size + OVERHEAD_BYTES
+        self.zone_bytes += 0 if is_same_zone else size + OVERHEAD_BYTES
         is_lost = self.random.random() < LOSS_PROBABILITY
         if is_lost or (source, target) in self.cut:
             return
-        latency_ms = SAME_ZONE_MS if same else OTHER_ZONE_MS
+        latency_ms = SAME_ZONE_MS if is_same_zone else OTHER_ZONE_MS
         latency_ms += self.random.random() * JITTER_MS
         self._push(self.now_ms + latency_ms, target, content, source)
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -111,7 +111,7 @@
                 return
             self._read_response(attempt, self._connection.getresponse())
         except (OSError, http.client.HTTPException):
-            # The attempt records it: status 0, or a truncated response.
+            # The checks see the failure as status 0 or as ``is_cut``.
             attempt.is_cut = attempt.status != 0
             self._switch_vm()
 
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -50,7 +50,7 @@
         self.journal = pathlib.Path(self.folder.name) / "runs.jsonl"
         self.lock = threading.RLock()
         self.vm_locks = [threading.Lock() for _ in self.vms]
-        # One fault may start an upstream while another one kills it.
+        # Two faults may start and kill the same upstream at the same time.
         self.upstream_locks = {
             name: threading.RLock() for name in config.list_upstream_names()
         }
@@ -161,7 +161,7 @@
                 self.upstream_ports[name], "POST", "/standin/faults", faults
             )
         except OSError:
-            # It is down now, and its next incarnation starts without faults.
+            # The upstream is down; its next incarnation starts without faults.
             return
 
     def kill_and_restart_vm(self, number: int) -> None:
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -156,11 +156,11 @@
         self._cluster.compact()
 
     def _kill_upstream(self, step: plan.ScheduledFault) -> None:
-        ended = self._cluster.kill_incarnation(step.target)
+        killed_instance = self._cluster.kill_incarnation(step.target)
         _wait_for_duration(step)
         self._cluster.start_incarnation(step.target)
         time.sleep(cluster.ENTRY_EXPIRY_S)
-        self._cluster.drop("servers", ended)
+        self._cluster.drop("servers", killed_instance)
 
     def _pause_upstream(self, step: plan.ScheduledFault) -> None:
         process = self._cluster.find_process(step.target)
@@ -175,7 +175,7 @@
         self._record_edit("leave", instance)
         time.sleep(DRAIN_DURATION_S)
         if self._cluster.instances[name] != instance:
-            # It was killed meanwhile and runs as another incarnation.
+            # Another fault has killed this incarnation and started the next.
             return
         self._cluster.kill_incarnation(name)
         self._cluster.drop("servers", instance)
@@ -243,9 +243,9 @@
     def _restart_crashed_upstreams(self) -> None:
         for name in self._cluster.config.list_upstream_names():
             if not self._cluster.is_alive(name):
-                ended = self._cluster.instances[name]
+                killed_instance = self._cluster.instances[name]
                 self._cluster.start_incarnation(name)
-                self._cluster.drop("servers", ended)
+                self._cluster.drop("servers", killed_instance)
 
     def _record_edit(self, action: str, name: str) -> None:
         self._cluster.history.edits.append(
--- a/standins/load_history.py
+++ b/standins/load_history.py
@@ -50,7 +50,7 @@
         """Return the load at a time that must not decrease between calls.
 
         :param seen_ms: time in ms that the report is about
-        :returns: newest snapshot that is not younger than this time
+        :returns: newest snapshot that is not later than this time
         """
         while len(self._snapshots) > 1 and self._snapshots[1].at_ms <= seen_ms:
             self._snapshots.popleft()
--- a/tools/mixed_builds.py
+++ b/tools/mixed_builds.py
@@ -430,11 +430,11 @@
             (200, mixed_deployment.make_rows()),
         ):
             mixed_deployment.apply(tables)
-            seen = [_wait_status(client, status) for client in clients]
+            statuses = [_wait_status(client, status) for client in clients]
             checks.report(
                 f"an edit is active on each VM, from {root.name}",
-                set(seen) == {status},
-                seen,
+                set(statuses) == {status},
+                statuses,
             )
 
 
--- a/tools/suite.py
+++ b/tools/suite.py
@@ -81,8 +81,8 @@
 
     :param module: name of the module
     :param workers: numbers of the idle workers
-    :returns: result; a module that hangs or prints no summary line counts as
-        one failure
+    :returns: result; a module that hangs, or whose process fails without a
+        counted failure, counts as one failure
     """
     worker = workers.get()
     began_s = time.monotonic()
