--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -106,10 +106,10 @@
 
 
 def _count_calls(running: deployment.Deployment) -> int:
-    shown = processes.call(
+    counts = processes.call(
         running.platform_port, "GET", "/standin/calls"
     ).json()
-    return sum(shown["calls"].values())
+    return sum(counts["calls"].values())
 
 
 async def _send_requests(running: deployment.Deployment, rate: int) -> None:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -118,12 +118,16 @@
 
 @functools.cache
 def _measure_capacity(deployment: str, load: str, length_ms: int) -> float:
-    owner = next(o for o in workloads.DEPLOYMENTS if o.name == deployment)
+    deployment_ = next(
+        o for o in workloads.DEPLOYMENTS if o.name == deployment
+    )
     workload = next(o for o in workloads.WORKLOADS if o.name == load)
-    arrivals = workloads.generate_arrivals(owner, workload, length_ms, SEED)
-    engine = limits.measure_decode_limit(arrivals, False, length_ms)
-    # No token of the slow engine meets the target between tokens.
-    return engine * (owner.decodes - workload.slow)
+    arrivals = workloads.generate_arrivals(
+        deployment_, workload, length_ms, SEED
+    )
+    engine_limit = limits.measure_decode_limit(arrivals, False, length_ms)
+    # No token of the slow engine meets the inter-token gap target.
+    return engine_limit * (deployment_.decodes - workload.slow)
 
 
 def compute_metrics(
@@ -203,7 +207,8 @@
 ) -> float:
     """Return how many of a response's tokens arrived within a period.
 
-    :param outcome: a complete response, its tokens taken as evenly spaced
+    :param outcome: a complete response; its tokens are assumed to be
+        evenly spaced
     :param begin_ms: start of the period in ms
     :param end_ms: end of the period in ms
     :returns: number of tokens
@@ -215,10 +220,10 @@
 
 
 def _uses_configured_mode(row: dict[str, typing.Any]) -> bool:
-    owner = next(
+    deployment_ = next(
         o for o in workloads.DEPLOYMENTS if o.name == row["deployment"]
     )
-    return row["rival"] == owner.weighing
+    return row["rival"] == deployment_.weighing
 
 
 def _find_baselines(
--- a/standins/store.py
+++ b/standins/store.py
@@ -143,7 +143,8 @@
     def read_changes(self, kind: str, after: int) -> list[Change]:
         """Return the writes to a kind after a version.
 
-        :raises TooOld: if the history does not contain that version
+        :raises TooOld: if writes after that version were dropped from the
+            history
         """
         oldest_version = self.version - len(self._changes)
         if after < oldest_version:
