--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -65,6 +65,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
 
     def run(self) -> dict[str, typing.Any]:
+        """Simulate all requests for ``RUN_MS`` and return the figures."""
         arrivals = [(WARMUP_MS, n) for n in range(len(self.accounts))]
         heapq.heapify(arrivals)
         self.warm_up()
@@ -80,15 +81,22 @@
         return self.report(calls, start)
 
     def warm_up(self) -> None:
+        """Step the fleet without requests until ``WARMUP_MS``."""
         for now_ms in range(1_000, WARMUP_MS, STEP_MS):
             self.fleet.step(now_ms)
 
     def wait(self) -> int:
+        """Return the time until an account's next request, in ms."""
         tokens_per_request = PROMPT + MEAN_TOKENS
         mean_ms = 1_000 * tokens_per_request / (RATE * LOAD)
         return max(round(self.random.expovariate(1 / mean_ms)), 1)
 
     def submit_request(self, at_ms: int, number: int) -> None:
+        """Submit one request to a VM and to the ideal bucket.
+
+        :param at_ms: time of the request in ms
+        :param number: index of the account
+        """
         self.set_clock(at_ms)
         account = self.accounts[number].name
         is_home = self.random.random() < self.skew
@@ -123,6 +131,10 @@
         heapq.heappush(self.ends, (*entry, allowances, reservation, used))
 
     def finish(self, now_ms: int) -> None:
+        """Settle the reservations of requests that have ended.
+
+        :param now_ms: current time in ms
+        """
         while self.ends and self.ends[0][0] <= now_ms:
             end_ms, _, _, allowances, reservation, used = heapq.heappop(
                 self.ends
@@ -138,26 +150,26 @@
     ) -> dict[str, typing.Any]:
         (messages, sent_bytes), cpu_s = start
         now_messages, now_bytes = self.fleet.count_messages()
-        limits = {one.name: (RATE, BURST) for one in self.accounts}
-        asked = self.counts["asked"]
+        limits = {account.name: (RATE, BURST) for account in self.accounts}
+        request_count = self.counts["asked"]
         per_vm_s = self.vms * RUN_MS / 1_000
         return {
             "vms": self.vms,
             "accounts": len(self.accounts),
             "skew": self.skew,
-            "asked": asked,
+            "asked": request_count,
             "refused_wrongly_percent": round(
-                100 * self.counts["wrongly refused"] / asked, 3
+                100 * self.counts["wrongly refused"] / request_count, 3
             ),
             "one_bucket_refused_percent": round(
-                100 * self.counts["ideal refused"] / asked, 3
+                100 * self.counts["ideal refused"] / request_count, 3
             ),
             "overrun_tokens": max(
                 allowance_simulation.find_overrun(self.grants, limits) / 1_000,
                 0,
             ),
             "peer_calls_per_request": round(
-                (now_messages - messages) / asked, 3
+                (now_messages - messages) / request_count, 3
             ),
             "bytes_per_vm_s": round((now_bytes - sent_bytes) / per_vm_s),
             "cpu_ms_per_vm_s": round(
--- a/benchmarks/dissemination_model.py
+++ b/benchmarks/dissemination_model.py
@@ -215,10 +215,13 @@
             )
             for n in range(vms)
         ]
-        self.names = [one.name for one in self.receivers]
-        self.zone_of = {one.name: one.zone for one in self.receivers}
+        self.names = [receiver.name for receiver in self.receivers]
+        self.zone_of = {
+            receiver.name: receiver.zone for receiver in self.receivers
+        }
         self.nodes = {
-            one.name: node_class(self, one) for one in self.receivers
+            receiver.name: node_class(self, receiver)
+            for receiver in self.receivers
         }
         for node in self.nodes.values():
             if isinstance(node, RelayNode):
@@ -250,14 +253,14 @@
         :param content: content of the datagram
         :param size: size of the payload in bytes
         """
-        same = self.zone_of[source] == self.zone_of[target]
+        is_same_zone = self.zone_of[source] == self.zone_of[target]
         self.sent[source] += 1
         self.bytes_sent += size + OVERHEAD_BYTES
-        self.zone_bytes += 0 if same else size + OVERHEAD_BYTES
+        self.zone_bytes += 0 if is_same_zone else size + OVERHEAD_BYTES
         is_lost = self.random.random() < LOSS_PROBABILITY
         if is_lost or (source, target) in self.cut:
             return
-        latency_ms = SAME_ZONE_MS if same else OTHER_ZONE_MS
+        latency_ms = SAME_ZONE_MS if is_same_zone else OTHER_ZONE_MS
         latency_ms += self.random.random() * JITTER_MS
         self._push(self.now_ms + latency_ms, target, content, source)
 
