--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -215,7 +215,9 @@
             self.claims,
         )
         with concurrent.futures.ThreadPoolExecutor() as executor:
-            list(executor.map(lambda one: one.stop(), controllers))
+            list(
+                executor.map(lambda controller: controller.stop(), controllers)
+            )
         self.datagrams.stop()
         self.peer_server.stop()
 
--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -22,7 +22,7 @@
 # Bounds the load of one VM on the platform: a few objects per step.
 MAX_GROUPS_PER_STEP = 16
 # A shutdown does not wait longer for an unreachable platform.  Slots that
-# were not released are taken over once the platform's list lacks the VM.
+# were not released are taken over once the platform no longer lists the VM.
 RELEASE_TIMEOUT_MS = 5_000
 
 
@@ -102,21 +102,21 @@
     def _update_members(
         self, members: list[member.Member], now_ms: int
     ) -> None:
-        accepting = [one for one in members if one.accepts_callers]
+        accepting = [vm for vm in members if vm.accepts_callers]
         since = self._alive_since
         self._alive_since = {
-            (one.name, one.incarnation): since.get(
-                (one.name, one.incarnation), now_ms
+            (vm.name, vm.incarnation): since.get(
+                (vm.name, vm.incarnation), now_ms
             )
-            for one in accepting
+            for vm in accepting
         }
-        self._candidates = [one.name for one in accepting]
+        self._candidates = [vm.name for vm in accepting]
         holders = {
-            slot: one.peer
-            for one in members
-            if one.health is not member.MemberStatus.DEAD
-            and one.name != self._state.lease_manager.vm
-            for slot in allowance_state.unpack_holdings(one.holdings)
+            slot: vm.peer
+            for vm in members
+            if vm.health is not member.MemberStatus.DEAD
+            and vm.name != self._state.lease_manager.vm
+            for slot in allowance_state.unpack_holdings(vm.holdings)
         }
         with self._state.lock:
             self._state.holders = holders
@@ -124,22 +124,23 @@
     def _read_own_records(self) -> None:
         """Find slots that the records attribute to this VM's last process.
 
-        Nobody else may take them while the platform lists the VM.  If another
-        VM should hold them, they would stay blocked until the leases expire.
+        No other VM may acquire them while the platform lists this VM.  If
+        another VM is their preferred holder now, they would stay blocked until
+        the leases expire.
         """
         if self._has_read_own:
             return
-        found = self._store.read_all(KIND, PURPOSE)
-        if not found.is_ok():
+        stored = self._store.read_all(KIND, PURPOSE)
+        if not stored.is_ok():
             return
         self._has_read_own = True
         own = self._state.lease_manager.vm
         self._unconfirmed |= {
-            int(one.name.removeprefix(PREFIX))
-            for one in found.ok
+            int(item.name.removeprefix(PREFIX))
+            for item in stored.ok
             if any(
                 record.vm == own and not record.is_released
-                for record in _read_records(one.value).values()
+                for record in _read_records(item.value).values()
             )
         }
 
@@ -196,13 +197,13 @@
         delay_ms = self._random.randint(retry_ms // 2, retry_ms * 3 // 2)
         self._next_attempt_ms[group] = now_ms + delay_ms
         name = f"{PREFIX}{group}"
-        found = self._store.read(KIND, name, PURPOSE)
+        stored = self._store.read(KIND, name, PURPOSE)
         is_new = (
-            not found.is_ok() and found.error.code is errors.Code.NOT_FOUND
+            not stored.is_ok() and stored.error.code is errors.Code.NOT_FOUND
         )
-        if not (found.is_ok() or is_new):
+        if not (stored.is_ok() or is_new):
             return
-        records = _read_records({} if is_new else found.ok.value)
+        records = _read_records({} if is_new else stored.ok.value)
         self._refresh_vm_list(group, records)
         decisions = self._decide(group, records)
         self._unconfirmed.discard(group)
@@ -216,7 +217,7 @@
             response = self._store.create(KIND, name, value, PURPOSE)
         else:
             response = self._store.update(
-                KIND, name, value, found.ok.version, PURPOSE
+                KIND, name, value, stored.ok.version, PURPOSE
             )
         # Without a successful response nothing is held.  Whether the write
         # took effect is known once the object is read again.
@@ -241,7 +242,7 @@
                     now_ms,
                 )
                 if decision is slot_lease_manager.LeaseAction.RELEASE:
-                    # Others may take the slot as soon as it is released.
+                    # Other VMs may acquire the slot as soon as it is released.
                     self._state.lease_manager.give_up(slot)
                     self._next_move_ms = now_ms + self._times.retry_ms
                 if decision is not slot_lease_manager.LeaseAction.NONE:
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -71,9 +71,9 @@
         """
         with self._state.lock:
             now_ms = self._clock.now_ms()
-            for one in closings:
+            for closing in closings:
                 self._state.lender.close(
-                    (borrower, one.number), one.returned, now_ms
+                    (borrower, closing.number), closing.returned, now_ms
                 )
 
 
@@ -268,9 +268,9 @@
                 now_ms, closes_all
             )
         by_peer: dict[str, list[ttypes.Closing]] = {}
-        for one in closings:
-            message = ttypes.Closing(one.number, one.returned)
-            by_peer.setdefault(one.peer, []).append(message)
+        for closing in closings:
+            message = ttypes.Closing(closing.number, closing.returned)
+            by_peer.setdefault(closing.peer, []).append(message)
         for peer, messages in by_peer.items():
             self._call(peer, "close", messages, CLOSE_MS)
 
--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -1,4 +1,4 @@
-"""Sends claims to each shard's coordinator and serves other VMs as one."""
+"""Sends claims to shards' coordinators and serves claims as coordinator."""
 
 import collections.abc
 import threading
@@ -207,7 +207,7 @@
         wishes: list[ttypes.Wish],
         limit: clock.Deadline,
     ) -> list[ttypes.Verdict] | None:
-        """Return the coordinator's verdicts, or None if it gives none.
+        """Return the coordinator's verdicts, or None if it gave no decision.
 
         A busy coordinator is asked again after a delay, because a write from
         this VM would only compete with the coordinator's own write.
--- a/mulberryway/controllers/claim_log.py
+++ b/mulberryway/controllers/claim_log.py
@@ -118,13 +118,13 @@
         return None
 
     def _read_slot(self, index: int) -> errors.Fault | None:
-        found = self._store.read(self._kind, str(index), PURPOSE)
-        if found.is_ok():
-            self._apply_slot(index, found.ok.value, found.ok.version)
+        result = self._store.read(self._kind, str(index), PURPOSE)
+        if result.is_ok():
+            self._apply_slot(index, result.ok.value, result.ok.version)
             return None
-        if found.error.code is errors.Code.NOT_FOUND:
+        if result.error.code is errors.Code.NOT_FOUND:
             return None
-        return found.error
+        return result.error
 
     def _read_whole_log(self) -> errors.Fault | None:
         """Read all slots if there is no view, or if the log wrapped around."""
--- a/mulberryway/controllers/claim_queue.py
+++ b/mulberryway/controllers/claim_queue.py
@@ -24,9 +24,9 @@
     """Claim request of an attempt that has no result yet.
 
     :param request: the claim request
-    :param is_own: whether the attempt waits on this VM, which then knows
-        when it will not run; another VM's attempt may still get its claim
-        from another writer
+    :param is_own: whether the attempt waits on this VM, which then decides
+        whether it runs; another VM's attempt may still get its claim from
+        another writer
     """
 
     __slots__ = ("request", "is_own", "result", "may_be_written")
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -137,17 +137,17 @@
         self.log.has_been_read = False
         self._last_used_ms = self._clock.now_ms()
         while not deadline.has_passed(self._clock.now_ms()):
-            found = self._append_once(batch)
-            if found is None:
+            append_fault = self._append_once(batch)
+            if append_fault is None:
                 return
-            fault = found
+            fault = append_fault
             if fault.code is not errors.Code.CONFLICT and not _may_have_run(
                 fault
             ):
                 break
-        refusal = claim_queue.refuse(fault.message)
+        rejection = claim_queue.refuse(fault.message)
         for pending in batch:
-            pending.resolve(expression.Error(refusal))
+            pending.resolve(expression.Error(rejection))
 
     def _append_once(self, batch: list[PendingClaim]) -> errors.Fault | None:
         """Decide and append once; return a fault if it has to be repeated."""
@@ -254,13 +254,13 @@
                     del self._completions[record.digest]
 
     def _release_abandoned(self, new_records: list[Record]) -> None:
-        found = [
+        released = [
             record
             for record in new_records
             if record.state is ClaimState.CLAIMED
             and record.owner in self._abandoned
         ]
-        for record in found:
+        for record in released:
             self._abandoned.pop(record.owner, None)
             self.record_end(record.end(ClaimState.RELEASED, None))
 
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Claims for calls that must run at most once; this is guaranteed.
+"""Claims, which guarantee that a call runs at most once.
 
 A claim never expires.  A VM that was paused after it got a claim may
 therefore still run its call, because no other attempt can ever get that claim.
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -122,8 +122,8 @@
         def fetch(missing: list[str]) -> dict[str, bytes]:
             known = [item for item in missing if item in new_segments]
             rest = [item for item in missing if item not in new_segments]
-            found = {digest: new_segments[digest] for digest in known}
-            return found | self._fetch(rest, "")
+            offered = {digest: new_segments[digest] for digest in known}
+            return offered | self._fetch(rest, "")
 
         self.active_tables.offer(root, fetch)
         self.wake()
@@ -159,12 +159,12 @@
         :returns: whether the active root has a newer confirmation now
         """
         asked_ms = self.clock.now_ms()
-        found = self._store.read(
+        result = self._store.read(
             root_store.KIND, root_store.NAME, READ_PURPOSE
         )
-        if found.is_error():
+        if result.is_error():
             return False
-        revision = self.offer_value(found.ok.value)
+        revision = self.offer_value(result.ok.value)
         if revision is None:
             return False
         return self.active_tables.confirm(
@@ -233,20 +233,20 @@
 
     def _fetch(self, missing: list[str], address: str) -> dict[str, bytes]:
         """Fetch segments from the VM that sent the root, else the platform."""
-        found: dict[str, bytes] = {}
-        while address and len(found) < len(missing):
-            wanted = [digest for digest in missing if digest not in found]
-            got = self._peers.read_segments(address, wanted)
-            if got.is_error() or not got.ok:
+        contents: dict[str, bytes] = {}
+        while address and len(contents) < len(missing):
+            wanted = [digest for digest in missing if digest not in contents]
+            fetched = self._peers.read_segments(address, wanted)
+            if fetched.is_error() or not fetched.ok:
                 break
-            found.update(got.ok)
+            contents.update(fetched.ok)
         for digest in missing:
-            if digest not in found:
+            if digest not in contents:
                 read = self._segments.read(digest)
                 if read.is_error():
                     break
-                found[digest] = read.ok
-        return found
+                contents[digest] = read.ok
+        return contents
 
     def _must_read_platform(
         self, peers: list[configuration_peers.PeerVm]
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -57,17 +57,17 @@
 
         :param digests: the digests of the requested segments
         """
-        found: list[ttypes.Segment] = []
+        segments: list[ttypes.Segment] = []
         size = 0
         for digest in digests:
             content = self._controller.active_tables.find_segment(digest)
             if content is None:
                 continue
             size += len(content)
-            if found and size > MAX_REPLY_BYTES:
+            if segments and size > MAX_REPLY_BYTES:
                 break
-            found.append(ttypes.Segment(digest, content))
-        return found
+            segments.append(ttypes.Segment(digest, content))
+        return segments
 
     def offer_root(
         self, content: bytes, segments: list[ttypes.Segment]
--- a/mulberryway/controllers/configuration_rpc.py
+++ b/mulberryway/controllers/configuration_rpc.py
@@ -63,8 +63,8 @@
             is_idempotent=True,
         )
         return answer.map(
-            lambda found: {
-                segment.digest: segment.content for segment in found
+            lambda segments: {
+                segment.digest: segment.content for segment in segments
             }
         )
 
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -1,4 +1,4 @@
-"""Combines the components that keep the tables of one VM."""
+"""Combines the components that keep one VM's tables up to date."""
 
 import random
 
@@ -107,7 +107,9 @@
 def list_known(
     members: membership.MembershipController,
 ) -> list[configuration_peers.PeerVm]:
-    """Return the other VMs; suspected ones count as alive, as most are.
+    """Return the other VMs.
+
+    Suspected VMs count as alive, because most suspicions are wrong.
 
     :param members: this VM's view of the fleet
     """
--- a/mulberryway/controllers/configuration_watch.py
+++ b/mulberryway/controllers/configuration_watch.py
@@ -85,11 +85,11 @@
         """Watch until the watch ends or this VM is no longer selected."""
         if not self._target.is_watcher():
             return
-        found = self._store.read(roots.KIND, roots.NAME, WATCH_PURPOSE)
+        result = self._store.read(roots.KIND, roots.NAME, WATCH_PURPOSE)
         version = 0
-        if found.is_ok():
-            version = found.ok.version
-            self._offer(found.ok.value)
+        if result.is_ok():
+            version = result.ok.version
+            self._offer(result.ok.value)
         events = self._store.watch(
             roots.KIND, version, self._idle_timeout_ms, WATCH_PURPOSE
         )
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -31,7 +31,7 @@
 
     The peer group consists of the routers that share upstreams with this one.
 
-    :param notes_: knows the peer group and sends the reports to it
+    :param gossip_: provides the peer group and sends the reports to it
     :param scheduling_: the scheduler that uses the reports on this VM
     :param directory_: finds engines
     :param source: the active tables
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        notes_: scheduler_gossip.SchedulerGossipController,
+        gossip_: scheduler_gossip.SchedulerGossipController,
         scheduling_: scheduling.SchedulingController,
         directory_: directory.UpstreamDirectory,
         source: tables.TableSource,
@@ -49,7 +49,7 @@
         clock_: clock.Clock,
     ) -> None:
         super().__init__("engine-reports", clock_, MIN_PERIOD_MS)
-        self._gossip = notes_
+        self._gossip = gossip_
         self._scheduling = scheduling_
         self._directory = directory_
         self._source = source
@@ -61,10 +61,10 @@
 
     def step(self) -> None:
         """Poll each engine assigned to this router once."""
-        found = self._source.read_tables()
-        if found is None:
+        active = self._source.read_tables()
+        if active is None:
             return
-        assigned = self._list_assigned(found)
+        assigned = self._list_assigned(active)
         calls = len(assigned) * CALLS_PER_ENGINE
         self.period_ms = max(MIN_PERIOD_MS, calls * MS_IN_S // MAX_CALLS_PER_S)
         list(
@@ -81,23 +81,23 @@
 
     def list_assigned_engines(self) -> list[upstreams.Engine]:
         """Return the engines assigned to this router by rendezvous hashing."""
-        found = self._source.read_tables()
-        if found is None:
+        active = self._source.read_tables()
+        if active is None:
             return []
         return [
             self._directory.find_engine(pool, upstream)
-            for _, pool, upstream in self._list_assigned(found)
+            for _, pool, upstream in self._list_assigned(active)
         ]
 
     def _list_assigned(
-        self, found: tables.Tables
+        self, active: tables.Tables
     ) -> list[tuple[pool_subsets.PoolSubset, tables.Pool, tables.Upstream]]:
         return [
-            (subset, found.pools[subset.pool], upstream)
+            (subset, active.pools[subset.pool], upstream)
             for subset in self._gossip.subsets
-            if subset.pool in found.pools
+            if subset.pool in active.pools
             for upstream in self._list_assigned_upstreams(
-                subset, found.pools[subset.pool]
+                subset, active.pools[subset.pool]
             )
         ]
 
@@ -135,12 +135,12 @@
         self, engine: upstreams.Engine, key: tuple[str, str]
     ) -> list[upstreams.CacheEvent]:
         after = self._sequences.get(key, 0)
-        found = engine.read_cache_events(after)
-        if found.is_error():
+        result = engine.read_cache_events(after)
+        if result.is_error():
             # A restarted engine numbers its events from the start again.  With
             # the old number none of them would be returned.
             self._sequences.pop(key, None)
             return []
-        if found.ok:
-            self._sequences[key] = found.ok[-1].sequence
-        return found.ok
+        if result.ok:
+            self._sequences[key] = result.ok[-1].sequence
+        return result.ok
--- a/mulberryway/controllers/fleet_allowances.py
+++ b/mulberryway/controllers/fleet_allowances.py
@@ -20,8 +20,8 @@
 # Interval at which the reachability of the store is checked.
 IDLE_MS = 250
 # Maximum interval at which a VM that contacts the store announces that it
-# reaches it.  Without that, all others would take the store for unreachable
-# from that VM and contact it themselves.
+# reaches it.  Otherwise all others would consider the store unreachable from
+# that VM and contact it themselves.
 WATCHER_HEARTBEAT_MS = 1_500
 # Bounds of the retry hint; within the minimum the others' counts arrive too.
 MIN_RETRY_MS = 200
--- a/mulberryway/controllers/kept_objects.py
+++ b/mulberryway/controllers/kept_objects.py
@@ -88,7 +88,9 @@
         self, absence: mass_expiry.UnreachablePeriod | None, now_ms: int
     ) -> Fields:
         if absence is None or self._detector is None:
-            return {"cause": "many went at once, here or at another VM"}
+            return {
+                "cause": "many were removed at once, here or at another VM"
+            }
         ended_ms = now_ms if absence.ended_ms is None else absence.ended_ms
         return {
             "cause": "the store was away",
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -28,7 +28,7 @@
 # n VMs reads it every n intervals, so the platform's load does not grow with
 # the fleet.
 LIST_INTERVAL_MS = 10_000
-# A VM that knows no other VM can find them only through the list.
+# A VM without any known peer can find other VMs only through the list.
 ISOLATED_LIST_INTERVAL_MS = 5_000
 DEAD_PROBE_PERIODS = 10
 
@@ -42,7 +42,7 @@
     """Return an incarnation greater than those of a VM's previous ones.
 
     A VM stores nothing between runs, so its incarnation is its wall clock.
-    If the clock was set back, other VMs would take the new incarnation for
+    If the clock was set back, other VMs would treat the new incarnation as
     an old one, consider its requests orphaned and cancel them at the
     engines.  Therefore the seeds are asked for previous incarnations first.
 
@@ -199,7 +199,7 @@
     ) -> None:
         """Update this VM's own entry and gossip it immediately.
 
-        :param is_stopping: whether the VM takes no new callers
+        :param is_stopping: whether the VM accepts no new callers
         :param holdings: encoded summary of the fleet state that it holds
         :param is_starting: whether it cannot serve callers yet
         """
--- a/mulberryway/controllers/mirror_codec.py
+++ b/mulberryway/controllers/mirror_codec.py
@@ -65,7 +65,7 @@
     :param content: the encoded snapshot
     :param now_ms: current time in ms
     """
-    found: list[objects.StoredObject] = []
+    objects_: list[objects.StoredObject] = []
     kept: list[mirrors.RetainedObject] = []
     for name, version, value, *left_ms in json.loads(zlib.decompress(content)):
         item = objects.StoredObject(kind, name, version, value)
@@ -75,5 +75,5 @@
                 mirrors.RetainedObject(item, revision, now_ms, until_ms)
             )
         else:
-            found.append(item)
-    return MirrorSnapshot(found, kept)
+            objects_.append(item)
+    return MirrorSnapshot(objects_, kept)
--- a/mulberryway/controllers/mirror_exchange.py
+++ b/mulberryway/controllers/mirror_exchange.py
@@ -70,11 +70,11 @@
         if not newer:
             return
         with self._lock:
-            for kind, found in newer.items():
+            for kind, candidate in newer.items():
                 # Of two VMs with the same revision the later one is used,
                 # because the other may have left the fleet.
-                if found[0] >= self._newer.get(kind, (0, ""))[0]:
-                    self._newer[kind] = found
+                if candidate[0] >= self._newer.get(kind, (0, ""))[0]:
+                    self._newer[kind] = candidate
         self.wake()
 
     def step(self) -> None:
--- a/mulberryway/controllers/mirrored_tables.py
+++ b/mulberryway/controllers/mirrored_tables.py
@@ -77,7 +77,7 @@
                 item.name: item for item in self.configuration.list_objects()
             }
             try:
-                found = self._reader.read(
+                built = self._reader.read(
                     rows, self.servers.list_objects(), self._revision
                 )
             except (ValueError, KeyError, TypeError) as error:
@@ -88,20 +88,20 @@
                     extra=logs.make_extra(reason=repr(error)),
                 )
                 return
-            if found is None:
+            if built is None:
                 return
-            self._tables = found
+            self._tables = built
             for on_change in self._subscribers:
-                on_change(found)
+                on_change(built)
         LOG.info(
             "tables are in force",
             extra=logs.make_extra(
-                revision=found.revision,
+                revision=built.revision,
                 configuration=self.configuration.revision,
                 servers=self.servers.revision,
-                routes=len(found.routes),
+                routes=len(built.routes),
                 upstreams=sum(
-                    len(pool.upstreams) for pool in found.pools.values()
+                    len(pool.upstreams) for pool in built.pools.values()
                 ),
             ),
         )
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -136,12 +136,12 @@
         result = self._store.read(KIND, NAME, PURPOSE)
         if result.is_error():
             return
-        found = _unpack(result.ok.value)
-        if _pack(found) == _pack(record):
+        stored = _unpack(result.ok.value)
+        if _pack(stored) == _pack(record):
             self._record_written(record, result.ok.version, sent_ms)
         else:
             now_ms = self.clock.now_ms()
-            self._lease.record_read(found, result.ok.version, now_ms)
+            self._lease.record_read(stored, result.ok.version, now_ms)
 
     def _record_written(
         self, record: leader_lease.LeaseRecord, version: int, sent_ms: int
--- a/mulberryway/controllers/owner_liveness.py
+++ b/mulberryway/controllers/owner_liveness.py
@@ -71,14 +71,14 @@
         :param incarnation: the incarnation
         :returns: ``DEAD`` only if that is certain
         """
-        found = next(
+        known = next(
             (entry for entry in self._list_members() if entry.name == vm), None
         )
-        if found is None or found.incarnation < incarnation:
+        if known is None or known.incarnation < incarnation:
             return Liveness.UNKNOWN
-        if found.incarnation > incarnation:
+        if known.incarnation > incarnation:
             return Liveness.DEAD
-        if found.health is not member.MemberStatus.DEAD:
+        if known.health is not member.MemberStatus.DEAD:
             return Liveness.ALIVE
         return Liveness.DEAD if self._is_unlisted(vm) else Liveness.UNKNOWN
 
--- a/mulberryway/controllers/peak_fleet_size.py
+++ b/mulberryway/controllers/peak_fleet_size.py
@@ -1,9 +1,9 @@
-"""Fleet size before a network partition made the fleet look smaller."""
+"""Tracks the largest recent fleet size, to recognise network partitions."""
 
 __all__ = ["PeakFleetSize"]
 
 # A partitioned VM sees a smaller fleet.  The largest size of the last minutes
-# is used, so that both sides of a partition know that they are only a part.
+# is used, so that both sides of a partition count the VMs of the other side.
 PEAK_MS = 600_000
 
 
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -66,19 +66,19 @@
         for engine in self._list_engines():
             if self.is_stopping():
                 return
-            held = engine.list_in_flight()
-            if held.is_ok():
-                self._check_engine(engine, held.ok, seen)
+            result = engine.list_in_flight()
+            if result.is_ok():
+                self._check_engine(engine, result.ok, seen)
         self._orphaned_since_ms = seen
 
     def _check_engine(
         self,
         engine: upstreams.Engine,
-        held: list[upstreams.InFlightRequest],
+        in_flight: list[upstreams.InFlightRequest],
         seen: dict[Key, int],
     ) -> None:
         now_ms = self.clock.now_ms()
-        for request in held:
+        for request in in_flight:
             label = request.label
             if not self._is_orphaned(label):
                 continue
--- a/mulberryway/controllers/reloading.py
+++ b/mulberryway/controllers/reloading.py
@@ -43,10 +43,10 @@
         """Read the file if it has changed."""
         if not self._file:
             return
-        found = settings.read_bytes(self._file)
-        if found == self._known:
+        content = settings.read_bytes(self._file)
+        if content == self._known:
             return
-        self._known = found
+        self._known = content
         try:
             read = settings.read_settings(self._file)
         except errors.SettingsError as error:
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -136,16 +136,16 @@
         if vms != self._vms:
             self._vms = vms
             self._update_members()
-        found = self._source.read_tables()
-        state = (found.revision if found else 0, vms)
-        if found is not None and state != self._subsets_state:
+        active = self._source.read_tables()
+        state = (active.revision if active else 0, vms)
+        if active is not None and state != self._subsets_state:
             self._subsets_state = state
             self._scheduling.change_vms(vms)
             self.subsets = tuple(
                 pool_subsets.find_pool_subset(
                     pool, self._members.own.name, vms
                 )
-                for pool in found.pools.values()
+                for pool in active.pools.values()
                 if pool.kind is tables.PoolKind.MODEL
             )
 
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -254,15 +254,15 @@
                 job_id, refused, self.clock.now_ms(), is_unreached
             )
 
-    def has_decode_capacity(self, pool: str, besides: str) -> bool:
+    def has_decode_capacity(self, pool: str, excluded: str) -> bool:
         """Return whether another engine probably has capacity for a decode.
 
         :param pool: the pool's name
-        :param besides: the upstream to exclude
+        :param excluded: the upstream to exclude
         """
         with self._lock:
             return self._scheduler.has_decode_capacity(
-                pool, besides, self.clock.now_ms()
+                pool, excluded, self.clock.now_ms()
             )
 
     def list_ejected(self) -> list[probes.EjectedUpstream]:
@@ -358,8 +358,8 @@
         for assignment in dispatch.assignments:
             self._started.add(assignment.job_id)
             self._decide(assignment.job_id, expression.Ok(assignment))
-        for refusal in dispatch.refusals:
-            self._decide(refusal.job_id, expression.Error(refusal.fault))
+        for rejection in dispatch.refusals:
+            self._decide(rejection.job_id, expression.Error(rejection.fault))
         return dispatch.wake_ms
 
     def _decide(self, job_id: str, decision: Decision) -> None:
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -35,8 +35,8 @@
     """Installs newer roots, rejects older ones and tracks their age.
 
     :param clock_: the clock
-    :param fresh_ms: how long a confirmation is sufficient by itself, in
-        milliseconds
+    :param fresh_ms: how long a confirmation is sufficient without a
+        majority of the VMs, in milliseconds
     :param outage_ms: how long the tables may be used while the platform is
         unreachable, in milliseconds
     """
@@ -93,7 +93,7 @@
 
         A VM that was restarted in an outage has lost the state of its
         previous incarnation.  If it counted, partitioned VMs could form a
-        majority in which no VM knows of an accepted edit.
+        majority in which no VM has received an accepted edit.
 
         :returns: whether the platform has confirmed a root since this
             process was started
--- a/mulberryway/filters/attempt.py
+++ b/mulberryway/filters/attempt.py
@@ -72,18 +72,18 @@
         self._has_ended = False
         self._is_cancelled = False
 
-    def end(self, how: jobs.JobOutcome, failed_upstream: str = "") -> None:
+    def end(self, outcome: jobs.JobOutcome, failed_upstream: str = "") -> None:
         """Release the slot; cancel at the engines unless the attempt is done.
 
-        :param how: the outcome of the attempt
+        :param outcome: the outcome of the attempt
         :param failed_upstream: the name of the upstream that failed, if any
         """
         with self._lock:
             if self._has_ended:
                 return
             self._has_ended = True
-        self._scheduling.finish(self.job_id, how, failed_upstream)
-        if how is not jobs.JobOutcome.DONE:
+        self._scheduling.finish(self.job_id, outcome, failed_upstream)
+        if outcome is not jobs.JobOutcome.DONE:
             self.free()
 
     def require_reservation(self, tokens: int) -> None:
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -45,8 +45,8 @@
         :param proceed: the rest of the chain
         :returns: the chain's answer, or a fault
         """
-        found = self._source.read_tables()
-        if found is None:
+        active = self._source.read_tables()
+        if active is None:
             return expression.Error(
                 errors.Fault(
                     errors.Code.NO_CONFIGURATION,
@@ -57,12 +57,12 @@
             )
         key = _read_key(exchange, self._scheme)
         digest = tables.digest_key(key)
-        account = found.find_account(digest) if key else None
-        if account is None and has_public_route(found, exchange):
+        account = active.find_account(digest) if key else None
+        if account is None and has_public_route(active, exchange):
             account = tables.ANONYMOUS_ACCOUNT
         if account is None:
             return expression.Error(_reject())
-        exchange.tables = found
+        exchange.tables = active
         exchange.key_digest = digest
         exchange.account = account
         if not self._scrubs_whole_request:
@@ -87,26 +87,26 @@
     :param step: the step to report in the fault
     :returns: nothing, or ``UNAUTHENTICATED``
     """
-    found = source.read_tables()
-    if found is not None and has_public_route(found, exchange):
+    active = source.read_tables()
+    if active is not None and has_public_route(active, exchange):
         return expression.Ok(None)
     account = (
-        None if found is None else found.find_account(exchange.key_digest)
+        None if active is None else active.find_account(exchange.key_digest)
     )
     if account is None or account.name != exchange.account.name:
         return expression.Error(_reject(step))
     return expression.Ok(None)
 
 
-def has_public_route(found: tables.Tables, exchange: base.Exchange) -> bool:
+def has_public_route(active: tables.Tables, exchange: base.Exchange) -> bool:
     """Return whether a request needs no key.
 
-    :param found: the active tables
+    :param active: the active tables
     :param exchange: the request
     :returns: whether its route is public
     """
     host = (exchange.find_header("host") or "").partition(":")[0]
-    route = found.find_route(exchange.path, host.lower())
+    route = active.find_route(exchange.path, host.lower())
     return route is not None and route.is_public
 
 
--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -196,9 +196,9 @@
     def _is_key(self, value: Json) -> bool:
         if not isinstance(value, str):
             return False
-        found = value.removeprefix("Bearer ").strip() == self._key
-        self._has_changed = self._has_changed or found
-        return found
+        is_key = value.removeprefix("Bearer ").strip() == self._key
+        self._has_changed = self._has_changed or is_key
+        return is_key
 
 
 def _reject(message: str) -> errors.Fault:
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -106,7 +106,7 @@
             result = attempt.decode.prepare(
                 attempt.label, self._make_reservation_request(attempt)
             ).bind(
-                lambda made: self._decode(
+                lambda reservation: self._decode(
                     attempt, empty_prefill, offset, limit
                 )
             )
@@ -115,10 +115,12 @@
         else:
             result = (
                 self._prepare(attempt)
-                .bind(lambda made: self._prefill(attempt, limit))
+                .bind(lambda reservation: self._prefill(attempt, limit))
                 .or_else_with(lambda fault: self._skip_prefill(attempt, fault))
                 .bind(
-                    lambda found: self._decode(attempt, found, offset, limit)
+                    lambda prefill: self._decode(
+                        attempt, prefill, offset, limit
+                    )
                 )
             )
         if result.is_error():
@@ -160,7 +162,7 @@
     def _log_wasted_prefill(
         self,
         attempt: attempts.Attempt,
-        found: upstreams.PrefillResult,
+        prefill: upstreams.PrefillResult,
         fault: errors.Fault,
     ) -> None:
         LOG.info(
@@ -170,7 +172,7 @@
                 request_id=self._exchange.request_id,
                 prefill=attempt.prefill_name,
                 decode=attempt.decode_name,
-                tokens=found.prompt_tokens,
+                tokens=prefill.prompt_tokens,
                 has_gone=self._exchange.has_gone.is_set(),
             ),
         )
@@ -226,7 +228,7 @@
     def _decode(
         self,
         attempt: attempts.Attempt,
-        found: upstreams.PrefillResult,
+        prefill: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
     ) -> model_dependencies.SourceResult:
@@ -240,7 +242,7 @@
         reassign_deadline = clock.Deadline(
             clock_.now_ms() + DECODE_REASSIGN_TIMEOUT_MS
         )
-        result = self._decode_once(attempt, found, offset, limit)
+        result = self._decode_once(attempt, prefill, offset, limit)
         while (
             result.is_error()
             and result.error.code in DECODE_NOT_STARTED
@@ -253,28 +255,28 @@
             )
             retry_input = (
                 self._reassign_unreached_decode(
-                    attempt, found, reassign_deadline
+                    attempt, prefill, reassign_deadline
                 )
                 if is_unreached
-                else self._prepare_decode_retry(attempt, found)
+                else self._prepare_decode_retry(attempt, prefill)
             )
             if retry_input is None:
                 break
-            if found.transfer and not retry_input.transfer:
-                self._log_wasted_prefill(attempt, found, result.error)
-            found = retry_input
+            if prefill.transfer and not retry_input.transfer:
+                self._log_wasted_prefill(attempt, prefill, result.error)
+            prefill = retry_input
             # An attempt that did not reach an engine costs no retry budget.
             if not is_unreached and not self._parts.try_withdraw_retry(
                 self._exchange.pool.name
             ):
                 break
-            result = self._decode_once(attempt, found, offset, limit)
-        if result.is_error() and found.transfer:
-            self._log_wasted_prefill(attempt, found, result.error)
+            result = self._decode_once(attempt, prefill, offset, limit)
+        if result.is_error() and prefill.transfer:
+            self._log_wasted_prefill(attempt, prefill, result.error)
         return result
 
     def _prepare_decode_retry(
-        self, attempt: attempts.Attempt, found: upstreams.PrefillResult
+        self, attempt: attempts.Attempt, prefill: upstreams.PrefillResult
     ) -> upstreams.PrefillResult | None:
         """Return the prefill result for a retry of a rejected decode, or none.
 
@@ -284,19 +286,19 @@
         capacity by now, and needs no third engine.
         """
         if self._reassign_decode(attempt):
-            return found
+            return prefill
         if not attempt.decode.supports_chunked_prefill:
             self._parts.clock.sleep_ms(DECODE_REASSIGN_DELAY_MS)
-            return found
-        if not found.transfer:
+            return prefill
+        if not prefill.transfer:
             return None
         self._parts.cancelling.cancel(attempt.prefill, attempt.label)
-        return upstreams.PrefillResult({}, found.prompt_tokens, 0)
+        return upstreams.PrefillResult({}, prefill.prompt_tokens, 0)
 
     def _reassign_unreached_decode(
         self,
         attempt: attempts.Attempt,
-        found: upstreams.PrefillResult,
+        prefill: upstreams.PrefillResult,
         reassign_deadline: clock.Deadline,
     ) -> upstreams.PrefillResult | None:
         """Find another engine for a decode that did not reach its engine.
@@ -309,7 +311,7 @@
             if self._exchange.has_gone.is_set():
                 break
             if self._reassign_decode(attempt, is_unreached=True):
-                return found
+                return prefill
             clock_.sleep_ms(DECODE_REASSIGN_DELAY_MS)
         return None
 
@@ -330,7 +332,7 @@
     def _decode_once(
         self,
         attempt: attempts.Attempt,
-        found: upstreams.PrefillResult,
+        prefill: upstreams.PrefillResult,
         offset: int,
         limit: clock.Deadline,
     ) -> model_dependencies.SourceResult:
@@ -360,7 +362,7 @@
             result = attempt.decode.decode(
                 attempt.label,
                 self._exchange.call,
-                found.transfer,
+                prefill.transfer,
                 offset,
                 self._compute_call_timeout_ms(limit),
             )
@@ -428,6 +430,10 @@
         if pool is None:
             return None
         return next(
-            ((pool, one) for one in pool.upstreams if one.name == name),
+            (
+                (pool, upstream)
+                for upstream in pool.upstreams
+                if upstream.name == name
+            ),
             None,
         )
--- a/mulberryway/filters/model_forward.py
+++ b/mulberryway/filters/model_forward.py
@@ -50,11 +50,11 @@
         if exchange.pool.kind is tables.PoolKind.PLAIN:
             return proceed(exchange)
         run = model_run.ModelRequest(exchange, self._parts)
-        found = run.begin()
-        if found.is_error():
-            return expression.Error(found.error)
+        source = run.begin()
+        if source.is_error():
+            return expression.Error(source.error)
         stream = self._make_stream(
-            exchange, run, found.ok, run.compute_token_timeout_ms()
+            exchange, run, source.ok, run.compute_token_timeout_ms()
         )
         return expression.Ok(base.StreamedAnswer(stream))
 
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -147,14 +147,16 @@
         with self._lock:
             ticket = self._ticket
             open_attempts = [
-                one for one in (self._attempt, self._next_attempt) if one
+                attempt
+                for attempt in (self._attempt, self._next_attempt)
+                if attempt
             ]
         if ticket is not None:
             self._parts.scheduling.cancel_waiting(
                 ticket, model_dependencies.make_disconnect_fault()
             )
-        for attempt in open_attempts:
-            attempt.free()
+        for open_attempt in open_attempts:
+            open_attempt.free()
 
     def recover(self, stream: streams.Stream, fault: errors.Fault) -> None:
         """Resume a stream at another engine after a failure, or end it.
@@ -226,11 +228,11 @@
         :param fault: why the answer is incomplete; none if it is complete
         """
         self._is_closed = True
-        how = jobs.JobOutcome.DONE
+        outcome = jobs.JobOutcome.DONE
         if fault is not None:
-            how = jobs.JobOutcome.CANCELLED
+            outcome = jobs.JobOutcome.CANCELLED
         self._end_search()
-        self._end_attempt(how)
+        self._end_attempt(outcome)
         exchange = self._exchange
         exchange.finish(
             base.Outcome(fault, exchange.prefilled_tokens + tokens, tokens)
@@ -355,7 +357,9 @@
         parts.metrics.queue_wait.record(waited_ms)
         self._exchange.stages.queued_ms += waited_ms
         self._jobs.log_decision(job, decision, waited_ms)
-        return decision.bind(lambda found: self._make_attempt(job, found))
+        return decision.bind(
+            lambda assignment: self._make_attempt(job, assignment)
+        )
 
     def _make_attempt(
         self, job: jobs.Job, assignment: jobs.Assignment
@@ -484,13 +488,13 @@
         if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
         if self._retry_state.search.is_over():
-            return "too many tries have failed"
+            return "too many attempts have failed"
         if not self._is_active():
-            return "the caller has gone"
+            return "the caller disconnected"
         if not is_unsent and not self._parts.try_withdraw_retry(
             exchange.pool.name
         ):
-            return "the budget for repeats is spent"
+            return "the retry budget is exhausted"
         return ""
 
     def _is_active(self) -> bool:
@@ -545,14 +549,14 @@
         )
 
     def _end_attempt(
-        self, how: jobs.JobOutcome, failed_name: str = ""
+        self, outcome: jobs.JobOutcome, failed_name: str = ""
     ) -> None:
         with self._lock:
             attempt = self._attempt
         if failed_name:
             self._avoided = self._avoided | {failed_name}
         if attempt is not None:
-            attempt.end(how, failed_name)
+            attempt.end(outcome, failed_name)
 
     def _end_search(self) -> None:
         """End the search for another engine when the stream is closed."""
--- a/mulberryway/filters/observe.py
+++ b/mulberryway/filters/observe.py
@@ -71,7 +71,7 @@
         self._metrics.request_time.record(
             took_ms, {"pool": "" if pool is None else pool.name}
         )
-        found = getattr(exchange, "tables", None)
+        tables_ = getattr(exchange, "tables", None)
         LOG.info(
             "a request ended",
             extra=logs.make_extra(
@@ -80,7 +80,7 @@
                 account=labels["account"],
                 route="" if route is None else route.name,
                 pool="" if pool is None else pool.name,
-                tables=0 if found is None else found.revision,
+                tables=0 if tables_ is None else tables_.revision,
                 tried=exchange.tried,
                 tried_ms=exchange.tried_ms,
                 tokens=outcome.tokens,
--- a/mulberryway/filters/status.py
+++ b/mulberryway/filters/status.py
@@ -122,8 +122,8 @@
         """
         if not self._lifecycle.is_rejecting:
             return proceed(exchange)
-        # Over an open connection, the caller's next request would come to
-        # this VM again.
+        # Over an open connection, the caller's next request would be
+        # sent to this VM again.
         exchange.head.keep = False
         return expression.Error(
             errors.Fault(
@@ -201,8 +201,8 @@
             return proceed(exchange)
         zone = exchange.find_header("x-zone") or self._zone
         addresses = [
-            {"address": found.address, "zone": found.zone}
-            for found in self._directory.list_addresses(zone)
+            {"address": endpoint.address, "zone": endpoint.zone}
+            for endpoint in self._directory.list_addresses(zone)
         ]
         return _reply(200, {"addresses": addresses, "ttl_ms": self._ttl_ms})
 
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -213,7 +213,9 @@
             self.members,
         )
         with concurrent.futures.ThreadPoolExecutor() as executor:
-            list(executor.map(lambda one: one.stop(), controllers))
+            list(
+                executor.map(lambda controller: controller.stop(), controllers)
+            )
         self.datagrams.stop()
         self.peer_server.stop()
         LOG.info(
@@ -376,10 +378,10 @@
     def _list_peers(self) -> list[str]:
         """Return the peer addresses of live VMs, or the seeds if none."""
         alive_peers = [
-            one.peer
-            for one in self.members.list_members()
-            if one.health is not member.MemberStatus.DEAD
-            and one.name != self.settings.vm_name
+            vm.peer
+            for vm in self.members.list_members()
+            if vm.health is not member.MemberStatus.DEAD
+            and vm.name != self.settings.vm_name
         ]
         return alive_peers or list(_list_seeds(self.settings))
 
@@ -393,7 +395,10 @@
     def _is_store_reached(self) -> bool | None:
         if not self._must_watch():
             return None
-        return all(one.is_reached for one in self.mirror_controllers.values())
+        return all(
+            controller.is_reached
+            for controller in self.mirror_controllers.values()
+        )
 
     def _find_engine(
         self, pool: str, upstream: str
@@ -423,9 +428,9 @@
         # A VM that has just started has not contacted the others yet.
         address = address or next(
             (
-                one.peer
-                for one in self.members.list_members()
-                if one.name == received.vm
+                vm.peer
+                for vm in self.members.list_members()
+                if vm.name == received.vm
             ),
             "",
         )
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -224,9 +224,9 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         self._source.subscribe(self._update_tables)
-        found = self._source.read_tables()
-        if found is not None:
-            self._update_tables(found)
+        active = self._source.read_tables()
+        if active is not None:
+            self._update_tables(active)
         self.loop.start()
         self.scheduling.start()
         self.cancelling.start()
--- a/mulberryway/settings.py
+++ b/mulberryway/settings.py
@@ -69,8 +69,8 @@
         self.peers_seeds: tuple[str, ...] = ()
         self.peers_period_ms: int = 1_000
         self.peers_timeout_ms: int = 500
-        # The seeds' port for peers if the list of seeds has another port of
-        # theirs; 0 if the listed ports are correct.
+        # The port of the seeds' peer servers if the list of seeds gives their
+        # port for something else; 0 if the listed ports are correct.
         self.peers_seeds_port: int = 0
 
         # The platform's object API.
@@ -118,7 +118,7 @@
         # The priority when not all requests can be served well; see
         # docs/operators/weighing.md.
         self.policy_weighing: str = "worst_served"
-        # The assumed prefill time per prompt token until it was measured; see
+        # The assumed prefill time per prompt token until it is measured; see
         # docs/operators/weighing.md.
         self.policy_prefill_us: int = 100
 
@@ -127,7 +127,7 @@
 
 OPTIONS = (
     options.Option("vm.name", "vm_name", "a name", options.is_nonempty_string),
-    options.Option("vm.address", "vm_address", "an IP number", options.is_ip),
+    options.Option("vm.address", "vm_address", "an IP address", options.is_ip),
     options.Option(
         "vm.zone",
         "vm_zone",
@@ -168,7 +168,7 @@
     options.Option(
         "peers.secret",
         "peers_secret",
-        "a secret text",
+        "a non-empty string",
         options.is_nonempty_string,
     ),
     options.Option(
@@ -180,7 +180,7 @@
     options.make_number("peers.period_ms", "peers_period_ms", 10, 60_000),
     options.make_number("peers.timeout_ms", "peers_timeout_ms", 10, 60_000),
     options.Option(
-        "platform.url", "platform_url", "an http address", options.is_url
+        "platform.url", "platform_url", "an HTTP URL", options.is_url
     ),
     options.make_number(
         "platform.timeout_ms", "platform_timeout_ms", 10, 60_000
@@ -248,7 +248,7 @@
     options.Option(
         "telemetry.otlp_url",
         "telemetry_otlp_url",
-        "an http address, or empty",
+        "an HTTP URL, or empty",
         options.is_optional_url,
     ),
     options.make_address(
--- a/mulberryway/threads.py
+++ b/mulberryway/threads.py
@@ -23,18 +23,18 @@
     :param tasks: the directory of the process's threads in procfs
     :returns: CPU time in ms by thread name; a pool's workers are added up
     """
-    found: dict[str, int] = {}
+    totals_ms: dict[str, int] = {}
     for thread in threading.enumerate():
         name = NUMBER.sub("", thread.name)
         try:
             text = (tasks / str(thread.native_id) / "schedstat").read_text()
-            spent_ms = int(text.split()[0]) // NS_IN_MS
+            cpu_ms = int(text.split()[0]) // NS_IN_MS
         except (OSError, ValueError, IndexError) as error:
             # The thread has just ended, or the kernel has no schedstat.
             LOG.debug("no CPU time of thread %s: %r", name, error)
             continue
-        found[name] = found.get(name, 0) + spent_ms
-    return found
+        totals_ms[name] = totals_ms.get(name, 0) + cpu_ms
+    return totals_ms
 
 
 def report(metrics_: metrics.Metrics) -> None:
@@ -46,7 +46,7 @@
         "threads.cpu_ms",
         "processor time of living threads, in milliseconds, by name",
         lambda: [
-            ({"thread": name}, spent_ms)
-            for name, spent_ms in read_thread_cpu_ms().items()
+            ({"thread": name}, cpu_ms)
+            for name, cpu_ms in read_thread_cpu_ms().items()
         ],
     )
--- a/mulberryway/traces.py
+++ b/mulberryway/traces.py
@@ -34,10 +34,10 @@
     @property
     def traceparent(self) -> str:
         """The W3C ``traceparent`` value that refers to this span."""
-        found = self._span.get_span_context()
+        context = self._span.get_span_context()
         return (
-            f"{VERSION}-{found.trace_id:032x}-{found.span_id:016x}"
-            f"-{int(found.trace_flags):02x}"
+            f"{VERSION}-{context.trace_id:032x}-{context.span_id:016x}"
+            f"-{int(context.trace_flags):02x}"
         )
 
     def note(self, name: str, value: str | int) -> None:
@@ -149,8 +149,8 @@
         :param traceparent: the W3C header's value, or none
         :returns: the span
         """
-        found = _read_traceparent(traceparent or "")
-        return self.begin(step, trace.NonRecordingSpan(found))
+        parent = _read_traceparent(traceparent or "")
+        return self.begin(step, trace.NonRecordingSpan(parent))
 
     def stop(self) -> None:
         """Export pending spans and shut down."""
