--- a/tests/claim_history.py
+++ b/tests/claim_history.py
@@ -42,10 +42,10 @@
 
     def read_all(self, kind, purpose):
         self._advance()
-        found = super().read_all(kind, purpose)
-        if found.is_error() or self.random.random() >= self.torn:
-            return found
-        return expression.Ok([self._pick_version(item) for item in found.ok])
+        result = super().read_all(kind, purpose)
+        if result.is_error() or self.random.random() >= self.torn:
+            return result
+        return expression.Ok([self._pick_version(item) for item in result.ok])
 
     def _pick_version(self, item):
         return self.random.choice(self.history[(item.kind, item.name)])
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -45,20 +45,20 @@
     revisions = {root.marks[-1].edit_id: root.revision for _, root in chain}
     for edit_id, count in applied.items():
         if count > 1:
-            yield "counted twice", edit_id
+            yield "applied twice", edit_id
     for answer in world.answers:
         edit_id = answer.edit.edit_id
         if answer.result.is_ok():
             if revisions.get(edit_id) != answer.result.ok.revision:
-                yield "accepted but not there", edit_id
+                yield "accepted but missing", edit_id
         elif answer.result.error.run is errors.ExecutionStatus.NOT_RUN:
             earlier = [
-                one
-                for one in world.answers
-                if one.edit is answer.edit and one is not answer
+                other
+                for other in world.answers
+                if other.edit is answer.edit and other is not answer
             ]
             if edit_id in applied and not earlier:
-                yield "refused but there", edit_id
+                yield "rejected but present", edit_id
 
 
 def check_chain(world, chain):
@@ -72,7 +72,7 @@
         actual = read_tables(world, root)
         applied = edit.apply(tables)
         if validate.validate_tables(actual).is_error():
-            yield "join broken", root.revision
+            yield "joined tables invalid", root.revision
             return
         if applied.is_error() or parse.encode_tables(
             applied.ok
@@ -86,7 +86,7 @@
     cache = segments.SegmentCache()
     for digest in root.list_row_segments():
         versions = world.store.history[("segments", digest)]
-        value = next(one.value for one in versions if one.value)
+        value = next(version.value for version in versions if version.value)
         assert cache.add(digest, roots.encode_content(value["rows"]))
     return cache.join(root)
 
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -141,7 +141,7 @@
     def read_segments(self, address, digests):
         answer = self.call(address, lambda peer: peer.read_segments(digests))
         return answer.map(
-            lambda found: {one.digest: one.content for one in found}
+            lambda segments: {one.digest: one.content for one in segments}
         )
 
 
@@ -309,7 +309,9 @@
         self.random.choice(self.editors).collect()
 
     def edit(self):
-        free = [one for one in self.editors if id(one) not in self.busy]
+        free = [
+            editor_ for editor_ in self.editors if id(editor_) not in self.busy
+        ]
         if free:
             changes = [self.choose_change()]
             self.submit(self.random.choice(free), changes)
--- a/tests/hosted_fleet.py
+++ b/tests/hosted_fleet.py
@@ -225,7 +225,7 @@
             "peers": {
                 "port": peers,
                 "secret": "s",
-                "seeds": [f"{HOST}:{one[3]}" for one in self.ports],
+                "seeds": [f"{HOST}:{ports[3]}" for ports in self.ports],
                 "period_ms": 200,
             },
             "platform": {
@@ -255,7 +255,7 @@
         )
 
     def fronts(self):
-        return {f"{HOST}:{one[0]}" for one in self.ports}
+        return {f"{HOST}:{ports[0]}" for ports in self.ports}
 
     def is_ready(self, ports):
         return processes.is_open(ports[1]) and (
--- a/tests/request_history.py
+++ b/tests/request_history.py
@@ -239,9 +239,9 @@
         lambda: not any(map(router_fixture.list_held, world.engine_ports))
     )
     held = [
-        one
+        request
         for port in world.engine_ports
-        for one in router_fixture.list_held(port)
+        for request in router_fixture.list_held(port)
     ]
     return Effects(bookings["by_key"], runs, held)
 
@@ -252,7 +252,7 @@
         *(fault for record in records for fault in check_answer(record)),
         *check_bookings(records, effects),
         *check_not_run(records, effects),
-        *(("engine memory still held", one["id"]) for one in effects.held),
+        *(("engine memory still held", item["id"]) for item in effects.held),
     ]
 
 
@@ -266,11 +266,11 @@
         text, is_done = read_stream(record.body)
         expected = router_fixture.expect_text(record.prompt, MAX_TOKENS)
         if is_done and text != expected:
-            yield "stream whole but wrong", record.number
+            yield "stream complete but wrong", record.number
         if not expected.startswith(text):
-            yield "foreign or doubled token", record.number
+            yield "foreign or duplicate token", record.number
         if record.is_whole and not is_done and b'"error"' not in record.body:
-            yield "cut stream looks whole", record.number
+            yield "truncated stream looks complete", record.number
     elif record.is_whole and record.kind == "whole":
         text = json.loads(record.body)["choices"][0]["text"]
         if text != answers.Answer("m", record.prompt, MAX_TOKENS).text():
@@ -293,7 +293,7 @@
     ]
     # A stream may be cut off within an event; incomplete events are ignored.
     whole = events if body.endswith(b"\n\n") else events[:-1]
-    values = [json.loads(one) for one in whole if one.startswith(b"{")]
+    values = [json.loads(event) for event in whole if event.startswith(b"{")]
     text = "".join(
         value["choices"][0]["text"] for value in values if "choices" in value
     )
@@ -309,21 +309,23 @@
         runs = effects.bookings[key]
         if runs > 1:
             yield "booked twice", key
-        if any(one.status == 201 for one in attempts) and not runs:
+        if any(attempt.status == 201 for attempt in attempts) and not runs:
             yield "booking confirmed but not made", key
-        if runs and all(one.run == NOT_RUN for one in attempts):
-            yield "booking made but told not_run", key
-        replies = {one.body for one in attempts if one.status == 201}
+        if runs and all(attempt.run == NOT_RUN for attempt in attempts):
+            yield "booking made but reported not_run", key
+        replies = {
+            attempt.body for attempt in attempts if attempt.status == 201
+        }
         if len(replies) > 1:
             yield "two answers to one booking", key
 
 
 def check_not_run(records, effects):
     """Check that no engine started a request reported as not run."""
-    begun = {run.rpartition("-")[0] for run in effects.runs}
+    started = {run.rpartition("-")[0] for run in effects.runs}
     for record in records:
         if record.run == NOT_RUN and record.kind in ("stream", "whole"):
             if not record.request_id:
-                yield "refusal without an id", record.number
-            elif record.request_id in begun:
+                yield "rejection without an id", record.number
+            elif record.request_id in started:
                 yield "false not_run", record.number
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -156,15 +156,15 @@
         """
         key = self.make_key()
         grant = self.begin(self.a1, key).ok
-        found = []
+        results = []
         duplicate = threading.Thread(
-            target=lambda: found.append(self.begin(self.a1, key))
+            target=lambda: results.append(self.begin(self.a1, key))
         )
         duplicate.start()
         reply = claim_records.CachedReply(201, [], b"booked")
         self.a1.end(grant, errors.ExecutionStatus.RAN, reply)
         duplicate.join(10)
-        self.assertEqual(found[0].ok.body, b"booked")
+        self.assertEqual(results[0].ok.body, b"booked")
 
     def test_crash_during_a_call_is_reported(self):
         """A VM crashes while a call runs, so its outcome is unknown.
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -50,12 +50,12 @@
 class HistoryTest(unittest.TestCase):
     def run_all(self, count=SCHEDULES, **kwargs):
         ends = collections.Counter()
-        found = []
+        violations = []
         for seed in range(count):
             history = claim_history.History(seed, **kwargs)
-            found += history.run(STEPS)
+            violations += history.run(STEPS)
             ends += history.ends
-        return found, ends
+        return violations, ends
 
     def test_no_call_runs_twice(self):
         """Claims hold under crashes, lost or late writes and stale reads.
@@ -63,8 +63,8 @@
         Replies get lost too, and callers retry at any VM.  A call that runs
         twice would make and bill the same booking twice.
         """
-        found, ends = self.run_all()
-        self.assertEqual(found, [])
+        violations, ends = self.run_all()
+        self.assertEqual(violations, [])
         for end in (
             "granted",
             "replayed",
@@ -80,8 +80,8 @@
         Two VMs may then write the claim of one attempt, which must still run
         only once.
         """
-        found, ends = self.run_all(100, coordinators=True)
-        self.assertEqual(found, [])
+        violations, ends = self.run_all(100, coordinators=True)
+        self.assertEqual(violations, [])
         for end in ("granted", "replayed", "duplicate may_have_run"):
             self.assertGreater(ends[end], 100, ends)
 
@@ -102,9 +102,9 @@
             self.check_broken("two runs", 200, coordinators=True)
 
     def check_broken(self, message, count=60, **kwargs):
-        found, _ = self.run_all(count, **kwargs)
+        violations, _ = self.run_all(count, **kwargs)
         self.assertTrue(
-            [violation for violation in found if message in violation]
+            [violation for violation in violations if message in violation]
         )
 
     def test_checker_finds_a_constant_low_watermark(self):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -54,8 +54,8 @@
             "e", "op", (changes.RevokeKey("account-7", digest(7)),)
         )
         after = segments.split_tables(edit.apply(made).ok)
-        moved = after.segments.keys() - split.segments.keys()
-        self.assertEqual(len(moved), 1)
+        changed = after.segments.keys() - split.segments.keys()
+        self.assertEqual(len(changed), 1)
         root = roots.Root(2, after.shards, "0" * 32, ())
         self.assertLess(len(roots.encode_content(root.encode())), 5_000)
 
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -118,8 +118,8 @@
 
 def write_unconditionally(self, held, root):
     """Overwrite the stored root regardless of its version."""
-    found = self._store.read(root_store.KIND, root_store.NAME, "test")
-    version = found.ok.version if found.is_ok() else held.version
+    stored = self._store.read(root_store.KIND, root_store.NAME, "test")
+    version = stored.ok.version if stored.is_ok() else held.version
     return root_store.RootStore.plain_write(
         self, root_store.VersionedRoot(version, held.root), root
     )
@@ -164,14 +164,16 @@
 
         The operator would assume that a revoked key still works.
         """
-        self.check_found({"refused but there"}, {"editor": FalseFailureEditor})
+        self.check_found(
+            {"rejected but present"}, {"editor": FalseFailureEditor}
+        )
 
     def test_retry_applied_twice(self):
         """An edit whose reply was lost is retried and applied twice.
 
         The second application reverts another operator's later change.
         """
-        self.check_found({"counted twice"}, {"editor": NoDuplicateCheckEditor})
+        self.check_found({"applied twice"}, {"editor": NoDuplicateCheckEditor})
 
     def test_unconditional_overwrite(self):
         """Of two concurrent edits the second overwrites the first.
@@ -193,7 +195,7 @@
         Callers of that route would get errors from every VM.
         """
         with mock.patch.object(edits.Edit, "apply", apply_without_validation):
-            self.check_found({"join broken"})
+            self.check_found({"joined tables invalid"})
 
     def test_older_root_installed(self):
         """A late watch event contains an old root with a revoked key."""
--- a/tests/test_configuration_rpc.py
+++ b/tests/test_configuration_rpc.py
@@ -101,9 +101,9 @@
 
         It must not get them, because they contain upstreams' credentials.
         """
-        stranger = peers.PeerClient("guess", self.clock, TIMEOUT_MS)
-        self.addCleanup(stranger.close)
-        answer = configuration_rpc.RpcPeerSource(stranger, list).read_root(
+        client = peers.PeerClient("guess", self.clock, TIMEOUT_MS)
+        self.addCleanup(client.close)
+        answer = configuration_rpc.RpcPeerSource(client, list).read_root(
             self.address, 0
         )
         self.assertIsInstance(answer, expression.Result)
--- a/tests/test_hosted_path.py
+++ b/tests/test_hosted_path.py
@@ -9,7 +9,7 @@
 
 
 class HostedPathTest(unittest.TestCase):
-    """All tests share a fleet, because starting one takes longer."""
+    """Requests to a fleet that all tests share, to save its startup time."""
 
     @classmethod
     def setUpClass(cls):
@@ -59,9 +59,9 @@
         """A caller embeds a request in the body of another one.  If it was
         parsed as a request, it would run without authentication.
         """
-        hidden = b"POST /book/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
-        reply = self.fleet.send(0, "/plain/outer", "a-6", body=hidden)
-        self.assertTrue(reply.body.endswith(hidden))
+        smuggled = b"POST /book/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
+        reply = self.fleet.send(0, "/plain/outer", "a-6", body=smuggled)
+        self.assertTrue(reply.body.endswith(smuggled))
         self.assertEqual(self.fleet.count_seen("POST /book/hidden "), 1)
 
     def test_forwarded_deadline_is_not_longer_than_the_callers(self):
@@ -83,7 +83,7 @@
 
     def test_disconnect_frees_the_engine(self):
         """A caller disconnects during a stream.  An engine that continued
-        would hold memory for no one.
+        would hold memory for an answer that is not read.
         """
         with hosted_fleet.open_stream(
             self.fleet.ports[0][0], "/talk/g", "a-9"
--- a/tests/test_hosted_processes.py
+++ b/tests/test_hosted_processes.py
@@ -128,9 +128,9 @@
                         lambda: not fleet.is_ready(fleet.ports[0]), 2
                     )
                 )
-                replies = [one.result() for one in streams]
-            self.assertEqual([one.status for one in replies], [200] * 6)
-            self.assertFalse(any(one.is_cut for one in replies))
+                replies = [future.result() for future in streams]
+            self.assertEqual([future.status for future in replies], [200] * 6)
+            self.assertFalse(any(future.is_cut for future in replies))
             remaining = {f"{hosted_fleet.HOST}:{fleet.ports[1][0]}"}
             self.assertTrue(
                 processes.wait_until(
@@ -167,14 +167,17 @@
                     )
                 )
             took_s = time.monotonic() - started_s
-            served = sum(one.status == 200 for one in replies)
-            rejected = [one for one in replies if one.status == 429]
+            served = sum(reply.status == 200 for reply in replies)
+            rejected = [reply for reply in replies if reply.status == 429]
             max_tokens = (2_000 * took_s + 2_000) * 1.1 + 2_000
             self.assertLessEqual(served * 200, max_tokens)
             self.assertEqual(served + len(rejected), 160)
             self.assertGreater(served * 200, 2_000)
             self.assertTrue(
-                all(float(one.headers["Retry-After"]) > 0 for one in rejected)
+                all(
+                    float(reply.headers["Retry-After"]) > 0
+                    for reply in rejected
+                )
             )
 
     def _start_proxy(self, fleet):
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -60,7 +60,7 @@
                 for number in range(STREAMS)
             ]
             self.run_actions(actions)
-            replies = [one.result() for one in streams]
+            replies = [future.result() for future in streams]
         self.refuse_prompts(fleet, 0)
         for name in DECODE_ENGINES:
             fleet.register(name)
@@ -74,7 +74,9 @@
 
     def run_actions(self, actions):
         started_s = time.monotonic()
-        for at_s, action, arguments in sorted(actions, key=lambda one: one[0]):
+        for at_s, action, arguments in sorted(
+            actions, key=lambda timed: timed[0]
+        ):
             time.sleep(max(started_s + at_s - time.monotonic(), 0))
             action(*arguments)
 
@@ -103,11 +105,11 @@
         """Return the names of the decoding engine and of the other one."""
         processes.wait_until(
             lambda: any(
-                fleet.read_state(one)["running"] for one in DECODE_ENGINES
+                fleet.read_state(name)["running"] for name in DECODE_ENGINES
             )
         )
         return sorted(
-            DECODE_ENGINES, key=lambda one: -fleet.read_state(one)["running"]
+            DECODE_ENGINES, key=lambda name: -fleet.read_state(name)["running"]
         )
 
     def check_stream_kept(self, **faults):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,16 +21,16 @@
             member.Member(name, "127.0.0.1", port, 9, "z", "r", 1)
             for port, name in enumerate(("vm0", "vm1"), 1)
         )
-        found = controllers.MembershipController(
+        controller = controllers.MembershipController(
             own, (), peer_network.Network(), None, clock_, 500
         )
-        view = found.exchange.view
+        view = controller.exchange.view
         view.apply(other, 0)
         view.note_silent("vm1", 1, 0)
-        self.assertEqual(found.list_alive(), ("vm0", "vm1"))
+        self.assertEqual(controller.list_alive(), ("vm0", "vm1"))
         clock_.advance_ms(10_000)
-        self.assertEqual(found.list_alive(), ("vm0",))
-        dead = next(one for one in found.list_members() if one.name == "vm1")
+        self.assertEqual(controller.list_alive(), ("vm0",))
+        dead = next(vm for vm in controller.list_members() if vm.name == "vm1")
         self.assertIs(dead.health, member.MemberStatus.DEAD)
 
 
@@ -60,8 +60,10 @@
         fleet.network.down.add("vm4:1")
         fleet.run(4)
         answers = [vm.list_addresses("zone1") for vm in fleet.vms]
-        named = {one.address for answer in answers[:4] for one in answer}
-        self.assertNotIn("vm4:2", named)
+        addresses = {
+            endpoint.address for answer in answers[:4] for endpoint in answer
+        }
+        self.assertNotIn("vm4:2", addresses)
         fleet.run(20)
         self.check_all_see(fleet, "vm4", member.MemberStatus.DEAD)
 
@@ -153,11 +155,13 @@
         fleet.run(4)
         for vm in fleet.vms:
             self.assertTrue(fleet.see(vm, "vm5").is_stopping)
-            named = [one.address for one in vm.list_addresses("zone2")]
-            self.assertNotIn("vm5:2", named)
+            addresses = [
+                endpoint.address for endpoint in vm.list_addresses("zone2")
+            ]
+            self.assertNotIn("vm5:2", addresses)
 
     def test_starting_vm_is_excluded(self):
-        """A VM has just started and does not know the token allowances yet.
+        """A VM has just started and has no token allowances yet.
 
         It would reject callers that are within their rate.
         """
@@ -166,8 +170,10 @@
         fleet.vms[5].update_local(is_starting=True)
         fleet.run(4)
         for vm in fleet.vms[:5]:
-            named = [one.address for one in vm.list_addresses("zone2")]
-            self.assertNotIn("vm5:2", named)
+            addresses = [
+                endpoint.address for endpoint in vm.list_addresses("zone2")
+            ]
+            self.assertNotIn("vm5:2", addresses)
         fleet.vms[5].update_local(is_starting=False)
         fleet.run(4)
         self.assertFalse(fleet.see(fleet.vms[0], "vm5").is_starting)
@@ -175,16 +181,20 @@
     def test_messages_reach_all_vms_once(self):
         fleet = membership_fleet.Fleet(27)
         fleet.run(30)
-        got = []
+        received = []
         for vm in fleet.vms:
             vm.subscribe(
                 "poison",
-                lambda hint, name=vm.own.name: got.append((name, hint.key)),
+                lambda hint, name=vm.own.name: received.append(
+                    (name, hint.key)
+                ),
             )
         fleet.vms[3].publish("poison", "digest", b"x", 60_000)
         fleet.run(6)
         names = {vm.own.name for vm in fleet.vms} - {"vm3"}
-        self.assertEqual(sorted(got), sorted((n, "digest") for n in names))
+        self.assertEqual(
+            sorted(received), sorted((n, "digest") for n in names)
+        )
 
     def test_newer_tables_are_announced(self):
         """An edit has reached only one VM; the others must learn of it."""
@@ -217,5 +227,7 @@
         behind = clock.ManualClock(old - 1)
         ahead = clock.ManualClock(old + 500)
         for clock_, expected in ((behind, old + 1), (ahead, old + 500)):
-            found = controllers.choose_incarnation("vm2", seeds, peers, clock_)
-            self.assertEqual(found, expected)
+            incarnation = controllers.choose_incarnation(
+                "vm2", seeds, peers, clock_
+            )
+            self.assertEqual(incarnation, expected)
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -44,7 +44,7 @@
         self.mirror.replace(rows, 10, 0)
 
     def names(self):
-        return sorted(one.name for one in self.mirror.list_objects())
+        return sorted(entry.name for entry in self.mirror.list_objects())
 
     def remove_first(self, count, now_ms, revision=11):
         """Apply the removal of the first entries."""
@@ -98,7 +98,7 @@
             self.mirror.list_objects(), self.mirror.changed_revision, 0
         )
         self.assertTrue(applied)
-        self.assertNotIn("s1", {one.name for one in other.list_objects()})
+        self.assertNotIn("s1", {entry.name for entry in other.list_objects()})
 
     def test_listing_without_a_removal_is_not_announced(self):
         before = self.mirror.changed_revision
@@ -440,7 +440,7 @@
             self.controller.step()
 
     def names(self):
-        return sorted(one.name for one in self.controller.list_objects())
+        return sorted(entry.name for entry in self.controller.list_objects())
 
     def make_full_removal(self, revision=20):
         """Return an answer with the removal of all entries."""
@@ -570,7 +570,7 @@
             self.other.apply_snapshot(revision, content)
 
     def list_other(self):
-        return sorted(one.name for one in self.other.list_objects())
+        return sorted(entry.name for entry in self.other.list_objects())
 
     def test_retained_entry_of_a_snapshot_expires(self):
         self.step((0, fail()), (4_000, self.make_full_removal()))
@@ -618,7 +618,7 @@
         """The log shows that a removal is deferred, and by which outage.
 
         An operator has to distinguish it from a missed removal, and an outage
-        from a fault of one VM.
+        from a failure of one VM's connection.
         """
         self.outages.note_peer("a2", False, 0)
         self.step((0, fail("reset")))
@@ -659,9 +659,9 @@
             return None
         rows = [
             tables.Upstream(
-                one.name, "127.0.0.1:9", "a", tables.UpstreamRole.SERVICE
+                entry.name, "127.0.0.1:9", "a", tables.UpstreamRole.SERVICE
             )
-            for one in servers
+            for entry in servers
         ]
         pool = tables.Pool("app", tables.PoolKind.PLAIN, tuple(rows))
         return tables.Tables(revision, (), (pool,), ())
@@ -686,15 +686,15 @@
             controller.apply_snapshot(5, content)
 
     def test_no_tables_before_both_copies_are_known(self):
-        """A VM must not take requests before it knows the servers.
+        """A VM must not accept requests before it has the list of servers.
 
         It would reject its first requests.
         """
         self.take(self.source.configuration, "main")
         self.assertIsNone(self.source.read_tables())
         self.take(self.source.servers, "s1")
-        found = self.source.read_tables()
-        self.assertEqual(len(found.pools["app"].upstreams), 1)
+        active = self.source.read_tables()
+        self.assertEqual(len(active.pools["app"].upstreams), 1)
 
     def test_tables_without_servers_where_the_store_has_none(self):
         self.source.servers.step()
@@ -709,22 +709,22 @@
         )
 
     def test_failure_is_local_if_one_peer_is_served(self):
-        found = store_reachability.StoreReachability()
-        found.note_peer("a2", False, 0)
-        found.note_peer("a3", True, 0)
-        self.assertFalse(found.is_fleet_wide(0, 100))
-        found.note_peer("a3", False, 100)
-        self.assertTrue(found.is_fleet_wide(0, 200))
+        reachability = store_reachability.StoreReachability()
+        reachability.note_peer("a2", False, 0)
+        reachability.note_peer("a3", True, 0)
+        self.assertFalse(reachability.is_fleet_wide(0, 100))
+        reachability.note_peer("a3", False, 100)
+        self.assertTrue(reachability.is_fleet_wide(0, 200))
 
     def test_earlier_outage_is_not_counted(self):
         """An earlier outage does not explain a VM's later failure.
 
         A fault of the VM's own connection would be treated as an outage.
         """
-        found = store_reachability.StoreReachability()
-        found.note_peer("a2", False, 0)
-        found.note_peer("a2", True, 1_000)
-        self.assertFalse(found.is_fleet_wide(1_100, 1_200))
+        reachability = store_reachability.StoreReachability()
+        reachability.note_peer("a2", False, 0)
+        reachability.note_peer("a2", True, 1_000)
+        self.assertFalse(reachability.is_fleet_wide(1_100, 1_200))
 
     def test_few_watch_in_a_large_fleet(self):
         """Ninety VMs use a store with the rates for nine VMs.
@@ -735,10 +735,10 @@
         watchers = store_reachability.choose_watchers(vms)
         self.assertEqual(len(watchers), store_reachability.WATCHER_COUNT)
         other = next(vm for vm in vms if vm not in watchers)
-        found = store_reachability.StoreReachability()
-        found.note_peer(watchers[0], True, 0)
-        self.assertFalse(found.must_poll(other, vms, 100))
-        self.assertTrue(found.must_poll(watchers[0], vms, 100))
+        reachability = store_reachability.StoreReachability()
+        reachability.note_peer(watchers[0], True, 0)
+        self.assertFalse(reachability.must_poll(other, vms, 100))
+        self.assertTrue(reachability.must_poll(watchers[0], vms, 100))
 
     def test_vm_without_watchers_polls_itself(self):
         """Every watcher is partitioned, dead or rejected by the store.
@@ -748,11 +748,13 @@
         vms = [f"a{n}" for n in range(90)]
         watchers = store_reachability.choose_watchers(vms)
         other = next(vm for vm in vms if vm not in watchers)
-        found = store_reachability.StoreReachability()
-        self.assertTrue(found.must_poll(other, vms, 0))
-        found.note_peer(watchers[0], True, 0)
+        reachability = store_reachability.StoreReachability()
+        self.assertTrue(reachability.must_poll(other, vms, 0))
+        reachability.note_peer(watchers[0], True, 0)
         self.assertTrue(
-            found.must_poll(other, vms, store_reachability.PEER_REPORT_TTL_MS)
+            reachability.must_poll(
+                other, vms, store_reachability.PEER_REPORT_TTL_MS
+            )
         )
-        found.note_peer(watchers[0], False, 6_000)
-        self.assertTrue(found.must_poll(other, vms, 6_100))
+        reachability.note_peer(watchers[0], False, 6_000)
+        self.assertTrue(reachability.must_poll(other, vms, 6_100))
--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -100,18 +100,23 @@
 
         return processes.wait_until(find)[0]
 
-    def check_resources_released(self, *without):
+    def check_resources_released(self, *killed_ports):
         """Check that neither the engines nor the router hold resources."""
-        ports = [port for port in self.ports if port not in without]
+        ports = [port for port in self.ports if port not in killed_ports]
         self.assertTrue(
             processes.wait_until(
                 lambda: not any(map(router_fixture.list_held, ports))
             )
         )
         # A killed engine confirms no cancellation, and holds nothing either.
-        self.assertTrue(self.fixture.wait_idle(cancels=not without))
+        self.assertTrue(self.fixture.wait_idle(cancels=not killed_ports))
         self.assertEqual(
-            len({id(one) for one in self.fixture.allowances.settled}),
+            len(
+                {
+                    id(reservation)
+                    for reservation in self.fixture.allowances.settled
+                }
+            ),
             len(self.fixture.allowances.settled),
         )
 
@@ -355,9 +360,9 @@
     def remove_engine(self, port):
         """Remove an engine from the tables."""
         engines = [
-            router_fixture.make_upstream(role, one)
-            for role, one in zip(self.roles, self.ports, strict=True)
-            if one != port
+            router_fixture.make_upstream(role, engine_port)
+            for role, engine_port in zip(self.roles, self.ports, strict=True)
+            if engine_port != port
         ]
         self.fixture.source.change(
             router_fixture.make_tables(engines, timeout_ms=8_000)
--- a/tests/test_request_history.py
+++ b/tests/test_request_history.py
@@ -24,8 +24,8 @@
             run = history.History(world, SEED)
             asyncio.run(run.run(REQUESTS, FAULT_EVERY))
             effects = history.read_effects(world)
-        found = history.check(run.records, effects)
-        self.assertEqual([], found[:10])
+        violations = history.check(run.records, effects)
+        self.assertEqual([], violations[:10])
         # The run must have produced both successful and failed requests.
         numbers = {record.number for record in run.records}
         self.assertEqual(len(numbers), REQUESTS)
@@ -76,15 +76,17 @@
 
     def test_streams(self):
         other = make_stream(2, text_of="station log of another")
-        self.assertIn("stream whole but wrong", self.check([other]))
-        self.assertIn("foreign or doubled token", self.check([other]))
+        self.assertIn("stream complete but wrong", self.check([other]))
+        self.assertIn("foreign or duplicate token", self.check([other]))
         doubled = make_stream(3)
         first, _, rest = doubled.body.partition(b"\n\n")
         doubled.body = first + b"\n\n" + doubled.body
-        self.assertIn("foreign or doubled token", self.check([doubled]))
+        self.assertIn("foreign or duplicate token", self.check([doubled]))
         cut = make_stream(4)
         cut.body = cut.body.partition(b"data: [DONE]")[0]
-        self.assertEqual(self.check([cut]), {"cut stream looks whole"})
+        self.assertEqual(
+            self.check([cut]), {"truncated stream looks complete"}
+        )
         cut.is_whole = False
         self.assertEqual(self.check([cut]), set())
 
@@ -103,7 +105,7 @@
         cases = (
             ("booked twice", [make_booking()], {"k": 2}),
             ("booking confirmed but not made", [make_booking()], {}),
-            ("booking made but told not_run", [refused], {"k": 1}),
+            ("booking made but reported not_run", [refused], {"k": 1}),
             (
                 "answer of another booking",
                 [make_booking(body=b'{"body": "x"}')],
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -90,7 +90,7 @@
 
     def test_no_key_reaches_an_upstream(self):
         """A caller sends its key in unusual places.  An upstream that logs its
-        requests would then store a key with which anybody could spend the
+        requests would then store a key that allows its readers to spend the
         account's allowance.
         """
         key = router_fixture.KEY
