--- a/mulberryway/controllers/allowance_slots.py
+++ b/mulberryway/controllers/allowance_slots.py
@@ -289,10 +289,10 @@
     ) -> None:
         """Read the platform's VM list if it is needed and not too recent."""
         requested_ms = self.clock.now_ms()
-        others = any(
+        has_unknown_vm = any(
             record.vm not in self._candidates for record in records.values()
         )
-        is_needed = others or not self._state.lease_manager.is_listed
+        is_needed = has_unknown_vm or not self._state.lease_manager.is_listed
         if is_needed and requested_ms >= self._next_list_ms:
             self._next_list_ms = requested_ms + self._times.retry_ms
             response = self._store.list_vms(PURPOSE)
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -125,7 +125,7 @@
         return expression.Ok(reservation)
 
     def commit(self, reservation: allowance.Reservation) -> bool:
-        """Return whether a reservation is valid, and mark it as used.
+        """Mark a reservation as used if it is still valid.
 
         :param reservation: the reservation
         :returns: whether its tokens may be used now
--- a/mulberryway/controllers/cancelling.py
+++ b/mulberryway/controllers/cancelling.py
@@ -74,7 +74,7 @@
 
     @property
     def has_recent_cancels(self) -> bool:
-        """Whether a cancel was sent so recently that it may be confirmed."""
+        """Whether the last cancel may still be confirmed soon."""
         last_cancel_ms = self._last_cancel_ms
         return self.clock.now_ms() - last_cancel_ms < RECENT_CANCEL_MS
 
--- a/mulberryway/controllers/configuration.py
+++ b/mulberryway/controllers/configuration.py
@@ -303,15 +303,19 @@
         needed = freshness.count_quorum_peers(fleet_size)
         if not self.active_tables.is_witness():
             needed += 1
-        times = sorted(self._witness_reply_ms.values(), reverse=True)
+        reply_times_ms = sorted(self._witness_reply_ms.values(), reverse=True)
         if needed == 0:
             return now_ms
-        return times[needed - 1] if len(times) >= needed else None
+        return (
+            reply_times_ms[needed - 1]
+            if len(reply_times_ms) >= needed
+            else None
+        )
 
     def _drain_newer_addresses(self) -> list[str]:
         with self._lock:
-            news, self._newer_addresses = self._newer_addresses, set()
-        return sorted(news)
+            addresses, self._newer_addresses = self._newer_addresses, set()
+        return sorted(addresses)
 
     def _report(self) -> None:
         current = self.active_tables.evaluate_freshness()
--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -53,7 +53,7 @@
         )
 
     def read_segments(self, digests: list[str]) -> list[ttypes.Segment]:
-        """Return the known ones of the segments, as many as fit.
+        """Return those segments that are known, as many as fit in a reply.
 
         :param digests: the digests of the requested segments
         """
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -318,14 +318,14 @@
             return
         with self._lock:
             count = len(self._view.list_members())
-        pause_ms = (
+        interval_ms = (
             ISOLATED_LIST_INTERVAL_MS
             if count == 1
             else LIST_INTERVAL_MS * count
         )
         # The jitter keeps VMs that started together from reading together.
-        spread_ms = self._random.randint(pause_ms // 2, pause_ms * 3 // 2)
-        self._next_list_ms = now_ms + spread_ms
+        delay_ms = self._random.randint(interval_ms // 2, interval_ms * 3 // 2)
+        self._next_list_ms = now_ms + delay_ms
         listed = self._store.list_vms("membership")
         if listed.is_ok():
             self._contact_unknown(listed.ok)
@@ -333,7 +333,7 @@
     def _contact_unknown(self, listed: list[platform.ListedVm]) -> None:
         with self._lock:
             unknown = [vm for vm in listed if self._view.find(vm.name) is None]
-        # A few are enough, because they know the others.
+        # A few are enough, because their replies list the others.
         chosen = self._random.sample(unknown, min(len(unknown), FAN_OUT))
         for vm in chosen:
             has_port = ":" in vm.address
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -105,7 +105,7 @@
         pack_member = membership_messages.pack_member
         with self.lock:
             now_ms = self._clock.now_ms()
-            notes = self.board.take(
+            hints = self.board.take(
                 self.view.compute_retransmit_limit(), now_ms
             )
             return ttypes.News(
@@ -115,8 +115,8 @@
                 self.view.digest(),
                 list(map(pack_member, self._choose_members(receiver))),
                 [
-                    membership_messages.pack_hint(note, now_ms)
-                    for note in notes
+                    membership_messages.pack_hint(hint, now_ms)
+                    for hint in hints
                 ],
             )
 
@@ -160,8 +160,8 @@
         now_ms = self._clock.now_ms()
         with self.lock:
             for message in messages:
-                news = membership_messages.unpack_member(message)
-                self.view.apply(news, now_ms)
+                entry = membership_messages.unpack_member(message)
+                self.view.apply(entry, now_ms)
 
     def _apply_hints(self, messages: list[ttypes.Hint], now_ms: int) -> None:
         unpacked = (
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -72,7 +72,7 @@
         )
         scheduling_.on_change = self._handle_change
         dissemination_.on_items = self.take
-        members.subscribe(DEATH, self._apply_death)
+        members.subscribe(DEATH, self._apply_crash)
 
     def step(self) -> None:
         """Send a gossip message if one is due."""
@@ -91,8 +91,8 @@
             self._dissemination.publish(payload, not note.is_heartbeat)
         else:
             self.send(payload, peers)
-        for death in note.deaths:
-            self._publish(death)
+        for crash in note.deaths:
+            self._publish_crash(crash)
 
     def send(self, payload: bytes, vms: collections.abc.Iterable[str]) -> None:
         """Send a payload to some VMs.
@@ -163,17 +163,17 @@
     def _list_peers(self) -> set[str]:
         return {name for subset in self.subsets for name in subset.peers}
 
-    def _publish(self, death: hints.Death) -> None:
+    def _publish_crash(self, crash: hints.Death) -> None:
         self._members.publish(
             DEATH,
-            f"{death.digest}/{death.upstream}",
-            gossip_messages.encode_death(death),
+            f"{crash.digest}/{crash.upstream}",
+            gossip_messages.encode_death(crash),
             poison.QUARANTINE_MS,
         )
 
-    def _apply_death(self, hint: broadcast_queue.Hint) -> None:
-        death = gossip_messages.decode_death(hint.payload)
+    def _apply_crash(self, hint: broadcast_queue.Hint) -> None:
+        crash = gossip_messages.decode_death(hint.payload)
         # The message may have been forwarded by several VMs for a while.
         left_ms = max(hint.until_ms - self.clock.now_ms(), 0)
-        death.age_ms = max(poison.QUARANTINE_MS - left_ms, 0)
-        self._scheduling.record_crashes([death])
+        crash.age_ms = max(poison.QUARANTINE_MS - left_ms, 0)
+        self._scheduling.record_crashes([crash])
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -247,9 +247,9 @@
     def compute_token_timeout_ms(self) -> int:
         """Return the timeout for a further token in ms.
 
-        If another engine can resume the stream, the timeout leaves enough
-        time for that before the caller disconnects.  If none can, abandoning
-        an unresponsive engine has no benefit.
+        If the route allows another engine to resume the stream, the timeout
+        leaves enough time for that before the caller disconnects.  Otherwise
+        abandoning an unresponsive engine has no benefit.
         """
         exchange = self._exchange
         target_ms = exchange.route.target_gap_ms
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -92,11 +92,11 @@
         if self._callers is None:
             return self._forward(exchange, canceller)
 
-        def give_up() -> None:
+        def on_disconnect() -> None:
             exchange.has_gone.set()
             canceller.set()
 
-        watched = self._callers.add(exchange.connection, give_up)
+        watched = self._callers.add(exchange.connection, on_disconnect)
         try:
             return self._forward(exchange, canceller)
         finally:
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -61,7 +61,7 @@
 # Health checks and discovery requests are few and short.
 AUXILIARY_THREADS = 2
 # The maximum time for which requests sent before the VM began to reject may
-# still be on their way.
+# still be in transit.
 MAX_IN_FLIGHT_MS = 200
 # A chosen upstream is used without checking the tables again for the time that
 # draining upstreams still serve, divided by this.
@@ -252,15 +252,15 @@
         self._on_ready()
 
     def _list_missing(self) -> list[str]:
-        """Return the conditions that this VM still waits for to be ready."""
+        """Return the conditions for readiness that are not met yet."""
         return [
             name
-            for name, is_there in (
+            for name, is_met in (
                 ("tables", self._source.read_tables() is not None),
                 ("allowances", self._was_settled),
                 ("stopping", not self._is_draining),
             )
-            if not is_there
+            if not is_met
         ]
 
     def _log_readiness(self, started_ms: int, missing: list[str]) -> None:
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -141,7 +141,9 @@
     def read_segments(self, address, digests):
         answer = self.call(address, lambda peer: peer.read_segments(digests))
         return answer.map(
-            lambda segments: {one.digest: one.content for one in segments}
+            lambda segments: {
+                segment.digest: segment.content for segment in segments
+            }
         )
 
 
--- a/tests/hosted_fleet.py
+++ b/tests/hosted_fleet.py
@@ -11,7 +11,8 @@
 from tests import processes
 
 HOST = "127.0.0.1"
-# Per VM, for failed tests; more than the start of a test logs.
+# Log lines per VM in the report of a failed test; a VM logs fewer while the
+# test starts.
 MAX_LOG_LINES = 200
 SITE = "site.example"
 KEYS = {"k-large": "large", "k-small": "small"}
@@ -136,7 +137,7 @@
         return processes.call(port, "GET", "/standin/runs").json()["runs"]
 
     def count_seen(self, needle):
-        """Return the number of requests at all servers that contain a text."""
+        """Return the number of received requests that contain a text."""
         query = urllib.parse.urlencode({"needle": needle})
         return sum(
             processes.call(port, "GET", f"/standin/seen?{query}").json()[
--- a/tests/request_history.py
+++ b/tests/request_history.py
@@ -111,7 +111,7 @@
         self.records = []
 
     async def run(self, count, fault_every):
-        """Send ``count`` requests, with a fault after each ``fault_every``."""
+        """Send ``count`` requests; inject a fault every ``fault_every``."""
         numbers = iter(range(count))
         limit = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         connector = aiohttp.TCPConnector(limit=0)
@@ -211,7 +211,7 @@
 
 
 class Effects:
-    """What upstreams report that they did.
+    """The bookings, runs and held memory that upstreams report.
 
     :param bookings: how often each key was booked
     :param runs: ids of attempts that an engine started
@@ -285,7 +285,7 @@
 
 
 def read_stream(body):
-    """Return a stream's text, and whether it ended regularly."""
+    """Return a stream's text, and whether its final event arrived."""
     events = [
         part.removeprefix(b"data: ")
         for part in body.split(b"\n\n")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -89,8 +89,8 @@
     def test_calls_by_purpose(self):
         """Calls to the platform are counted by purpose.
 
-        The platform rejects calls over its rates, and an operator has to
-        find out which purpose causes them.
+        The platform rejects calls above its rate limits, and an operator has
+        to find out which purpose causes them.
         """
         counter = call_metrics.InMemoryCallCounter()
         instruments = metrics.Metrics("vm")
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -77,8 +77,8 @@
     def test_seed_determines_the_schedule(self):
         """A schedule depends on its seed alone.
 
-        If it depended on the hash seed's set order, a rare fault that it
-        found could not be reproduced.
+        If it depended on the order of sets, which varies with Python's hash
+        seed, a rare fault that it found could not be reproduced.
         """
         code = (
             "from tests import configuration_world as world;"
--- a/tests/test_hosted_processes.py
+++ b/tests/test_hosted_processes.py
@@ -89,7 +89,7 @@
 
     def test_compacted_history_is_listed_again(self):
         """The store compacts its history.  A VM that cannot restart its watch
-        would keep the tables of that moment.
+        would keep the tables from before the compaction.
         """
         with hosted_fleet.Fleet(1) as fleet:
             processes.call(fleet.store_port, "POST", "/standin/compact", {})
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -75,13 +75,13 @@
     def run_actions(self, actions):
         started_s = time.monotonic()
         for at_s, action, arguments in sorted(
-            actions, key=lambda timed: timed[0]
+            actions, key=lambda entry: entry[0]
         ):
             time.sleep(max(started_s + at_s - time.monotonic(), 0))
             action(*arguments)
 
     def test_no_stream_is_cut_off(self):
-        """Guards against streams cut off by the router of a working engine."""
+        """Guards against a router that cuts off a working engine's stream."""
         with hosted_fleet.Fleet(
             phases=("prefill", "decode", "decode")
         ) as fleet:
--- a/tests/test_hosted_upstreams.py
+++ b/tests/test_hosted_upstreams.py
@@ -227,8 +227,9 @@
 
     def test_prefill_whose_response_is_lost(self):
         """A prefill engine computes the prompt but its response never
-        arrives.  The caller waited for two seconds and was rejected, although
-        a decode engine had a slot reserved and can prefill the prompt itself.
+        arrives.  The decode engine, where a slot is reserved, must prefill
+        the prompt itself.  Guards against callers that wait for two seconds
+        and are then rejected.
         """
         with hosted_fleet.Fleet(1) as fleet:
             fleet.set_fault("e0", mute=1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -77,13 +77,15 @@
         fleet.run(20)
         fleet.network.down.add("vm1:1")
         fleet.run(30)
-        first = fleet.vms[0]
-        self.assertIs(fleet.see(first, "vm1").health, member.MemberStatus.DEAD)
-        self.assertIsNone(first.exchange.view.choose_probe_target())
+        survivor = fleet.vms[0]
+        self.assertIs(
+            fleet.see(survivor, "vm1").health, member.MemberStatus.DEAD
+        )
+        self.assertIsNone(survivor.exchange.view.choose_probe_target())
         fleet.network.down.discard("vm1:1")
         fleet.run(40)
         self.assertIs(
-            fleet.see(first, "vm1").health, member.MemberStatus.ALIVE
+            fleet.see(survivor, "vm1").health, member.MemberStatus.ALIVE
         )
 
     def test_one_broken_link_marks_no_vm_dead(self):
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -293,7 +293,7 @@
 
 
 class FirstCopyTest(unittest.TestCase):
-    """A VM with neither an answer of the store nor gossip of other VMs."""
+    """A VM without an answer from the store or gossip from other VMs."""
 
     def make(self, failures=0, addresses=("a2:1", "a3:1")):
         self.controller = controllers.MirrorController(
@@ -313,7 +313,7 @@
             self.controller.step()
 
     def test_fetches_without_gossip_of_other_vms(self):
-        """A VM starts in an outage and gets no datagrams of other VMs.
+        """A VM starts in an outage and gets no datagrams from other VMs.
 
         It must fetch a snapshot without them, or it would reject callers.
         """
@@ -416,7 +416,7 @@
 
 
 class ControllerTestCase(unittest.TestCase):
-    """Base of tests with a controller that mirrors six servers' entries."""
+    """Base class: a controller that mirrors the entries of six servers."""
 
     def setUp(self):
         self.clock = clock.ManualClock()
--- a/tests/test_model_run.py
+++ b/tests/test_model_run.py
@@ -191,7 +191,7 @@
 
 
 class LateRecoveryTest(EnginesTest):
-    """Streams with targets whose engine fails long after they began."""
+    """Streams with latency targets whose engine fails late."""
 
     def make_tables(self):
         return router_fixture.make_tables(
