--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -56,7 +56,7 @@
 )
 FORM_TYPE = "application/x-www-form-urlencoded"
 REPLACEMENT = "[removed]"
-# A shorter key, as used in trials, may occur inside ordinary words, so it is
+# A shorter key, as used in tests, may occur inside ordinary words, so it is
 # only matched as a whole value.  Issued keys are longer.
 MIN_SUBSTRING_KEY_LENGTH = 8
 
@@ -64,7 +64,7 @@
 
 
 def strip_key_headers(exchange: base.Exchange, key: str) -> None:
-    """Remove headers that contain the key and keep all others unchanged.
+    """Remove ``Authorization`` and all headers that contain the key.
 
     :param exchange: the request
     :param key: the caller's key; empty for none
--- a/mulberryway/replies.py
+++ b/mulberryway/replies.py
@@ -50,8 +50,8 @@
 }
 
 
-# With these statuses a caller knows that its request has not run and never
-# will, so it retries even non-idempotent requests.
+# These statuses mean that the request has not run and never will, so callers
+# retry even non-idempotent requests.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 MAY_HAVE_RUN_STATUS = 502
 AMBIGUOUS_STATUSES = frozenset((502, 504))
--- a/mulberryway/threads.py
+++ b/mulberryway/threads.py
@@ -18,7 +18,7 @@
 
 
 def read_thread_cpu_ms(tasks: pathlib.Path = TASKS) -> dict[str, int]:
-    """Return the CPU time of all running threads.
+    """Return the CPU time of all running Python threads.
 
     :param tasks: the directory of the process's threads in procfs
     :returns: CPU time in ms by thread name; a pool's workers are added up
--- a/tests/test_claim_store.py
+++ b/tests/test_claim_store.py
@@ -146,8 +146,8 @@
             errors.Code.REQUEST_ID_REUSED,
             errors.ExecutionStatus.NOT_RUN,
         )
-        mine = self.begin(self.b1, key, account="b")
-        self.assertIsInstance(mine.ok, controller.Grant)
+        other_account = self.begin(self.b1, key, account="b")
+        self.assertIsInstance(other_account.ok, controller.Grant)
 
     def test_duplicate_waits_for_the_running_call(self):
         """A caller times out early and retries its slow call.
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -45,29 +45,29 @@
         The whole tables would exceed a VM's byte budget for control and the
         platform's maximum object size.
         """
-        made = parse.decode_tables(make_rows(ACCOUNTS), 1).ok
-        split = segments.split_tables(made)
+        original = parse.decode_tables(make_rows(ACCOUNTS), 1).ok
+        split = segments.split_tables(original)
         sizes = [len(one.content) for one in split.segments.values()]
         self.assertLess(max(sizes), 30_000)
         self.assertGreater(sum(sizes), 400_000)
         edit = edits.Edit(
             "e", "op", (changes.RevokeKey("account-7", digest(7)),)
         )
-        after = segments.split_tables(edit.apply(made).ok)
+        after = segments.split_tables(edit.apply(original).ok)
         changed = after.segments.keys() - split.segments.keys()
         self.assertEqual(len(changed), 1)
         root = roots.Root(2, after.shards, "0" * 32, ())
         self.assertLess(len(roots.encode_content(root.encode())), 5_000)
 
     def test_rows_round_trip(self):
-        made = parse.decode_tables(make_rows(50), 1).ok
-        split = segments.split_tables(made)
+        original = parse.decode_tables(make_rows(50), 1).ok
+        split = segments.split_tables(original)
         cache = segments.SegmentCache()
         for one in split.segments.values():
             self.assertTrue(cache.add(one.digest, one.content))
         joined = cache.join(roots.Root(1, split.shards, "", ()))
         self.assertEqual(
-            parse.encode_tables(made), parse.encode_tables(joined)
+            parse.encode_tables(original), parse.encode_tables(joined)
         )
 
     def test_damaged_segment(self):
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -273,8 +273,8 @@
     def test_restarted_vm_counted(self):
         """A VM that was restarted in an outage counts for a majority.
 
-        With partitioned VMs it could form a majority that does not know of a
-        revoked key.
+        With partitioned VMs it could form a majority without any VM that has
+        received a key's revocation.
         """
         with mock.patch.object(
             tables_in_force.ActiveTables, "is_witness", lambda self: True
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -115,38 +115,40 @@
         book = usage.ReplicatedRateLimiter(
             "a1", 1, usage.Margin(8_000, 0.1, 100), 10_000, True
         )
-        made = fleet_allowances.FleetAllowances(
+        controller = fleet_allowances.FleetAllowances(
             book, dict, lambda: True, self.clock
         )
-        made.broadcast = lambda payload, is_urgent: self.sent.append(payload)
-        return made
+        controller.broadcast = lambda payload, is_urgent: self.sent.append(
+            payload
+        )
+        return controller
 
     def test_sleeps_until_the_next_heartbeat(self):
         """An idle thread must not wake sixteen times a second."""
-        made = self.make()
-        made.step()
+        controller = self.make()
+        controller.step()
         self.assertEqual(len(self.sent), 1)
-        self.assertEqual(made.period_ms, fleet_allowances.IDLE_MS)
-        self.clock.advance_ms(made.period_ms)
-        made.step()
+        self.assertEqual(controller.period_ms, fleet_allowances.IDLE_MS)
+        self.clock.advance_ms(controller.period_ms)
+        controller.step()
         self.assertLessEqual(
-            made.period_ms, usage.HEARTBEAT_MS - fleet_allowances.IDLE_MS
+            controller.period_ms, usage.HEARTBEAT_MS - fleet_allowances.IDLE_MS
         )
 
     def test_wakes_for_reserved_tokens(self):
         """Other VMs must learn of reserved tokens without delay."""
-        made = self.make()
-        made.step()
-        made.wake = mock.Mock()
-        made.reserve("a", 1)
-        made.wake.assert_called()
+        controller = self.make()
+        controller.step()
+        controller.wake = mock.Mock()
+        controller.reserve("a", 1)
+        controller.wake.assert_called()
 
     def test_steps_keep_the_minimum_interval(self):
         """Without a minimum interval each request would cause a broadcast."""
-        made = self.make()
-        made.step()
+        controller = self.make()
+        controller.step()
         before_ms = self.clock.now_ms()
-        made.step()
+        controller.step()
         self.assertEqual(
             self.clock.now_ms() - before_ms, fleet_allowances.PERIOD_MS
         )
@@ -154,22 +156,22 @@
 
 class ReceiveBatchTest(unittest.TestCase):
     def make(self):
-        made = dissemination.DisseminationController(
+        controller = dissemination.DisseminationController(
             make_member(0), clock.ManualClock()
         )
-        made.datagrams = mock.Mock()
-        return made
+        controller.datagrams = mock.Mock()
+        return controller
 
     def test_large_fleet_batches_datagrams(self):
         """A hundred datagrams a second must not cause a wake-up each."""
-        made = self.make()
-        made.update_members([make_member(n) for n in range(79)])
+        controller = self.make()
+        controller.update_members([make_member(n) for n in range(79)])
         self.assertEqual(
-            made.datagrams.batch_delay_ms, dissemination.RECEIVE_BATCH_MS
+            controller.datagrams.batch_delay_ms, dissemination.RECEIVE_BATCH_MS
         )
 
     def test_small_fleet_does_not_batch(self):
         """In a small fleet batching would only delay scheduler state."""
-        made = self.make()
-        made.update_members([make_member(n) for n in range(9)])
-        self.assertEqual(made.datagrams.batch_delay_ms, 0)
+        controller = self.make()
+        controller.update_members([make_member(n) for n in range(9)])
+        self.assertEqual(controller.datagrams.batch_delay_ms, 0)
