--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -218,7 +218,7 @@
         self.assertEqual(self.names(), ["s5", "s6"])
 
     def test_retention_ends_before_deregistered_servers_stop(self):
-        """Half of all servers deregister at once.
+        """Four of six servers deregister at once.
 
         Their retention must end before the servers stop serving.
         """
