--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -24,7 +24,7 @@
 
 
 class ReconcileController(base.Controller):
-    """Cancels engines' requests whose owners no longer run.
+    """Cancels requests at engines whose owner or attempt no longer runs.
 
     A VM that fails without closing its connections leaves orphaned requests
     at engines, whose slots and memory are then missing at peak load.  Each
@@ -95,8 +95,8 @@
             # Incarnations of one VM's router do not overlap.  If the label
             # has a greater incarnation, this process is the outdated one.
             return 0 <= label.incarnation < self._incarnation
-        alive = self._liveness.is_alive(label.vm, label.incarnation)
-        return alive is owner_liveness.Liveness.DEAD
+        state = self._liveness.is_alive(label.vm, label.incarnation)
+        return state is owner_liveness.Liveness.DEAD
 
     def _free(
         self, engine: upstreams.Engine, label: upstreams.AttemptLabel
