--- a/mulberryway/controllers/configuration_handler.py
+++ b/mulberryway/controllers/configuration_handler.py
@@ -53,21 +53,21 @@
         )
 
     def read_segments(self, digests: list[str]) -> list[ttypes.Segment]:
-        """Return the known ones of the segments, as many as fit.
+        """Return those segments that are known, as many as fit in a reply.
 
         :param digests: the digests of the requested segments
         """
-        found: list[ttypes.Segment] = []
+        segments: list[ttypes.Segment] = []
         size = 0
         for digest in digests:
             content = self._controller.active_tables.find_segment(digest)
             if content is None:
                 continue
             size += len(content)
-            if found and size > MAX_REPLY_BYTES:
+            if segments and size > MAX_REPLY_BYTES:
                 break
-            found.append(ttypes.Segment(digest, content))
-        return found
+            segments.append(ttypes.Segment(digest, content))
+        return segments
 
     def offer_root(
         self, content: bytes, segments: list[ttypes.Segment]
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -28,7 +28,7 @@
 # n VMs reads it every n intervals, so the platform's load does not grow with
 # the fleet.
 LIST_INTERVAL_MS = 10_000
-# A VM that knows no other VM can find them only through the list.
+# A VM without any known peer can find other VMs only through the list.
 ISOLATED_LIST_INTERVAL_MS = 5_000
 DEAD_PROBE_PERIODS = 10
 
@@ -42,7 +42,7 @@
     """Return an incarnation greater than those of a VM's previous ones.
 
     A VM stores nothing between runs, so its incarnation is its wall clock.
-    If the clock was set back, other VMs would take the new incarnation for
+    If the clock was set back, other VMs would treat the new incarnation as
     an old one, consider its requests orphaned and cancel them at the
     engines.  Therefore the seeds are asked for previous incarnations first.
 
@@ -199,7 +199,7 @@
     ) -> None:
         """Update this VM's own entry and gossip it immediately.
 
-        :param is_stopping: whether the VM takes no new callers
+        :param is_stopping: whether the VM accepts no new callers
         :param holdings: encoded summary of the fleet state that it holds
         :param is_starting: whether it cannot serve callers yet
         """
@@ -318,14 +318,14 @@
             return
         with self._lock:
             count = len(self._view.list_members())
-        pause_ms = (
+        interval_ms = (
             ISOLATED_LIST_INTERVAL_MS
             if count == 1
             else LIST_INTERVAL_MS * count
         )
         # The jitter keeps VMs that started together from reading together.
-        spread_ms = self._random.randint(pause_ms // 2, pause_ms * 3 // 2)
-        self._next_list_ms = now_ms + spread_ms
+        delay_ms = self._random.randint(interval_ms // 2, interval_ms * 3 // 2)
+        self._next_list_ms = now_ms + delay_ms
         listed = self._store.list_vms("membership")
         if listed.is_ok():
             self._contact_unknown(listed.ok)
@@ -333,7 +333,7 @@
     def _contact_unknown(self, listed: list[platform.ListedVm]) -> None:
         with self._lock:
             unknown = [vm for vm in listed if self._view.find(vm.name) is None]
-        # A few are enough, because they know the others.
+        # A few are enough, because their replies list the others.
         chosen = self._random.sample(unknown, min(len(unknown), FAN_OUT))
         for vm in chosen:
             has_port = ":" in vm.address
--- a/mulberryway/controllers/reconciling.py
+++ b/mulberryway/controllers/reconciling.py
@@ -24,7 +24,7 @@
 
 
 class ReconcileController(base.Controller):
-    """Cancels engines' requests whose owners no longer run.
+    """Cancels requests at engines whose owner or attempt no longer runs.
 
     A VM that fails without closing its connections leaves orphaned requests
     at engines, whose slots and memory are then missing at peak load.  Each
@@ -66,19 +66,19 @@
         for engine in self._list_engines():
             if self.is_stopping():
                 return
-            held = engine.list_in_flight()
-            if held.is_ok():
-                self._check_engine(engine, held.ok, seen)
+            result = engine.list_in_flight()
+            if result.is_ok():
+                self._check_engine(engine, result.ok, seen)
         self._orphaned_since_ms = seen
 
     def _check_engine(
         self,
         engine: upstreams.Engine,
-        held: list[upstreams.InFlightRequest],
+        in_flight: list[upstreams.InFlightRequest],
         seen: dict[Key, int],
     ) -> None:
         now_ms = self.clock.now_ms()
-        for request in held:
+        for request in in_flight:
             label = request.label
             if not self._is_orphaned(label):
                 continue
@@ -95,8 +95,8 @@
             # Incarnations of one VM's router do not overlap.  If the label
             # has a greater incarnation, this process is the outdated one.
             return 0 <= label.incarnation < self._incarnation
-        alive = self._liveness.is_alive(label.vm, label.incarnation)
-        return alive is owner_liveness.Liveness.DEAD
+        state = self._liveness.is_alive(label.vm, label.incarnation)
+        return state is owner_liveness.Liveness.DEAD
 
     def _free(
         self, engine: upstreams.Engine, label: upstreams.AttemptLabel
--- a/mulberryway/filters/credentials.py
+++ b/mulberryway/filters/credentials.py
@@ -56,7 +56,7 @@
 )
 FORM_TYPE = "application/x-www-form-urlencoded"
 REPLACEMENT = "[removed]"
-# A shorter key, as used in trials, may occur inside ordinary words, so it is
+# A shorter key, as used in tests, may occur inside ordinary words, so it is
 # only matched as a whole value.  Issued keys are longer.
 MIN_SUBSTRING_KEY_LENGTH = 8
 
@@ -64,7 +64,7 @@
 
 
 def strip_key_headers(exchange: base.Exchange, key: str) -> None:
-    """Remove headers that contain the key and keep all others unchanged.
+    """Remove ``Authorization`` and all headers that contain the key.
 
     :param exchange: the request
     :param key: the caller's key; empty for none
@@ -196,9 +196,9 @@
     def _is_key(self, value: Json) -> bool:
         if not isinstance(value, str):
             return False
-        found = value.removeprefix("Bearer ").strip() == self._key
-        self._has_changed = self._has_changed or found
-        return found
+        is_key = value.removeprefix("Bearer ").strip() == self._key
+        self._has_changed = self._has_changed or is_key
+        return is_key
 
 
 def _reject(message: str) -> errors.Fault:
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -141,7 +141,9 @@
     def read_segments(self, address, digests):
         answer = self.call(address, lambda peer: peer.read_segments(digests))
         return answer.map(
-            lambda found: {one.digest: one.content for one in found}
+            lambda segments: {
+                segment.digest: segment.content for segment in segments
+            }
         )
 
 
@@ -309,7 +311,9 @@
         self.random.choice(self.editors).collect()
 
     def edit(self):
-        free = [one for one in self.editors if id(one) not in self.busy]
+        free = [
+            editor_ for editor_ in self.editors if id(editor_) not in self.busy
+        ]
         if free:
             changes = [self.choose_change()]
             self.submit(self.random.choice(free), changes)
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -77,8 +77,8 @@
     def test_seed_determines_the_schedule(self):
         """A schedule depends on its seed alone.
 
-        If it depended on the hash seed's set order, a rare fault that it
-        found could not be reproduced.
+        If it depended on the order of sets, which varies with Python's hash
+        seed, a rare fault that it found could not be reproduced.
         """
         code = (
             "from tests import configuration_world as world;"
@@ -118,8 +118,8 @@
 
 def write_unconditionally(self, held, root):
     """Overwrite the stored root regardless of its version."""
-    found = self._store.read(root_store.KIND, root_store.NAME, "test")
-    version = found.ok.version if found.is_ok() else held.version
+    stored = self._store.read(root_store.KIND, root_store.NAME, "test")
+    version = stored.ok.version if stored.is_ok() else held.version
     return root_store.RootStore.plain_write(
         self, root_store.VersionedRoot(version, held.root), root
     )
@@ -164,14 +164,16 @@
 
         The operator would assume that a revoked key still works.
         """
-        self.check_found({"refused but there"}, {"editor": FalseFailureEditor})
+        self.check_found(
+            {"rejected but present"}, {"editor": FalseFailureEditor}
+        )
 
     def test_retry_applied_twice(self):
         """An edit whose reply was lost is retried and applied twice.
 
         The second application reverts another operator's later change.
         """
-        self.check_found({"counted twice"}, {"editor": NoDuplicateCheckEditor})
+        self.check_found({"applied twice"}, {"editor": NoDuplicateCheckEditor})
 
     def test_unconditional_overwrite(self):
         """Of two concurrent edits the second overwrites the first.
@@ -193,7 +195,7 @@
         Callers of that route would get errors from every VM.
         """
         with mock.patch.object(edits.Edit, "apply", apply_without_validation):
-            self.check_found({"join broken"})
+            self.check_found({"joined tables invalid"})
 
     def test_older_root_installed(self):
         """A late watch event contains an old root with a revoked key."""
@@ -271,8 +273,8 @@
     def test_restarted_vm_counted(self):
         """A VM that was restarted in an outage counts for a majority.
 
-        With partitioned VMs it could form a majority that does not know of a
-        revoked key.
+        With partitioned VMs it could form a majority without any VM that has
+        received a key's revocation.
         """
         with mock.patch.object(
             tables_in_force.ActiveTables, "is_witness", lambda self: True
