--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -106,7 +106,9 @@
     if rival == "random_of_two":
         return baselines.RandomOfTwoScheduler(number)
     return scheduler.FairScheduler(
-        f"vm{number}", weighed=fairness.find_fairness_mode(rival), seed=number
+        f"vm{number}",
+        fairness_mode=fairness.find_fairness_mode(rival),
+        seed=number,
     )
 
 
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -146,7 +146,7 @@
         for number in range(engines)
     )
     pool = tables.Pool("lm", tables.PoolKind.MODEL, rows, ("m",), slots=4)
-    router.change_vms(tuple(f"vm{number}" for number in range(VMS)), 0)
+    router.update_vms(tuple(f"vm{number}" for number in range(VMS)), 0)
     router.change_pools({"lm": pool}, 0)
     return router
 
--- a/mulberryway/controllers/claim_coordination.py
+++ b/mulberryway/controllers/claim_coordination.py
@@ -239,7 +239,9 @@
         if has_timed_out and record.owner == pending.request.owner:
             # The attempt was reported as not run; see ClaimWriter.abandon.
             self.record_end(
-                record.end(claim_records.ClaimState.RELEASED, None)
+                record.make_final_record(
+                    claim_records.ClaimState.RELEASED, None
+                )
             )
 
 
--- a/mulberryway/controllers/claim_writer.py
+++ b/mulberryway/controllers/claim_writer.py
@@ -247,7 +247,9 @@
             ):
                 # The attempt timed out while its claim was being written.
                 claim = pending.request.make_record()
-                self.record_end(claim.end(ClaimState.RELEASED, None))
+                self.record_end(
+                    claim.make_final_record(ClaimState.RELEASED, None)
+                )
         with self._lock:
             for record in completions:
                 if self._completions.get(record.digest) is record:
@@ -262,7 +264,9 @@
         ]
         for record in found:
             self._abandoned.pop(record.owner, None)
-            self.record_end(record.end(ClaimState.RELEASED, None))
+            self.record_end(
+                record.make_final_record(ClaimState.RELEASED, None)
+            )
 
 
 def _decide_duplicate(
--- a/mulberryway/controllers/claims.py
+++ b/mulberryway/controllers/claims.py
@@ -167,9 +167,13 @@
             stored_reply = (
                 reply if reply is not None and reply.fits() else None
             )
-            shard.record_end(grant.claim.end(ClaimState.DONE, stored_reply))
+            shard.record_end(
+                grant.claim.make_final_record(ClaimState.DONE, stored_reply)
+            )
         elif run is errors.ExecutionStatus.NOT_RUN:
-            shard.record_end(grant.claim.end(ClaimState.RELEASED, None))
+            shard.record_end(
+                grant.claim.make_final_record(ClaimState.RELEASED, None)
+            )
             shard.flush(self._make_deadline(RELEASE_TIMEOUT_MS), at_once=True)
         with self._lock:
             self._running.pop(grant.claim.owner, None)
--- a/mulberryway/controllers/membership.py
+++ b/mulberryway/controllers/membership.py
@@ -108,7 +108,7 @@
     @property
     def own(self) -> member.Member:
         """This VM's own entry, as it is gossiped."""
-        return self._view.own
+        return self._view.local
 
     def list_members(self) -> list[member.Member]:
         """Return copies of all known VMs, including this one and dead ones."""
@@ -298,7 +298,7 @@
         if any(answer.is_ok() and answer.ok for answer in answers):
             return
         with self._lock:
-            self._view.note_silent(
+            self._view.mark_suspect(
                 target.name, target.incarnation, self.clock.now_ms()
             )
 
--- a/mulberryway/controllers/membership_exchange.py
+++ b/mulberryway/controllers/membership_exchange.py
@@ -109,7 +109,7 @@
                 self.view.compute_retransmit_limit(), now_ms
             )
             return ttypes.News(
-                pack_member(self.view.own),
+                pack_member(self.view.local),
                 self.revision,
                 self.streams,
                 self.view.digest(),
@@ -121,7 +121,7 @@
             )
 
     def _choose_members(self, receiver: str) -> list[member.Member]:
-        news = self.view.take_news()
+        news = self.view.select_updates()
         known = self.view.find(receiver)
         if known is None or known.health is member.MemberStatus.ALIVE:
             return news
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -81,7 +81,7 @@
             return
         if self._lease.fencing != self._fencing:
             self._fencing = self._lease.fencing
-            self._planner.forget()
+            self._planner.reset()
         planned = self._planner.plan(tables_.pools, self._read_loads(), now_ms)
         for order in planned[:MAX_ORDERS_PER_STEP]:
             self._send_order(order)
@@ -149,7 +149,7 @@
         now_ms = self.clock.now_ms()
         if record.fencing != self._fencing:
             LOG.info("this VM is the leader now, fencing %d", record.fencing)
-        self._lease.note_written(record, version, sent_ms, now_ms)
+        self._lease.record_write(record, version, sent_ms, now_ms)
 
     def _send_order(self, order: orders.PlannedOrder) -> None:
         engine = self._find_engine(order.pool, order.row.name)
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -140,7 +140,7 @@
         state = (found.revision if found else 0, vms)
         if found is not None and state != self._subsets_state:
             self._subsets_state = state
-            self._scheduling.change_vms(vms)
+            self._scheduling.update_vms(vms)
             self.subsets = tuple(
                 pool_subsets.find_pool_subset(
                     pool, self._members.own.name, vms
--- a/mulberryway/controllers/scheduling.py
+++ b/mulberryway/controllers/scheduling.py
@@ -239,19 +239,19 @@
             self._scheduler.record_tokens(job_id, tokens, self.clock.now_ms())
 
     def reassign_decode(
-        self, job_id: str, refused: str, is_unreached: bool = False
+        self, job_id: str, rejected_by: str, is_unreached: bool = False
     ) -> str | None:
         """Reassign the decode of a job whose prefill has ended.
 
         :param job_id: the job
-        :param refused: the upstream that did not accept it
+        :param rejected_by: the upstream that did not accept it
         :param is_unreached: whether that upstream could not be reached; if
             not, it is full
         :returns: the upstream to try, with a slot reserved, or None
         """
         with self._lock:
             return self._scheduler.reassign_decode(
-                job_id, refused, self.clock.now_ms(), is_unreached
+                job_id, rejected_by, self.clock.now_ms(), is_unreached
             )
 
     def has_decode_capacity(self, pool: str, besides: str) -> bool:
@@ -327,13 +327,13 @@
             self._scheduler.record_crash(digest, upstream, self.clock.now_ms())
         self.on_change()
 
-    def change_vms(self, vms: tuple[str, ...]) -> None:
+    def update_vms(self, vms: tuple[str, ...]) -> None:
         """Replace the list of VMs that run a router.
 
         :param vms: their names, including this VM's
         """
         with self._lock:
-            self._scheduler.change_vms(vms, self.clock.now_ms())
+            self._scheduler.update_vms(vms, self.clock.now_ms())
 
     def update_tables(self, changed: tables.Tables) -> None:
         """Apply new tables.
--- a/mulberryway/filters/repeats.py
+++ b/mulberryway/filters/repeats.py
@@ -45,7 +45,7 @@
         :returns: false if no retry is left
         """
         with self._lock:
-            self._budget.change_vms(self._count_vms())
+            self._budget.set_vm_count(self._count_vms())
             return self._budget.try_withdraw(pool, self._clock.now_ms())
 
 
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -417,7 +417,7 @@
 
     def _receive_usage(self, received: usage.Usage, address: str) -> None:
         self.allowances.take(received)
-        self.outages.note_peer(
+        self.outages.record_peer(
             received.vm, received.is_store_reached, self.clock.now_ms()
         )
         # A VM that has just started has not contacted the others yet.
--- a/mulberryway/policy/base.py
+++ b/mulberryway/policy/base.py
@@ -90,7 +90,7 @@
     def reassign_decode(
         self,
         job_id: str,
-        refused: str,
+        rejected_by: str,
         now_ms: int,
         is_unreached: bool = False,
     ) -> str | None:
@@ -100,7 +100,7 @@
         before the prefill's result expires; another slot saves the prefill.
 
         :param job_id: the job
-        :param refused: the upstream that rejected it
+        :param rejected_by: the upstream that rejected it
         :param now_ms: current time in milliseconds
         :param is_unreached: whether it was unreachable instead of full
         :returns: the upstream to try, with a reserved slot; none if no other
@@ -182,7 +182,7 @@
         """
         return None
 
-    def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
+    def update_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
         """Apply a new list of VMs that run a router.
 
         :param vms: names of the VMs, including this VM
@@ -194,14 +194,14 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
         """Release a started job's reservations.
 
         :param job_id: the job
-        :param end: the outcome
+        :param outcome: the outcome
         :param upstream: the upstream at fault; empty if none
         :param now_ms: current time in milliseconds
         """
--- a/mulberryway/policy/baselines.py
+++ b/mulberryway/policy/baselines.py
@@ -140,14 +140,14 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
         """Release a started job's slots.
 
         :param job_id: the job
-        :param end: the outcome
+        :param outcome: the outcome
         :param upstream: the upstream at fault
         :param now_ms: current time in milliseconds
         """
--- a/mulberryway/policy/claim_records.py
+++ b/mulberryway/policy/claim_records.py
@@ -150,7 +150,9 @@
         self.state = state
         self.reply = reply
 
-    def end(self, state: ClaimState, reply: CachedReply | None) -> "Record":
+    def make_final_record(
+        self, state: ClaimState, reply: CachedReply | None
+    ) -> "Record":
         """Return the record that completes or releases this claim.
 
         :param state: ``DONE`` or ``RELEASED``
--- a/mulberryway/policy/dissemination/disseminator.py
+++ b/mulberryway/policy/dissemination/disseminator.py
@@ -50,7 +50,7 @@
         }
         for zone, zone_receivers in zones.items():
             own = [self._own] if zone == self._own.zone else []
-            self._outboxes[zone].chooser.change(zone_receivers + own)
+            self._outboxes[zone].chooser.set_receivers(zone_receivers + own)
 
     def publish(
         self, item: bytes, now_ms: int, is_deferrable: bool = False
@@ -110,7 +110,7 @@
                 packets += self._publish_zone(
                     zone,
                     unacked.item,
-                    unacked.relays,
+                    unacked.attempts,
                     now_ms,
                     unacked.is_deferrable,
                 )
@@ -130,7 +130,7 @@
 
     def count_dropped(self) -> int:
         """Return how many items no relay has acknowledged."""
-        return sum(box.given_up for box in self._outboxes.values())
+        return sum(box.dropped for box in self._outboxes.values())
 
     def _publish_zone(
         self,
--- a/mulberryway/policy/dissemination/outbox.py
+++ b/mulberryway/policy/dissemination/outbox.py
@@ -22,24 +22,24 @@
     :param item: the item
     :param relay: the relay's name
     :param sent_ms: when it was sent, in ms
-    :param relays_: number of relays tried, including this one
+    :param attempts: number of relays tried, including this one
     :param is_deferrable: whether the relay may delay it to batch it
     """
 
-    __slots__ = ("item", "relay", "sent_ms", "relays", "is_deferrable")
+    __slots__ = ("item", "relay", "sent_ms", "attempts", "is_deferrable")
 
     def __init__(
         self,
         item: bytes,
         relay: str,
         sent_ms: int,
-        relays_: int,
+        attempts: int,
         is_deferrable: bool,
     ) -> None:
         self.item = item
         self.relay = relay
         self.sent_ms = sent_ms
-        self.relays = relays_
+        self.attempts = attempts
         self.is_deferrable = is_deferrable
 
 
@@ -57,7 +57,7 @@
         self.chooser = relays.RelaySelector(zone)
         # Counters for metrics.
         self.resent = 0
-        self.given_up = 0
+        self.dropped = 0
 
     def send(
         self,
@@ -82,7 +82,7 @@
         )
         while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
-            self.given_up += 1
+            self.dropped += 1
         return messages.Packet(
             messages.Kind.RELAY,
             relay.address,
@@ -112,7 +112,7 @@
             if now_ms - pending.sent_ms >= ACKNOWLEDGE_MS
         }
         for name in unresponsive:
-            self.chooser.note_silent(name, now_ms)
+            self.chooser.mark_unresponsive(name, now_ms)
         # Later items for an unresponsive relay are retransmitted too, in
         # order.
         numbers = [
@@ -122,10 +122,10 @@
         ]
         overdue = [self._pending.pop(number) for number in numbers]
         retransmitted = [
-            pending for pending in overdue if pending.relays < MAX_RELAYS
+            pending for pending in overdue if pending.attempts < MAX_RELAYS
         ]
         self.resent += len(retransmitted)
-        self.given_up += len(overdue) - len(retransmitted)
+        self.dropped += len(overdue) - len(retransmitted)
         return retransmitted
 
     def read_due_ms(self) -> int | None:
--- a/mulberryway/policy/dissemination/relays.py
+++ b/mulberryway/policy/dissemination/relays.py
@@ -28,7 +28,7 @@
         self._ranked: list[messages.Receiver] = []
         self._backoff_until_ms: dict[str, int] = {}
 
-    def change(self, receivers: list[messages.Receiver]) -> None:
+    def set_receivers(self, receivers: list[messages.Receiver]) -> None:
         """Replace the VMs of the zone.
 
         :param receivers: the VMs that may relay
@@ -57,7 +57,7 @@
             default=None,
         )
 
-    def note_silent(self, name: str, now_ms: int) -> None:
+    def mark_unresponsive(self, name: str, now_ms: int) -> None:
         """Back off from a relay that did not acknowledge in time.
 
         :param name: the relay
--- a/mulberryway/policy/endpoints.py
+++ b/mulberryway/policy/endpoints.py
@@ -82,7 +82,7 @@
         chosen = chosen[: MAX_ADDRESSES - 1]
     missing = MAX_ADDRESSES - len(chosen)
     chosen += _pick(far, missing, rng, now_ms)
-    return [Endpoint(vm.entry, vm.zone) for vm in chosen]
+    return [Endpoint(vm.caller_address, vm.zone) for vm in chosen]
 
 
 def list_endpoints(
@@ -108,7 +108,7 @@
     ]
     chosen = usable or [vm for vm in members if not vm.is_stopping]
     return [
-        Endpoint(vm.entry, vm.zone)
+        Endpoint(vm.caller_address, vm.zone)
         for vm in (chosen or members)[:MAX_ENDPOINTS]
     ]
 
--- a/mulberryway/policy/health.py
+++ b/mulberryway/policy/health.py
@@ -210,7 +210,7 @@
         """Return when the next probe is due, in ms; none while not ejected."""
         return None if self._ejected_until_ms is None else self._probe_ms
 
-    def take_news(self) -> Outcomes:
+    def drain_outcomes(self) -> Outcomes:
         """Return the outcomes recorded since the last call, and clear them."""
         outcomes, self._unsent = self._unsent, Outcomes()
         return outcomes
@@ -285,7 +285,7 @@
             self._unsent.probes_failed += 1
         self._apply_probe(has_passed, now_ms)
 
-    def note_peer(self, outcomes: Outcomes, now_ms: int) -> None:
+    def apply_peer_outcomes(self, outcomes: Outcomes, now_ms: int) -> None:
         """Apply outcomes reported by a peer.
 
         :param outcomes: the peer's outcomes since its last gossip message
--- a/mulberryway/policy/job_completion.py
+++ b/mulberryway/policy/job_completion.py
@@ -204,7 +204,7 @@
         outcome: jobs.JobOutcome,
         now_ms: int,
     ) -> float:
-        meters = self._pool.meters
+        meters = self._pool.stats
         step_ms = self._pool.placer.slowness.get_median_step_ms()
         tokens = job.estimate_tokens(step_ms, now_ms)
         prompt = job.placement.tokens if job.prefilled_ms is not None else 0.0
--- a/mulberryway/policy/leader_lease.py
+++ b/mulberryway/policy/leader_lease.py
@@ -154,7 +154,7 @@
         fencing = current.fencing + 1 if current is not None else 1
         return LeaseRecord(self._vm, self._incarnation, fencing, 0)
 
-    def note_written(
+    def record_write(
         self, record: LeaseRecord, version: int, sent_ms: int, now_ms: int
     ) -> None:
         """Record that the platform accepted a write.
--- a/mulberryway/policy/mass_expiry.py
+++ b/mulberryway/policy/mass_expiry.py
@@ -149,7 +149,7 @@
             return None
         return period
 
-    def judge(
+    def compute_retention_end_ms(
         self,
         removed: set[str],
         remaining: set[str],
--- a/mulberryway/policy/member.py
+++ b/mulberryway/policy/member.py
@@ -96,7 +96,7 @@
         return f"{self.address}:{self.peer_port}"
 
     @property
-    def entry(self) -> str:
+    def caller_address(self) -> str:
         """Address for callers, as ``host:port``."""
         return f"{self.address}:{self.router_port}"
 
--- a/mulberryway/policy/membership.py
+++ b/mulberryway/policy/membership.py
@@ -43,7 +43,7 @@
     def __init__(
         self, own: member.Member, period_ms: int, seed: int = 0
     ) -> None:
-        self.own = own
+        self.local = own
         self._period_ms = period_ms
         self._random = random.Random(f"{seed}/{own.name}")
         self._members: dict[str, member.Member] = {own.name: own}
@@ -78,7 +78,7 @@
         :param now_ms: current time in ms
         :returns: whether it changed the view
         """
-        if update.name == self.own.name:
+        if update.name == self.local.name:
             return self._refute(update)
         known = self._members.get(update.name)
         if known is not None and not update.is_newer_than(known):
@@ -106,7 +106,7 @@
             known.revision = revision
             known.heard_ms = now_ms
 
-    def note_silent(self, name: str, incarnation: int, now_ms: int) -> bool:
+    def mark_suspect(self, name: str, incarnation: int, now_ms: int) -> bool:
         """Suspect a VM that failed both direct and indirect probes.
 
         :param name: the VM
@@ -209,7 +209,7 @@
         dead = [vm for vm in members if vm.health is member.MemberStatus.DEAD]
         return self._random.choice(dead) if dead else None
 
-    def take_news(self) -> list[member.Member]:
+    def select_updates(self) -> list[member.Member]:
         """Return the updates to piggyback on the next message.
 
         :returns: a few updates, the least often sent first
@@ -264,35 +264,35 @@
         :param is_starting: whether it cannot serve callers yet
         """
         if is_starting is not None:
-            self.own.is_starting = is_starting
+            self.local.is_starting = is_starting
         if is_stopping is not None:
-            self.own.is_stopping = is_stopping
+            self.local.is_stopping = is_stopping
         if holdings is not None:
-            self.own.holdings = holdings
-        self._announce(self.own.version + 1)
+            self.local.holdings = holdings
+        self._announce(self.local.version + 1)
 
     def _refute(self, update: member.Member) -> bool:
         """Refute a wrong update about this VM."""
-        if update.incarnation > self.own.incarnation:
+        if update.incarnation > self.local.incarnation:
             # The clock of an earlier incarnation was ahead. Without a larger
             # number, other VMs would mistake this incarnation for an outdated
             # one for ever.
-            self.own.incarnation = update.incarnation + 1
+            self.local.incarnation = update.incarnation + 1
             self._announce(0)
             return True
-        is_old = update.incarnation < self.own.incarnation
+        is_old = update.incarnation < self.local.incarnation
         if is_old or update.health is member.MemberStatus.ALIVE:
             return False
-        self._announce(max(update.version, self.own.version) + 1)
+        self._announce(max(update.version, self.local.version) + 1)
         return True
 
     def _announce(self, version: int) -> None:
         # The digest covers what other VMs know, so every change updates it.
-        self.own.version = version
+        self.local.version = version
         self._digest = functools.reduce(
             operator.xor, map(_digest_member, self._members.values())
         )
-        self._transmissions[self.own.name] = 0
+        self._transmissions[self.local.name] = 0
 
     def _put(self, update: member.Member, now_ms: int) -> None:
         known = self._members.get(update.name)
@@ -333,7 +333,7 @@
 
     def _list_others(self) -> list[member.Member]:
         members = self._members.values()
-        return [vm for vm in members if vm is not self.own]
+        return [vm for vm in members if vm is not self.local]
 
 
 def _digest_member(known: member.Member) -> int:
--- a/mulberryway/policy/mirrors.py
+++ b/mulberryway/policy/mirrors.py
@@ -252,7 +252,8 @@
         :param removed: the objects that are missing now
         :param removed_names: names of all removed objects, including those
             that were added again
-        :param is_one_answer: see :meth:`mass_expiry.MassExpiryDetector.judge`
+        :param is_one_answer: see
+            :meth:`mass_expiry.MassExpiryDetector.compute_retention_end_ms`
         :param now_ms: current time in ms
         """
         if not removed_names:
@@ -265,7 +266,7 @@
             self._removed.clear()
         self._removed_after = absence
         self._removed |= removed
-        until_ms = self._detector.judge(
+        until_ms = self._detector.compute_retention_end_ms(
             removed_names, set(self.objects), is_one_answer, now_ms
         )
         if until_ms is None:
--- a/mulberryway/policy/note_receiver.py
+++ b/mulberryway/policy/note_receiver.py
@@ -82,7 +82,7 @@
         if note.vm == self._vm:
             return
         # Crash updates are valid in any order of receipt.
-        self._register.note_news(note.deaths, now_ms)
+        self._register.apply_updates(note.deaths, now_ms)
         peer = self._find(note, pools_, now_ms)
         if peer is None:
             return
@@ -98,7 +98,7 @@
             pool = pools_.get(account.pool)
             key = (ACCOUNT, account.pool, account.account)
             if pool is not None and peer.accepts(key, note.sequence):
-                pool.neighbours.note(note.vm, account, now_ms)
+                pool.peer_accounts.note(note.vm, account, now_ms)
 
     def compute_max_age_ms(self, now_ms: int) -> int:
         """Return the age of the oldest note among responsive peers.
@@ -213,13 +213,13 @@
             view, now_ms
         ):
             return
-        view.health.note_peer(outcomes, now_ms)
+        view.health.apply_peer_outcomes(outcomes, now_ms)
 
 
 def _remove_peer(
     vm: str, pools_: collections.abc.Mapping[str, pool_scheduler.PoolScheduler]
 ) -> None:
     for pool in pools_.values():
-        pool.neighbours.forget(vm)
+        pool.peer_accounts.remove_peer(vm)
         for view in pool.members.list_all():
             view.forget_peer(vm)
--- a/mulberryway/policy/note_sender.py
+++ b/mulberryway/policy/note_sender.py
@@ -124,7 +124,7 @@
             elapsed_ms, pools_
         )
         must_send_waiting = self._must_send_waiting(waiting, elapsed_ms)
-        deaths = self._register.take_news(now_ms)
+        deaths = self._register.drain_updates(now_ms)
         if self._deferred and now_ms - self._deferred_since_ms >= MAX_DEFER_MS:
             self._views |= self._deferred
         changed = self._views or self._accounts or deaths
@@ -259,10 +259,10 @@
             pool.row.name,
             upstream,
             view.own_decodes,
-            view.take_prefill_ms(now_ms),
+            view.drain_prefill_ms(now_ms),
             view.own_suspects,
             view.own_blocks,
-            view.take_step_ms(),
-            view.health.take_news(),
+            view.drain_step_ms(),
+            view.health.drain_outcomes(),
         )
     ]
--- a/mulberryway/policy/orders.py
+++ b/mulberryway/policy/orders.py
@@ -80,7 +80,7 @@
         """
 
     @abc.abstractmethod
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Clear all state, because this VM is no longer the leader."""
 
 
@@ -153,7 +153,7 @@
         """
         self._failed_ms[order.get_key()] = now_ms
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Clear all state, because this VM is no longer the leader.
 
         Running loads continue to use the weight store's rate. A new leader
--- a/mulberryway/policy/peer_accounts.py
+++ b/mulberryway/policy/peer_accounts.py
@@ -53,7 +53,7 @@
         else:
             waiting.pop(note.account, None)
 
-    def forget(self, vm: str) -> None:
+    def remove_peer(self, vm: str) -> None:
         """Remove the state of an unresponsive peer.
 
         :param vm: the peer
--- a/mulberryway/policy/poison.py
+++ b/mulberryway/policy/poison.py
@@ -104,7 +104,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def read_standing(self, digest: str, now_ms: int) -> QuarantineState:
+    def get_state(self, digest: str, now_ms: int) -> QuarantineState:
         """Return the quarantine state of a request.
 
         :param digest: see :func:`digest_request`; empty is always clear
@@ -161,7 +161,7 @@
         del self._records[digest]
         self._queue_update(hints.Death(digest, "", 0, True), now_ms)
 
-    def take_news(self, now_ms: int) -> list[hints.Death]:
+    def drain_updates(self, now_ms: int) -> list[hints.Death]:
         """Return the updates not yet sent to peers, and clear them.
 
         :param now_ms: current time in ms
@@ -187,7 +187,7 @@
             for death in record.deaths
         ]
 
-    def note_news(self, deaths: list[hints.Death], now_ms: int) -> None:
+    def apply_updates(self, deaths: list[hints.Death], now_ms: int) -> None:
         """Apply updates received from a peer.
 
         :param deaths: the peer's updates
@@ -203,7 +203,7 @@
                 self._count(death.digest, crash, now_ms)
 
     def _clear_by_peer(self, digest: str, now_ms: int) -> None:
-        if self.read_standing(digest, now_ms) is QuarantineState.SUSPECT:
+        if self.get_state(digest, now_ms) is QuarantineState.SUSPECT:
             del self._records[digest]
 
     def _count(self, digest: str, crash: _Crash, now_ms: int) -> bool:
--- a/mulberryway/policy/pool_scheduler.py
+++ b/mulberryway/policy/pool_scheduler.py
@@ -71,11 +71,11 @@
         self.members = members
         self.queue = fair_queue.FairQueue(max_entries, max_bytes)
         self.placer = job_placement.Placer(members, random_, token_gap_ms)
-        self.neighbours = peer_accounts.PeerAccounts(self.queue)
-        self.meters = pool_stats.PoolStats()
+        self.peer_accounts = peer_accounts.PeerAccounts(self.queue)
+        self.stats = pool_stats.PoolStats()
         self.budget = budget or retries.RetryBudget()
         self._admission = admission.Admission(
-            self.queue, self.placer, self.neighbours, self.meters
+            self.queue, self.placer, self.peer_accounts, self.stats
         )
         self._register = register
         self._fairness_mode = fairness_mode
@@ -102,7 +102,7 @@
                 errors.Code.NO_UPSTREAM,
                 job,
                 "no upstream can serve this request now",
-                self.meters.clamp_retry_ms(1_000),
+                self.stats.clamp_retry_ms(1_000),
             )
         latest_ms = self._admission.compute_latest_start_ms(
             job, best, self.row
@@ -110,7 +110,7 @@
         fault = self._admission.check_deadline(job, best, latest_ms, now_ms)
         if fault is not None:
             return fault
-        cost = self.meters.estimate_cost(job, best.tokens)
+        cost = self.stats.estimate_cost(job, best.tokens)
         lane = self._choose_lane(job, best.prefill_ms, now_ms)
         if not len(self.queue):
             # Free slots are not estimated while the queue is empty.
@@ -126,7 +126,7 @@
         :param now_ms: current time in milliseconds
         :returns: the rejections, which are final and due immediately
         """
-        retry_ms = self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10)
+        retry_ms = self.stats.clamp_retry_ms(self.stats.hold_ms.value / 10)
         return [
             jobs.Refusal(
                 entry.job.job_id,
@@ -152,7 +152,7 @@
         if not len(self.queue):
             # Each gossip message leads here, mostly with an empty queue.
             return None
-        self.placer.typical_stream_ms = self.meters.hold_ms.value
+        self.placer.typical_stream_ms = self.stats.hold_ms.value
         free = self.placer.estimate_free_slots(now_ms)
         self._record_free_slots(free, now_ms)
         tried = 0
@@ -187,7 +187,7 @@
     def _check_quarantine(
         self, job: jobs.Job, now_ms: int
     ) -> errors.Fault | None:
-        quarantine = self._register.read_standing(job.digest, now_ms)
+        quarantine = self._register.get_state(job.digest, now_ms)
         if quarantine is not poison.QuarantineState.QUARANTINED:
             return None
         self._register.renew_quarantine(job.digest, now_ms)
@@ -207,13 +207,13 @@
             errors.Code.OVERLOADED,
             job,
             "retry budget exhausted",
-            self.meters.clamp_retry_ms(self.meters.hold_ms.value / 10),
+            self.stats.clamp_retry_ms(self.stats.hold_ms.value / 10),
         )
 
     def _choose_lane(
         self, job: jobs.Job, prefill_ms: float, now_ms: int
     ) -> fair_queue.Lane:
-        quarantine = self._register.read_standing(job.digest, now_ms)
+        quarantine = self._register.get_state(job.digest, now_ms)
         if quarantine is poison.QuarantineState.SUSPECT:
             return fair_queue.Lane.SUSPECT
         is_long = prefill_ms > LONG_PREFILL_MS
@@ -261,7 +261,7 @@
             self.queue.remove(entry.job.job_id)
             refusals.append(jobs.Refusal(entry.job.job_id, fault))
             return False
-        quarantine = self._register.read_standing(entry.job.digest, now_ms)
+        quarantine = self._register.get_state(entry.job.digest, now_ms)
         if (
             quarantine is poison.QuarantineState.SUSPECT
             and entry.lane is not fair_queue.Lane.SUSPECT
@@ -274,7 +274,7 @@
         job = entry.job
         state = self.queue.find_account(job.account, job.weight)
         # Peers apply the same slack to the fair order.
-        return self.neighbours.count_ahead(
+        return self.peer_accounts.count_ahead(
             state, entry, self._fairness_mode.slack_tokens, now_ms
         )
 
@@ -285,7 +285,7 @@
     def reassign_decode(
         self,
         job: running_jobs.RunningJob,
-        refused: str,
+        rejected_by: str,
         now_ms: int,
         is_unreached: bool = False,
     ) -> upstream_view.UpstreamView | None:
@@ -294,13 +294,13 @@
         Without another slot, the prefill's result expires and is lost.
 
         :param job: the job
-        :param refused: the upstream that rejected it
+        :param rejected_by: the upstream that rejected it
         :param now_ms: current time in milliseconds
         :param is_unreached: whether it was unreachable instead of full
         :returns: the upstream to try next, or none
         """
         previous = job.placement.decode
-        view = self.members.find(refused)
+        view = self.members.find(rejected_by)
         if view is not None and is_unreached:
             view.health.record_failure(True, now_ms)
         elif view is not None:
@@ -324,7 +324,7 @@
     ) -> running_jobs.RunningJob:
         job = entry.job
         self.queue.remove(job.job_id)
-        entry.cost = self.meters.estimate_cost(job, placement.tokens)
+        entry.cost = self.stats.estimate_cost(job, placement.tokens)
         self.queue.charge(job.account, job.weight, entry.cost)
         self.placer.commit(placement, job, self.row, now_ms)
         return running_jobs.RunningJob(entry, placement, now_ms)
--- a/mulberryway/policy/retries.py
+++ b/mulberryway/policy/retries.py
@@ -82,7 +82,7 @@
         self._requests: dict[str, collections.deque[int]] = {}
         self._retries: dict[str, collections.deque[int]] = {}
 
-    def change_vms(self, count: int) -> None:
+    def set_vm_count(self, count: int) -> None:
         """Set the number of VMs that share the budget.
 
         :param count: the number of known VMs, including this one
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -70,7 +70,7 @@
         """
         self._ordered_ms[order.pool, order.row.name] = now_ms
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard all state because this VM is no longer the leader."""
         self._ordered_ms.clear()
 
--- a/mulberryway/policy/scheduler.py
+++ b/mulberryway/policy/scheduler.py
@@ -39,7 +39,7 @@
 
     :param vm: this VM's name
     :param incarnation: the incarnation of its router process
-    :param weighed: the deployment's fairness mode
+    :param fairness_mode: the deployment's fairness mode
     :param register: registry of suspected poison requests
     :param seed: seed of the random generator; different on each VM
     :param token_gap_ms: longest inter-token gap on target, in milliseconds
@@ -53,7 +53,7 @@
         self,
         vm: str,
         incarnation: int = 0,
-        weighed: fairness.FairnessMode = fairness.WORST_SERVED,
+        fairness_mode: fairness.FairnessMode = fairness.WORST_SERVED,
         register: poison.PoisonRegistry | None = None,
         seed: int = 0,
         token_gap_ms: int = TOKEN_GAP_MS,
@@ -65,7 +65,7 @@
         self.register = register or poison.PoisonRegistry()
         self._pool_set = pool_set.PoolSet(
             vm,
-            weighed,
+            fairness_mode,
             self.register,
             random.Random(seed),
             token_gap_ms,
@@ -205,14 +205,14 @@
     def reassign_decode(
         self,
         job_id: str,
-        refused: str,
+        rejected_by: str,
         now_ms: int,
         is_unreached: bool = False,
     ) -> str | None:
         """Reserve another decode slot for a prefilled job.
 
         :param job_id: the job
-        :param refused: the upstream that rejected it
+        :param rejected_by: the upstream that rejected it
         :param now_ms: current time in milliseconds
         :param is_unreached: whether it was unreachable instead of full
         :returns: the upstream to try, its slot reserved; or none
@@ -222,7 +222,7 @@
             return None
         pool = self._pool_set.find_any(job.entry.job.pool)
         before = job.placement.decode
-        after = pool.reassign_decode(job, refused, now_ms, is_unreached)
+        after = pool.reassign_decode(job, rejected_by, now_ms, is_unreached)
         if after is None:
             return None
         for view in (before, after):
@@ -232,14 +232,14 @@
     def finish(
         self,
         job_id: str,
-        end: jobs.JobOutcome,
+        outcome: jobs.JobOutcome,
         upstream: str,
         now_ms: int,
     ) -> None:
         """Release a started job's reservations; further calls do nothing.
 
         :param job_id: the job
-        :param end: the outcome
+        :param outcome: the outcome
         :param upstream: the upstream at fault; empty if none
         :param now_ms: current time in milliseconds
         """
@@ -248,7 +248,7 @@
             return
         job = started.entry.job
         tokens = self._pool_set.find_completion(job.pool).finish(
-            started, end, upstream, now_ms
+            started, outcome, upstream, now_ms
         )
         pool = self._pool_set.find_any(job.pool)
         pool.queue.adjust_charge(job.account, job.weight, tokens)
@@ -365,7 +365,7 @@
         :param deaths: the crashes; duplicates have no effect
         :param now_ms: current time in milliseconds
         """
-        self.register.note_news(deaths, now_ms)
+        self.register.apply_updates(deaths, now_ms)
 
     def is_quarantined(self, digest: str, now_ms: int) -> bool:
         """Return whether a request is quarantined, and renew it if so.
@@ -374,7 +374,7 @@
         :param now_ms: current time in milliseconds
         :returns: whether upstreams crashed while they ran it
         """
-        state = self.register.read_standing(digest, now_ms)
+        state = self.register.get_state(digest, now_ms)
         if state is not poison.QuarantineState.QUARANTINED:
             return False
         self.register.renew_quarantine(digest, now_ms)
@@ -389,7 +389,7 @@
         """
         self.register.record_crash(digest, upstream, False, now_ms)
 
-    def change_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
+    def update_vms(self, vms: tuple[str, ...], now_ms: int) -> None:
         """Apply a new list of VMs that run a router.
 
         Pools large enough for subsetting are divided again.
--- a/mulberryway/policy/store_reachability.py
+++ b/mulberryway/policy/store_reachability.py
@@ -39,7 +39,9 @@
         self._vms: tuple[str, ...] = ()
         self._watchers: list[str] = []
 
-    def note_peer(self, vm: str, is_reached: bool | None, now_ms: int) -> None:
+    def record_peer(
+        self, vm: str, is_reached: bool | None, now_ms: int
+    ) -> None:
         """Record another VM's report.
 
         :param vm: name of the VM
--- a/mulberryway/policy/upstream_view.py
+++ b/mulberryway/policy/upstream_view.py
@@ -260,7 +260,7 @@
         self.step_updated_ms = now_ms
         self._unsent_step_ms = step_ms
 
-    def take_step_ms(self) -> int:
+    def drain_step_ms(self) -> int:
         """Return the last inter-token gap of an own stream, and clear it.
 
         :returns: milliseconds; 0 if there was none since the last call
@@ -269,7 +269,7 @@
         self._unsent_step_ms = 0.0
         return step_ms
 
-    def take_prefill_ms(self, now_ms: int) -> int:
+    def drain_prefill_ms(self, now_ms: int) -> int:
         """Return the prefill work added by this router since the last call.
 
         :param now_ms: current time in milliseconds
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -106,7 +106,7 @@
         budgets = [retries.FleetRetryBudget(0.2, 10_000, 52) for _ in range(6)]
         spent = 0
         for budget in budgets:
-            budget.change_vms(6)
+            budget.set_vm_count(6)
             for n in range(20):
                 budget.deposit("lm", n)
             while budget.try_withdraw("lm", 100):
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -180,4 +180,4 @@
         for number in range(1, 1_001):
             zone_outbox.send(b"item", relay, number, 0)
         self.assertLessEqual(len(zone_outbox.pop_overdue(1_000)), 64)
-        self.assertGreaterEqual(zone_outbox.given_up, 900)
+        self.assertGreaterEqual(zone_outbox.dropped, 900)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -135,15 +135,17 @@
     def test_failures_of_several_vms_are_consecutive(self):
         """Guard against each VM detecting a resetting engine on its own."""
         self.health.record_failure(False, 0)
-        self.health.note_peer(health.Outcomes(failed=1), 10)
+        self.health.apply_peer_outcomes(health.Outcomes(failed=1), 10)
         self.assertFalse(self.health.is_ejected(10))
-        self.health.note_peer(health.Outcomes(failed=1), 20)
+        self.health.apply_peer_outcomes(health.Outcomes(failed=1), 20)
         self.assertTrue(self.health.is_ejected(20))
 
     def test_success_at_a_peer_resets_failures(self):
         for now_ms in range(0, 100, 10):
-            self.health.note_peer(health.Outcomes(failed=1), now_ms)
-            self.health.note_peer(health.Outcomes(succeeded=1), now_ms + 5)
+            self.health.apply_peer_outcomes(health.Outcomes(failed=1), now_ms)
+            self.health.apply_peer_outcomes(
+                health.Outcomes(succeeded=1), now_ms + 5
+            )
         self.assertFalse(self.health.is_ejected(100))
 
     def test_earlier_stream_does_not_reset_failure(self):
@@ -154,15 +156,15 @@
         self.health.record_failure(True, 1_000)
         self.health.record_success(started_ms=500)
         self.assertTrue(self.health.is_ejected(1_100))
-        self.assertEqual(self.health.take_news().succeeded, 0)
+        self.assertEqual(self.health.drain_outcomes().succeeded, 0)
         self.health.record_success(started_ms=1_050)
         self.assertFalse(self.health.is_ejected(1_100))
 
     def test_earlier_success_is_not_sent_after_a_failure(self):
         """Guard against an ejection that is ended by an earlier success."""
         self.health.record_success(started_ms=100)
-        self.health.note_peer(health.Outcomes(unreached=1), 200)
-        self.assertEqual(self.health.take_news().succeeded, 0)
+        self.health.apply_peer_outcomes(health.Outcomes(unreached=1), 200)
+        self.assertEqual(self.health.drain_outcomes().succeeded, 0)
 
     def test_passed_probe_ends_ejection_of_unreachable(self):
         self.health.record_failure(True, 0)
@@ -184,7 +186,9 @@
     def test_failed_probes_extend_the_ejection(self):
         self.health.record_failure(True, 0)
         for now_ms in range(500, 5_000, 500):
-            self.health.note_peer(health.Outcomes(probes_failed=1), now_ms)
+            self.health.apply_peer_outcomes(
+                health.Outcomes(probes_failed=1), now_ms
+            )
             self.assertTrue(self.health.is_ejected(now_ms + 499))
 
     def test_one_trial_request_per_fleet(self):
@@ -193,7 +197,7 @@
         # The peer's ejection has expired slightly earlier than this VM's.
         self.health.record_peer_start(900)
         self.assertTrue(self.health.is_ejected(1_500))
-        self.health.note_peer(health.Outcomes(succeeded=1), 1_700)
+        self.health.apply_peer_outcomes(health.Outcomes(succeeded=1), 1_700)
         self.assertFalse(self.health.is_ejected(1_700))
 
     def test_trial_requires_a_request_that_may_move(self):
@@ -219,7 +223,7 @@
         pool = cases.make_pool(prefills, decodes, slots=12)
         for router in self.routers:
             router.change_pools({"lm": pool}, 0)
-            router.change_vms(tuple(f"vm{n}" for n in range(vms)), 0)
+            router.update_vms(tuple(f"vm{n}" for n in range(vms)), 0)
         self.random = random.Random(3)
         self.numbers = itertools.count()
         self.order = itertools.count()
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -166,7 +166,7 @@
         for vm in self.vms:
             for other in self.rng.sample(self.vms, min(len(self.vms), 12)):
                 if other is not vm:
-                    vm.reachability.note_peer(
+                    vm.reachability.record_peer(
                         other.name, other.is_reached, now_ms
                     )
             if vm.mirror.changed_revision < newest.mirror.changed_revision:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -26,7 +26,7 @@
         )
         view = found.exchange.view
         view.apply(other, 0)
-        view.note_silent("vm1", 1, 0)
+        view.mark_suspect("vm1", 1, 0)
         self.assertEqual(found.list_alive(), ("vm0", "vm1"))
         clock_.advance_ms(10_000)
         self.assertEqual(found.list_alive(), ("vm0",))
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -173,7 +173,7 @@
         A server that was removed meanwhile has deregistered.  If it were
         retained, it would get requests later than its operators allow.
         """
-        self.outages.note_peer("a2", True, 4_000)
+        self.outages.record_peer("a2", True, 4_000)
         self.mirror.record_failure(1_000)
         self.mirror.record_response(5_000)
         self.remove_first(6, 5_000)
@@ -460,7 +460,7 @@
         return base.ChangeBatch([change(name, number, True)], revision)
 
     def test_rejections_of_all_vms_defer_no_removal(self):
-        self.outages.note_peer("a2", False, 0)
+        self.outages.record_peer("a2", False, 0)
         self.step(
             (0, fail()),
             (1_200, base.ChangeBatch([], 11)),
@@ -469,7 +469,7 @@
         self.assertNotIn("s1", self.names())
 
     def test_broken_watch_after_an_outage_defers_no_removal(self):
-        self.outages.note_peer("a2", False, 0)
+        self.outages.record_peer("a2", False, 0)
         self.step(
             (0, fail()),
             (3_000, base.ChangeBatch([], 11)),
@@ -485,7 +485,7 @@
         One missing entry of six has deregistered, because an outage would
         make more than one expire.
         """
-        self.outages.note_peer("a2", False, 0)
+        self.outages.record_peer("a2", False, 0)
         self.step((0, fail()), (6_000, self.leave("s1", 12)))
         self.assertNotIn("s1", self.names())
 
@@ -620,7 +620,7 @@
         An operator has to distinguish it from a missed removal, and an outage
         from a fault of one VM.
         """
-        self.outages.note_peer("a2", False, 0)
+        self.outages.record_peer("a2", False, 0)
         self.step((0, fail("reset")))
         with self.assertLogs(kept_objects.LOG, "INFO") as logged:
             self.step((4_000, self.make_full_removal()))
@@ -710,10 +710,10 @@
 
     def test_failure_is_local_if_one_peer_is_served(self):
         found = store_reachability.StoreReachability()
-        found.note_peer("a2", False, 0)
-        found.note_peer("a3", True, 0)
+        found.record_peer("a2", False, 0)
+        found.record_peer("a3", True, 0)
         self.assertFalse(found.is_fleet_wide(0, 100))
-        found.note_peer("a3", False, 100)
+        found.record_peer("a3", False, 100)
         self.assertTrue(found.is_fleet_wide(0, 200))
 
     def test_earlier_outage_is_not_counted(self):
@@ -722,8 +722,8 @@
         A fault of the VM's own connection would be treated as an outage.
         """
         found = store_reachability.StoreReachability()
-        found.note_peer("a2", False, 0)
-        found.note_peer("a2", True, 1_000)
+        found.record_peer("a2", False, 0)
+        found.record_peer("a2", True, 1_000)
         self.assertFalse(found.is_fleet_wide(1_100, 1_200))
 
     def test_few_watch_in_a_large_fleet(self):
@@ -736,7 +736,7 @@
         self.assertEqual(len(watchers), store_reachability.WATCHER_COUNT)
         other = next(vm for vm in vms if vm not in watchers)
         found = store_reachability.StoreReachability()
-        found.note_peer(watchers[0], True, 0)
+        found.record_peer(watchers[0], True, 0)
         self.assertFalse(found.must_poll(other, vms, 100))
         self.assertTrue(found.must_poll(watchers[0], vms, 100))
 
@@ -750,9 +750,9 @@
         other = next(vm for vm in vms if vm not in watchers)
         found = store_reachability.StoreReachability()
         self.assertTrue(found.must_poll(other, vms, 0))
-        found.note_peer(watchers[0], True, 0)
+        found.record_peer(watchers[0], True, 0)
         self.assertTrue(
             found.must_poll(other, vms, store_reachability.PEER_REPORT_TTL_MS)
         )
-        found.note_peer(watchers[0], False, 6_000)
+        found.record_peer(watchers[0], False, 6_000)
         self.assertTrue(found.must_poll(other, vms, 6_100))
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -103,7 +103,7 @@
             self.now_ms += 100
         self.assertGreater(len(digests), 3)
         states = {
-            digest: router.register.read_standing(digest, self.now_ms)
+            digest: router.register.get_state(digest, self.now_ms)
             for digest in digests
         }
         self.assertIs(states.pop("bad"), poison.QuarantineState.QUARANTINED)
@@ -144,11 +144,11 @@
         router.finish(suspect, DIED, engine, self.now_ms)
         register = router.register
         self.assertIs(
-            register.read_standing(bystander, self.now_ms),
+            register.get_state(bystander, self.now_ms),
             poison.QuarantineState.CLEAR,
         )
         self.assertIs(
-            register.read_standing("bad", self.now_ms),
+            register.get_state("bad", self.now_ms),
             poison.QuarantineState.QUARANTINED,
         )
 
@@ -169,7 +169,7 @@
         self.register = poison.PoisonRegistry()
 
     def get_state(self, digest, now_ms):
-        return self.register.read_standing(digest, now_ms)
+        return self.register.get_state(digest, now_ms)
 
     def test_digest_separates_its_fields(self):
         digests = {
@@ -245,8 +245,8 @@
         self.register.record_crash("d", "lm/d0", False, 0)
         self.register.record_crash("d", "lm/d1", True, 6_000)
         other = poison.PoisonRegistry()
-        other.note_news(self.register.list_crashes(7_000), 100_000)
+        other.apply_updates(self.register.list_crashes(7_000), 100_000)
         self.assertIs(
-            other.read_standing("d", 100_000),
+            other.get_state("d", 100_000),
             poison.QuarantineState.QUARANTINED,
         )
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -385,7 +385,7 @@
     def test_only_goodput_starts_cheap_prompts_first(self):
         for name, expected in (("worst_served", "dear"), ("goodput", "cheap")):
             mode = scheduler.fairness.find_fairness_mode(name)
-            router = scheduler.FairScheduler("vm1", weighed=mode)
+            router = scheduler.FairScheduler("vm1", fairness_mode=mode)
             pool = cases.make_pool(decodes=1, slots=1)
             router.change_pools({"lm": pool}, 0)
             self.submit(router, "runs", account="c")
