--- a/benchmarks/static_router.py
+++ b/benchmarks/static_router.py
@@ -33,7 +33,7 @@
     def __init__(self, current: tables.Tables) -> None:
         self._current = current
 
-    def read_tables(self) -> tables.Tables:
+    def get_tables(self) -> tables.Tables:
         return self._current
 
     def subscribe(
--- a/mulberryway/admin/administration.py
+++ b/mulberryway/admin/administration.py
@@ -234,7 +234,9 @@
             return expression.Error(submitted.error)
         accepted = submitted.ok
         if accepted.revision % GC_REVISION_INTERVAL == 0:
-            threading.Thread(target=self._editor.collect, daemon=True).start()
+            threading.Thread(
+                target=self._editor.collect_garbage, daemon=True
+            ).start()
         return expression.Ok(
             responses.EditResponse(edit_id, accepted.revision)
         )
--- a/mulberryway/admin/editor.py
+++ b/mulberryway/admin/editor.py
@@ -123,7 +123,7 @@
         self._log_accepted(submission, accepted_edit.ok)
         return accepted_edit
 
-    def collect(self) -> expression.Result[int, errors.Fault]:
+    def collect_garbage(self) -> expression.Result[int, errors.Fault]:
         """Delete segments that are no longer needed.
 
         :returns: the number of deleted segments, or a fault
@@ -134,7 +134,7 @@
         root = current.ok.root
         past = self.accepted.read_history(root)
         return past.bind(
-            lambda entries: self._segments.collect(
+            lambda entries: self._segments.collect_garbage(
                 root, history.list_replaced_digests(entries)
             )
         )
--- a/mulberryway/assembly.py
+++ b/mulberryway/assembly.py
@@ -98,7 +98,7 @@
         )
         self.directory = directory.HttpDirectory(self.clock)
         self.router = self._make_router()
-        self.platform_counts.report(self.router.metrics)
+        self.platform_counts.register_metrics(self.router.metrics)
         self.configuration.report(self.router.metrics)
         self.dissemination = dissemination.DisseminationController(
             self.members.own, self.clock
@@ -223,7 +223,7 @@
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
         return directory.find_engine_by_name(
-            self.configuration.source.read_tables(),
+            self.configuration.source.get_tables(),
             self.directory,
             pool,
             upstream,
--- a/mulberryway/controllers/allowances.py
+++ b/mulberryway/controllers/allowances.py
@@ -101,7 +101,7 @@
         self._last_levels: dict[tuple[str, str], int] = {}
         self._borrow_locks: dict[str, threading.RLock] = {}
         source.subscribe(self._apply_tables)
-        current = source.read_tables()
+        current = source.get_tables()
         if current is not None:
             self._apply_tables(current)
 
--- a/mulberryway/controllers/configuration_service.py
+++ b/mulberryway/controllers/configuration_service.py
@@ -97,7 +97,7 @@
         metrics_.register_gauge(
             "tables.is_serving",
             "1 if requests are served with them",
-            lambda: int(active.read_tables() is not None),
+            lambda: int(active.get_tables() is not None),
         )
 
     def _record_newer(self, newer: member.Member) -> None:
--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -61,7 +61,7 @@
 
     def step(self) -> None:
         """Poll each engine assigned to this router once."""
-        found = self._source.read_tables()
+        found = self._source.get_tables()
         if found is None:
             return
         assigned = self._list_assigned(found)
@@ -81,7 +81,7 @@
 
     def list_assigned_engines(self) -> list[upstreams.Engine]:
         """Return the engines assigned to this router by rendezvous hashing."""
-        found = self._source.read_tables()
+        found = self._source.get_tables()
         if found is None:
             return []
         return [
--- a/mulberryway/controllers/mirrored_tables.py
+++ b/mulberryway/controllers/mirrored_tables.py
@@ -54,7 +54,7 @@
         self.configuration: mirrors.MirrorController | None = None
         self.servers: mirrors.MirrorController | None = None
 
-    def read_tables(self) -> tables.Tables | None:
+    def get_tables(self) -> tables.Tables | None:
         """Return the active tables, or None before the first are known."""
         return self._tables
 
--- a/mulberryway/controllers/mirrors.py
+++ b/mulberryway/controllers/mirrors.py
@@ -234,7 +234,7 @@
         return None
 
     def _poll(self, wait_ms: int) -> errors.Fault | None:
-        result = self._store.poll(
+        result = self._store.poll_changes(
             self.kind, self._mirror.revision, wait_ms, "mirror"
         )
         if result.is_error():
--- a/mulberryway/controllers/orders.py
+++ b/mulberryway/controllers/orders.py
@@ -72,7 +72,7 @@
 
     def step(self) -> None:
         """Renew the lease, then send the orders that are due."""
-        tables_ = self._source.read_tables()
+        tables_ = self._source.get_tables()
         if tables_ is None or self._is_idle(tables_):
             return
         self._maintain_lease()
--- a/mulberryway/controllers/probing.py
+++ b/mulberryway/controllers/probing.py
@@ -96,7 +96,7 @@
 
     def _probe(self, ejected: probes.EjectedUpstream) -> None:
         engine = directory.find_engine_by_name(
-            self._source.read_tables(),
+            self._source.get_tables(),
             self._directory,
             ejected.pool,
             ejected.upstream,
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -136,7 +136,7 @@
         if vms != self._vms:
             self._vms = vms
             self._update_members()
-        found = self._source.read_tables()
+        found = self._source.get_tables()
         state = (found.revision if found else 0, vms)
         if found is not None and state != self._subsets_state:
             self._subsets_state = state
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -59,7 +59,7 @@
             collections.abc.Callable[[tables.Tables], None]
         ] = []
 
-    def read_tables(self) -> tables.Tables | None:
+    def get_tables(self) -> tables.Tables | None:
         """Return the tables, or None while they must not be used."""
         if self.evaluate_freshness() is freshness.Freshness.PARTITIONED:
             return None
@@ -220,7 +220,7 @@
 
     def _install(self, root: roots.Root) -> None:
         """Activate a root and notify subscribers in order of revision."""
-        installed = self._cache.join(root)
+        installed = self._cache.assemble_tables(root)
         self._tables = installed
         self._root = root
         self._cache.retain(root.list_row_segments())
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -45,7 +45,7 @@
         :param proceed: the rest of the chain
         :returns: the chain's answer, or a fault
         """
-        found = self._source.read_tables()
+        found = self._source.get_tables()
         if found is None:
             return expression.Error(
                 errors.Fault(
@@ -87,7 +87,7 @@
     :param step: the step to report in the fault
     :returns: nothing, or ``UNAUTHENTICATED``
     """
-    found = source.read_tables()
+    found = source.get_tables()
     if found is not None and has_public_route(found, exchange):
         return expression.Ok(None)
     account = (
--- a/mulberryway/filters/model_engines.py
+++ b/mulberryway/filters/model_engines.py
@@ -103,7 +103,7 @@
         )
         if uses_chunked_prefill:
             empty_prefill = upstreams.PrefillResult({}, 0, 0)
-            result = attempt.decode.prepare(
+            result = attempt.decode.prepare_decode(
                 attempt.label, self._make_reservation_request(attempt)
             ).bind(
                 lambda made: self._decode(
@@ -137,7 +137,7 @@
         capacity would be wasted.
         """
         for _ in range(MAX_RESERVE_ATTEMPTS):
-            result = attempt.decode.prepare(
+            result = attempt.decode.prepare_decode(
                 attempt.label, self._make_reservation_request(attempt)
             )
             is_full = (
@@ -423,7 +423,7 @@
     def _find_row(
         self, name: str
     ) -> tuple[tables.Pool, tables.Upstream] | None:
-        newest = self._parts.source.read_tables() or self._exchange.tables
+        newest = self._parts.source.get_tables() or self._exchange.tables
         pool = newest.pools.get(self._exchange.pool.name)
         if pool is None:
             return None
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -179,7 +179,9 @@
         else:
             self._parts.relay.fail(stream, self._finalize_fault(result.error))
 
-    def replace(self, stream: streams.Stream, fault: errors.Fault) -> None:
+    def replace_source(
+        self, stream: streams.Stream, fault: errors.Fault
+    ) -> None:
         """Resume a stalled stream at another engine.
 
         The unresponsive engine is abandoned only when the other engine is
--- a/mulberryway/filters/route.py
+++ b/mulberryway/filters/route.py
@@ -64,11 +64,11 @@
         return proceed(exchange)
 
     def _choose_pool(self, route: tables.Route) -> str:
-        if not route.shares:
+        if not route.weighted_pools:
             return route.pool
         return self._random.choices(
-            [share.pool for share in route.shares],
-            [share.weight for share in route.shares],
+            [share.pool for share in route.weighted_pools],
+            [share.weight for share in route.weighted_pools],
         )[0]
 
 
--- a/mulberryway/filters/service_forward.py
+++ b/mulberryway/filters/service_forward.py
@@ -94,7 +94,7 @@
 
         def give_up() -> None:
             exchange.has_gone.set()
-            canceller.set()
+            canceller.cancel()
 
         watched = self._callers.add(exchange.connection, give_up)
         try:
@@ -176,7 +176,7 @@
         A call may wait for an unresponsive server for longer than draining
         servers still serve, so a retry must not use the tables of its arrival.
         """
-        current = self._source.read_tables()
+        current = self._source.get_tables()
         if current is None:
             return exchange.pool
         return current.pools.get(exchange.pool.name, exchange.pool)
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -302,7 +302,7 @@
             # running streams are completed.
             closes_revoked_streams=False,
         )
-        self.counts.report(self.router.metrics)
+        self.counts.register_metrics(self.router.metrics)
         kept_objects.report(
             [
                 controller.kept
@@ -399,7 +399,7 @@
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
         return directory_.find_engine_by_name(
-            self.source.read_tables(), self.directory, pool, upstream
+            self.source.get_tables(), self.directory, pool, upstream
         )
 
     def _may_issue_orders(self) -> bool:
--- a/mulberryway/objects/base.py
+++ b/mulberryway/objects/base.py
@@ -127,7 +127,7 @@
         """
 
     @abc.abstractmethod
-    def poll(
+    def poll_changes(
         self, kind: str, revision: int, wait_ms: int, purpose: str
     ) -> expression.Result[ChangeBatch, errors.Fault]:
         """Wait for changes of a kind after a revision.
--- a/mulberryway/objects/call_metrics.py
+++ b/mulberryway/objects/call_metrics.py
@@ -80,7 +80,7 @@
                 for key, count in self._counts.items()
             }
 
-    def report(self, metrics_: metrics.Metrics) -> None:
+    def register_metrics(self, metrics_: metrics.Metrics) -> None:
         """Register the counts with a process's metrics.
 
         :param metrics_: the process's instruments
--- a/mulberryway/objects/roots.py
+++ b/mulberryway/objects/roots.py
@@ -83,7 +83,9 @@
         :param root: the root
         """
         with self._lock:
-            return self._load_missing(root).map(lambda cache: cache.join(root))
+            return self._load_missing(root).map(
+                lambda cache: cache.assemble_tables(root)
+            )
 
     def read_segments(
         self, root: roots.Root
--- a/mulberryway/objects/segments.py
+++ b/mulberryway/objects/segments.py
@@ -69,7 +69,7 @@
                 break
         return expression.Error(result.error)
 
-    def collect(
+    def collect_garbage(
         self, root: roots.Root, retired: set[str]
     ) -> expression.Result[int, errors.Fault]:
         """Delete segments that no root can name any more.
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -108,7 +108,7 @@
                 body.body,
                 timeout_ms,
                 errors.Step.PREFILL,
-                interrupt=interrupt,
+                canceller=interrupt,
             ).bind(lambda response: self._parse_prefill(label, response))
         finally:
             self._unregister_call(label)
@@ -118,7 +118,7 @@
             result.error.run = errors.ExecutionStatus.NOT_RUN
         return result
 
-    def prepare(
+    def prepare_decode(
         self,
         label: base.AttemptLabel,
         reservation: base.ReservationRequest | None = None,
@@ -227,7 +227,7 @@
             handle = self._handles.pop(label.request_id, None)
         self.release(label)
         if call is not None:
-            call.set()
+            call.cancel()
         if handle is None:
             return expression.Ok(call is not None)
         return self._call_control(
--- a/mulberryway/platform/service.py
+++ b/mulberryway/platform/service.py
@@ -43,7 +43,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.CallCanceller | None = None,
+        canceller: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
         """Forward one request, without retries.
 
@@ -55,7 +55,7 @@
         :param body: the complete body
         :param timeout_ms: the maximum wait for the complete response, in ms
         :param is_idempotent: whether the request may run more than once
-        :param interrupt: cancels the call from another thread
+        :param canceller: cancels the call from another thread
         :returns: the response, or a fault with the execution status
         """
         sent = responses.make_request_headers(
@@ -69,7 +69,7 @@
             timeout_ms,
             errors.Step.SERVICE,
             needs_new_connection=not is_idempotent,
-            interrupt=interrupt,
+            canceller=canceller,
         ).bind(self._parse_response)
 
     def close(self) -> None:
--- a/mulberryway/platform/store.py
+++ b/mulberryway/platform/store.py
@@ -121,7 +121,7 @@
                 return expression.Ok(base.Listing(objects, revision))
             after = page_objects[-1].name
 
-    def poll(
+    def poll_changes(
         self, kind: str, revision: int, wait_ms: int, purpose: str
     ) -> expression.Result[base.ChangeBatch, errors.Fault]:
         """Wait for changes of a kind after a revision.
@@ -210,7 +210,9 @@
         """
         revision = from_version
         while True:
-            batch = self.poll(kind, revision, idle_timeout_ms // 2, purpose)
+            batch = self.poll_changes(
+                kind, revision, idle_timeout_ms // 2, purpose
+            )
             if batch.is_error():
                 yield expression.Error(batch.error)
                 return
--- a/mulberryway/platform/tables.py
+++ b/mulberryway/platform/tables.py
@@ -125,7 +125,7 @@
         ),
         timeout_ms=wire.parse_integer(row["timeout_ms"], 1),
         host=wire.parse_string(row["host"]).lower(),
-        shares=weighted_pools if len(weighted_pools) > 1 else (),
+        weighted_pools=weighted_pools if len(weighted_pools) > 1 else (),
         retries_safe_methods=False,
         is_public=allows_anonymous or bool(row.get("public")),
         is_streaming=is_streaming,
@@ -146,7 +146,7 @@
             if route.target_gap_ms
             and (
                 route.pool == name
-                or any(share.pool == name for share in route.shares)
+                or any(share.pool == name for share in route.weighted_pools)
             )
         ),
         default=0,
@@ -177,7 +177,7 @@
         kv_capacity_tokens=wire.parse_integer(engine["kv_capacity"], 1),
         max_connections=connections,
         role_switch_ms=int(float(engine.get("swap_s", 0)) * MS_IN_S),
-        self_reading=True,
+        has_chunked_prefill=True,
         pause_ms=pause_ms,
         hold_ms=int(float(engine.get("hold_ms", 0))),
     )
@@ -280,7 +280,7 @@
         kv_capacity_tokens=pool.kv_capacity_tokens,
         max_connections=pool.max_connections,
         role_switch_ms=pool.role_switch_ms,
-        self_reading=pool.self_reading,
+        has_chunked_prefill=pool.has_chunked_prefill,
         pause_ms=pool.pause_ms,
         hold_ms=pool.hold_ms,
     )
--- a/mulberryway/policy/job_placement.py
+++ b/mulberryway/policy/job_placement.py
@@ -76,7 +76,7 @@
             upstream accepts prefills
         """
         candidates = list(self._members.prefills)
-        if pool.self_reading:
+        if pool.has_chunked_prefill:
             candidates += self._members.decodes
         options = [
             self._plan_prefill(view, job, pool, now_ms)
@@ -151,7 +151,7 @@
         yield_ms: int,
     ) -> placements.Placement | None:
         """Return a placement with a chunked prefill on a decode engine."""
-        if not pool.self_reading:
+        if not pool.has_chunked_prefill:
             return None
         blocks = placements.estimate_kv_blocks(entry.job, pool)
         options = [
@@ -299,7 +299,7 @@
         # All may be backing off, for example when the last prefill engine
         # changes its role.  One of them is still better than none, but
         # chunked prefill on a decode engine is better if the pool allows it.
-        if accepting or not pool.self_reading:
+        if accepting or not pool.has_chunked_prefill:
             usable = accepting or usable
         else:
             usable = []
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -50,7 +50,7 @@
         return [
             order
             for name, pool in pools.items()
-            if pool.kind is tables.PoolKind.MODEL and pool.self_reading
+            if pool.kind is tables.PoolKind.MODEL and pool.has_chunked_prefill
             for order in self._plan_pool(name, pool)
         ]
 
--- a/mulberryway/policy/static_allowances.py
+++ b/mulberryway/policy/static_allowances.py
@@ -54,7 +54,7 @@
         self._lock = threading.Lock()
         self._buckets: dict[str, token_bucket.TokenBucket] = {}
         source.subscribe(self._apply_tables)
-        current = source.read_tables()
+        current = source.get_tables()
         if current is not None:
             self._apply_tables(current)
 
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -316,7 +316,7 @@
             "token timeout", errors.Code.UPSTREAM_TIMEOUT
         )
         stream.is_replacing_source = True
-        self._submit(stream.owner.replace, stream, fault)
+        self._submit(stream.owner.replace_source, stream, fault)
 
     def _try_close_source(
         self,
--- a/mulberryway/relay/stream.py
+++ b/mulberryway/relay/stream.py
@@ -67,7 +67,7 @@
         return True
 
     @abc.abstractmethod
-    def replace(self, stream: "Stream", fault: errors.Fault) -> None:
+    def replace_source(self, stream: "Stream", fault: errors.Fault) -> None:
         """Find a replacement for a stalled engine; runs on a recovery thread.
 
         The stalled engine is still read during the search.  Call
--- a/mulberryway/router.py
+++ b/mulberryway/router.py
@@ -188,7 +188,7 @@
             self._has_started
             and self._was_settled
             and not self._is_draining
-            and self._source.read_tables() is not None
+            and self._source.get_tables() is not None
         )
 
     @property
@@ -224,7 +224,7 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         self._source.subscribe(self._update_tables)
-        found = self._source.read_tables()
+        found = self._source.get_tables()
         if found is not None:
             self._update_tables(found)
         self.loop.start()
@@ -256,7 +256,7 @@
         return [
             name
             for name, is_there in (
-                ("tables", self._source.read_tables() is not None),
+                ("tables", self._source.get_tables() is not None),
                 ("allowances", self._was_settled),
                 ("stopping", not self._is_draining),
             )
@@ -271,7 +271,7 @@
             ),
         )
 
-    def withdraw(self) -> None:
+    def start_draining(self) -> None:
         """Direct new callers to other VMs, but keep serving requests."""
         self._is_draining = True
         self._on_drain()
@@ -293,7 +293,7 @@
                     now_ms + settings_.router_grace_ms - SHUTDOWN_MARGIN_MS
                 )
                 self._stop_at_ms = end.at_ms
-                self.withdraw()
+                self.start_draining()
                 self.clock.sleep_ms(
                     min(
                         settings_.router_entry_ttl_ms
--- a/mulberryway/tables/columns.py
+++ b/mulberryway/tables/columns.py
@@ -96,18 +96,18 @@
 class RowSchema:
     """Decodes and encodes the rows of one class.
 
-    :param make: the row's class
+    :param row_class: the row's class
     :param columns: its columns, without the name
     """
 
-    __slots__ = ("make", "columns", "_by_key")
+    __slots__ = ("row_class", "columns", "_by_key")
 
     def __init__(
         self,
-        make: collections.abc.Callable[..., typing.Any],
+        row_class: collections.abc.Callable[..., typing.Any],
         columns: tuple[Column, ...],
     ) -> None:
-        self.make = make
+        self.row_class = row_class
         self.columns = columns
         self._by_key = {column.key: column for column in columns}
 
@@ -129,7 +129,7 @@
             key: self._decode_value(table, name, self._by_key[key], value)
             for key, value in values.items()
         }
-        return self.make(name=name, **decoded)
+        return self.row_class(name=name, **decoded)
 
     def encode(self, row: typing.Any) -> dict[str, typing.Any]:
         """Return a row's encoded values without its name.
--- a/mulberryway/tables/model.py
+++ b/mulberryway/tables/model.py
@@ -108,8 +108,8 @@
         together; 0 if unknown
     :param role_switch_ms: how long an engine is unavailable while it changes
         its role, in milliseconds
-    :param self_reading: whether its decode engines support chunked prefill,
-        which is slower than a prefill engine
+    :param has_chunked_prefill: whether its decode engines support chunked
+        prefill, which is slower than a prefill engine
     :param pause_ms: the longest inter-token gap, in milliseconds, that meets
         the targets of all its routes; 0 if no route has a target
     :param hold_ms: the longest time, in milliseconds, for which its decode
@@ -123,7 +123,7 @@
         "kv_capacity_tokens",
         "max_connections",
         "role_switch_ms",
-        "self_reading",
+        "has_chunked_prefill",
         "pause_ms",
         "hold_ms",
         "models",
@@ -148,7 +148,7 @@
         kv_capacity_tokens: int = 0,
         max_connections: int = 0,
         role_switch_ms: int = 0,
-        self_reading: bool = False,
+        has_chunked_prefill: bool = False,
         pause_ms: int = 0,
         hold_ms: int = 0,
     ) -> None:
@@ -165,7 +165,7 @@
         self.kv_capacity_tokens = kv_capacity_tokens
         self.max_connections = max_connections
         self.role_switch_ms = role_switch_ms
-        self.self_reading = self_reading
+        self.has_chunked_prefill = has_chunked_prefill
         self.pause_ms = pause_ms
 
 
@@ -197,8 +197,8 @@
         first token, in milliseconds
     :param accounts: client accounts that may use it; empty for all
     :param host: the host name that it serves; empty for any
-    :param shares: the pools among which its requests are split; empty if all
-        go to ``pool``
+    :param weighted_pools: the pools among which its requests are split; empty
+        if all go to ``pool``
     :param retries_safe_methods: whether a call with a safe HTTP method counts
         as idempotent, whatever ``idempotent`` is
     :param is_public: whether callers need no key
@@ -215,7 +215,7 @@
         "name",
         "path_prefix",
         "host",
-        "shares",
+        "weighted_pools",
         "retries_safe_methods",
         "is_public",
         "is_streaming",
@@ -240,7 +240,7 @@
         timeout_ms: int = 10_000,
         accounts: tuple[str, ...] = (),
         host: str = "",
-        shares: tuple[WeightedPool, ...] = (),
+        weighted_pools: tuple[WeightedPool, ...] = (),
         retries_safe_methods: bool = True,
         is_public: bool = False,
         is_streaming: bool = False,
@@ -252,7 +252,7 @@
         self.name = name
         self.path_prefix = path_prefix
         self.host = host
-        self.shares = shares
+        self.weighted_pools = weighted_pools
         self.retries_safe_methods = retries_safe_methods
         self.is_public = is_public
         self.is_streaming = is_streaming
--- a/mulberryway/tables/segments.py
+++ b/mulberryway/tables/segments.py
@@ -160,7 +160,7 @@
         """
         return sorted(root.list_row_segments() - self._rows.keys())
 
-    def join(self, root: roots.Root) -> model.Tables:
+    def assemble_tables(self, root: roots.Root) -> model.Tables:
         """Assemble the tables of a root; all its segments must be cached.
 
         :param root: the root
--- a/mulberryway/tables/source.py
+++ b/mulberryway/tables/source.py
@@ -12,7 +12,7 @@
     """Provides the newest accepted tables."""
 
     @abc.abstractmethod
-    def read_tables(self) -> model.Tables | None:
+    def get_tables(self) -> model.Tables | None:
         """Return the active tables, or none before the first are known.
 
         Without tables a process rejects requests and gives that reason; it
--- a/mulberryway/upstreams/base.py
+++ b/mulberryway/upstreams/base.py
@@ -312,7 +312,7 @@
         :returns: the result, or a fault with the execution status
         """
 
-    def prepare(
+    def prepare_decode(
         self,
         label: AttemptLabel,
         reservation: ReservationRequest | None = None,
@@ -430,7 +430,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.CallCanceller | None = None,
+        canceller: connections.CallCanceller | None = None,
     ) -> expression.Result[ServiceReply, errors.Fault]:
         """Forward one call without retries.
 
@@ -442,6 +442,6 @@
         :param timeout_ms: timeout of the complete reply, in ms
         :param is_idempotent: whether the call may be executed again if its
             outcome is unknown
-        :param interrupt: cancels the call from another thread
+        :param canceller: cancels the call from another thread
         :returns: the reply, or a fault with the execution status
         """
--- a/mulberryway/upstreams/connections.py
+++ b/mulberryway/upstreams/connections.py
@@ -156,14 +156,14 @@
             self._socket = connection
             is_cancelled = self._is_cancelled
         if is_cancelled:
-            self.set()
+            self.cancel()
 
     def detach(self) -> None:
         """Release the socket after the end of the call."""
         with self._lock:
             self._socket = None
 
-    def set(self) -> None:
+    def cancel(self) -> None:
         """Cancel the call now, or as soon as it starts."""
         with self._lock:
             self._is_cancelled = True
@@ -230,7 +230,7 @@
         timeout_ms: int,
         step: errors.Step,
         needs_new_connection: bool = False,
-        interrupt: "CallCanceller | None" = None,
+        canceller: "CallCanceller | None" = None,
     ) -> expression.Result[Response, errors.Fault]:
         """Make one call without retries.
 
@@ -243,7 +243,7 @@
         :param needs_new_connection: whether the call must not use a pooled
             connection: the peer may close an idle connection at any moment,
             and then it is unknown whether the call was executed
-        :param interrupt: cancels the call from another thread
+        :param canceller: cancels the call from another thread
         :returns: the reply, or a fault with the execution status
         """
         deadline_s = time.monotonic() + timeout_ms / MS_IN_S
@@ -251,7 +251,7 @@
             self._create_pool() if needs_new_connection else self._get_pool()
         )
         response: urllib3.BaseHTTPResponse | None = None
-        _CURRENT.canceller = interrupt
+        _CURRENT.canceller = canceller
         try:
             response = pool.urlopen(
                 method,
@@ -271,8 +271,8 @@
             return expression.Error(self._make_fault(error, step))
         finally:
             _CURRENT.canceller = None
-            if interrupt is not None:
-                interrupt.detach()
+            if canceller is not None:
+                canceller.detach()
         result = self._check_echo(headers, complete, response, step)
         if needs_new_connection:
             pool.close()
--- a/mulberryway/upstreams/http_service.py
+++ b/mulberryway/upstreams/http_service.py
@@ -90,7 +90,7 @@
         body: bytes,
         timeout_ms: int,
         is_idempotent: bool = False,
-        interrupt: connections.CallCanceller | None = None,
+        canceller: connections.CallCanceller | None = None,
     ) -> expression.Result[base.ServiceReply, errors.Fault]:
         """Forward one call without retries.
 
@@ -101,7 +101,7 @@
         :param body: the complete body
         :param timeout_ms: timeout of the complete reply, in ms
         :param is_idempotent: whether the call may be executed again
-        :param interrupt: cancels the call from another thread
+        :param canceller: cancels the call from another thread
         :returns: the reply, or a fault with the execution status
         """
         sent = {
@@ -121,7 +121,7 @@
             body or None,
             timeout_ms,
             errors.Step.SERVICE,
-            interrupt=interrupt,
+            canceller=canceller,
         ).map(_make_reply)
 
     def close(self) -> None:
--- a/tests/configuration_history.py
+++ b/tests/configuration_history.py
@@ -88,7 +88,7 @@
         versions = world.store.history[("segments", digest)]
         value = next(one.value for one in versions if one.value)
         assert cache.add(digest, roots.encode_content(value["rows"]))
-    return cache.join(root)
+    return cache.assemble_tables(root)
 
 
 def check_installs(world, chain):
--- a/tests/configuration_world.py
+++ b/tests/configuration_world.py
@@ -306,7 +306,7 @@
             vm.controller.offer_value(self.random.choice(versions).value)
 
     def collect(self):
-        self.random.choice(self.editors).collect()
+        self.random.choice(self.editors).collect_garbage()
 
     def edit(self):
         free = [one for one in self.editors if id(one) not in self.busy]
@@ -359,7 +359,7 @@
         """Record the tables that each VM would use for a request now."""
         now_ms = self.clock.now_ms()
         for name, vm in self.vms.items():
-            tables = vm.active_tables.read_tables()
+            tables = vm.active_tables.get_tables()
             if tables is not None:
                 self.serving.append((now_ms, name, tables.revision))
         self.check_segments()
--- a/tests/policy_cases.py
+++ b/tests/policy_cases.py
@@ -31,7 +31,11 @@
     Callers pass its memory, links and targets.
     """
     plain = make_pool(prefills, decodes, 64, leaving=values.pop("leaving", ()))
-    defaults = {"block_tokens": 16, "self_reading": True, "pause_ms": 300}
+    defaults = {
+        "block_tokens": 16,
+        "has_chunked_prefill": True,
+        "pause_ms": 300,
+    }
     return tables.Pool(
         plain.name,
         plain.kind,
--- a/tests/router_fixture.py
+++ b/tests/router_fixture.py
@@ -35,7 +35,7 @@
         self.current = current
         self.subscribers = []
 
-    def read_tables(self):
+    def get_tables(self):
         return self.current
 
     def subscribe(self, on_change):
--- a/tests/test_allowance_split.py
+++ b/tests/test_allowance_split.py
@@ -13,7 +13,7 @@
         self.current = current
         self.on_change = []
 
-    def read_tables(self):
+    def get_tables(self):
         return self.current
 
     def subscribe(self, on_change):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -65,7 +65,7 @@
         cache = segments.SegmentCache()
         for one in split.segments.values():
             self.assertTrue(cache.add(one.digest, one.content))
-        joined = cache.join(roots.Root(1, split.shards, "", ()))
+        joined = cache.assemble_tables(roots.Root(1, split.shards, "", ()))
         self.assertEqual(
             parse.encode_tables(made), parse.encode_tables(joined)
         )
@@ -95,7 +95,7 @@
         counter = call_metrics.InMemoryCallCounter()
         instruments = metrics.Metrics("vm")
         self.addCleanup(instruments.stop)
-        counter.report(instruments)
+        counter.register_metrics(instruments)
         counter.count_call("claims", "ok", 10, 20)
         counter.count_call("claims", "ok", 10, 20)
         points = instruments.read()["mulberryway.platform.calls"]
--- a/tests/test_configuration_history.py
+++ b/tests/test_configuration_history.py
@@ -299,5 +299,5 @@
         active = tables_in_force.ActiveTables(
             configuration_world.clock.ManualClock(), 1, 1
         )
-        self.assertIsNone(active.read_tables())
+        self.assertIsNone(active.get_tables())
         self.assertEqual(model.Tables(0, (), (), ()).accounts, {})
--- a/tests/test_configuration_rpc.py
+++ b/tests/test_configuration_rpc.py
@@ -76,7 +76,7 @@
         second = self.make_vm("b", down)
         self.others = [configuration_peers.PeerVm("a", "z", "r", self.address)]
         second.step()
-        tables = second.active_tables.read_tables()
+        tables = second.active_tables.get_tables()
         self.assertEqual(tables.revision, 1)
         self.assertEqual(
             parse.encode_tables(tables),
@@ -94,7 +94,7 @@
         """
         self.store.outage = True
         self.first.step()
-        self.assertIsNone(self.first.active_tables.read_tables())
+        self.assertIsNone(self.first.active_tables.get_tables())
 
     def test_wrong_secret(self):
         """A client with a wrong secret requests the tables.
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -395,7 +395,7 @@
     def read_listing(self, kind, purpose):
         return self._answer()
 
-    def poll(self, kind, revision, wait_ms, purpose):
+    def poll_changes(self, kind, revision, wait_ms, purpose):
         return self._answer()
 
     def _answer(self):
@@ -506,7 +506,7 @@
     def read_listing(self, kind, purpose):
         return expression.Ok(base.Listing(self.rows, 10))
 
-    def poll(self, kind, revision, wait_ms, purpose):
+    def poll_changes(self, kind, revision, wait_ms, purpose):
         if self.has_returned:
             self.end.wait(wait_ms / 1_000)
             return expression.Ok(base.ChangeBatch([], revision))
@@ -691,15 +691,15 @@
         It would reject its first requests.
         """
         self.take(self.source.configuration, "main")
-        self.assertIsNone(self.source.read_tables())
+        self.assertIsNone(self.source.get_tables())
         self.take(self.source.servers, "s1")
-        found = self.source.read_tables()
+        found = self.source.get_tables()
         self.assertEqual(len(found.pools["app"].upstreams), 1)
 
     def test_tables_without_servers_where_the_store_has_none(self):
         self.source.servers.step()
         self.take(self.source.configuration, "main")
-        self.assertIsNotNone(self.source.read_tables())
+        self.assertIsNotNone(self.source.get_tables())
 
 
 class StoreReachabilityTest(unittest.TestCase):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -136,7 +136,7 @@
         # A process may be paused just before any call.
         self.store.on_call = self.pause
 
-    def read_tables(self):
+    def get_tables(self):
         return self.tables
 
     def subscribe(self, on_change):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -97,7 +97,7 @@
         self.assertFalse(book.idempotent)
         self.assertFalse(book.retries_safe_methods)
         self.assertEqual(found.find_route("/talk/x", "site.example"), talk)
-        self.assertEqual((book.pool, book.shares), ("app", ()))
+        self.assertEqual((book.pool, book.weighted_pools), ("app", ()))
         self.assertEqual(talk.max_attempts, 2)
 
     def test_engine_parameters(self):
@@ -277,7 +277,7 @@
             )
             label = upstreams.AttemptLabel("r-1", "vm0", 1)
             made.cancel(label)
-            self.assertTrue(made.prepare(label).is_ok())
+            self.assertTrue(made.prepare_decode(label).is_ok())
             connection, _ = listener.accept()
             self.addCleanup(connection.close)
             connection.settimeout(1.0)
@@ -308,7 +308,7 @@
 
             thread = threading.Thread(target=refuse)
             thread.start()
-            fault = made.prepare(
+            fault = made.prepare_decode(
                 label, upstreams.ReservationRequest(100, 2_000)
             ).error
             thread.join()
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -32,7 +32,7 @@
     def list_alive(self):
         return VMS
 
-    def read_tables(self):
+    def get_tables(self):
         return Tables
 
     def list_ejected(self):
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -42,7 +42,7 @@
     def recover(self, stream, fault):
         raise ValueError("search failed")
 
-    def replace(self, stream, fault):
+    def replace_source(self, stream, fault):
         raise ValueError("search failed")
 
     def close(self, tokens, fault):
@@ -75,7 +75,7 @@
         self.close_results = queue.Queue()
         self.recovered = threading.Event()
 
-    def replace(self, stream, fault):
+    def replace_source(self, stream, fault):
         offset = stream.expected
         self.search_started.set()
         self.may_continue.wait(TEST_TIMEOUT_S)
--- a/tests/test_shaping.py
+++ b/tests/test_shaping.py
@@ -18,7 +18,7 @@
 RATE = 0.018
 
 
-def make_pool(prefills=2, decodes=4, self_reading=True, leaving=()):
+def make_pool(prefills=2, decodes=4, has_chunked_prefill=True, leaving=()):
     return cases.make_reading_pool(
         prefills,
         decodes,
@@ -26,7 +26,7 @@
         kv_bytes_per_token=163_840,
         link_bytes_per_s=675_000_000_000,
         kv_capacity_tokens=TOKENS,
-        self_reading=self_reading,
+        has_chunked_prefill=has_chunked_prefill,
         pause_ms=GAP_MS,
     )
 
@@ -145,7 +145,7 @@
         self.assertEqual(one.prefill, "p0")
 
     def test_pool_without_chunked_prefill_rejects(self):
-        rig = Rig(prefills=0, self_reading=False)
+        rig = Rig(prefills=0, has_chunked_prefill=False)
         self.assertTrue(rig.submit(0).is_error())
 
 
