--- a/mulberryway/admin/api.py
+++ b/mulberryway/admin/api.py
@@ -114,7 +114,9 @@
         return [body]
 
     def _handle(self, environ: Environ) -> Result:
-        operator = self._operators.find(environ.get("HTTP_AUTHORIZATION", ""))
+        operator = self._operators.authenticate(
+            environ.get("HTTP_AUTHORIZATION", "")
+        )
         if operator is None:
             LOG.warning(
                 "a request without an operator's credential was rejected: %s",
--- a/mulberryway/admin/calls.py
+++ b/mulberryway/admin/calls.py
@@ -36,7 +36,7 @@
     def __init__(self, digests: dict[str, str]) -> None:
         self._digests = digests
 
-    def find(self, header: str) -> str | None:
+    def authenticate(self, header: str) -> str | None:
         """Return the operator with the credential in a header, or None.
 
         All digests are compared in constant time, so the response time
--- a/mulberryway/filters/base.py
+++ b/mulberryway/filters/base.py
@@ -90,7 +90,7 @@
         self._reservation = reserved.ok
         return expression.Ok(None)
 
-    def confirm(self) -> expression.Result[None, errors.Fault]:
+    def ensure_usable(self) -> expression.Result[None, errors.Fault]:
         """Check the reservation right before an upstream is called.
 
         After a long wait in the queue or a pause of the process, the tokens
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -419,7 +419,7 @@
             or self._retry_state.search.has_partial_answer
         ):
             return checked
-        return charge.confirm()
+        return charge.ensure_usable()
 
     def _run_attempt(
         self, attempt: attempts.Attempt, offset: int, limit: clock.Deadline
@@ -485,7 +485,7 @@
             return "the request may run once only"
         if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
-        if self._retry_state.search.is_over():
+        if self._retry_state.search.is_exhausted():
             return "too many tries have failed"
         if not self._is_active():
             return "the caller has gone"
--- a/mulberryway/filters/retry_state.py
+++ b/mulberryway/filters/retry_state.py
@@ -47,7 +47,7 @@
         """Record that the last attempt got no reservation."""
         self._reservation_failures += 1
 
-    def is_over(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Return whether a further attempt would most likely fail too."""
         return (
             self._attempts - self._reservation_failures >= MAX_ATTEMPTS
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -130,7 +130,7 @@
             self.mirror_controllers, self.client, self.clock, self._list_peers
         )
         self.directory = directory.PlatformDirectory(self.clock)
-        self.budget = repeats.SharedRetryBudget(
+        self.retry_budget = repeats.SharedRetryBudget(
             retries.FleetRetryBudget(
                 settings_.retries_part,
                 settings_.retries_window_ms,
@@ -292,11 +292,11 @@
             self.scheduler,
             self.allowances,
             _FleetEndpoints(self),
-            self.budget.try_withdraw,
+            self.retry_budget.try_withdraw,
             on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             on_ready=lambda: self.members.update_local(is_starting=False),
-            api=interface.PlatformInterface(self.budget),
+            api=interface.PlatformInterface(self.retry_budget),
             fault_format=FAULT_FORMAT,
             # On this platform a revoked key only prevents new requests;
             # running streams are completed.
