--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -210,7 +210,7 @@
         try:
             for digest, content in fetched.items():
                 if not self._cache.add(digest, content):
-                    LOG.error("segment content does not match its digest")
+                    LOG.error("the segment does not match its digest")
         except errors.TablesError as error:
             LOG.error(
                 "tables of revision %d are malformed: %s", root.revision, error
--- a/mulberryway/objects/http.py
+++ b/mulberryway/objects/http.py
@@ -329,12 +329,12 @@
                 CODES[status],
                 errors.Step.PLATFORM,
                 self._peer,
-                message=f"the platform returned status {status}",
+                message=f"the platform responded with status {status}",
             )
         fault = self._make_fault(
             verb,
             status >= SERVER_ERRORS,
-            f"the platform returned status {status}",
+            f"the platform responded with status {status}",
         )
         if status == TOO_MANY_REQUESTS:
             fault.retry_after_ms = _read_retry_after(response)
--- a/mulberryway/platform/engine.py
+++ b/mulberryway/platform/engine.py
@@ -417,7 +417,7 @@
                 errors.Code.UPSTREAM_REFUSED,
                 errors.Step.DECODE,
                 self.address,
-                message=f"the engine responded with status {response.status}",
+                message=f"engine responded with status {response.status}",
             )
         )
 
--- a/mulberryway/platform/responses.py
+++ b/mulberryway/platform/responses.py
@@ -71,7 +71,7 @@
             step,
             address,
             errors.ExecutionStatus.MAY_HAVE_RUN,
-            "the response belongs to another request",
+            "response belongs to another request",
         )
     return errors.Fault(
         errors.Code.UPSTREAM_FAILED,
--- a/mulberryway/relay/pump.py
+++ b/mulberryway/relay/pump.py
@@ -410,7 +410,7 @@
                 errors.Code.CANCELLED,
                 errors.Step.CALLER,
                 run=errors.ExecutionStatus.MAY_HAVE_RUN,
-                message="caller disconnected",
+                message="the caller disconnected",
             ),
         )
 
