--- a/mulberryway/controllers/engine_reports.py
+++ b/mulberryway/controllers/engine_reports.py
@@ -61,7 +61,7 @@
 
     def step(self) -> None:
         """Poll each engine assigned to this router once."""
-        active = self._source.read_tables()
+        active = self._source.get_tables()
         if active is None:
             return
         assigned = self._list_assigned(active)
@@ -81,7 +81,7 @@
 
     def list_assigned_engines(self) -> list[upstreams.Engine]:
         """Return the engines assigned to this router by rendezvous hashing."""
-        active = self._source.read_tables()
+        active = self._source.get_tables()
         if active is None:
             return []
         return [
--- a/mulberryway/controllers/scheduler_gossip.py
+++ b/mulberryway/controllers/scheduler_gossip.py
@@ -136,11 +136,11 @@
         if vms != self._vms:
             self._vms = vms
             self._update_members()
-        active = self._source.read_tables()
+        active = self._source.get_tables()
         state = (active.revision if active else 0, vms)
         if active is not None and state != self._subsets_state:
             self._subsets_state = state
-            self._scheduling.change_vms(vms)
+            self._scheduling.update_vms(vms)
             self.subsets = tuple(
                 pool_subsets.find_pool_subset(
                     pool, self._members.own.name, vms
--- a/mulberryway/controllers/tables_in_force.py
+++ b/mulberryway/controllers/tables_in_force.py
@@ -59,7 +59,7 @@
             collections.abc.Callable[[tables.Tables], None]
         ] = []
 
-    def read_tables(self) -> tables.Tables | None:
+    def get_tables(self) -> tables.Tables | None:
         """Return the tables, or None while they must not be used."""
         if self.evaluate_freshness() is freshness.Freshness.PARTITIONED:
             return None
@@ -210,7 +210,7 @@
         try:
             for digest, content in fetched.items():
                 if not self._cache.add(digest, content):
-                    LOG.error("segment content does not match its digest")
+                    LOG.error("the segment does not match its digest")
         except errors.TablesError as error:
             LOG.error(
                 "tables of revision %d are malformed: %s", root.revision, error
@@ -220,7 +220,7 @@
 
     def _install(self, root: roots.Root) -> None:
         """Activate a root and notify subscribers in order of revision."""
-        installed = self._cache.join(root)
+        installed = self._cache.assemble_tables(root)
         self._tables = installed
         self._root = root
         self._cache.retain(root.list_row_segments())
--- a/mulberryway/filters/authentication.py
+++ b/mulberryway/filters/authentication.py
@@ -45,7 +45,7 @@
         :param proceed: the rest of the chain
         :returns: the chain's answer, or a fault
         """
-        active = self._source.read_tables()
+        active = self._source.get_tables()
         if active is None:
             return expression.Error(
                 errors.Fault(
@@ -87,7 +87,7 @@
     :param step: the step to report in the fault
     :returns: nothing, or ``UNAUTHENTICATED``
     """
-    active = source.read_tables()
+    active = source.get_tables()
     if active is not None and has_public_route(active, exchange):
         return expression.Ok(None)
     account = (
--- a/mulberryway/filters/model_run.py
+++ b/mulberryway/filters/model_run.py
@@ -181,7 +181,9 @@
         else:
             self._parts.relay.fail(stream, self._finalize_fault(result.error))
 
-    def replace(self, stream: streams.Stream, fault: errors.Fault) -> None:
+    def replace_source(
+        self, stream: streams.Stream, fault: errors.Fault
+    ) -> None:
         """Resume a stalled stream at another engine.
 
         The unresponsive engine is abandoned only when the other engine is
@@ -421,7 +423,7 @@
             or self._retry_state.search.has_partial_answer
         ):
             return checked
-        return charge.confirm()
+        return charge.ensure_usable()
 
     def _run_attempt(
         self, attempt: attempts.Attempt, offset: int, limit: clock.Deadline
@@ -487,7 +489,7 @@
             return "the request may run once only"
         if self._count_attempts() >= exchange.route.max_attempts:
             return "its route allows no further attempt"
-        if self._retry_state.search.is_over():
+        if self._retry_state.search.is_exhausted():
             return "too many attempts have failed"
         if not self._is_active():
             return "the caller disconnected"
--- a/mulberryway/hosted.py
+++ b/mulberryway/hosted.py
@@ -130,7 +130,7 @@
             self.mirror_controllers, self.client, self.clock, self._list_peers
         )
         self.directory = directory.PlatformDirectory(self.clock)
-        self.budget = repeats.SharedRetryBudget(
+        self.retry_budget = repeats.SharedRetryBudget(
             retries.FleetRetryBudget(
                 settings_.retries_part,
                 settings_.retries_window_ms,
@@ -294,17 +294,17 @@
             self.scheduler,
             self.allowances,
             _FleetEndpoints(self),
-            self.budget.try_withdraw,
+            self.retry_budget.try_withdraw,
             on_drain=lambda: self.members.update_local(is_stopping=True),
             directory_=self.directory,
             on_ready=lambda: self.members.update_local(is_starting=False),
-            api=interface.PlatformInterface(self.budget),
+            api=interface.PlatformInterface(self.retry_budget),
             fault_format=FAULT_FORMAT,
             # On this platform a revoked key only prevents new requests;
             # running streams are completed.
             closes_revoked_streams=False,
         )
-        self.counts.report(self.router.metrics)
+        self.counts.register_metrics(self.router.metrics)
         kept_objects.report(
             [
                 controller.kept
@@ -404,7 +404,7 @@
         self, pool: str, upstream: str
     ) -> upstreams.Engine | None:
         return directory_.find_engine_by_name(
-            self.source.read_tables(), self.directory, pool, upstream
+            self.source.get_tables(), self.directory, pool, upstream
         )
 
     def _may_issue_orders(self) -> bool:
@@ -422,7 +422,7 @@
 
     def _receive_usage(self, received: usage.Usage, address: str) -> None:
         self.allowances.take(received)
-        self.outages.note_peer(
+        self.outages.record_peer(
             received.vm, received.is_store_reached, self.clock.now_ms()
         )
         # A VM that has just started has not contacted the others yet.
--- a/mulberryway/policy/role_planner.py
+++ b/mulberryway/policy/role_planner.py
@@ -50,7 +50,7 @@
         return [
             order
             for name, pool in pools.items()
-            if pool.kind is tables.PoolKind.MODEL and pool.self_reading
+            if pool.kind is tables.PoolKind.MODEL and pool.has_chunked_prefill
             for order in self._plan_pool(name, pool)
         ]
 
@@ -70,7 +70,7 @@
         """
         self._ordered_ms[order.pool, order.row.name] = now_ms
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard all state because this VM is no longer the leader."""
         self._ordered_ms.clear()
 
